--- a/cmd/passlab/capacity.go
+++ b/cmd/passlab/capacity.go
@@ -30,6 +30,7 @@
 	Tables  bool          `help:"Play nothing; write the tables and charts of what the folder has."`
 }
 
+// Run plays the sweeps that the flags name and writes their tables and charts.
 func (c *sweeps) Run() error {
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	if c.List {
--- a/cmd/passlab/main.go
+++ b/cmd/passlab/main.go
@@ -26,6 +26,7 @@
 	Out     string   `help:"Folder for rows.csv, rows.parquet and utility.png." type:"path" default:"experiment"`
 }
 
+// Run plays each script with each variant and seed and writes the rows and the chart.
 func (c *experiment) Run() error {
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	seeds, err := lab.Seeds(c.Seeds)
@@ -72,6 +73,7 @@
 	Second string `arg:"" help:"Folder of another with the same scripts and seeds." type:"existingdir"`
 }
 
+// Run holds the rows of two experiments against each other.
 func (c *compare) Run() error {
 	var sets [2][]lab.Row
 	for i, folder := range []string{c.First, c.Second} {
--- a/driver/driver.go
+++ b/driver/driver.go
@@ -5,14 +5,22 @@
 import "time"
 
 type (
-	RPC     uint32 // one try of a client
-	Member  uint64 // the address of a database process
+	// RPC identifies one request of a client while the host serves it.
+	RPC uint32 // one try of a client
+	// Member identifies a database process; a number is not used again once the member was forgotten.
+	Member uint64 // the address of a database process
+	// Session identifies a client session; 0 means that the request belongs to none.
 	Session uint64 // 0: none
-	Group   uint16 // a primary and its replicas
-	Method  uint16
-	Tenant  uint16
-	Zone    uint16
-	Peer    uint32 // another driver
+	// Group identifies a primary and its replicas.
+	Group uint16 // a primary and its replicas
+	// Method is the index of a method in the settings.
+	Method uint16
+	// Tenant is the index of a tenant in the settings.
+	Tenant uint16
+	// Zone is the index of an availability zone in the settings.
+	Zone uint16
+	// Peer identifies another driver of the fleet.
+	Peer uint32 // another driver
 )
 
 // EveryPeer addresses all other drivers at once.
@@ -25,6 +33,7 @@
 type Outcome uint8
 
 const (
+	// OK means that the member answered and the request succeeded.
 	OK           Outcome = iota
 	Failed               // the member answered with an error; it may have run
 	Full                 // turned away unseen
@@ -40,8 +49,11 @@
 type Role uint8
 
 const (
+	// Unknown means that the answer did not tell the member's role.
 	Unknown Role = iota
+	// Primary accepts writes.
 	Primary
+	// Replica applies the primary's log and serves reads.
 	Replica
 )
 
@@ -49,8 +61,11 @@
 type Standing uint8
 
 const (
+	// Draining members finish what they have and take nothing new.
 	Draining Standing = iota
+	// Ready members take requests.
 	Ready
+	// Gone members were removed.
 	Gone
 )
 
@@ -59,6 +74,7 @@
 
 const (
 	Changes Listing = iota // only the entries that changed
+	// Whole holds every member.
 	Whole
 	Cached // whole, but perhaps out of date
 	NoList // a call failed or the watch broke; nothing is listed
--- a/internal/batch/batch.go
+++ b/internal/batch/batch.go
@@ -28,6 +28,7 @@
 type End uint8
 
 const (
+	// OK means that the request succeeded.
 	OK      End = iota
 	Refused     // nothing ran
 	Aborted     // it may have run
@@ -37,6 +38,7 @@
 type Skip uint8
 
 const (
+	// Goes means that the item is sent.
 	Goes    Skip = iota
 	Needed       // what it needs is not ok
 	Stopped      // an earlier one is not ok, and the batch does not go on after that
--- a/internal/chain/chain.go
+++ b/internal/chain/chain.go
@@ -52,7 +52,9 @@
 
 // First is the one that came first, nil where there is none; Next is the one behind.
 func (c *Chain[T]) First() *Link[T] { return c.first }
-func (l *Link[T]) Next() *Link[T]   { return l.next }
+
+// Next returns the link behind this one, nil at the end of the chain.
+func (l *Link[T]) Next() *Link[T] { return l.next }
 
 // Count tells how many stand in the chain.
 func (c *Chain[T]) Count() int { return c.count }
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -37,7 +37,7 @@
 // Listen answers at the address from now on.
 func Listen(l *loop.Loop, at netip.AddrPort, answers Answers) (*loop.Listener, error) {
 	door := loop.Door{Descriptors: func(int) int { return abreast }}
-	return l.Listen(at, longest, door, func(take func(loop.Owner) *loop.Stream) {
+	return l.Listen(at, longest, door, func(take func(loop.Handler) *loop.Stream) {
 		a := &asked{loop: l, answers: answers}
 		if a.stream = take(a); a.stream != nil {
 			a.due = l.At(l.Now()+patience, a.end)
--- a/internal/emu/member.go
+++ b/internal/emu/member.go
@@ -94,9 +94,13 @@
 	return &Member{Name: name, Build: b, Slow: 1, Lagging: 1, timer: t, chance: chance, started: driver.LongAgo, up: true}
 }
 
-// Up, Tipped and Drains tell how it is.
-func (m *Member) Up() bool     { return m.up }
+// Up reports whether the member runs.
+func (m *Member) Up() bool { return m.up }
+
+// Tipped reports whether the member was overloaded while it was cold and has fallen.
 func (m *Member) Tipped() bool { return m.tipped }
+
+// Drains reports whether the member finishes what it has and takes nothing new.
 func (m *Member) Drains() bool { return m.drains }
 
 // Role is what it takes itself for.
--- a/internal/emu/play/clients.go
+++ b/internal/emu/play/clients.go
@@ -190,15 +190,20 @@
 	due     loop.Due
 }
 
-func (k *knock) Opened()              {}
+// Opened implements loop.Handler.
+func (k *knock) Opened() {}
+
+// Panicked implements loop.Handler.
 func (k *knock) Panicked(cause error) { k.stream.Close() }
 
+// Closed implements loop.Handler.
 func (k *knock) Closed(error) {
 	c := k.clients
 	c.loop.Forget(k.due)
 	c.loop.At(c.loop.Now()+knocking, func() { c.knock(k.driver) })
 }
 
+// Input implements loop.Handler.
 func (k *knock) Input(in []byte) int {
 	kind, _, size, err := pgwire.Next(in)
 	if err != nil || kind == 'I' && size > 0 {
@@ -353,9 +358,13 @@
 	})
 }
 
-func (l *line) Opened()              {}
+// Opened implements loop.Handler.
+func (l *line) Opened() {}
+
+// Panicked implements loop.Handler.
 func (l *line) Panicked(cause error) { l.stream.Close() }
 
+// Closed implements loop.Handler.
 func (l *line) Closed(error) {
 	l.closed = true
 	if l.onceMore() {
@@ -373,6 +382,7 @@
 	}
 }
 
+// Input implements loop.Handler.
 func (l *line) Input(in []byte) int {
 	kind, body, size, err := pgwire.Next(in)
 	if err != nil {
--- a/internal/emu/play/clients_test.go
+++ b/internal/emu/play/clients_test.go
@@ -117,7 +117,7 @@
 		}
 		record := emu.NewRecord(emu.Allowed{})
 		d := &dying{t: t, loop: l, record: record, window: s.Methods[0].Window, rests: rests, ran: make(map[string]time.Duration)}
-		if _, err := l.Listen(at, 1<<16, loop.Door{Descriptors: func(most int) int { return most }}, func(open func(loop.Owner) *loop.Stream) {
+		if _, err := l.Listen(at, 1<<16, loop.Door{Descriptors: func(most int) int { return most }}, func(open func(loop.Handler) *loop.Stream) {
 			g := &guest{dying: d}
 			g.stream = open(g)
 		}, func(bool) {}); err != nil {
--- a/internal/emu/play/cluster.go
+++ b/internal/emu/play/cluster.go
@@ -21,7 +21,10 @@
 // timer gives the models their time from a loop.
 type timer struct{ loop *loop.Loop }
 
-func (t timer) Now() time.Duration              { return t.loop.Now() }
+// Now implements emu.Timer by the loop's clock.
+func (t timer) Now() time.Duration { return t.loop.Now() }
+
+// At implements emu.Timer by the loop's timers.
 func (t timer) At(at time.Duration, act func()) { t.loop.At(at, act) }
 
 // Cluster is all members and discovery, on one loop: simulated or real.
@@ -88,7 +91,7 @@
 	}
 	for i, at := range agents {
 		a := &agent{cluster: c, number: i, driver: Driver(i)}
-		if _, err := l.Listen(at, 1<<16, loop.Door{}, func(open func(loop.Owner) *loop.Stream) {
+		if _, err := l.Listen(at, 1<<16, loop.Door{}, func(open func(loop.Handler) *loop.Stream) {
 			w := &watcher{agent: a}
 			w.stream = open(w)
 		}, func(bool) {}); err != nil {
@@ -100,7 +103,7 @@
 }
 
 func (m *served) listen() (err error) {
-	m.listener, err = m.cluster.loop.Listen(m.at, pgwire.Most+1, loop.Door{}, func(open func(loop.Owner) *loop.Stream) {
+	m.listener, err = m.cluster.loop.Listen(m.at, pgwire.Most+1, loop.Door{}, func(open func(loop.Handler) *loop.Stream) {
 		k := &conn{member: m}
 		if k.stream = open(k); k.stream == nil {
 			return
@@ -201,8 +204,10 @@
 	place   chain.Link[*conn]
 }
 
+// Opened implements loop.Handler.
 func (k *conn) Opened() {}
 
+// Closed implements loop.Handler.
 func (k *conn) Closed(error) {
 	k.place.Leave()
 	if k.job != nil {
@@ -210,8 +215,10 @@
 	}
 }
 
+// Panicked implements loop.Handler.
 func (k *conn) Panicked(cause error) { k.stream.Close() }
 
+// Input implements loop.Handler.
 func (k *conn) Input(in []byte) int {
 	m := k.member
 	if m.model.Paused() { // it reads when it goes on
@@ -386,9 +393,14 @@
 	due    loop.Due
 }
 
-func (w *watcher) Opened()              {}
+// Opened implements loop.Handler.
+func (w *watcher) Opened() {}
+
+// Panicked implements loop.Handler.
 func (w *watcher) Panicked(cause error) { w.stream.Close() }
-func (w *watcher) Closed(error)         { w.leave() }
+
+// Closed implements loop.Handler.
+func (w *watcher) Closed(error) { w.leave() }
 
 func (w *watcher) leave() {
 	w.agent.cluster.loop.Forget(w.due)
@@ -400,6 +412,7 @@
 	}
 }
 
+// Input implements loop.Handler.
 func (w *watcher) Input(in []byte) int {
 	c := w.agent.cluster
 	r, fault := httpwire.Next(in, httpwire.Limits{Target: 1000, Head: 4000, Fields: 50, Body: 1000})
--- a/internal/emu/play/network.go
+++ b/internal/emu/play/network.go
@@ -28,10 +28,14 @@
 
 // Driver and Member name places by number.
 func Driver(n int) string { return "d" + strconv.Itoa(n) }
+
+// Member returns the name of the nth member.
 func Member(n int) string { return "m" + strconv.Itoa(n) }
 
 // DriverZone and MemberZone number zones by what is in them. First primaries are spread over them too.
 func (s *Script) DriverZone(n int) int { return n % s.Zones }
+
+// MemberZone returns the zone of the nth member.
 func (s *Script) MemberZone(n int) int { return (n + n/s.Members) % s.Zones }
 
 // zoneNames are those of all zones.
--- a/internal/emu/play/result.go
+++ b/internal/emu/play/result.go
@@ -89,6 +89,7 @@
 	f.down[n] = true
 }
 
+// Back notes that the nth driver serves again.
 func (f *Falls) Back(n int, at time.Duration) {
 	if !f.down[n] {
 		return
--- a/internal/emu/play/script.go
+++ b/internal/emu/play/script.go
@@ -529,18 +529,18 @@
 }
 
 // ends reads between what a link is troubled: from and to, or the drivers that on names and all members.
-func (r *Trouble) ends(s *Script, at string, from, to []string, wrong func(path, format string, args ...any)) {
+func (t *Trouble) ends(s *Script, at string, from, to []string, wrong func(path, format string, args ...any)) {
 	if len(from) == 0 && len(to) == 0 {
-		for _, n := range r.On {
-			r.From = append(r.From, Driver(n))
+		for _, n := range t.On {
+			t.From = append(t.From, Driver(n))
 		}
-		r.To, _ = s.places("members")
-		if len(r.On) == 0 {
+		t.To, _ = s.places("members")
+		if len(t.On) == 0 {
 			wrong(at, "on is missing, or from and to")
 		}
 		return
 	}
-	if len(r.On) > 0 || len(from) == 0 || len(to) == 0 {
+	if len(t.On) > 0 || len(from) == 0 || len(to) == 0 {
 		wrong(at, "it wants either on, or from and to")
 	}
 	for name, texts := range map[string][]string{"from": from, "to": to} {
@@ -550,9 +550,9 @@
 				wrong(at+" "+name, "%v", err)
 			}
 			if name == "from" {
-				r.From = append(r.From, names...)
+				t.From = append(t.From, names...)
 			} else {
-				r.To = append(r.To, names...)
+				t.To = append(t.To, names...)
 			}
 		}
 	}
--- a/internal/emu/play/witness.go
+++ b/internal/emu/play/witness.go
@@ -35,7 +35,7 @@
 // NewWitness listens at the address.
 func NewWitness(l *loop.Loop, at netip.AddrPort) (*Witness, error) {
 	w := &Witness{loop: l}
-	_, err := l.Listen(at, 64<<10, loop.Door{}, func(open func(loop.Owner) *loop.Stream) {
+	_, err := l.Listen(at, 64<<10, loop.Door{}, func(open func(loop.Handler) *loop.Stream) {
 		c := &caller{witness: w}
 		c.stream = open(c)
 	}, func(bool) {})
@@ -47,10 +47,16 @@
 	stream  *loop.Stream
 }
 
-func (c *caller) Opened()              {}
-func (c *caller) Closed(error)         {}
+// Opened implements loop.Handler.
+func (c *caller) Opened() {}
+
+// Closed implements loop.Handler.
+func (c *caller) Closed(error) {}
+
+// Panicked implements loop.Handler.
 func (c *caller) Panicked(cause error) { c.stream.Close() }
 
+// Input implements loop.Handler.
 func (c *caller) Input(in []byte) int {
 	r, fault := httpwire.Next(in, httpwire.Limits{Target: 1000, Head: 4000, Fields: 50, Body: 16 << 10})
 	if fault != nil {
--- a/internal/emu/record.go
+++ b/internal/emu/record.go
@@ -12,8 +12,11 @@
 type Effect uint8
 
 const (
+	// Idempotent requests may run any number of times.
 	Idempotent Effect = iota
+	// Tokened requests carry an idempotency token that members deduplicate by.
 	Tokened
+	// NonIdempotent requests must run at most once.
 	NonIdempotent
 )
 
@@ -99,6 +102,7 @@
 	r.arrivals = append(r.arrivals, arrival{id, member, driver, at})
 }
 
+// Ran notes that an attempt ran at a member, whether it had an effect, and what its data lacked.
 func (r *Record) Ran(id string, effect bool, stale string) {
 	a := r.asked[id]
 	if a == nil {
--- a/internal/emu/rig/relay.go
+++ b/internal/emu/rig/relay.go
@@ -36,7 +36,7 @@
 }
 
 func (r *relay) listen() (err error) {
-	r.listener, err = r.loop.Listen(r.at, mostHeld, loop.Door{Descriptors: func(most int) int { return most }}, func(open func(loop.Owner) *loop.Stream) {
+	r.listener, err = r.loop.Listen(r.at, mostHeld, loop.Door{Descriptors: func(most int) int { return most }}, func(open func(loop.Handler) *loop.Stream) {
 		p := &pair{relay: r}
 		p.caller, p.place = &end{pair: p}, &end{pair: p, back: true}
 		p.caller.other, p.place.other = p.place, p.caller
@@ -143,10 +143,13 @@
 	return &e.pair.relay.there
 }
 
+// Opened implements loop.Handler.
 func (e *end) Opened() {}
 
+// Panicked implements loop.Handler.
 func (e *end) Panicked(cause error) { e.pair.reset() }
 
+// Input implements loop.Handler.
 func (e *end) Input(in []byte) int {
 	if e.held >= mostHeld {
 		e.rests = true
@@ -156,6 +159,7 @@
 	return len(in)
 }
 
+// Closed implements loop.Handler.
 func (e *end) Closed(cause error) {
 	e.gone = true
 	if rest := e.stream.Unread(); len(rest) > 0 {
--- a/internal/front/connections.go
+++ b/internal/front/connections.go
@@ -36,7 +36,7 @@
 // something came and no more, and ends the connection. Refuse tells it that what came last was not begun, as the driver
 // shuts down, and ends the connection.
 type Handler interface {
-	loop.Owner
+	loop.Handler
 	Asking() bool
 	Half()
 	Refuse()
@@ -100,7 +100,7 @@
 // GiveWay ends a connection that asks nothing, if there is one.
 func (r *Connections) GiveWay() bool { return r.yield(true) }
 
-func (r *Connections) accept(open func(loop.Owner) *loop.Stream) {
+func (r *Connections) accept(open func(loop.Handler) *loop.Stream) {
 	s := &Connection{room: r}
 	s.place.Value = s
 	s.handler = r.welcome(s)
@@ -140,6 +140,7 @@
 	s.room.asking++
 }
 
+// Served notes that the request that was being served has its answer.
 func (s *Connection) Served() {
 	s.room.asking--
 	s.unsent = 0
--- a/internal/front/odata/front.go
+++ b/internal/front/odata/front.go
@@ -90,8 +90,11 @@
 	asking  bool // the answer may come while it is being asked for
 }
 
+// Asking reports whether a request of the connection is being served.
 func (c *conn) Asking() bool { return c.served != nil }
-func (c *conn) Opened()      {}
+
+// Opened implements loop.Handler.
+func (c *conn) Opened() {}
 
 // Half answers half of a request that nothing follows.
 func (c *conn) Half() {
@@ -104,6 +107,7 @@
 	c.Close(front.ClosedShutdown)
 }
 
+// Closed implements loop.Handler.
 func (c *conn) Closed(cause error) {
 	c.Connection.Leave(cause)
 	c.letGo()
@@ -141,6 +145,7 @@
 	c.Close(front.ClosedUnreadable)
 }
 
+// Input implements loop.Handler: it reads one request at a time.
 func (c *conn) Input(in []byte) int {
 	if c.Gone {
 		return len(in)
@@ -288,8 +293,17 @@
 	}
 }
 
-func (f *Front) Leave()                       { f.connections.Leave() }
-func (f *Front) Shut()                        { f.connections.Shut() }
+// Leave implements driver.Front.
+func (f *Front) Leave() { f.connections.Leave() }
+
+// Shut implements driver.Front.
+func (f *Front) Shut() { f.connections.Shut() }
+
+// Sweep implements driver.Front.
 func (f *Front) Sweep(idle time.Duration) int { return f.connections.Sweep(idle) }
-func (f *Front) Finish()                      { f.connections.Finish() }
-func (f *Front) Open() int                    { return f.connections.Count() }
+
+// Finish implements driver.Front.
+func (f *Front) Finish() { f.connections.Finish() }
+
+// Open implements driver.Front.
+func (f *Front) Open() int { return f.connections.Count() }
--- a/internal/front/pg/pg.go
+++ b/internal/front/pg/pg.go
@@ -81,8 +81,10 @@
 	c.Close(front.ClosedShutdown)
 }
 
+// Opened implements loop.Handler.
 func (c *client) Opened() {}
 
+// Closed implements loop.Handler.
 func (c *client) Closed(cause error) {
 	c.Connection.Leave(cause)
 	c.letGo()
@@ -139,6 +141,7 @@
 	c.Close(front.ClosedUnreadable)
 }
 
+// Input implements loop.Handler: it reads one message at a time.
 func (c *client) Input(in []byte) int {
 	if c.Gone {
 		return len(in)
@@ -384,8 +387,17 @@
 // Connections gives those that it holds.
 func (f *Front) Connections() *front.Connections { return f.connections }
 
-func (f *Front) Shut()                        { f.connections.Shut() }
-func (f *Front) Leave()                       { f.connections.Leave() }
+// Shut implements driver.Front.
+func (f *Front) Shut() { f.connections.Shut() }
+
+// Leave implements driver.Front.
+func (f *Front) Leave() { f.connections.Leave() }
+
+// Sweep implements driver.Front.
 func (f *Front) Sweep(idle time.Duration) int { return f.connections.Sweep(idle) }
-func (f *Front) Finish()                      { f.connections.Finish() }
-func (f *Front) Open() int                    { return f.connections.Count() }
+
+// Finish implements driver.Front.
+func (f *Front) Finish() { f.connections.Finish() }
+
+// Open implements driver.Front.
+func (f *Front) Open() int { return f.connections.Count() }
--- a/internal/httpwire/request.go
+++ b/internal/httpwire/request.go
@@ -12,6 +12,7 @@
 	Reason string
 }
 
+// Error implements error.
 func (f *Fault) Error() string { return fmt.Sprintf("%d: %s", f.Status, f.Reason) }
 
 // Limits bound what a request may bring.
--- a/internal/lab/capacity/capacity.go
+++ b/internal/lab/capacity/capacity.go
@@ -16,8 +16,11 @@
 type Axis string
 
 const (
+	// Drivers varies the number of drivers.
 	Drivers Axis = "drivers"
+	// Members varies the number of members.
 	Members Axis = "members"
+	// Clients varies the number of clients of one driver.
 	Clients Axis = "clients"
 )
 
@@ -62,7 +65,9 @@
 )
 
 const (
+	// UsualDrivers is the number of drivers where a sweep varies another size.
 	UsualDrivers = 470
+	// UsualMembers is the number of members where a sweep varies another size.
 	UsualMembers = 1100
 )
 
--- a/internal/lab/capacity/configuration.go
+++ b/internal/lab/capacity/configuration.go
@@ -298,8 +298,13 @@
 	p.rollouts.posts.At(p.rollouts.posts.Now()+200*time.Millisecond, p.try)
 }
 
-func (p *publication) Opened()        {}
+// Opened implements loop.Handler.
+func (p *publication) Opened() {}
+
+// Panicked implements loop.Handler.
 func (p *publication) Panicked(error) { p.Closed(nil) }
+
+// Closed implements loop.Handler.
 func (p *publication) Closed(error) {
 	p.rollouts.posts.Forget(p.due)
 	if p.stream != nil {
@@ -309,6 +314,7 @@
 	}
 }
 
+// Input implements loop.Handler.
 func (p *publication) Input(in []byte) int {
 	status, body, size, _, err := httpwire.Answer(in, false)
 	if size == 0 && err == nil {
--- a/internal/lab/capacity/driver_ground.go
+++ b/internal/lab/capacity/driver_ground.go
@@ -77,12 +77,12 @@
 
 // standIn is one member.
 type standIn struct {
-	ground        *ground
-	at            netip.AddrPort
-	group, place  int // the first of each group is primary
-	conns         int
-	told          time.Duration // when it last told its position
-	attempts, own int
+	ground       *ground
+	at           netip.AddrPort
+	group, place int // the first of each group is primary
+	conns        int
+	told         time.Duration // when it last told its position
+	attempts     int
 }
 
 // pinned is a write, and which replicas of its group have not told the driver that they are past it.
@@ -105,7 +105,7 @@
 	for n := range members {
 		m := &standIn{ground: g, at: place(n), group: n / perGroup, place: n % perGroup, told: -1}
 		g.members = append(g.members, m)
-		if _, err := l.Listen(m.at, pgwire.Most+1, loop.Door{}, func(open func(loop.Owner) *loop.Stream) {
+		if _, err := l.Listen(m.at, pgwire.Most+1, loop.Door{}, func(open func(loop.Handler) *loop.Stream) {
 			c := &served{member: m}
 			if c.stream = open(c); c.stream == nil {
 				return
@@ -119,7 +119,7 @@
 			return fmt.Errorf("member %d: %w", n, err)
 		}
 	}
-	_, err := l.Listen(discovery, 1<<16, loop.Door{}, func(open func(loop.Owner) *loop.Stream) {
+	_, err := l.Listen(discovery, 1<<16, loop.Door{}, func(open func(loop.Handler) *loop.Stream) {
 		c := &asked{ground: g}
 		c.stream = open(c)
 	}, func(bool) {})
@@ -174,10 +174,16 @@
 	return append(out, "]}"...)
 }
 
-func (c *served) Opened()              {}
+// Opened implements loop.Handler.
+func (c *served) Opened() {}
+
+// Panicked implements loop.Handler.
 func (c *served) Panicked(cause error) { c.stream.Close() }
-func (c *served) Closed(error)         { c.member.conns-- }
 
+// Closed implements loop.Handler.
+func (c *served) Closed(error) { c.member.conns-- }
+
+// Input implements loop.Handler.
 func (c *served) Input(in []byte) int {
 	m := c.member
 	if !c.begun {
@@ -277,10 +283,16 @@
 	stream *loop.Stream
 }
 
-func (a *asked) Opened()              {}
+// Opened implements loop.Handler.
+func (a *asked) Opened() {}
+
+// Panicked implements loop.Handler.
 func (a *asked) Panicked(cause error) { a.stream.Close() }
-func (a *asked) Closed(error)         {}
 
+// Closed implements loop.Handler.
+func (a *asked) Closed(error) {}
+
+// Input implements loop.Handler.
 func (a *asked) Input(in []byte) int {
 	r, fault := httpwire.Next(in, httpwire.Limits{Target: 1000, Head: 4000, Fields: 50, Body: 1000})
 	if fault != nil {
@@ -438,7 +450,10 @@
 	}
 }
 
-func (k *caller) Opened()              {}
+// Opened implements loop.Handler.
+func (k *caller) Opened() {}
+
+// Panicked implements loop.Handler.
 func (k *caller) Panicked(cause error) { k.stream.Close() }
 
 // Closed asks once more on a new connection what crossed the end of one that had rested.
@@ -452,6 +467,7 @@
 	}
 }
 
+// Input implements loop.Handler.
 func (k *caller) Input(in []byte) int {
 	c := k.crowd
 	kind, body, size, err := pgwire.Next(in)
--- a/internal/lab/capacity/driver_state.go
+++ b/internal/lab/capacity/driver_state.go
@@ -63,31 +63,70 @@
 	to  driver.Member
 }
 
+// Now implements driver.Host with the time that the sweep sets.
 func (q *quiet) Now() time.Duration { return q.now }
+
+// Attempt implements driver.Host.
 func (q *quiet) Attempt(rpc driver.RPC, to driver.Member, _, _ time.Duration) {
 	q.sent = append(q.sent, sentTo{rpc, to})
 }
-func (q *quiet) Cancel(driver.RPC, int)                   {}
-func (q *quiet) PushBack(driver.RPC, time.Duration)       {}
-func (q *quiet) Abort(driver.RPC)                         {}
-func (q *quiet) Probe(driver.Member)                      {}
-func (q *quiet) CloseIdle(driver.Member)                  {}
+
+// Cancel implements driver.Host; it does nothing.
+func (q *quiet) Cancel(driver.RPC, int) {}
+
+// PushBack implements driver.Host; it does nothing.
+func (q *quiet) PushBack(driver.RPC, time.Duration) {}
+
+// Abort implements driver.Host; it does nothing.
+func (q *quiet) Abort(driver.RPC) {}
+
+// Probe implements driver.Host; it does nothing.
+func (q *quiet) Probe(driver.Member) {}
+
+// CloseIdle implements driver.Host; it does nothing.
+func (q *quiet) CloseIdle(driver.Member) {}
+
+// Remembered implements driver.Host; it does nothing.
 func (q *quiet) Remembered(driver.Session, time.Duration) {}
-func (q *quiet) Forget(driver.Member)                     {}
-func (q *quiet) Watch(bool)                               {}
-func (q *quiet) FetchList()                               {}
-func (q *quiet) Tell(driver.Peer, []byte)                 {}
-func (q *quiet) WakeAfter(time.Duration)                  {}
-func (q *quiet) Log(string)                               {}
-func (q *quiet) Fault(string)                             {}
-func (q *quiet) Count(string)                             {}
 
+// Forget implements driver.Host; it does nothing.
+func (q *quiet) Forget(driver.Member) {}
+
+// Watch implements driver.Host; it does nothing.
+func (q *quiet) Watch(bool) {}
+
+// FetchList implements driver.Host; it does nothing.
+func (q *quiet) FetchList() {}
+
+// Tell implements driver.Host; it does nothing.
+func (q *quiet) Tell(driver.Peer, []byte) {}
+
+// WakeAfter implements driver.Host; it does nothing.
+func (q *quiet) WakeAfter(time.Duration) {}
+
+// Log implements driver.Host; it does nothing.
+func (q *quiet) Log(string) {}
+
+// Fault implements driver.Host; it does nothing.
+func (q *quiet) Fault(string) {}
+
+// Count implements the hosts' counters; it does nothing.
+func (q *quiet) Count(string) {}
+
+// Probed implements member.Host; it does nothing.
 func (q *quiet) Probed(driver.Member, bool, time.Duration, []float64) {}
+
+// AttemptEnded implements member.Host; it does nothing.
 func (q *quiet) AttemptEnded(driver.RPC, int, driver.Member, driver.Outcome, time.Duration, time.Duration, driver.Role, []float64, *driver.Answer) {
 }
 
+// ListBegins implements list.Host by passing the event on.
 func (q *quiet) ListBegins(how driver.Listing) { q.module.ListBegins(how) }
-func (q *quiet) ListEnds(how driver.Listing)   { q.module.ListEnds(how) }
+
+// ListEnds implements list.Host by passing the event on.
+func (q *quiet) ListEnds(how driver.Listing) { q.module.ListEnds(how) }
+
+// Listed implements list.Host by passing the entry on.
 func (q *quiet) Listed(uid string, _ netip.AddrPort, _ string, group driver.Group, state driver.Standing, size float64, started time.Duration, primary bool) {
 	m, known := q.ids[uid]
 	if !known {
--- a/internal/lab/capacity/fit.go
+++ b/internal/lab/capacity/fit.go
@@ -20,11 +20,16 @@
 type Shape string
 
 const (
-	Flat      Shape = "flat"
+	// Flat means that the value does not depend on the size.
+	Flat Shape = "flat"
+	// Logarithm means that the value grows with the logarithm of the size.
 	Logarithm Shape = "logarithm"
-	Linear    Shape = "linear"
-	Square    Shape = "square"
-	Unfitted  Shape = "too few sizes"
+	// Linear means that the value grows in proportion to the size.
+	Linear Shape = "linear"
+	// Square means that the value grows with the square of the size.
+	Square Shape = "square"
+	// Unfitted means that too few sizes were measured.
+	Unfitted Shape = "too few sizes"
 )
 
 // Fit is how a measure grows: value = Base + Slope * f(size), where f is that of the shape. Power is the exponent of the line through the
--- a/internal/lab/capacity/hollow.go
+++ b/internal/lab/capacity/hollow.go
@@ -283,7 +283,7 @@
 func (d *discovery) agent(l *loop.Loop, at netip.AddrPort) (*agent, error) {
 	a := &agent{discovery: d, loop: l, at: at}
 	d.agents = append(d.agents, a)
-	_, err := l.Listen(at, 1<<16, loop.Door{}, func(open func(loop.Owner) *loop.Stream) {
+	_, err := l.Listen(at, 1<<16, loop.Door{}, func(open func(loop.Handler) *loop.Stream) {
 		k := &asker{agent: a}
 		k.stream = open(k)
 	}, func(bool) {})
@@ -334,8 +334,13 @@
 	due    loop.Due
 }
 
-func (k *asker) Opened()              {}
+// Opened implements loop.Handler.
+func (k *asker) Opened() {}
+
+// Panicked implements loop.Handler.
 func (k *asker) Panicked(cause error) { k.stream.Close() }
+
+// Closed implements loop.Handler.
 func (k *asker) Closed(error) {
 	k.agent.loop.Forget(k.due)
 	if k.agent.waiting == k {
@@ -343,6 +348,7 @@
 	}
 }
 
+// Input implements loop.Handler.
 func (k *asker) Input(in []byte) int {
 	a := k.agent
 	r, fault := httpwire.Next(in, httpwire.Limits{Target: 1000, Head: 4000, Fields: 50, Body: 1000})
--- a/internal/lab/capacity/lists.go
+++ b/internal/lab/capacity/lists.go
@@ -36,12 +36,18 @@
 	now     func() time.Duration
 }
 
+// ListBegins implements list.Host; it does nothing.
 func (r *reader) ListBegins(driver.Listing) {}
-func (r *reader) Count(string)              {}
+
+// Count implements list.Host; it does nothing.
+func (r *reader) Count(string) {}
+
+// Listed implements list.Host by counting the entry.
 func (r *reader) Listed(string, netip.AddrPort, string, driver.Group, driver.Standing, float64, time.Duration, bool) {
 	r.entries++
 }
 
+// ListEnds implements list.Host.
 func (r *reader) ListEnds(how driver.Listing) {
 	switch {
 	case how == driver.Whole && r.whole == 0:
@@ -150,9 +156,16 @@
 // counted is a host that keeps nothing.
 type counted struct{}
 
+// ListBegins implements list.Host; it does nothing.
 func (counted) ListBegins(driver.Listing) {}
-func (counted) ListEnds(driver.Listing)   {}
-func (counted) Count(string)              {}
+
+// ListEnds implements list.Host; it does nothing.
+func (counted) ListEnds(driver.Listing) {}
+
+// Count implements list.Host; it does nothing.
+func (counted) Count(string) {}
+
+// Listed implements list.Host; it does nothing.
 func (counted) Listed(string, netip.AddrPort, string, driver.Group, driver.Standing, float64, time.Duration, bool) {
 }
 
--- a/internal/list/list.go
+++ b/internal/list/list.go
@@ -143,8 +143,10 @@
 	})
 }
 
+// Opened implements loop.Handler.
 func (d *Discovery) Opened() {}
 
+// Input implements loop.Handler: it reads answers and pushed lists.
 func (d *Discovery) Input(in []byte) int {
 	if d.asked == 0 {
 		return len(in)
@@ -178,6 +180,7 @@
 	d.ask()
 }
 
+// Closed implements loop.Handler.
 func (d *Discovery) Closed(cause error) {
 	in := d.stream.Unread()
 	d.stream = nil
@@ -191,6 +194,7 @@
 	d.failed(cause)
 }
 
+// Panicked implements loop.Handler.
 func (d *Discovery) Panicked(cause error) { d.failed(cause) }
 
 func (d *Discovery) drop() {
--- a/internal/list/told_test.go
+++ b/internal/list/told_test.go
@@ -189,7 +189,7 @@
 }
 
 func (g *agent) listen(t *testing.T, at netip.AddrPort) *loop.Listener {
-	n, err := g.loop.Listen(at, 1<<20, loop.Door{}, func(open func(loop.Owner) *loop.Stream) {
+	n, err := g.loop.Listen(at, 1<<20, loop.Door{}, func(open func(loop.Handler) *loop.Stream) {
 		a := &asker{agent: g}
 		a.stream = open(a)
 	}, func(bool) {})
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -67,6 +67,7 @@
 	seconds *seconds
 }
 
+// Handle implements slog.Handler: it drops lines over the limit of their event in this second.
 func (s *sampler) Handle(c context.Context, r slog.Record) error {
 	if most := s.to.Sample.Load(); most > 0 && r.Level < slog.LevelError && s.seconds.over(r, most) {
 		s.to.Sampled.Add(1)
@@ -85,14 +86,17 @@
 	return s.lines[r.Message] > most
 }
 
+// WithAttrs implements slog.Handler.
 func (s *sampler) WithAttrs(attrs []slog.Attr) slog.Handler {
 	return &sampler{s.Handler.WithAttrs(attrs), s.to, s.seconds}
 }
 
+// WithGroup implements slog.Handler.
 func (s *sampler) WithGroup(name string) slog.Handler {
 	return &sampler{s.Handler.WithGroup(name), s.to, s.seconds}
 }
 
+// Write implements io.Writer. It never blocks: a line for which the queue has no place is counted as lost.
 func (l *Lines) Write(line []byte) (int, error) {
 	select {
 	case l.queue <- append([]byte(nil), line...):
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -168,6 +168,7 @@
 
 type panicked struct{ cause any }
 
+// Error implements error.
 func (p panicked) Error() string { return "panic while it was served" }
 
 // guard stops a panic at what was being served.
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -47,7 +47,7 @@
 	}
 	at = netip.MustParseAddrPort(probe.Addr().String())
 	probe.Close()
-	if _, err := l.Listen(at, 64<<10, Door{}, func(open func(Owner) *Stream) {
+	if _, err := l.Listen(at, 64<<10, Door{}, func(open func(Handler) *Stream) {
 		e := &echo{holds: holds}
 		e.stream = open(e)
 	}, func(bool) {}); err != nil {
--- a/internal/loop/sim/came_test.go
+++ b/internal/loop/sim/came_test.go
@@ -47,7 +47,7 @@
 					loops[i] = l
 				}
 				k := &keeper{end: end{loop: loops[1]}}
-				if _, err := loops[1].Listen(at, c.bears, loop.Door{}, func(open func(loop.Owner) *loop.Stream) { k.stream = open(k) }, func(bool) {}); err != nil {
+				if _, err := loops[1].Listen(at, c.bears, loop.Door{}, func(open func(loop.Handler) *loop.Stream) { k.stream = open(k) }, func(bool) {}); err != nil {
 					t.Fatal(err)
 				}
 				var from *loop.Stream
--- a/internal/loop/sim/drain_test.go
+++ b/internal/loop/sim/drain_test.go
@@ -51,7 +51,7 @@
 				allowed = 50
 			}
 			door := loop.Door{Descriptors: func(int) int { return allowed }}
-			listener, err := l.Listen(at, 1<<10, door, func(open func(loop.Owner) *loop.Stream) {
+			listener, err := l.Listen(at, 1<<10, door, func(open func(loop.Handler) *loop.Stream) {
 				open(mute{})
 				taken++
 			}, func(bool) {})
--- a/internal/loop/sim/sim_test.go
+++ b/internal/loop/sim/sim_test.go
@@ -53,7 +53,7 @@
 		p.hosts[i].Serve(l, func() {})
 		p.loops[i] = l
 	}
-	if _, err := p.loops[1].Listen(at, 1<<20, loop.Door{}, func(open func(loop.Owner) *loop.Stream) {
+	if _, err := p.loops[1].Listen(at, 1<<20, loop.Door{}, func(open func(loop.Handler) *loop.Stream) {
 		p.there = &end{loop: p.loops[1]}
 		p.there.stream = open(p.there)
 	}, func(bool) {}); err != nil {
@@ -210,7 +210,7 @@
 	p := newPair(t, 3)
 	other := netip.MustParseAddrPort("10.0.0.1:2")
 	var second *end
-	if _, err := p.loops[1].Listen(other, 1<<20, loop.Door{}, func(open func(loop.Owner) *loop.Stream) {
+	if _, err := p.loops[1].Listen(other, 1<<20, loop.Door{}, func(open func(loop.Handler) *loop.Stream) {
 		second = &end{loop: p.loops[1]}
 		second.stream = open(second)
 	}, func(bool) {}); err != nil {
--- a/internal/loop/sim/sockets.go
+++ b/internal/loop/sim/sockets.go
@@ -96,8 +96,13 @@
 	return events & (s.wants | unix.EPOLLERR | unix.EPOLLHUP)
 }
 
+// Clock implements loop.System by simulated time and the host's offset.
 func (h *Host) Clock() time.Duration { return h.world.now + h.Ahead }
-func (h *Host) Held() (int, error)   { return 3, nil }
+
+// Held implements loop.System: a new process holds three descriptors.
+func (h *Host) Held() (int, error) { return 3, nil }
+
+// Ring implements loop.System.
 func (h *Host) Ring() {
 	h.bell = true
 	h.change()
@@ -127,6 +132,7 @@
 	return n, nil
 }
 
+// Watch implements loop.System.
 func (h *Host) Watch(fd int, handle slots.Handle, events uint32, anew bool) error {
 	s := h.sockets[fd]
 	if s == nil {
@@ -137,7 +143,10 @@
 	return nil
 }
 
-func (h *Host) Listen(at netip.AddrPort) (int, error)  { return h.bind(at, listener) }
+// Listen implements loop.System.
+func (h *Host) Listen(at netip.AddrPort) (int, error) { return h.bind(at, listener) }
+
+// Receive implements loop.System.
 func (h *Host) Receive(at netip.AddrPort) (int, error) { return h.bind(at, datagrams) }
 
 func (h *Host) bind(at netip.AddrPort, k kind) (int, error) {
@@ -196,6 +205,7 @@
 	}
 }
 
+// Accept implements loop.System.
 func (h *Host) Accept(fd int) (int, error) {
 	s := h.sockets[fd]
 	for s != nil && len(s.waiting) > 0 {
@@ -256,6 +266,7 @@
 	s.last = max(s.last, turn) + 1 // one behind the other
 }
 
+// Read implements loop.System.
 func (h *Host) Read(fd int, into []byte) (int, error) {
 	s := h.sockets[fd]
 	switch {
@@ -279,6 +290,7 @@
 	return 0, unix.EAGAIN
 }
 
+// Write implements loop.System.
 func (h *Host) Write(fd int, parts [][]byte) (int, error) {
 	s := h.sockets[fd]
 	switch {
@@ -349,6 +361,7 @@
 	}
 }
 
+// Outcome implements loop.System.
 func (h *Host) Outcome(fd int) error {
 	if s := h.sockets[fd]; s != nil {
 		return s.failure
@@ -356,16 +369,19 @@
 	return unix.EBADF
 }
 
+// Quiet implements loop.System.
 func (h *Host) Quiet(fd int) bool {
 	s := h.sockets[fd]
 	return s != nil && len(s.in) == 0 && !s.ended && s.failure == nil
 }
 
+// Pending implements loop.System.
 func (h *Host) Pending(fd int) bool {
 	s := h.sockets[fd]
 	return s != nil && len(s.in) > 0
 }
 
+// Arrived implements loop.System.
 func (h *Host) Arrived(fd int) (ago time.Duration, ok bool) {
 	if s := h.sockets[fd]; s != nil && s.latest != 0 {
 		return (h.world.now - s.latest).Truncate(time.Millisecond), true
@@ -373,6 +389,7 @@
 	return 0, true
 }
 
+// Goodbye implements loop.System.
 func (h *Host) Goodbye(fd int) {
 	if s := h.sockets[fd]; s != nil && !s.saidEnd {
 		s.saidEnd = true
@@ -383,6 +400,7 @@
 	}
 }
 
+// End implements loop.System.
 func (h *Host) End() {}
 
 // Abort ends a stream and lets the other side see that it was no planned end.
@@ -412,6 +430,7 @@
 	delete(h.sockets, fd)
 }
 
+// Take implements loop.System.
 func (h *Host) Take(fd int, into []byte) (int, netip.AddrPort, error) {
 	s := h.sockets[fd]
 	if s == nil || len(s.packets) == 0 {
@@ -422,6 +441,7 @@
 	return copy(into, p.text), p.from, nil
 }
 
+// Send implements loop.System.
 func (h *Host) Send(fd int, to netip.AddrPort, text []byte) {
 	if h.world.Posted != nil {
 		h.world.Posted(h, to, text)
--- a/internal/loop/stream.go
+++ b/internal/loop/stream.go
@@ -11,19 +11,19 @@
 	"passtack/internal/slots"
 )
 
-// Owner is told what happens on its stream.
-type Owner interface {
+// Handler handles the events of one stream. All its methods are called on the loop's goroutine.
+type Handler interface {
 	Opened()              // a connect has succeeded
-	Input(in []byte) int  // all that has not been taken; it tells how many bytes it is done with
-	Closed(cause error)   // by the other side or by an error; the stream is gone already
-	Panicked(cause error) // while it was served; the owner says its last words and closes
+	Input(in []byte) int  // the bytes received and not yet consumed; returns how many it has consumed
+	Closed(cause error)   // by the other side or by an error; the stream is closed already
+	Panicked(cause error) // a panic while the stream was served; the handler sends its last answer and closes
 }
 
-// Parter is an owner that may owe something to who sends no more. It begins nothing for them from now on, and gives harmless
-// words to say: who has closed answers those with a reset, who only reads on takes them. Nil tells that nothing is owed, or
-// that nothing harmless can be said.
-type Parter interface {
-	Parting(pending bool) []byte // pending: something that was not read has come
+// HalfCloser is a handler that may still owe an answer when the other side has ended its sending side. It begins nothing new
+// for that side and returns bytes that are harmless to send: a peer that has closed answers them with a reset, one that still
+// reads ignores them. Nil means that nothing is owed, or that nothing harmless can be sent.
+type HalfCloser interface {
+	Parting(pending bool) []byte // pending: bytes have come that were not read
 }
 
 // ErrNoRoom tells that all descriptors are in use.
@@ -41,7 +41,7 @@
 	loop    *Loop
 	fd      int
 	handle  slots.Handle
-	owner   Owner
+	handler Handler
 	from    *Listener // that took it in, if any
 	opening bool
 	parted  bool // the other side sends no more, and may read on
@@ -51,7 +51,7 @@
 	starved bool // reading rests, since all buffers together are full
 	last    bool // closes once all is written
 	closed  bool
-	busy    bool   // its owner is looking at the input
+	busy    bool   // its handler is looking at the input
 	buffer  []byte // read and not taken, from taken on
 	taken   int
 	most    int // bytes that buffer may hold
@@ -74,8 +74,8 @@
 
 const mostArrivals = 64 // of one stream; where it gets more, those close to each other are one and count from the earliest
 
-func (l *Loop) stream(fd int, owner Owner, most int, opening bool) (*Stream, error) {
-	s := &Stream{loop: l, fd: fd, owner: owner, most: most, opening: opening}
+func (l *Loop) stream(fd int, handler Handler, most int, opening bool) (*Stream, error) {
+	s := &Stream{loop: l, fd: fd, handler: handler, most: most, opening: opening}
 	var err error
 	if s.handle, err = l.add(fd, s, s.interest()); err != nil {
 		l.system.Close(fd)
@@ -84,17 +84,17 @@
 	return s, nil
 }
 
-// Dial begins a connect; the owner is told how it ends. No more than most bytes of input are held.
-func (l *Loop) Dial(to netip.AddrPort, owner Owner, most int) (*Stream, error) {
-	return l.dial(to, owner, most, l.kept)
+// Dial begins a connect; the handler is told how it ends. No more than most bytes of input are held.
+func (l *Loop) Dial(to netip.AddrPort, handler Handler, most int) (*Stream, error) {
+	return l.dial(to, handler, most, l.kept)
 }
 
 // DialKept is Dial that may take one of the descriptors that are kept back: without it nothing else goes on.
-func (l *Loop) DialKept(to netip.AddrPort, owner Owner, most int) (*Stream, error) {
-	return l.dial(to, owner, most, 0)
+func (l *Loop) DialKept(to netip.AddrPort, handler Handler, most int) (*Stream, error) {
+	return l.dial(to, handler, most, 0)
 }
 
-func (l *Loop) dial(to netip.AddrPort, owner Owner, most, kept int) (*Stream, error) {
+func (l *Loop) dial(to netip.AddrPort, handler Handler, most, kept int) (*Stream, error) {
 	if !l.room(kept) {
 		return nil, ErrNoRoom
 	}
@@ -102,7 +102,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return l.stream(fd, owner, most, true)
+	return l.stream(fd, handler, most, true)
 }
 
 func (s *Stream) interest() uint32 {
@@ -162,7 +162,7 @@
 	if s.parted && events&broken == 0 {
 		return
 	}
-	if p, ok := s.owner.(Parter); ok && !s.parted && !s.last && events&broken == 0 {
+	if p, ok := s.handler.(HalfCloser); ok && !s.parted && !s.last && events&broken == 0 {
 		if words := p.Parting(s.loop.system.Pending(s.fd)); words != nil {
 			s.parted = true
 			s.Send(words)
@@ -186,7 +186,7 @@
 
 func (s *Stream) broken(cause error) {
 	if s.busy = false; !s.closed {
-		s.owner.Panicked(cause)
+		s.handler.Panicked(cause)
 	}
 }
 
@@ -198,7 +198,7 @@
 	}
 	s.opening = false
 	s.update()
-	s.owner.Opened()
+	s.handler.Opened()
 }
 
 // passes tells of an error of read or write that says nothing of the connection: the call is made again.
@@ -223,7 +223,7 @@
 		return
 	case n == 0 && s.parted:
 		s.spent = true
-		if s.update(); s.owner.(Parter).Parting(false) == nil {
+		if s.update(); s.handler.(HalfCloser).Parting(false) == nil {
 			s.fail(io.EOF)
 		}
 		return
@@ -321,14 +321,14 @@
 	return true
 }
 
-// Look shows the owner what has not been taken.
+// Look shows the handler what has not been taken.
 func (s *Stream) Look() {
 	if s.busy || s.closed {
 		return
 	}
 	s.busy = true
 	for !s.closed && s.taken < len(s.buffer) {
-		used := s.owner.Input(s.buffer[s.taken:])
+		used := s.handler.Input(s.buffer[s.taken:])
 		if s.closed || used == 0 {
 			break
 		}
@@ -355,7 +355,7 @@
 // Unread is what has been read and not taken.
 func (s *Stream) Unread() []byte { return s.buffer[s.taken:] }
 
-// Skip takes input that the owner had left; Look then shows it the rest.
+// Skip takes input that the handler had left; Look then shows it the rest.
 func (s *Stream) Skip(n int) { s.taken += n }
 
 func (s *Stream) release() {
@@ -458,7 +458,7 @@
 		s.goodbye()
 		return
 	}
-	s.Look() // an owner may have waited for this with more input
+	s.Look() // an handler may have waited for this with more input
 }
 
 // Alive looks whether the other side has closed the stream or said something that was not read yet.
@@ -471,7 +471,7 @@
 	unread = 2 * time.Second        // it may take to read what comes before the end
 )
 
-// CloseWhenSent says goodbye once all is written; the owner is told when the other side has seen it. Nothing more
+// CloseWhenSent says goodbye once all is written; the handler is told when the other side has seen it. Nothing more
 // is read: what crosses the goodbye was not taken, and the other side can tell that. To close at once would
 // answer it with a reset, which can overtake what was said.
 func (s *Stream) CloseWhenSent() {
@@ -492,7 +492,7 @@
 	s.loop.At(s.loop.now+linger, func() { s.fail(nil) })
 }
 
-// Close ends the stream at once; the owner is not told.
+// Close ends the stream at once; the handler is not told.
 func (s *Stream) Close() {
 	if !s.closed {
 		s.end(s.loop.system.Close)
@@ -517,13 +517,13 @@
 	s.weighOut()
 }
 
-// fail ends the stream and tells the owner, who may still look at what it has left unread.
+// fail ends the stream and tells the handler, who may still look at what it has left unread.
 func (s *Stream) fail(cause error) {
 	if s.closed {
 		return
 	}
 	s.end(s.loop.system.Close)
-	s.owner.Closed(cause)
+	s.handler.Closed(cause)
 	s.release()
 }
 
@@ -564,7 +564,7 @@
 	fd     int
 	handle slots.Handle
 	most   int
-	accept func(open func(Owner) *Stream)
+	accept func(open func(Handler) *Stream)
 	yield  func(urgent bool)
 	open   int // streams that came in here
 	larger int // bytes that their buffers take past the common size
@@ -573,9 +573,9 @@
 	closed bool
 }
 
-// Listen waits for connections at the address. Accept is called for each and names its owner. Near what the door
+// Listen waits for connections at the address. Accept is called for each and names its handler. Near what the door
 // lets them hold yield should end one of them.
-func (l *Loop) Listen(at netip.AddrPort, most int, door Door, accept func(open func(Owner) *Stream),
+func (l *Loop) Listen(at netip.AddrPort, most int, door Door, accept func(open func(Handler) *Stream),
 	yield func(urgent bool)) (*Listener, error) {
 	fd, err := l.system.Listen(at)
 	if err != nil {
@@ -624,8 +624,8 @@
 			n.pause()
 			return false
 		}
-		n.accept(func(owner Owner) *Stream {
-			s, err := n.loop.stream(fd, owner, n.most, false)
+		n.accept(func(handler Handler) *Stream {
+			s, err := n.loop.stream(fd, handler, n.most, false)
 			if err != nil {
 				return nil
 			}
--- a/internal/loop/system.go
+++ b/internal/loop/system.go
@@ -86,6 +86,7 @@
 	return len(held), err
 }
 
+// Wait implements System by epoll_wait.
 func (k *kernel) Wait(events []Event, most time.Duration) (int, error) {
 	wait := -1
 	if most >= 0 {
@@ -107,11 +108,13 @@
 	return max(n, 0), err
 }
 
+// Ring implements System by an eventfd.
 func (k *kernel) Ring() {
 	one := [8]byte{1}
 	unix.Write(k.bell, one[:])
 }
 
+// Watch implements System by epoll_ctl.
 func (k *kernel) Watch(fd int, h slots.Handle, events uint32, anew bool) error {
 	event, how := unix.EpollEvent{Events: events, Fd: int32(h)}, unix.EPOLL_CTL_MOD
 	if anew {
@@ -120,6 +123,7 @@
 	return unix.EpollCtl(k.poll, how, fd, &event)
 }
 
+// Dial implements System; the connect goes on without blocking.
 func (k *kernel) Dial(to netip.AddrPort) (int, error) {
 	address, family := sockaddr(to)
 	fd, err := unix.Socket(family, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
@@ -160,9 +164,13 @@
 	return fd, nil
 }
 
-func (k *kernel) Listen(at netip.AddrPort) (int, error)  { return k.bind(at, unix.SOCK_STREAM) }
+// Listen implements System.
+func (k *kernel) Listen(at netip.AddrPort) (int, error) { return k.bind(at, unix.SOCK_STREAM) }
+
+// Receive implements System: it binds a datagram socket.
 func (k *kernel) Receive(at netip.AddrPort) (int, error) { return k.bind(at, unix.SOCK_DGRAM) }
 
+// Accept implements System.
 func (k *kernel) Accept(fd int) (int, error) {
 	fd, _, err := unix.Accept4(fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 	if err == nil {
@@ -171,8 +179,10 @@
 	return fd, err
 }
 
+// Read implements System.
 func (k *kernel) Read(fd int, into []byte) (int, error) { return unix.Read(fd, into) }
 
+// Write implements System by writev.
 func (k *kernel) Write(fd int, parts [][]byte) (int, error) {
 	if len(parts) == 1 {
 		return unix.Write(fd, parts[0])
@@ -180,6 +190,7 @@
 	return unix.Writev(fd, parts)
 }
 
+// Outcome implements System by SO_ERROR.
 func (k *kernel) Outcome(fd int) error {
 	code, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ERROR)
 	if err == nil && code != 0 {
@@ -188,11 +199,13 @@
 	return err
 }
 
+// Quiet implements System by a poll that does not wait.
 func (k *kernel) Quiet(fd int) bool {
 	_, err := peek(fd)
 	return err == unix.EAGAIN
 }
 
+// Pending implements System.
 func (k *kernel) Pending(fd int) bool {
 	n, err := peek(fd)
 	return err == nil && n > 0
@@ -207,6 +220,7 @@
 	return n, err
 }
 
+// Arrived implements System.
 func (k *kernel) Arrived(fd int) (ago time.Duration, ok bool) {
 	info, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO)
 	if err != nil {
@@ -215,8 +229,10 @@
 	return time.Duration(info.Last_data_recv) * time.Millisecond, true
 }
 
+// Goodbye implements System.
 func (k *kernel) Goodbye(fd int) { unix.Shutdown(fd, unix.SHUT_WR) }
 
+// Take implements System by recvfrom.
 func (k *kernel) Take(fd int, into []byte) (n int, sender netip.AddrPort, err error) {
 	n, from, err := unix.Recvfrom(fd, into, 0)
 	switch a := from.(type) {
@@ -228,18 +244,22 @@
 	return n, sender, err
 }
 
+// Send implements System by sendto.
 func (k *kernel) Send(fd int, to netip.AddrPort, text []byte) {
 	address, _ := sockaddr(to)
 	unix.Sendto(fd, text, unix.MSG_DONTWAIT, address)
 }
 
+// Close implements System.
 func (k *kernel) Close(fd int) { unix.Close(fd) }
 
+// End implements System.
 func (k *kernel) End() {
 	unix.Close(k.poll)
 	unix.Close(k.bell)
 }
 
+// Abort implements System by a close with SO_LINGER 0.
 func (k *kernel) Abort(fd int) {
 	unix.SetsockoptLinger(fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
 	unix.Close(fd)
--- a/internal/member/endings_test.go
+++ b/internal/member/endings_test.go
@@ -137,7 +137,7 @@
 				c.how = func(k *loop.Stream) { s.member.loop.At(s.member.loop.Now()+50*ms, k.Reset) }
 			}
 			at := netip.MustParseAddrPort("10.0.0.1:5432")
-			if _, err := s.member.loop.Listen(at, 1<<12, loop.Door{}, func(open func(loop.Owner) *loop.Stream) {
+			if _, err := s.member.loop.Listen(at, 1<<12, loop.Door{}, func(open func(loop.Handler) *loop.Stream) {
 				k := &cutter{how: c.how}
 				k.stream = open(k)
 			}, func(bool) {}); err != nil {
--- a/internal/member/odata/odata.go
+++ b/internal/member/odata/odata.go
@@ -27,6 +27,7 @@
 // Hello is nothing: a connection that is up is ready.
 func (*Tongue) Hello() []byte { return nil }
 
+// Call implements member.Tongue: a request with the time that is left as a field.
 func (t *Tongue) Call(ask *driver.Ask, left time.Duration) [][]byte {
 	t.head = httpwire.AppendRequest(t.head[:0], ask.Verb, ask.Path)
 	t.head = httpwire.AppendField(t.head, "Host", t.Host)
@@ -100,5 +101,5 @@
 	return driver.Failed
 }
 
-// Chat: a member that says something unasked is not asked again on that connection.
+// Chat implements member.Tongue: a member that sends something unasked for gets no further request on that connection.
 func (*Tongue) Chat(in []byte) (size int, ok bool) { return 0, false }
--- a/internal/member/pg/pg.go
+++ b/internal/member/pg/pg.go
@@ -18,10 +18,12 @@
 	head  [32]byte
 }
 
+// Hello implements member.Tongue: the startup message.
 func (*Tongue) Hello() []byte { return pgwire.AppendFirst(nil, "app", "shop") }
 
 var end = []byte{0}
 
+// Call implements member.Tongue: a simple query with the time that is left in its comment.
 func (t *Tongue) Call(ask *driver.Ask, left time.Duration) [][]byte {
 	budget := strconv.AppendInt(t.head[8:8], int64(left/time.Millisecond), 10)
 	head := pgwire.AppendHead(t.head[:0], 'Q', len(ask.Before)+len(budget)+len(ask.After)+1)
--- a/internal/member/pool.go
+++ b/internal/member/pool.go
@@ -50,9 +50,13 @@
 type Reach uint8
 
 const (
+	// NotConnected means that the connection never came up.
 	NotConnected Reach = iota
+	// PartlyWritten means that the member cannot have seen the whole request.
 	PartlyWritten
+	// WhollyWritten means that the member may have run the request.
 	WhollyWritten
+	// AnswerBegun means that part of the answer has come.
 	AnswerBegun
 )
 
@@ -66,6 +70,7 @@
 	Cause    error
 }
 
+// Error implements error.
 func (f Failure) Error() string {
 	return fmt.Sprintf("reach=%s timed_out=%t cause=%q", reaches[f.Reached], f.TimedOut, f.Cause)
 }
@@ -345,6 +350,7 @@
 	})
 }
 
+// Opened implements loop.Handler.
 func (k *conn) Opened() {
 	if k.pool.tongue.Hello() == nil {
 		k.welcomed()
@@ -360,6 +366,7 @@
 	p.loop.Later(p.serveAll)
 }
 
+// Panicked implements loop.Handler.
 func (k *conn) Panicked(cause error) { k.broken(cause) }
 
 // broken ends the connection, and with it the attempt that it carries.
@@ -398,6 +405,7 @@
 	p.serveAll()
 }
 
+// Closed implements loop.Handler.
 func (k *conn) Closed(cause error) {
 	k.gone()
 	c := k.call
@@ -703,4 +711,6 @@
 
 // Open counts the connections, Out the attempts that have no outcome yet.
 func (p *Pool) Open() int { return p.conns.Count() }
-func (p *Pool) Out() int  { return p.calls.Count() }
+
+// Out counts the attempts that have no outcome yet.
+func (p *Pool) Out() int { return p.calls.Count() }
--- a/internal/member/pool_test.go
+++ b/internal/member/pool_test.go
@@ -103,7 +103,7 @@
 	d := &doors{work: work}
 	_, d.loop = on("member")
 	if listens {
-		if _, err := d.loop.Listen(at, 1<<12, loop.Door{}, func(open func(loop.Owner) *loop.Stream) {
+		if _, err := d.loop.Listen(at, 1<<12, loop.Door{}, func(open func(loop.Handler) *loop.Stream) {
 			v := &visitor{doors: d}
 			v.stream = open(v)
 			d.opened++
--- a/internal/node/cluster_test.go
+++ b/internal/node/cluster_test.go
@@ -197,9 +197,11 @@
 	if _, key, found := strings.Cut(q.URL.Path, "('"); found {
 		c.key = strings.TrimSuffix(key, "')")
 	} else {
-		var entity struct{ Id string }
+		var entity struct {
+			ID string `json:"Id"`
+		}
 		json.Unmarshal(body, &entity)
-		c.key = entity.Id
+		c.key = entity.ID
 	}
 	return c
 }
--- a/internal/node/gone_test.go
+++ b/internal/node/gone_test.go
@@ -148,7 +148,7 @@
 		a.loop = on(s.world.Host(fmt.Sprint("m", i)))
 		a.act = func(_ *acted, _ string, answer func()) { answer() }
 		a.told = func(string) {}
-		if _, err := a.loop.Listen(a.at, 1<<20, loop.Door{}, func(open func(loop.Owner) *loop.Stream) {
+		if _, err := a.loop.Listen(a.at, 1<<20, loop.Door{}, func(open func(loop.Handler) *loop.Stream) {
 			c := &acted{actor: a}
 			c.stream = open(c)
 		}, func(bool) {}); err != nil {
@@ -415,7 +415,7 @@
 			t.Fatal(err)
 		}
 		s.world.Hosts()[len(s.world.Hosts())-1].Serve(l, func() {})
-		if _, err := l.Listen(s.node.site.Discovery, 1<<12, loop.Door{}, func(open func(loop.Owner) *loop.Stream) {
+		if _, err := l.Listen(s.node.site.Discovery, 1<<12, loop.Door{}, func(open func(loop.Handler) *loop.Stream) {
 			open(&fetchedBy{at: &fetched, loop: l})
 		}, func(bool) {}); err != nil {
 			t.Fatal(err)
--- a/internal/node/rest_test.go
+++ b/internal/node/rest_test.go
@@ -61,7 +61,7 @@
 		Descriptors: 4000, Memory: 64 << 20, Known: []byte(listOf(1, true, targets...)), Terms: terms.Nested(simSettings(t)),
 	}
 	agent := on(w.Host("agent"))
-	if _, err := agent.Listen(site.Discovery, 1<<12, loop.Door{}, func(open func(loop.Owner) *loop.Stream) {
+	if _, err := agent.Listen(site.Discovery, 1<<12, loop.Door{}, func(open func(loop.Handler) *loop.Stream) {
 		h := &holding{loop: agent, calls: calls}
 		h.stream = open(h)
 	}, func(bool) {}); err != nil {
--- a/internal/node/sim_test.go
+++ b/internal/node/sim_test.go
@@ -33,7 +33,6 @@
 	answers  map[string]string // by id
 	ran      map[string]int    // attempts that may have run, by id
 	sent     int
-	hostOf   map[string]*sim.Host
 	lateCall int
 }
 
@@ -74,7 +73,7 @@
 
 func (m *simMember) start() {
 	m.loop = m.play.loopOn(m.host)
-	if _, err := m.loop.Listen(m.at, 1<<20, loop.Door{}, func(open func(loop.Owner) *loop.Stream) {
+	if _, err := m.loop.Listen(m.at, 1<<20, loop.Door{}, func(open func(loop.Handler) *loop.Stream) {
 		c := &simServed{member: m}
 		c.stream = open(c)
 	}, func(bool) {}); err != nil {
--- a/internal/odata/json.go
+++ b/internal/odata/json.go
@@ -76,7 +76,7 @@
 	return values, nil
 }
 
-// ETag is the tag of the version that an entity shows, "" where it shows none.
+// ETagOf returns the version tag of an entity, "" where it has none.
 func (s *Set) ETagOf(entity []byte) string {
 	if s.ETag == nil {
 		return ""
--- a/internal/odata/model.go
+++ b/internal/odata/model.go
@@ -22,6 +22,7 @@
 	Target string
 }
 
+// Error implements error.
 func (e *Error) Error() string { return fmt.Sprintf("%d %s: %s", e.Status, e.Code, e.Text) }
 
 // Body is the error in JSON.
@@ -47,14 +48,23 @@
 type Type string
 
 const (
-	String   Type = "Edm.String"
-	Int32    Type = "Edm.Int32"
-	Int64    Type = "Edm.Int64"
-	Decimal  Type = "Edm.Decimal"
-	Double   Type = "Edm.Double"
-	Boolean  Type = "Edm.Boolean"
-	GUID     Type = "Edm.Guid"
-	Date     Type = "Edm.Date"
+	// String is UTF-8 text.
+	String Type = "Edm.String"
+	// Int32 is a signed 32-bit integer.
+	Int32 Type = "Edm.Int32"
+	// Int64 is a signed 64-bit integer.
+	Int64 Type = "Edm.Int64"
+	// Decimal is a decimal number of any precision.
+	Decimal Type = "Edm.Decimal"
+	// Double is a 64-bit floating point number.
+	Double Type = "Edm.Double"
+	// Boolean is true or false.
+	Boolean Type = "Edm.Boolean"
+	// GUID is a 128-bit identifier.
+	GUID Type = "Edm.Guid"
+	// Date is a calendar day.
+	Date Type = "Edm.Date"
+	// Instant is a point in time with its offset from UTC.
 	Instant  Type = "Edm.DateTimeOffset"
 	null     Type = ""
 	anyThing Type = "?"
@@ -75,14 +85,20 @@
 type Act uint8
 
 const (
+	// Read gets one entity by its key.
 	Read Act = iota
+	// List gets a page of a collection.
 	List
+	// Count counts a collection.
 	Count
+	// Create adds an entity (POST).
 	Create
 	Update  // PATCH of what is there
 	Replace // PUT of what is there
 	Upsert  // PATCH or PUT of what may be there
+	// Delete removes an entity.
 	Delete
+	// Acts is the number of operations.
 	Acts
 )
 
--- a/internal/odata/url.go
+++ b/internal/odata/url.go
@@ -10,12 +10,19 @@
 type Kind uint8
 
 const (
+	// ServiceDocument is the root: the names of the entity sets.
 	ServiceDocument Kind = iota
+	// Metadata is $metadata.
 	Metadata
+	// BatchOf is $batch.
 	BatchOf
+	// Collection is an entity set.
 	Collection
+	// CountOf is the $count of an entity set.
 	CountOf
+	// Entity is one entity by its key.
 	Entity
+	// PropertyOf is one property of an entity.
 	PropertyOf
 	ValueOf // the bare value of a property
 )
--- a/internal/pcg/pcg.go
+++ b/internal/pcg/pcg.go
@@ -11,12 +11,14 @@
 	increment  = 1442695040888963407
 )
 
+// New returns a stream that is determined by its seed.
 func New(seed uint64) *Source {
 	s := &Source{state: seed + increment}
 	s.Uint32()
 	return s
 }
 
+// Uint32 returns the next 32 random bits.
 func (s *Source) Uint32() uint32 {
 	old := s.state
 	s.state = old*multiplier + increment
--- a/internal/pgwire/pgwire.go
+++ b/internal/pgwire/pgwire.go
@@ -181,6 +181,7 @@
 	return binary.BigEndian.Uint32(in[8:]), binary.BigEndian.Uint32(in[12:]), true
 }
 
+// AppendParameter appends a ParameterStatus message.
 func AppendParameter(out []byte, name, value string) []byte {
 	out = append(AppendHead(out, 'S', len(name)+len(value)+2), name...)
 	return append(append(append(out, 0), value...), 0)
--- a/internal/rollout/server/server.go
+++ b/internal/rollout/server/server.go
@@ -101,7 +101,7 @@
 	s.register = rollout.New(s, s.me.Node, others, kept.State)
 	s.asker = lease.NewAsker(voting{s}, s.me, leaseName, LeaseLasts, s.voters(), seed)
 	var err error
-	s.listener, err = l.Listen(place.Listen, limits.Head+limits.Body, loop.Door{}, func(open func(loop.Owner) *loop.Stream) {
+	s.listener, err = l.Listen(place.Listen, limits.Head+limits.Body, loop.Door{}, func(open func(loop.Handler) *loop.Stream) {
 		g := &guest{server: s}
 		if g.stream = open(g); g.stream != nil {
 			g.await()
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -306,6 +306,7 @@
 	return uint32(max(0, min(d, longestWake)) / time.Microsecond)
 }
 
+// Now implements driver.Host.
 func (i *instance) Now() time.Duration { return i.since(i.table.clock) }
 
 // Attempt sends at once: on this wire what is sent has reached its member, as far as repeats go.
@@ -317,6 +318,7 @@
 	i.done(place)
 }
 
+// Cancel implements driver.Host.
 func (i *instance) Cancel(rpc driver.RPC, attempt int) {
 	place := i.act(actCancel)
 	i.put32(uint32(rpc))
@@ -324,6 +326,7 @@
 	i.done(place)
 }
 
+// PushBack implements driver.Host.
 func (i *instance) PushBack(rpc driver.RPC, comeBack time.Duration) {
 	place := i.act(actPushBack)
 	i.put32(uint32(rpc))
@@ -331,6 +334,7 @@
 	i.done(place)
 }
 
+// Abort implements driver.Host.
 func (i *instance) Abort(rpc driver.RPC) {
 	place := i.act(actAbort)
 	i.put32(uint32(rpc))
@@ -343,14 +347,22 @@
 	i.done(place)
 }
 
-func (i *instance) Probe(m driver.Member)     { i.about(actProbe, m) }
+// Probe implements driver.Host.
+func (i *instance) Probe(m driver.Member) { i.about(actProbe, m) }
+
+// CloseIdle implements driver.Host.
 func (i *instance) CloseIdle(m driver.Member) { i.about(actCloseIdle, m) }
-func (i *instance) FetchList()                { i.done(i.act(actFetch)) }
-func (i *instance) Forget(driver.Member)      {} // its address is its name
+
+// FetchList implements driver.Host.
+func (i *instance) FetchList() { i.done(i.act(actFetch)) }
+
+// Forget implements driver.Host; it does nothing, as a member's address is its name here.
+func (i *instance) Forget(driver.Member) {} // its address is its name
 
 // Remembered has nothing to do: nothing outlasts an instance.
 func (i *instance) Remembered(driver.Session, time.Duration) {}
 
+// Watch implements driver.Host.
 func (i *instance) Watch(on bool) {
 	place := i.act(actWatch)
 	flag := byte(0)
@@ -361,6 +373,7 @@
 	i.done(place)
 }
 
+// Tell implements driver.Host.
 func (i *instance) Tell(to driver.Peer, text []byte) {
 	place := i.act(actTell)
 	i.put32(uint32(to))
@@ -368,6 +381,7 @@
 	i.done(place)
 }
 
+// WakeAfter implements driver.Host.
 func (i *instance) WakeAfter(wait time.Duration) {
 	place := i.act(actWake)
 	i.put32(micros(wait))
@@ -381,5 +395,8 @@
 	i.done(place)
 }
 
-func (i *instance) Log(line string)  { i.say(actLog, line) }
+// Log implements driver.Host.
+func (i *instance) Log(line string) { i.say(actLog, line) }
+
+// Fault implements driver.Host.
 func (i *instance) Fault(why string) { i.say(actFault, why) }
--- a/internal/slots/slots.go
+++ b/internal/slots/slots.go
@@ -46,6 +46,7 @@
 	return value
 }
 
+// Drop frees the row of a handle; it does nothing where the owner is gone already.
 func (t *Table[T]) Drop(h Handle) {
 	if r := t.row(h); r != nil {
 		var none T
--- a/rules/rules.go
+++ b/rules/rules.go
@@ -159,6 +159,7 @@
 // ListPause is the longest until discovery is asked again after a failed call: internal/list has the sum.
 const ListPause = 500 * time.Millisecond
 
+// New returns a router that acts through the host and decides by the settings.
 func New(host driver.Host, seed uint64, settings map[string]string) *Router {
 	r := &Router{
 		host: host, chance: pcg.New(seed), probes: probeCredit, pace: 1,
@@ -774,8 +775,10 @@
 	}
 }
 
+// Told takes a message of another driver. No decision needs one.
 func (r *Router) Told(from driver.Peer, text []byte) {}
 
+// ClientLeft ends an RPC for which nobody waits any more.
 func (r *Router) ClientLeft(id driver.RPC) {
 	if q := r.rpcs[id]; q != nil {
 		r.callOff(q)
@@ -899,6 +902,7 @@
 	return g
 }
 
+// ListBegins starts an update of the endpoint list; Listed follows for each entry, then ListEnds.
 func (r *Router) ListBegins(how driver.Listing) {
 	r.catchUp(r.host.Now())
 	for _, m := range r.all {
@@ -906,6 +910,7 @@
 	}
 }
 
+// Listed takes one entry of the endpoint list.
 func (r *Router) Listed(id driver.Member, zone driver.Zone, in driver.Group, state driver.Standing,
 	size float64, started time.Duration, primary bool) {
 	m := r.members[id]
