--- /dev/null
+++ b/internal/node/golden_leases_test.go
@@ -0,0 +1,134 @@
+package node
+
+import (
+	"bytes"
+	"encoding/binary"
+	"encoding/json"
+	"errors"
+	"flag"
+	"maps"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+	"time"
+
+	"passtack/internal/keep"
+	"passtack/internal/lease"
+	"passtack/internal/list"
+	"passtack/internal/loop"
+	"passtack/internal/peers"
+	"passtack/internal/state"
+)
+
+var updateGolden = flag.Bool("update", false, "rewrite golden files")
+
+// checkGolden compares what is encoded with a file of testdata, and gives the file's bytes.
+func checkGolden(t *testing.T, name string, encoded []byte) []byte {
+	t.Helper()
+	file := filepath.Join("testdata", name)
+	if *updateGolden {
+		if err := os.WriteFile(file, encoded, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	golden, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(encoded, golden) {
+		t.Errorf("%s is encoded as %q, want %q", name, encoded, golden)
+	}
+	return golden
+}
+
+// TestGoldenTaskDatagrams checks the bytes of the datagrams that tasks of lease holders send.
+func TestGoldenTaskDatagrams(t *testing.T) {
+	const fleet, revision = 0x1122334455667788, 987_654_321
+	own := digest{RPCs: 1000, OK: 900, PushedBack: 50, Held: 7, Revision: revision, Ready: 95}
+	var body bytes.Buffer
+	binary.Write(&body, binary.LittleEndian, own)
+	encoded := peers.Letter{Kind: peers.Digest, From: 5, Life: 6, Body: body.Bytes()}.Write(fleet)
+	letter, err := peers.ReadLetter(checkGolden(t, "digest.datagram", encoded), fleet)
+	if err != nil || letter.Kind != peers.Digest {
+		t.Fatalf("a digest is decoded as %+v, %v", letter, err)
+	}
+	s := &summary{holds: true, digests: make(map[lease.Node]digest)}
+	if s.heard(5, letter); !maps.Equal(s.digests, map[lease.Node]digest{5: own}) {
+		t.Errorf("the digest is %+v, want %+v", s.digests, own)
+	}
+	encoded = peers.Letter{Kind: peers.Revision, From: 5, Life: 6, Body: binary.LittleEndian.AppendUint64(nil, revision)}.Write(fleet)
+	letter, err = peers.ReadLetter(checkGolden(t, "revision.datagram", encoded), fleet)
+	if err != nil || letter.Kind != peers.Revision || len(letter.Body) != 8 || binary.LittleEndian.Uint64(letter.Body) != revision {
+		t.Errorf("a revision is decoded as %+v, %v", letter, err)
+	}
+}
+
+// TestGoldenLeaseJSON checks the JSON of the status for operators and of the summary that the holder puts.
+func TestGoldenLeaseJSON(t *testing.T) {
+	l, err := loop.New(100, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	n := &Node{loop: l, list: new(list.Discovery)}
+	of := &leases{talk: &talk{node: n}}
+	s := &summary{leases: of, puts: 5, refused: 1, failed: 2}
+	status := LeasesStatus{Name: "n0", Version: 2, Voters: []string{"n0", "n1", "n2"}, Former: []string{"n0", "n1", "n3"}, SilentMS: 10,
+		Leases: []LeaseStatus{
+			{Lease: "summary", Holder: "n0", Number: 77, ForMS: 20, LeftMS: 30, Why: map[string]string{"n1": lease.Lower.String()}, Heard: map[string]int64{"n2": 40}, Task: s.tell()},
+			{Lease: "watch-discovery", Task: newWatcher(of, 0).tell()},
+		},
+		Votes: []VoteStatus{{Lease: "summary", Holder: "n0", Number: 77, LeftMS: 30, Waiting: 4}}}
+	sum := Summary{Number: 77, Holder: "n0", At: 3 * time.Second, Drivers: 3, Ready: 2, RPCs: 1000, OK: 900, PushedBack: 50, Held: 7, Oldest: 8, Newest: 9}
+	for name, want := range map[string]any{"leases-status.json": status, "summary.json": sum} {
+		encoded, err := json.Marshal(want)
+		if err != nil {
+			t.Fatal(err)
+		}
+		got := reflect.New(reflect.TypeOf(want))
+		if err := json.Unmarshal(checkGolden(t, name, encoded), got.Interface()); err != nil {
+			t.Errorf("%s: %v", name, err)
+		}
+		if again, err := json.Marshal(got.Interface()); err != nil || !bytes.Equal(again, encoded) {
+			t.Errorf("%s is decoded as %+v", name, got.Elem())
+		}
+	}
+	s.latest = l.Now()
+	if got, err := json.Marshal(s.tell()); err != nil || string(got) != `{"failed":2,"latest_ms":0,"put":5,"refused":1}` {
+		t.Errorf("the status of a summary is %s, %v", got, err)
+	}
+}
+
+// TestGoldenPromises checks that promises which a voter stored earlier are read as they were.
+func TestGoldenPromises(t *testing.T) {
+	const name = "n0"
+	want := map[string]lease.Promise{"summary": {Number: 1_700_000_000_456, Version: 2}, "watch-discovery": {Number: 1_700_000_000_123, Version: 1}}
+	golden := filepath.Join("testdata", "lease-promises")
+	if *updateGolden {
+		if err := errors.Join(os.RemoveAll(golden), os.Mkdir(golden, 0o755)); err != nil {
+			t.Fatal(err)
+		}
+		store, _, err := state.Open(golden, name, leaseFolder)
+		if err != nil {
+			t.Fatal(err)
+		}
+		for lease, promise := range want {
+			if err := store.Commit([]keep.Change{state.PromiseOf(lease, promise)}); err != nil {
+				t.Fatal(err)
+			}
+		}
+		store.Close()
+	}
+	folder := t.TempDir()
+	if err := os.CopyFS(folder, os.DirFS(golden)); err != nil {
+		t.Fatal(err)
+	}
+	store, found, err := state.Open(folder, name, leaseFolder)
+	if err != nil || len(found.Lost) > 0 {
+		t.Fatalf("%v, lost %v", err, found.Lost)
+	}
+	defer store.Close()
+	if got := state.Promises(store); !maps.Equal(got, want) {
+		t.Errorf("promises are %v, want %v", got, want)
+	}
+}
