--- /dev/null
+++ b/internal/node/configuration_golden_test.go
@@ -0,0 +1,52 @@
+package node
+
+import (
+	"flag"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"passtack/internal/state"
+)
+
+var update = flag.Bool("update", false, "rewrite golden files")
+
+// storedConfiguration gives the records of a folder of published configuration.
+func storedConfiguration(t *testing.T, folder string) map[string]string {
+	t.Helper()
+	store, _, err := state.Open(folder, "d0", configurationFolder)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer store.Close()
+	records := make(map[string]string)
+	store.Each(func(name string, value []byte) { records[name] = string(value) })
+	return records
+}
+
+func TestGoldenConfigurationFolder(t *testing.T) {
+	source, written := filepath.Join("testdata", "configuration"), t.TempDir()
+	p, c, _ := configured(t, written, "")
+	c.publish(renamed)
+	p.drivers[0].host.Kill()
+	p.drivers[0].node.LetGo()
+	if *update {
+		if err := os.CopyFS(source, os.DirFS(written)); err != nil {
+			t.Fatal(err)
+		}
+	}
+	found := t.TempDir()
+	if err := os.CopyFS(found, os.DirFS(source)); err != nil {
+		t.Fatal(err)
+	}
+	got, want := storedConfiguration(t, written), storedConfiguration(t, found)
+	if value := string([]byte{1, 0, 0, 0, 0, 0, 0, 0}) + renamed; len(got) != 1 || len(want) != 1 || want[inForceName] != value || got[inForceName] != value {
+		t.Errorf("written %q, the golden folder has %q", got, want)
+	}
+	p, _, _ = configured(t, found, "")
+	n := p.drivers[0].node
+	if n.Configuration().Version != 1 || n.Terms()["caps.attempts"] != "3" || n.Terms()["methods.0.name"] != "buy" || n.loop.Most() != 300-3 {
+		t.Errorf("restored %+v, %v", n.Configuration(), n.Terms())
+	}
+	n.LetGo()
+}
--- /dev/null
+++ b/internal/rollout/server/golden_test.go
@@ -0,0 +1,186 @@
+package server
+
+import (
+	"bytes"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"passtack/internal/lease"
+	"passtack/internal/loop"
+	"passtack/internal/loop/sim"
+	"passtack/internal/rollout"
+)
+
+var update = flag.Bool("update", false, "rewrite golden files")
+
+// golden compares bytes with a file of testdata.
+func golden(t *testing.T, name string, got []byte) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if *update {
+		if err := os.WriteFile(path, got, 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(got, want) {
+		t.Errorf("%s differs:\n got  %s\n want %s", path, got, want)
+	}
+}
+
+var (
+	goldenEntry = rollout.Entry{Version: 4, Ballot: rollout.Ballot{Number: 9, Node: 1<<63 + 5}, Text: "{\"settings\":{\"x\":\"<é\\n>\"}}",
+		Recent: []rollout.Publication{{ID: 1<<64 - 1, Version: 3}, {ID: 7, Version: 4}}}
+	goldenCommitted = rollout.Entry{Version: 3, Ballot: rollout.Ballot{Number: 8, Node: 2}, Text: "{}"}
+	goldenKept      = Kept{Promises: map[string]lease.Promise{"configuration": {Number: 1 << 60, Version: 1}},
+		State: rollout.State{Joined: true, Floor: 7, Promised: rollout.Ballot{Number: 1<<60 + 1, Node: 3}, Accepted: goldenEntry, Committed: goldenCommitted}}
+)
+
+func TestGoldenFolder(t *testing.T) {
+	source, path, rung := filepath.Join("testdata", "machine"), t.TempDir(), make(chan bool, 1)
+	if *update {
+		f, _, err := OpenFolder(path, "c0", func() { rung <- true })
+		if err != nil {
+			t.Fatal(err)
+		}
+		keepAll(t, f, rung, goldenKept)
+		f.Close()
+		if err := os.CopyFS(source, os.DirFS(path)); err != nil {
+			t.Fatal(err)
+		}
+		path = t.TempDir()
+	}
+	if err := os.CopyFS(path, os.DirFS(source)); err != nil {
+		t.Fatal(err)
+	}
+	f, found, err := OpenFolder(path, "c0", func() {})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer f.Close()
+	if !reflect.DeepEqual(found, goldenKept) {
+		t.Errorf("found %+v, want %+v", found, goldenKept)
+	}
+	written, err := parts(goldenKept)
+	if err != nil || len(written) != len(f.written) {
+		t.Fatal(err, len(written), len(f.written))
+	}
+	for name, value := range written {
+		if f.written[name] != string(value) {
+			t.Errorf("record %s is written as %q, the folder has %q", name, value, f.written[name])
+		}
+	}
+}
+
+func TestGoldenMessages(t *testing.T) {
+	var messages []envelope
+	for _, op := range []rollout.Op{rollout.Prepare, rollout.Promise, rollout.Accept, rollout.Accepted, rollout.Commit, rollout.Heard, rollout.Refuse, rollout.Learn, rollout.Learned, rollout.Outlived} {
+		messages = append(messages, envelope{Rollout: &rollout.Message{Op: op}}, envelope{Rollout: &rollout.Message{Op: op, Ballot: goldenEntry.Ballot, Version: 4, Floor: 7, Joined: true, Entry: &goldenEntry, Committed: &goldenCommitted}})
+	}
+	messages = append(messages, envelope{Lease: []byte{1, 2, 255}})
+	var lines bytes.Buffer
+	for i, e := range messages {
+		e.Fleet, e.From, e.Life = "bureau", "c0", uint64(1767225600000+i)
+		text, err := json.Marshal(e)
+		if err != nil {
+			t.Fatal(err)
+		}
+		fmt.Fprintf(&lines, "%s\n", text)
+		var back envelope
+		if err := json.Unmarshal(text, &back); err != nil || !reflect.DeepEqual(back, e) {
+			t.Errorf("%s is read as %+v: %v", text, back, err)
+		}
+	}
+	golden(t, "messages.jsonl", lines.Bytes())
+}
+
+func TestGoldenStatusAndCall(t *testing.T) {
+	var lines bytes.Buffer
+	for _, value := range []any{
+		Call{}, Call{Fleet: "bureau", Driver: "d0", From: 4, Refused: 5, Why: "no", Restart: []string{"tick_us"}, HoldMS: 800},
+		Told{}, Told{Version: 4, Outcome: rollout.Published, Writer: "c0", Error: "no"},
+		Status{}, Status{Machine: "c0", Writer: "c1", Votes: true, Fresh: true, Version: 4, Floor: 7, Counts: map[string]int{"calls": 1},
+			Drivers: []Driver{{}, {Name: "d0", Version: 4, SinceMS: 1, HeardMS: 2, Refused: 5, Why: "no", Restart: []string{"tick_us"}}}},
+	} {
+		text, err := json.Marshal(value)
+		if err != nil {
+			t.Fatal(err)
+		}
+		fmt.Fprintf(&lines, "%s\n", text)
+		back := reflect.New(reflect.TypeOf(value))
+		if err := json.Unmarshal(text, back.Interface()); err != nil || !reflect.DeepEqual(back.Elem().Interface(), value) {
+			t.Errorf("%s is read as %+v: %v", text, back.Elem(), err)
+		}
+	}
+	golden(t, "values.jsonl", lines.Bytes())
+}
+
+func TestGoldenExchanges(t *testing.T) {
+	f := newFleet(t)
+	var all bytes.Buffer
+	exchange := func(machine int, text string) {
+		c := f.say(machine, text)
+		f.run(700 * time.Millisecond)
+		fmt.Fprintf(&all, "---- request\n%s\n---- answer\n%s\n", text, c.said)
+	}
+	w := f.writer()
+	exchange(w, request("GET", "/configuration", "", ""))
+	exchange(w, watch("d0", 0, 300))
+	exchange((w+1)%3, publish(7, 0, good))
+	exchange(w, publish(7, 0, " "+good+"\n"))
+	exchange(w, publish(7, 0, good))
+	exchange(w, publish(8, 0, good))
+	exchange(w, publish(9, 1, "{"))
+	exchange(w, watch("d0", 0, 300))
+	exchange(w, watch("d0", 1, 300))
+	exchange(w, watch("d0", 1<<62, 300))
+	exchange(w, request("GET", "/configuration", "", ""))
+	exchange(w, request("GET", "/secrets", "", ""))
+	exchange(w, request("POST", "/machine", "", `{"fleet":"test","from":"c9","life":1}`))
+	peer := fmt.Sprint("c", (w+1)%3)
+	exchange(w, request("POST", "/machine", "", `{"fleet":"test","from":"`+peer+`","life":1,"rollout":{"Op":"learn","Ballot":{"Number":0,"Node":0}}}`))
+	for _, o := range []int{(w + 1) % 3, (w + 2) % 3} {
+		f.world.Join(f.hosts[w], f.hosts[o], sim.Link{Cut: true, Resend: 100 * time.Millisecond})
+	}
+	f.run(2 * time.Second)
+	exchange(w, watch("d0", 1, 300))
+	golden(t, "exchanges.txt", all.Bytes())
+}
+
+// A request between machines, with its head, as another machine receives it.
+func TestGoldenMachineRequest(t *testing.T) {
+	world := sim.New(3, start)
+	var loops []*loop.Loop
+	for n := range 2 {
+		h := world.Host(fmt.Sprint("c", n))
+		l, err := loop.On(h, 1000, 16<<20)
+		if err != nil {
+			t.Fatal(err)
+		}
+		h.Serve(l, func() {})
+		loops = append(loops, l)
+	}
+	received := &call{}
+	if _, err := loops[1].Listen(at(1), 1<<20, loop.Door{}, func(open func(loop.Owner) *loop.Stream) { received.stream = open(received) }, func(bool) {}); err != nil {
+		t.Fatal(err)
+	}
+	place := Place{Fleet: "test", Name: "c0", Listen: at(0), Peers: []Peer{{"c1", at(1)}}}
+	if _, err := New(loops[0], place, &memory{world: world}, Kept{State: rollout.State{Floor: 5}}, 1); err != nil {
+		t.Fatal(err)
+	}
+	world.Run(world.Now() + 100*time.Millisecond)
+	if !strings.HasPrefix(string(received.said), "POST /machine") {
+		t.Errorf("received %q", received.said)
+	}
+	golden(t, "machine_request.txt", received.said)
+}
