--- /dev/null
+++ b/internal/node/status_test.go
@@ -0,0 +1,21 @@
+package node
+
+import (
+	"encoding/json"
+	"testing"
+)
+
+// Operators' scripts read the keys of the status answer: they stay as they are.
+func TestKeysOfTheStatusAnswer(t *testing.T) {
+	got, err := json.Marshal(Status{
+		Name: "n0", Comeback: "whole", Ready: 1, Counters: map[string]int{"state_saves": 2},
+		Chores: []ChoreStatus{{Name: "save", State: "idle", Why: "not due", Skipped: "yields", ForMS: 3, Runs: 4, Failed: 5, Late: 6, Skips: 7,
+			Slices: 8, Bytes: 9, Operations: 10, SpentMS: 11.5, LongestMS: 12.5, SlowestMS: 13.5}},
+	})
+	const want = `{"Name":"n0","Comeback":"whole","Ready":1,"Counters":{"state_saves":2},"Chores":[{"Name":"save","State":"idle","Why":"not due",` +
+		`"Skipped":"yields","ForMS":3,"Runs":4,"Failed":5,"Late":6,"Skips":7,"Slices":8,"Bytes":9,"Operations":10,"SpentMS":11.5,` +
+		`"LongestMS":12.5,"SlowestMS":13.5}],"Configuration":null}`
+	if err != nil || string(got) != want {
+		t.Errorf("%s, %v, want %s", got, err, want)
+	}
+}
--- /dev/null
+++ b/internal/state/golden_test.go
@@ -0,0 +1,167 @@
+package state
+
+import (
+	"bytes"
+	"flag"
+	"net/netip"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+	"time"
+
+	"github.com/zeebo/xxh3"
+
+	"passtack/driver"
+	"passtack/internal/keep"
+	"passtack/internal/lease"
+	"passtack/internal/repeat"
+)
+
+var update = flag.Bool("update", false, "rewrite golden files")
+
+const goldenFolder = "testdata/folder"
+
+var (
+	goldenDiscovery = netip.MustParseAddrPort("127.0.0.1:7001")
+	goldenMembers   = map[string]driver.Known{
+		"s-1": {Position: time.Hour, Replica: time.Hour - time.Second, Timed: time.Hour - time.Minute, Ratio: 1.25},
+		"s-2": {Position: time.Hour + time.Second, Replica: driver.LongAgo, Timed: 59 * time.Minute, Ratio: 0.5},
+		"s-3": {Position: time.Hour + 9*time.Second, Replica: time.Hour, Timed: time.Hour, Ratio: 2},
+	}
+	goldenPromise = lease.Promise{Number: 7, Version: 3}
+)
+
+// writeGolden writes a folder with one snapshot and two log records.
+func writeGolden(t *testing.T, path string) {
+	s := open(t, path)
+	defer s.Close()
+	v := NewSaver(s, 32<<20)
+	memory := repeat.New(0)
+	memory.Kept, memory.Most, memory.Open = time.Hour, 1<<20, 10
+	memory.Keep = func(key string, e []byte) { v.Repeat("offices", xxh3.HashString(key), e) }
+	commit := func(now time.Duration, members ...string) {
+		v.Begin()
+		for _, uid := range members {
+			v.Member(uid, goldenMembers[uid])
+		}
+		v.Usual([]time.Duration{3 * ms, 40 * ms})
+		changes := v.Finish(now)
+		err := s.Commit(changes)
+		if v.Committed(err); err != nil {
+			t.Fatal(err)
+		}
+	}
+	run := func(key string, how repeat.End) {
+		_, e := memory.Asked(key, 11, time.Second, time.Second, 2*time.Second)
+		memory.Ended(e, how, []byte("answer of "+key), 1500*ms)
+	}
+	v.Wrote(0xbeef, time.Hour)
+	v.Wrote(5, time.Hour-time.Second)
+	v.List("s-1", []byte(`{"uid":"s-1"}`))
+	v.List("s-2", []byte(`{"uid":"s-2"}`))
+	v.Of(Listed{Rev: 4, Discovery: goldenDiscovery})
+	run("done", repeat.Done)
+	run("gone", repeat.Nothing)
+	commit(time.Hour, "s-1", "s-2")
+	v.Wrote(5, time.Hour+time.Second)
+	v.List("s-1", nil)
+	v.Of(Listed{Rev: 5, Discovery: goldenDiscovery})
+	run("unsure", repeat.Unsure)
+	v.Repeat("offices", xxh3.HashString("gone"), nil)
+	commit(time.Hour+2*time.Second, "s-2", "s-3")
+	if err := s.Commit([]keep.Change{PromiseOf("summary", goldenPromise)}); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// goldenFiles gives the snapshots and logs of a folder by name.
+func goldenFiles(t *testing.T, path string) map[string][]byte {
+	names, err := filepath.Glob(filepath.Join(path, "*-*"))
+	if err != nil || len(names) == 0 {
+		t.Fatalf("files of %s: %d, %v", path, len(names), err)
+	}
+	files := make(map[string][]byte)
+	for _, name := range names {
+		text, err := os.ReadFile(name)
+		if err != nil {
+			t.Fatal(err)
+		}
+		files[filepath.Base(name)] = text
+	}
+	return files
+}
+
+// The same changes are written as the same bytes as by earlier versions.
+func TestGoldenFolderIsWritten(t *testing.T) {
+	path := t.TempDir()
+	writeGolden(t, path)
+	files := goldenFiles(t, path)
+	if *update {
+		if err := os.MkdirAll(goldenFolder, 0o755); err != nil {
+			t.Fatal(err)
+		}
+		for name, text := range files {
+			if err := os.WriteFile(filepath.Join(goldenFolder, name), text, 0o644); err != nil {
+				t.Fatal(err)
+			}
+		}
+	}
+	want := goldenFiles(t, goldenFolder)
+	for name, text := range want {
+		if !bytes.Equal(files[name], text) {
+			t.Errorf("%s differs from the golden file", name)
+		}
+	}
+	if len(files) != len(want) {
+		t.Errorf("%d files, want %d", len(files), len(want))
+	}
+}
+
+// A folder that an earlier version wrote is read to the same values.
+func TestGoldenFolderIsRead(t *testing.T) {
+	path := t.TempDir()
+	for name, text := range goldenFiles(t, goldenFolder) {
+		if err := os.WriteFile(filepath.Join(path, name), text, 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	s := open(t, path)
+	defer s.Close()
+	r := Read(s)
+	repeats := r.Repeats["offices"]
+	r.Repeats = nil
+	want := &Recalled{
+		Saved:    time.Hour + 2*time.Second,
+		Members:  map[string]driver.Known{"s-2": goldenMembers["s-2"], "s-3": goldenMembers["s-3"]},
+		Sessions: 3,
+		Usual:    []time.Duration{3 * ms, 40 * ms},
+		Listed:   Listed{Rev: 5, Discovery: goldenDiscovery},
+		Entries:  [][]byte{[]byte(`{"uid":"s-2"}`)},
+	}
+	if !reflect.DeepEqual(r, want) {
+		t.Errorf("read %+v, want %+v", r, want)
+	}
+	if got, want := string(r.List()), `{"all":true,"rev":5,"targets":[{"uid":"s-2"}]}`; got != want {
+		t.Errorf("list %s, want %s", got, want)
+	}
+	wantWrites := map[driver.Session]time.Duration{0xbeef: time.Hour, 5: time.Hour + time.Second}
+	if got := writes(s); !reflect.DeepEqual(got, wantWrites) {
+		t.Errorf("writes of sessions %v, want %v", got, wantWrites)
+	}
+	if got := Promises(s); !reflect.DeepEqual(got, map[string]lease.Promise{"summary": goldenPromise}) {
+		t.Errorf("promises %v", got)
+	}
+	memory := repeat.New(0)
+	memory.Kept, memory.Most, memory.Open = time.Hour, 1<<20, 10
+	if n := memory.Recall(repeats, 2*time.Second); n != 2 {
+		t.Fatalf("%d repeatable requests are restored, want 2", n)
+	}
+	verdict, e := memory.Asked("done", 11, time.Second, 2*time.Second, 2*time.Second)
+	if verdict != repeat.Told || string(e.Answer) != "answer of done" {
+		t.Errorf("a repeat of a request that was done: %v", verdict)
+	}
+	if verdict, _ := memory.Asked("unsure", 11, time.Second, 4*time.Second, 2*time.Second); verdict != repeat.Late {
+		t.Errorf("a late repeat of a request that may have run: %v", verdict)
+	}
+}
