--- a/internal/node/configuration_golden_test.go
+++ b/internal/node/configuration_golden_test.go
@@ -1,7 +1,6 @@
 package node
 
 import (
-	"flag"
 	"os"
 	"path/filepath"
 	"testing"
@@ -9,8 +8,6 @@
 	"passtack/internal/state"
 )
 
-var update = flag.Bool("update", false, "rewrite golden files")
-
 // storedConfiguration gives the records of a folder of published configuration.
 func storedConfiguration(t *testing.T, folder string) map[string]string {
 	t.Helper()
--- a/internal/node/golden_leases_test.go
+++ b/internal/node/golden_leases_test.go
@@ -5,7 +5,6 @@
 	"encoding/binary"
 	"encoding/json"
 	"errors"
-	"flag"
 	"maps"
 	"os"
 	"path/filepath"
@@ -21,13 +20,11 @@
 	"passtack/internal/state"
 )
 
-var updateGolden = flag.Bool("update", false, "rewrite golden files")
-
 // checkGolden compares what is encoded with a file of testdata, and gives the file's bytes.
 func checkGolden(t *testing.T, name string, encoded []byte) []byte {
 	t.Helper()
 	file := filepath.Join("testdata", name)
-	if *updateGolden {
+	if *update {
 		if err := os.WriteFile(file, encoded, 0o644); err != nil {
 			t.Fatal(err)
 		}
@@ -104,7 +101,7 @@
 	const name = "n0"
 	want := map[string]lease.Promise{"summary": {Number: 1_700_000_000_456, Version: 2}, "watch-discovery": {Number: 1_700_000_000_123, Version: 1}}
 	golden := filepath.Join("testdata", "lease-promises")
-	if *updateGolden {
+	if *update {
 		if err := errors.Join(os.RemoveAll(golden), os.Mkdir(golden, 0o755)); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/rollout/server/golden_test.go
+++ b/internal/rollout/server/golden_test.go
@@ -171,7 +171,7 @@
 		loops = append(loops, l)
 	}
 	received := &call{}
-	if _, err := loops[1].Listen(at(1), 1<<20, loop.Door{}, func(open func(loop.Owner) *loop.Stream) { received.stream = open(received) }, func(bool) {}); err != nil {
+	if _, err := loops[1].Listen(at(1), 1<<20, loop.Door{}, func(open func(loop.Handler) *loop.Stream) { received.stream = open(received) }, func(bool) {}); err != nil {
 		t.Fatal(err)
 	}
 	place := Place{Fleet: "test", Name: "c0", Listen: at(0), Peers: []Peer{{"c1", at(1)}}}
