--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -35,6 +35,7 @@
 	falsely int                   // times that one which was there was held dead
 	back    int                   // times that one which was gone was held alive again by who knew
 	first   map[int]time.Duration // by who died: when somebody held it dead first
+	record  func(from, to int, text []byte)
 }
 
 type host struct {
@@ -124,6 +125,9 @@
 	h.sent++
 	h.bytes += len(text)
 	o.taken += len(text)
+	if w.record != nil {
+		w.record(h.number, int(to), text)
+	}
 	if o == h || w.cut != nil && w.cut(h.number, o.number) || w.chance.Float() < w.loss {
 		return
 	}
