--- a/cmd/passtack/main.go
+++ b/cmd/passtack/main.go
@@ -34,8 +34,8 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	site.Operator = p.Operator
-	wants, err := site.Wants()
+	site.ConfigFile = p.Operator
+	wants, err := site.ReadConfig()
 	return site, wants, err
 }
 
@@ -73,7 +73,7 @@
 			return fmt.Errorf("%s: %w", c.Configuration, err)
 		}
 	}
-	fmt.Printf("name=%s listen=%s discovery=%s methods=%s\n", site.Name, site.Listen, site.Discovery, site.Terms["methods.count"])
+	fmt.Printf("name=%s listen=%s discovery=%s methods=%s\n", site.Name, site.Listen, site.Discovery, site.Settings["methods.count"])
 	for _, f := range wants.Fronts[1:] {
 		sets := 0
 		if f.OData != nil {
--- a/internal/emu/play/rehearse.go
+++ b/internal/emu/play/rehearse.go
@@ -146,10 +146,10 @@
 	st.starts++
 	site := &node.Site{
 		Name: h.Name, Listen: st.drivers[i], Discovery: st.agents[i], Seed: st.seed*1000003 + st.starts, Descriptors: 1024, Memory: 192 << 20,
-		Known: st.cluster.Known(i), Terms: st.script.Terms(i), Operator: st.script.Operator,
+		InitialList: st.cluster.Known(i), Settings: st.script.Terms(i), ConfigFile: st.script.Operator,
 	}
 	if st.script.Peers {
-		site.PeerListen, site.PeerAll, site.Peers = st.talk[i], everyPeer, st.talk
+		site.PeerListen, site.PeerBroadcast, site.Peers = st.talk[i], everyPeer, st.talk
 	}
 	wants, err := st.wants(i, site)
 	if err != nil {
@@ -158,7 +158,7 @@
 	n, err := node.On(l, site, wants)
 	st.nodes[i] = n
 	if err == nil && st.clients != nil {
-		st.follow(i, l, n, n.Comeback())
+		st.follow(i, l, n, n.RecoveryStage())
 	}
 	return err
 }
@@ -167,7 +167,7 @@
 func (st *stage) wants(i int, site *node.Site) (*operator.File, error) {
 	s := st.script
 	if st.folders == nil {
-		return site.Wants()
+		return site.ReadConfig()
 	}
 	at := Places{Witness: witnessPlace}
 	if s.Folders {
@@ -187,7 +187,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return site.Parse(text, Driver(i)+".hcl")
+	return site.ParseConfig(text, Driver(i)+".hcl")
 }
 
 // witnessPlace is where holders act.
@@ -196,7 +196,7 @@
 // follow notes the stages in which a driver that has started again says to be.
 func (st *stage) follow(i int, l *loop.Loop, n *node.Node, last comeback.Stage) {
 	l.At(l.Now()+looking, func() {
-		now := n.Comeback()
+		now := n.RecoveryStage()
 		if now != last {
 			st.falls.Reached(i, now.String(), st.world.Now()-epoch)
 		}
--- a/internal/lab/capacity/driver_met.go
+++ b/internal/lab/capacity/driver_met.go
@@ -53,7 +53,7 @@
 	}
 	site := &node.Site{
 		Name: "d0", Listen: listen, Discovery: discovery, Seed: seed, Descriptors: 1 << 16, Memory: memoryMB << 20,
-		Known: m.ground.listText(), Terms: settingsTerms(designDrivers, m.probes, time.Second),
+		InitialList: m.ground.listText(), Settings: settingsTerms(designDrivers, m.probes, time.Second),
 	}
 	if _, err := node.On(loops[2], site, operator.None()); err != nil {
 		return err
--- a/internal/lab/capacity/driver_state.go
+++ b/internal/lab/capacity/driver_state.go
@@ -150,13 +150,13 @@
 func standing(l *loop.Loop, listen netip.AddrPort, list []byte, view bool) (*node.Node, error) {
 	site := &node.Site{
 		Name: "d0", Listen: listen, Discovery: netip.MustParseAddrPort("10.2.0.1:8500"), Seed: 1, Descriptors: 1 << 15, Memory: memoryMB << 20,
-		Known: list, Terms: settingsTerms(designDrivers, false, soft),
+		InitialList: list, Settings: settingsTerms(designDrivers, false, soft),
 	}
 	wants := operator.None()
 	if view {
-		site.PeerListen, site.PeerAll = netip.MustParseAddrPort("10.3.0.1:7946"), netip.MustParseAddrPort("10.3.255.255:7946")
+		site.PeerListen, site.PeerBroadcast = netip.MustParseAddrPort("10.3.0.1:7946"), netip.MustParseAddrPort("10.3.255.255:7946")
 		var err error
-		if wants, err = site.Parse([]byte("view {\n fleet = \"capacity\"\n every = \"1s\"\n}\n"), "view.hcl"); err != nil {
+		if wants, err = site.ParseConfig([]byte("view {\n fleet = \"capacity\"\n every = \"1s\"\n}\n"), "view.hcl"); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/lab/capacity/hollow.go
+++ b/internal/lab/capacity/hollow.go
@@ -169,9 +169,9 @@
 	}
 	h.Serve(l, func() {})
 	f.starts++
-	site := &node.Site{Name: h.Name, Listen: placeOf(0, i, 6543), Discovery: f.agents[i].at, PeerListen: f.talk[i], PeerAll: everyPeer, Peers: f.talk,
-		Seed: f.seed*1000003 + f.starts, Descriptors: 64, Memory: 64 << 20, Terms: f.terms}
-	wants, err := site.Parse([]byte(f.wants), h.Name+".hcl")
+	site := &node.Site{Name: h.Name, Listen: placeOf(0, i, 6543), Discovery: f.agents[i].at, PeerListen: f.talk[i], PeerBroadcast: everyPeer, Peers: f.talk,
+		Seed: f.seed*1000003 + f.starts, Descriptors: 64, Memory: 64 << 20, Settings: f.terms}
+	wants, err := site.ParseConfig([]byte(f.wants), h.Name+".hcl")
 	if err != nil {
 		return err
 	}
--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -172,7 +172,7 @@
 	total := float64(share * clients)
 	b.ReportMetric(float64(spent(b, thread)-before)/total/1000, "cpu_µs/RPC")
 	b.ReportMetric(total/time.Since(began).Seconds(), "RPC/s")
-	if n.counts["rpcs_ok"] < int(total) {
-		b.Errorf("%d of %.0f RPCs are ok", n.counts["rpcs_ok"], total)
+	if n.counters["rpcs_ok"] < int(total) {
+		b.Errorf("%d of %.0f RPCs are ok", n.counters["rpcs_ok"], total)
 	}
 }
--- a/internal/node/chores.go
+++ b/internal/node/chores.go
@@ -61,7 +61,7 @@
 
 func (n *Node) status() Status {
 	now := n.loop.Now()
-	s := Status{Name: n.site.Name, Comeback: n.back.Stage().String(), Ready: n.back.Ready(), Counters: n.counts, Configuration: n.configuration.status()}
+	s := Status{Name: n.site.Name, Comeback: n.recovery.Stage().String(), Ready: n.recovery.Ready(), Counters: n.counters, Configuration: n.configuration.status()}
 	if n.background.plan == nil {
 		return s
 	}
--- a/internal/node/clock_test.go
+++ b/internal/node/clock_test.go
@@ -47,8 +47,8 @@
 			if heard := s.client.heard[before:]; !slices.Contains(heard, "value of r1") {
 				t.Errorf("a read behind a commit of its session hears %q", heard)
 			}
-			if s.node.counts["clock_corrections"] > 1 {
-				t.Errorf("%d corrections", s.node.counts["clock_corrections"])
+			if s.node.counters["clock_corrections"] > 1 {
+				t.Errorf("%d corrections", s.node.counters["clock_corrections"])
 			}
 		})
 	}
--- a/internal/node/configuration.go
+++ b/internal/node/configuration.go
@@ -66,7 +66,7 @@
 	if err != nil {
 		return nil, err
 	}
-	wants, err := o.wants.Again(offered(all))
+	wants, err := o.wants.Again(methodsOf(all))
 	if err != nil {
 		return nil, fmt.Errorf("the operator's file does not go with it: %s", strings.SplitN(err.Error(), "\n", 2)[0])
 	}
@@ -75,18 +75,18 @@
 
 // CheckPublished tells why a driver could not take over a configuration.
 func CheckPublished(site *Site, wants *operator.File, text []byte) error {
-	_, err := own{site.Terms, wants, site.Memory, site.Descriptors}.prepare(0, text)
+	_, err := own{site.Settings, wants, site.Memory, site.Descriptors}.prepare(0, text)
 	return err
 }
 
 // recallConfiguration begins with the version that the folder has, before anything is made by the settings.
 func (n *Node) recallConfiguration() {
-	w := n.wants.Configuration
+	w := n.config.Configuration
 	if w == nil {
 		return
 	}
 	s := n.site
-	c := &configuration{node: n, base: own{s.Terms, n.wants, s.Memory, s.Descriptors}, standing: rollout.Standing{Driver: s.Name}, since: n.loop.Now()}
+	c := &configuration{node: n, base: own{s.Settings, n.config, s.Memory, s.Descriptors}, standing: rollout.Standing{Driver: s.Name}, since: n.loop.Now()}
 	n.configuration = c
 	if w.Folder == "" {
 		return
@@ -111,7 +111,7 @@
 			c.refuse(version, err)
 			return
 		}
-		s.Terms, n.wants, c.memory, c.sockets = p.terms, p.wants, p.memory, p.sockets
+		s.Settings, n.config, c.memory, c.sockets = p.terms, p.wants, p.memory, p.sockets
 		c.standing.Version = version
 		c.limit()
 		slog.Info("configuration_recalled", "version", version, "bytes", len(text))
@@ -121,7 +121,7 @@
 // watchConfiguration begins to ask for newer versions.
 func (n *Node) watchConfiguration() {
 	if c := n.configuration; c != nil {
-		w := n.wants.Configuration
+		w := n.config.Configuration
 		c.client = watch.New(n.loop, c, w.Fleet, n.site.Name, w.Machines, n.site.Seed+101)
 	}
 }
@@ -189,21 +189,21 @@
 		return
 	}
 	n, s := c.node, c.node.site
-	running, err := terms.Running(s.Terms, next.terms)
+	running, err := terms.Running(s.Settings, next.terms)
 	if err != nil {
 		c.refuse(next.version, err)
 		c.client.Settled()
 		return
 	}
-	c.standing = rollout.Standing{Driver: s.Name, Version: next.version, Restart: terms.Restart(s.Terms, next.terms)}
+	c.standing = rollout.Standing{Driver: s.Name, Version: next.version, Restart: terms.Restart(s.Settings, next.terms)}
 	c.since = n.loop.Now()
-	lax := s.Terms["rules.only_draining_binds"] != running["rules.only_draining_binds"]
-	n.stir()
-	s.Terms, c.memory, c.sockets = running, next.memory, next.sockets
+	lax := s.Settings["rules.only_draining_binds"] != running["rules.only_draining_binds"]
+	n.resumeTicks()
+	s.Settings, c.memory, c.sockets = running, next.memory, next.sockets
 	c.limit()
 	n.follow()
 	n.module.Change(running)
-	c.standing.Restart = append(c.standing.Restart, n.offer(next.wants)...)
+	c.standing.Restart = append(c.standing.Restart, n.applyConfig(next.wants)...)
 	if lax { // who may be sent to is judged by lists
 		n.list.Fetch()
 	}
@@ -226,7 +226,7 @@
 
 // limit lets the loop and the runtime go by the site's limits.
 func (n *Node) limit() {
-	n.loop.Limit(n.site.Descriptors, int(n.site.Memory/buffers))
+	n.loop.Limit(n.site.Descriptors, int(n.site.Memory/bufferFraction))
 	if !n.simulated {
 		debug.SetMemoryLimit(n.site.Memory * 3 / 4)
 	}
@@ -235,15 +235,15 @@
 // follow lets all parts of the driver but the module go by the site's terms.
 func (n *Node) follow() {
 	s := n.site
-	n.most = int(terms.New(s.Terms).Number("caps.attempts", 1))
-	n.zones = strings.Split(s.Terms["zones"], ",")
-	connect, idle := s.span("caps.connect_timeout", connectIn), s.span("caps.idle_close", idleFor)
-	n.opens.Within(connect)
+	n.maxAttempts = int(terms.New(s.Settings).Number("caps.attempts", 1))
+	n.zones = strings.Split(s.Settings["zones"], ",")
+	connect, idle := s.duration("caps.connect_timeout", defaultConnectTimeout), s.duration("caps.idle_close", defaultIdleTimeout)
+	n.connectLimiter.Within(connect)
 	for _, p := range n.pools {
 		p.Within(connect, idle)
 	}
 	names, sessions, tokened, retired := s.methods()
-	for _, d := range n.doors {
+	for _, d := range n.listeners {
 		switch f := d.front.(type) {
 		case *pgfront.Front:
 			asked := slices.Clone(names)
@@ -297,4 +297,4 @@
 }
 
 // Terms gives the settings that hold, for who compares.
-func (n *Node) Terms() map[string]string { return maps.Clone(n.site.Terms) }
+func (n *Node) Terms() map[string]string { return maps.Clone(n.site.Settings) }
--- a/internal/node/configuration_test.go
+++ b/internal/node/configuration_test.go
@@ -107,8 +107,8 @@
 			d.host.Start()
 		}
 		site := &Site{Name: "d0", Listen: d.at, Discovery: netip.MustParseAddrPort("10.0.9.1:8500"), Seed: p.chance2(), Descriptors: 256, Memory: 64 << 20,
-			Known: []byte(listOf(1, true, targets...)), Terms: terms.Nested(simSettings(t))}
-		wants, err := site.Parse([]byte(wantsControls(folder)+more), "d0.hcl")
+			InitialList: []byte(listOf(1, true, targets...)), Settings: terms.Nested(simSettings(t))}
+		wants, err := site.ParseConfig([]byte(wantsControls(folder)+more), "d0.hcl")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -174,8 +174,8 @@
 	if buys() != "ok" || looks() != "ok" || pays() == "ok" || pays() == "" {
 		t.Errorf("a new method hears %q, one that stays %q, one that there is no more %q", buys(), looks(), pays())
 	}
-	if got := n.Terms(); got["caps.attempts"] != "3" || got["caps.longest_wait"] != "7000" || got["caps.cancel"] == "" || n.most != 3 || n.loop.Most() != 300-3 {
-		t.Errorf("caps %s and %s, cancel %q, %d attempts, %d descriptors", got["caps.attempts"], got["caps.longest_wait"], got["caps.cancel"], n.most, n.loop.Most())
+	if got := n.Terms(); got["caps.attempts"] != "3" || got["caps.longest_wait"] != "7000" || got["caps.cancel"] == "" || n.maxAttempts != 3 || n.loop.Most() != 300-3 {
+		t.Errorf("caps %s and %s, cancel %q, %d attempts, %d descriptors", got["caps.attempts"], got["caps.longest_wait"], got["caps.cancel"], n.maxAttempts, n.loop.Most())
 	}
 	if v := c.publish(`{}`); v != 2 || n.Configuration().Version != 2 {
 		t.Fatalf("version %d, %+v", v, n.Configuration())
@@ -351,7 +351,7 @@
 		if planted { // the steps of Offered and adopt in the wrong order
 			all := n.Terms()
 			all["caps.longest_wait"], all["family_info.needs"] = "9000", "old"
-			n.configuration.adopt(&prepared{version: 2, text: []byte(bad), terms: all, wants: n.wants})
+			n.configuration.adopt(&prepared{version: 2, text: []byte(bad), terms: all, wants: n.config})
 			if _, err := n.configuration.base.prepare(2, []byte(bad)); err != nil {
 				n.configuration.standing.Version = 1
 				n.configuration.refuse(2, err)
--- a/internal/node/doors.go
+++ b/internal/node/doors.go
@@ -17,42 +17,42 @@
 )
 
 // door is one listener and what it holds.
-type door struct {
+type listener struct {
 	node        *Node
 	name        string
 	front       driver.Front
 	connections *front.Connections
-	number      int // among the shares
+	quotaID     int // among the shares
 	rpcs        int // under way
-	taken       int
+	rpcsTaken   int
 }
 
 // manyRPCs is what all fronts together may have under way.
-const manyRPCs = 1 << 15
+const maxRPCs = 1 << 15
 
 // openDoors listens for all fronts that the operator wants, the platform's first.
-func (n *Node) openDoors() error {
+func (n *Node) openListeners() error {
 	names, sessions, tokened, _ := n.site.methods()
 	open := make(front.Ids)
-	for _, f := range n.wants.Fronts {
-		d := &door{node: n, name: f.Name, number: n.shares.Join(f.Share)}
+	for _, f := range n.config.Fronts {
+		d := &listener{node: n, name: f.Name, quotaID: n.quotas.Join(f.Share)}
 		at := f.Listen
 		if !at.IsValid() {
 			at = n.site.Listen
 		}
-		err := n.patiently(func() error { return n.listenAt(d, f, at, open, names, sessions, tokened) })
+		err := n.openWithRetry(func() error { return n.listenAt(d, f, at, open, names, sessions, tokened) })
 		if err != nil {
 			return fmt.Errorf("front %s, listen %s: %w", f.Name, at, err)
 		}
-		n.doors = append(n.doors, d)
-		n.byFront[d.front] = d
+		n.listeners = append(n.listeners, d)
+		n.listenerOf[d.front] = d
 	}
 	return nil
 }
 
 // listenAt opens one front.
-func (n *Node) listenAt(d *door, f *operator.Front, at netip.AddrPort, open front.Ids, names []string, sessions, tokened []bool) error {
-	seed := n.site.Seed + uint64(d.number)
+func (n *Node) listenAt(d *listener, f *operator.Front, at netip.AddrPort, open front.Ids, names []string, sessions, tokened []bool) error {
+	seed := n.site.Seed + uint64(d.quotaID)
 	switch f.Protocol {
 	case "pg":
 		portal, err := pgfront.Listen(n.loop, n, at, d.limits(), open, names, sessions, tokened, seed)
@@ -61,7 +61,7 @@
 		}
 		d.front, d.connections = portal, portal.Connections()
 	case "odata":
-		offices, err := odatafront.Listen(n.loop, n, at, d.limits(), open, f.OData, names, n.wants.Root, seed)
+		offices, err := odatafront.Listen(n.loop, n, at, d.limits(), open, f.OData, names, n.config.Root, seed)
 		if err != nil {
 			return err
 		}
@@ -72,102 +72,102 @@
 }
 
 // limits bounds what a door's connections hold by its share.
-func (d *door) limits() loop.Door {
+func (d *listener) limits() loop.Door {
 	ask := func(kind share.Kind) func(int) int {
-		return func(most int) int { return d.roomFor(kind, most) }
+		return func(most int) int { return d.capacityFor(kind, most) }
 	}
 	return loop.Door{Descriptors: ask(share.Connections), Bytes: ask(share.Bytes)}
 }
 
 // roomFor tells how much of a kind the door may hold now.
-func (d *door) roomFor(kind share.Kind, most int) int {
+func (d *listener) capacityFor(kind share.Kind, most int) int {
 	n := d.node
-	n.tally()
-	room := n.shares.Room(d.number, kind, most)
+	n.reportUsage()
+	room := n.quotas.Room(d.quotaID, kind, most)
 	if d.connections != nil {
 		if connections, _ := d.connections.Held(); kind == share.Connections && connections >= room {
-			n.shares.Lacks(d.number, kind, n.loop.Now())
+			n.quotas.Lacks(d.quotaID, kind, n.loop.Now())
 		}
 	}
 	return room
 }
 
 // tally tells what all doors hold.
-func (n *Node) tally() {
-	for _, o := range n.doors {
+func (n *Node) reportUsage() {
+	for _, o := range n.listeners {
 		connections, bytes := o.connections.Held()
-		n.shares.Hold(o.number, share.Connections, connections)
-		n.shares.Hold(o.number, share.Bytes, bytes)
-		n.shares.Hold(o.number, share.RPCs, o.rpcs)
+		n.quotas.Hold(o.quotaID, share.Connections, connections)
+		n.quotas.Hold(o.quotaID, share.Bytes, bytes)
+		n.quotas.Hold(o.quotaID, share.RPCs, o.rpcs)
 	}
 }
 
 // mayTake tells whether one more RPC may be under way.
-func (d *door) mayTake() bool {
-	if len(d.node.doors) == 1 && d.node.wants.Fronts[0].Share.Limits[share.RPCs] == 0 {
+func (d *listener) admits() bool {
+	if len(d.node.listeners) == 1 && d.node.config.Fronts[0].Share.Limits[share.RPCs] == 0 {
 		return true
 	}
-	return d.rpcs < d.roomFor(share.RPCs, manyRPCs)
+	return d.rpcs < d.capacityFor(share.RPCs, maxRPCs)
 }
 
-const parting = 100 * time.Millisecond // looks whether a front has borrowed what another needs
+const rebalanceInterval = 100 * time.Millisecond // looks whether a front has borrowed what another needs
 
 // partAnew lets who has borrowed connections that another needs end some.
-func (n *Node) partAnew() {
-	if len(n.doors) < 2 || n.loop.Now() < n.partAt {
+func (n *Node) rebalanceConnections() {
+	if len(n.listeners) < 2 || n.loop.Now() < n.rebalanceAt {
 		return
 	}
-	n.partAt = n.loop.Now() + parting
-	n.tally()
-	for _, d := range n.doors {
-		d.connections.Yield(n.shares.Over(d.number, share.Connections, n.loop.Most()*5/8, n.loop.Now()))
+	n.rebalanceAt = n.loop.Now() + rebalanceInterval
+	n.reportUsage()
+	for _, d := range n.listeners {
+		d.connections.Yield(n.quotas.Over(d.quotaID, share.Connections, n.loop.Most()*5/8, n.loop.Now()))
 	}
 }
 
 // FormOf tells how the members of a group are spoken to.
-func (n *Node) FormOf(group driver.Group) driver.Form { return n.wants.Forms[group] }
+func (n *Node) FormOf(group driver.Group) driver.Form { return n.config.Forms[group] }
 
 // offer takes over what the operator wants now, and names what needs a restart.
-func (n *Node) offer(wants *operator.File) (restart []string) {
+func (n *Node) applyConfig(wants *operator.File) (restart []string) {
 	n.lines.Level.Set(wants.Level)
 	n.lines.Sample.Store(wants.Sample)
-	same := len(wants.Fronts) == len(n.wants.Fronts) && wants.Root == n.wants.Root && wants.Host == n.wants.Host
+	same := len(wants.Fronts) == len(n.config.Fronts) && wants.Root == n.config.Root && wants.Host == n.config.Host
 	for g, form := range wants.Forms {
-		same = same && n.wants.Forms[g] == form
+		same = same && n.config.Forms[g] == form
 	}
-	if !same || len(wants.Forms) != len(n.wants.Forms) {
+	if !same || len(wants.Forms) != len(n.config.Forms) {
 		restart = append(restart, "fronts or members")
 	}
-	if (wants.State == nil) != (n.wants.State == nil) || wants.State != nil && *wants.State != *n.wants.State {
+	if (wants.State == nil) != (n.config.State == nil) || wants.State != nil && *wants.State != *n.config.State {
 		restart = append(restart, "state")
 	}
-	if restartLeases(n.wants.Leases, wants.Leases) {
+	if leasesNeedRestart(n.config.Leases, wants.Leases) {
 		restart = append(restart, "leases")
-	} else if n.leases != nil && !reflect.DeepEqual(n.wants.Leases, wants.Leases) {
-		n.wants.Leases = wants.Leases
+	} else if n.leases != nil && !reflect.DeepEqual(n.config.Leases, wants.Leases) {
+		n.config.Leases = wants.Leases
 		n.leases.change(wants.Leases)
 	}
-	if (wants.View == nil) != (n.wants.View == nil) || wants.View != nil && *wants.View != *n.wants.View {
+	if (wants.View == nil) != (n.config.View == nil) || wants.View != nil && *wants.View != *n.config.View {
 		restart = append(restart, "view")
 	}
-	if !reflect.DeepEqual(wants.Configuration, n.wants.Configuration) {
+	if !reflect.DeepEqual(wants.Configuration, n.config.Configuration) {
 		restart = append(restart, "configuration")
 	}
-	if wants.Control != n.wants.Control {
+	if wants.Control != n.config.Control {
 		restart = append(restart, "control")
 	}
 	for _, f := range wants.Fronts {
-		i := slices.IndexFunc(n.wants.Fronts, func(o *operator.Front) bool {
+		i := slices.IndexFunc(n.config.Fronts, func(o *operator.Front) bool {
 			return o.Name == f.Name && o.Protocol == f.Protocol && o.Listen == f.Listen
 		})
 		if i < 0 {
 			restart = append(restart, "front "+f.Name)
 			continue
 		}
-		n.wants.Fronts[i].Share = f.Share
-		n.shares.Change(n.doors[i].number, f.Share)
-		if offices, ok := n.doors[i].front.(*odatafront.Front); ok {
-			n.wants.Fronts[i].OData = f.OData
+		n.config.Fronts[i].Share = f.Share
+		n.quotas.Change(n.listeners[i].quotaID, f.Share)
+		if offices, ok := n.listeners[i].front.(*odatafront.Front); ok {
+			n.config.Fronts[i].OData = f.OData
 			offices.Offer(f.OData)
 		}
 	}
@@ -175,7 +175,7 @@
 }
 
 // restartLeases tells whether leases have changed in more than who votes.
-func restartLeases(a, b *operator.Leases) bool {
+func leasesNeedRestart(a, b *operator.Leases) bool {
 	if a == nil || b == nil {
 		return a != b
 	}
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -38,7 +38,7 @@
 			t.Fatal(err)
 		}
 	}
-	file, err := site.Parse([]byte(strings.ReplaceAll(string(text), "/FOLDER", folder)), "every-key.hcl")
+	file, err := site.ParseConfig([]byte(strings.ReplaceAll(string(text), "/FOLDER", folder)), "every-key.hcl")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,9 +48,9 @@
 func everyKeySite(t *testing.T) *Site {
 	return &Site{
 		Name: "n0", Listen: netip.MustParseAddrPort("10.0.0.1:6543"), Discovery: netip.MustParseAddrPort("10.0.9.1:8500"), Seed: 5,
-		PeerListen: netip.MustParseAddrPort("10.0.0.1:7946"), PeerAll: netip.MustParseAddrPort("10.255.255.255:7946"),
+		PeerListen: netip.MustParseAddrPort("10.0.0.1:7946"), PeerBroadcast: netip.MustParseAddrPort("10.255.255.255:7946"),
 		Peers:       []netip.AddrPort{netip.MustParseAddrPort("10.0.0.2:7946"), netip.MustParseAddrPort("10.0.0.3:7946")},
-		Descriptors: 256, Memory: 64 << 20, Known: []byte(listOf(1, true)), Terms: terms.Nested(simSettings(t)),
+		Descriptors: 256, Memory: 64 << 20, InitialList: []byte(listOf(1, true)), Settings: terms.Nested(simSettings(t)),
 	}
 }
 
@@ -148,7 +148,7 @@
 	host.Serve(l, func() {})
 	world.Run(epoch + 15*time.Second) // a voter has granted something by then
 	checkKeys(t, n)
-	host.Do(n.leave)
+	host.Do(n.beginShutdown)
 	world.Run(epoch + 25*time.Second)
 	if !n.loop.Stopped() || n.fault != nil {
 		t.Errorf("stopped: %t, fault: %v", n.loop.Stopped(), n.fault)
--- a/internal/node/gone_test.go
+++ b/internal/node/gone_test.go
@@ -159,10 +159,10 @@
 	}
 	site := &Site{
 		Name: "d", Listen: netip.MustParseAddrPort("10.0.0.1:6543"), Discovery: netip.MustParseAddrPort("10.0.9.1:8500"), Seed: 5,
-		Descriptors: descriptors, Memory: 64 << 20, Known: []byte(listOf(1, true, targets...)), Terms: terms.Nested(simSettings(t)),
+		Descriptors: descriptors, Memory: 64 << 20, InitialList: []byte(listOf(1, true, targets...)), Settings: terms.Nested(simSettings(t)),
 	}
 	if change != nil {
-		change(site.Terms)
+		change(site.Settings)
 	}
 	s.driver = s.world.Host("d")
 	l, err := loop.On(system(s.driver), descriptors, 16<<20)
@@ -171,9 +171,9 @@
 	}
 	wants := operator.None()
 	if wanted != "" {
-		site.Operator = filepath.Join(t.TempDir(), "passtack.hcl")
-		os.WriteFile(site.Operator, []byte(wanted), 0o600)
-		if wants, err = site.Wants(); err != nil {
+		site.ConfigFile = filepath.Join(t.TempDir(), "passtack.hcl")
+		os.WriteFile(site.ConfigFile, []byte(wanted), 0o600)
+		if wants, err = site.ReadConfig(); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -461,17 +461,17 @@
 	s.at(500*ms, func() {
 		s.node.loop.At(s.world.Now(), func() {
 			for range 2 {
-				s.node.makeRoom()
+				s.node.evictIdle()
 			}
 		})
 	})
 	s.at(450*ms, func() {
-		if clients, members := s.node.open(), s.node.pools[0].Open(); clients != 6 || members != 1 {
+		if clients, members := s.node.openClients(), s.node.pools[0].Open(); clients != 6 || members != 1 {
 			t.Errorf("%d clients and %d connections to members before", clients, members)
 		}
 	})
 	s.at(700*ms, func() {
-		if clients, members := s.node.open(), s.node.pools[0].Open(); clients != 4 || members != 0 {
+		if clients, members := s.node.openClients(), s.node.pools[0].Open(); clients != 4 || members != 0 {
 			t.Errorf("%d clients and %d connections to members are left", clients, members)
 		}
 	})
@@ -504,8 +504,8 @@
 	if late := halves.closed - epoch; late < 21900*ms || late > 22500*ms {
 		t.Errorf("who said half of something after 20 s is let go after %v", late)
 	}
-	if s.node.counts["clients_accepted"] != 3 {
-		t.Errorf("%d connections were taken in", s.node.counts["clients_accepted"])
+	if s.node.counters["clients_accepted"] != 3 {
+		t.Errorf("%d connections were taken in", s.node.counters["clients_accepted"])
 	}
 }
 
--- a/internal/node/leases.go
+++ b/internal/node/leases.go
@@ -53,7 +53,7 @@
 
 // takePart begins.
 func (n *Node) takePart() error {
-	w := n.wants.Leases
+	w := n.config.Leases
 	if w == nil {
 		return nil
 	}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -242,10 +242,10 @@
 			t.Fatal(failed)
 		}
 		if wanted != nil {
-			site.Operator = filepath.Join(t.TempDir(), "passtack.hcl")
-			os.WriteFile(site.Operator, []byte(wanted(freeAddress(t))), 0o600)
+			site.ConfigFile = filepath.Join(t.TempDir(), "passtack.hcl")
+			os.WriteFile(site.ConfigFile, []byte(wanted(freeAddress(t))), 0o600)
 		}
-		wants, failed := site.Wants()
+		wants, failed := site.ReadConfig()
 		if failed != nil {
 			t.Fatal(failed)
 		}
@@ -468,18 +468,18 @@
 	all.Wait()
 	d.stop()
 	for outcome, count := range wanted {
-		if d.counts[outcome] < count {
-			t.Errorf("%d attempts counted as %s, at least %d wanted", d.counts[outcome], outcome, count)
+		if d.counters[outcome] < count {
+			t.Errorf("%d attempts counted as %s, at least %d wanted", d.counters[outcome], outcome, count)
 		}
 	}
-	if d.counts["attempts_sent"] != d.outcomes() || d.rpcs.Count() != 0 || d.pools[0].Out() != 0 {
-		t.Errorf("%d RPCs and %d attempts are left, counted %v", d.rpcs.Count(), d.pools[0].Out(), d.counts)
+	if d.counters["attempts_sent"] != d.outcomes() || d.rpcs.Count() != 0 || d.pools[0].Out() != 0 {
+		t.Errorf("%d RPCs and %d attempts are left, counted %v", d.rpcs.Count(), d.pools[0].Out(), d.counters)
 	}
 }
 
 func (d *running) outcomes() (sum int) {
-	for _, name := range outcomes {
-		sum += d.counts["attempts_"+name]
+	for _, name := range outcomeNames {
+		sum += d.counters["attempts_"+name]
 	}
 	return sum
 }
@@ -600,9 +600,9 @@
 			if oks < 100 {
 				t.Errorf("only %d of 240 RPCs are ok", oks)
 			}
-			taken := d.counts["rpcs_ok"] + d.counts["rpcs_pushed_back"] + d.counts["rpcs_aborted"] + d.counts["rpcs_left"]
-			if d.rpcs.Count() != 0 || d.counts["rpcs_taken"] != taken || d.counts["rpcs_overdue"] != 0 || d.counts["attempts_sent"] != d.outcomes() {
-				t.Errorf("%d RPCs are left, counted %v", d.rpcs.Count(), d.counts)
+			taken := d.counters["rpcs_ok"] + d.counters["rpcs_pushed_back"] + d.counters["rpcs_aborted"] + d.counters["rpcs_left"]
+			if d.rpcs.Count() != 0 || d.counters["rpcs_taken"] != taken || d.counters["rpcs_overdue"] != 0 || d.counters["attempts_sent"] != d.outcomes() {
+				t.Errorf("%d RPCs are left, counted %v", d.rpcs.Count(), d.counters)
 			}
 		})
 	}
@@ -711,8 +711,8 @@
 		t.Errorf("the id of an RPC that is done: %s", got)
 	}
 	d.stop()
-	if d.counts["rpcs_left"] != 1 || d.counts["rpcs_ok"] != 2 || d.rpcs.Count() != 0 {
-		t.Errorf("counted %v", d.counts)
+	if d.counters["rpcs_left"] != 1 || d.counters["rpcs_ok"] != 2 || d.rpcs.Count() != 0 {
+		t.Errorf("counted %v", d.counters)
 	}
 }
 
@@ -760,8 +760,8 @@
 		t.Error("the attempt goes on")
 	}
 	d.stop()
-	if d.counts["rpcs_left"] != 1 || d.counts["attempts_cancelled"] != 1 {
-		t.Errorf("counted %v", d.counts)
+	if d.counters["rpcs_left"] != 1 || d.counters["attempts_cancelled"] != 1 {
+		t.Errorf("counted %v", d.counters)
 	}
 }
 
@@ -823,8 +823,8 @@
 		clients = append(clients, c)
 	}
 	d.stop()
-	if _, most := d.loop.Open(); most > d.site.Descriptors || d.counts["clients_closed_idle"] == 0 {
-		t.Errorf("%d descriptors of %d, counted %v", most, d.site.Descriptors, d.counts)
+	if _, most := d.loop.Open(); most > d.site.Descriptors || d.counters["clients_closed_idle"] == 0 {
+		t.Errorf("%d descriptors of %d, counted %v", most, d.site.Descriptors, d.counters)
 	}
 	for _, c := range clients {
 		c.Close()
@@ -943,10 +943,10 @@
 	n := build(t, "", 100, listOf(1, true, target(1, 0, m.listener.Addr(), "in_service")), settings)
 	for range 3 {
 		n.Listed("s-9", netip.MustParseAddrPort("127.0.0.1:9"), "a", 0, driver.Ready, 1, 0, false)
-		n.Forget(n.last)
+		n.Forget(n.lastID)
 	}
-	if len(n.numbers) != 1 || len(n.uids) != 1 || n.last != 4 {
-		t.Errorf("%d and %d members are known, the last number is %d", len(n.numbers), len(n.uids), n.last)
+	if len(n.ids) != 1 || len(n.uids) != 1 || n.lastID != 4 {
+		t.Errorf("%d and %d members are known, the last number is %d", len(n.ids), len(n.uids), n.lastID)
 	}
 	d := run(t, n)
 	c := dial(t, d.at)
@@ -1105,8 +1105,8 @@
 		t.Errorf("after the reload one hears %s", got)
 	}
 	d.stop()
-	if d.counts["reloads"] != 1 || d.counts["reloads_failed"] != 1 || d.counts["list_failures"] != 0 {
-		t.Errorf("counted %v", d.counts)
+	if d.counters["reloads"] != 1 || d.counters["reloads_failed"] != 1 || d.counters["list_failures"] != 0 {
+		t.Errorf("counted %v", d.counters)
 	}
 }
 
@@ -1139,8 +1139,8 @@
 	}
 	time.Sleep(200 * time.Millisecond)
 	d.stop()
-	if d.counts["rpcs_taken"] != 3 || d.counts["rpcs_overdue"] != 3 || d.rpcs.Count() != 0 {
-		t.Errorf("%d RPCs are left, counted %v", d.rpcs.Count(), d.counts)
+	if d.counters["rpcs_taken"] != 3 || d.counters["rpcs_overdue"] != 3 || d.rpcs.Count() != 0 {
+		t.Errorf("%d RPCs are left, counted %v", d.rpcs.Count(), d.counters)
 	}
 }
 
--- a/internal/node/odata_test.go
+++ b/internal/node/odata_test.go
@@ -121,8 +121,8 @@
 				t.Errorf("a create is answered with %v", created.header)
 			}
 			d.stop()
-			if d.rpcs.Count() != 0 || d.counts["rpcs_overdue"] != 0 || d.counts["attempts_sent"] != d.outcomes() {
-				t.Errorf("counted %v", d.counts)
+			if d.rpcs.Count() != 0 || d.counters["rpcs_overdue"] != 0 || d.counters["attempts_sent"] != d.outcomes() {
+				t.Errorf("counted %v", d.counters)
 			}
 			for _, call := range g.seen() {
 				if call.write != (call.token != "") || call.id == "" {
--- a/internal/node/pipeline_test.go
+++ b/internal/node/pipeline_test.go
@@ -142,7 +142,7 @@
 		}
 	}
 	s.ask(100*ms, texts...)
-	s.at(200*ms, func() { s.driver.Do(s.node.leave) })
+	s.at(200*ms, func() { s.driver.Do(s.node.beginShutdown) })
 	s.world.Run(epoch + 5*time.Second)
 	if !slices.Equal(s.client.heard, want) {
 		t.Errorf("heard %q, want %q", s.client.heard, want)
--- a/internal/node/promises_test.go
+++ b/internal/node/promises_test.go
@@ -315,8 +315,8 @@
 				t.Errorf("only %d reads behind a write", behindWrites)
 			}
 			d.stop()
-			if d.rpcs.Count() != 0 || d.counts["rpcs_overdue"] != 0 {
-				t.Errorf("counted %v", d.counts)
+			if d.rpcs.Count() != 0 || d.counters["rpcs_overdue"] != 0 {
+				t.Errorf("counted %v", d.counters)
 			}
 		})
 	}
@@ -558,7 +558,7 @@
 	g := startCluster(t, "pg", 2, always(fine))
 	d, at := serveOData(t, "", 200, g, "")
 	h := dialHTTP(t, at)
-	text, err := os.ReadFile(d.site.Operator)
+	text, err := os.ReadFile(d.site.ConfigFile)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -579,7 +579,7 @@
 		}
 	}()
 	write := func(text string) {
-		os.WriteFile(d.site.Operator, []byte(text), 0o600)
+		os.WriteFile(d.site.ConfigFile, []byte(text), 0o600)
 		syscall.Kill(os.Getpid(), syscall.SIGHUP)
 	}
 	until := func(what string, ok func() bool) {
@@ -611,8 +611,8 @@
 		t.Errorf("only %d RPCs meanwhile", n)
 	}
 	d.stop()
-	if d.counts["reloads"] != 2 || d.counts["reloads_failed"] != 1 {
-		t.Errorf("counted %v", d.counts)
+	if d.counters["reloads"] != 2 || d.counters["reloads_failed"] != 1 {
+		t.Errorf("counted %v", d.counters)
 	}
 }
 
--- a/internal/node/rest_test.go
+++ b/internal/node/rest_test.go
@@ -58,7 +58,7 @@
 	}
 	site := &Site{
 		Name: "d", Listen: netip.MustParseAddrPort("10.0.0.1:6543"), Discovery: netip.MustParseAddrPort("10.0.9.1:8500"), Seed: 5,
-		Descriptors: 4000, Memory: 64 << 20, Known: []byte(listOf(1, true, targets...)), Terms: terms.Nested(simSettings(t)),
+		Descriptors: 4000, Memory: 64 << 20, InitialList: []byte(listOf(1, true, targets...)), Settings: terms.Nested(simSettings(t)),
 	}
 	agent := on(w.Host("agent"))
 	if _, err := agent.Listen(site.Discovery, 1<<12, loop.Door{}, func(open func(loop.Owner) *loop.Stream) {
@@ -91,8 +91,8 @@
 		if called = *calls - called; called < 40*minutes/2 || woken[members] > looks+2*called {
 			t.Errorf("%d members: %d wakes in %d minutes, with %d looks and %d calls for the list", members, woken[members], minutes, looks, called)
 		}
-		if len(n.numbers) != members {
-			t.Errorf("it knows %d of %d members", len(n.numbers), members)
+		if len(n.ids) != members {
+			t.Errorf("it knows %d of %d members", len(n.ids), members)
 		}
 	}
 	if more := woken[1100] - woken[100]; more < -2 || more > 2 {
@@ -108,14 +108,14 @@
 		from := epoch + 15*time.Second + phase
 		w.At(from, func() { driver.Pause(from + 740*time.Millisecond) })
 		w.Run(epoch + 20*time.Second)
-		if n.counts["halts"] != 0 {
-			t.Fatalf("%d halts after a pause of 740 ms", n.counts["halts"])
+		if n.counters["halts"] != 0 {
+			t.Fatalf("%d halts after a pause of 740 ms", n.counters["halts"])
 		}
 		from += 10 * time.Second
 		w.At(from, func() { driver.Pause(from + 1010*time.Millisecond) })
 		w.Run(epoch + 30*time.Second)
-		if n.counts["halts"] != 1 {
-			t.Errorf("%d halts after a pause of 1010 ms, %v into the second", n.counts["halts"], phase)
+		if n.counters["halts"] != 1 {
+			t.Errorf("%d halts after a pause of 1010 ms, %v into the second", n.counters["halts"], phase)
 		}
 	}
 }
--- a/internal/node/shortage.go
+++ b/internal/node/shortage.go
@@ -10,13 +10,13 @@
 
 // What the system has too little of is waited for so long, and tried again after each pause.
 const (
-	shortagePatience = 10 * time.Second
-	shortagePause    = 100 * time.Millisecond
+	shortageRetryDuration = 10 * time.Second
+	shortageRetryInterval = 100 * time.Millisecond
 )
 
 // isShortage tells of an error that may pass by itself: the system or the process is short of something, or a disk or an
 // address does not answer just now.
-func isShortage(err error) bool {
+func isResourceShortage(err error) bool {
 	var code unix.Errno
 	if !errors.As(err, &code) {
 		return false
@@ -29,16 +29,16 @@
 }
 
 // throughShortage acts until it succeeds, fails for another reason or the patience is over. It blocks.
-func throughShortage(act func() error) error {
+func retryOnResourceShortage(act func() error) error {
 	began := time.Now()
 	for waits := false; ; waits = true {
 		err := act()
-		if err == nil || !isShortage(err) || time.Since(began) > shortagePatience {
+		if err == nil || !isResourceShortage(err) || time.Since(began) > shortageRetryDuration {
 			return err
 		}
 		if !waits {
-			slog.Warn("shortage", "cause", err, "tried_again_for", shortagePatience)
+			slog.Warn("shortage", "cause", err, "tried_again_for", shortageRetryDuration)
 		}
-		time.Sleep(shortagePause)
+		time.Sleep(shortageRetryInterval)
 	}
 }
--- a/internal/node/shortage_test.go
+++ b/internal/node/shortage_test.go
@@ -16,7 +16,7 @@
 		unix.EACCES: 1, os.ErrNotExist: 1, errors.New("not a number"): 1,
 	} {
 		made := 0
-		err := throughShortage(func() error {
+		err := retryOnResourceShortage(func() error {
 			if made++; made < 3 {
 				return cause
 			}
--- a/internal/node/sim_test.go
+++ b/internal/node/sim_test.go
@@ -139,7 +139,7 @@
 	}
 	site := &Site{
 		Name: d.host.Name, Listen: d.at, Discovery: netip.MustParseAddrPort("10.0.9.1:8500"), Seed: p.chance2(), Descriptors: 256, Memory: 64 << 20,
-		Known: []byte(listOf(1, true, targets...)), Terms: terms.Nested(simSettings(p.t)),
+		InitialList: []byte(listOf(1, true, targets...)), Settings: terms.Nested(simSettings(p.t)),
 	}
 	n, err := On(p.loopOn(d.host), site, operator.None())
 	if err != nil {
--- a/internal/node/start.go
+++ b/internal/node/start.go
@@ -16,27 +16,27 @@
 
 // Site is what a driver is told about the place where it runs.
 type Site struct {
-	Name                string
-	Listen, Discovery   netip.AddrPort
-	PeerListen, PeerAll netip.AddrPort
-	Peers               []netip.AddrPort
-	Seed                uint64
-	Descriptors         int
-	Memory              int64 // bytes
-	Known               []byte
-	Terms               map[string]string
-
-	Operator string // the operator's own file, "": none
-
-	file        string
-	environment func(string) string
-	written     netip.AddrPort // discovery as the file has it
+	Name                      string
+	Listen, Discovery         netip.AddrPort
+	PeerListen, PeerBroadcast netip.AddrPort
+	Peers                     []netip.AddrPort
+	Seed                      uint64
+	Descriptors               int
+	Memory                    int64 // bytes
+	InitialList               []byte
+	Settings                  map[string]string
+
+	ConfigFile string // the operator's own file, "": none
+
+	file          string
+	environment   func(string) string
+	fileDiscovery netip.AddrPort // discovery as the file has it
 }
 
 // ReadSite reads the file, over which the environment goes.
 func ReadSite(file string, environment func(string) string) (*Site, error) {
 	var text []byte
-	err := throughShortage(func() (err error) {
+	err := retryOnResourceShortage(func() (err error) {
 		text, err = os.ReadFile(file)
 		return err
 	})
@@ -61,7 +61,7 @@
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
 	s := &Site{
-		Name: told.Name, Known: told.Known, Terms: terms.Nested(told.Settings),
+		Name: told.Name, InitialList: told.Known, Settings: terms.Nested(told.Settings),
 		Descriptors: told.Limits.Sockets, Memory: told.Limits.Memory << 20, file: file, environment: environment,
 	}
 	over := func(name, otherwise string) string {
@@ -74,23 +74,23 @@
 	if s.Seed, err = strconv.ParseUint(told.Seed, 16, 64); err != nil {
 		return nil, fmt.Errorf("%s: seed %q is no number in hex", file, told.Seed)
 	}
-	if s.Listen, err = place(file, "listen", over("BALANCER_LISTEN", told.Listen), false); err != nil {
+	if s.Listen, err = parseAddress(file, "listen", over("BALANCER_LISTEN", told.Listen), false); err != nil {
 		return nil, err
 	}
-	if s.Discovery, err = place(file, "discovery", over("BALANCER_DISCOVERY", told.Discovery), false); err != nil {
+	if s.Discovery, err = parseAddress(file, "discovery", over("BALANCER_DISCOVERY", told.Discovery), false); err != nil {
 		return nil, err
 	}
-	if s.written, err = place(file, "discovery", told.Discovery, true); err != nil {
+	if s.fileDiscovery, err = parseAddress(file, "discovery", told.Discovery, true); err != nil {
 		return nil, err
 	}
-	if s.PeerListen, err = place(file, "peer_listen", told.PeerListen, true); err != nil {
+	if s.PeerListen, err = parseAddress(file, "peer_listen", told.PeerListen, true); err != nil {
 		return nil, err
 	}
-	if s.PeerAll, err = place(file, "peers_all", told.PeersAll, true); err != nil {
+	if s.PeerBroadcast, err = parseAddress(file, "peers_all", told.PeersAll, true); err != nil {
 		return nil, err
 	}
 	for _, text := range told.Peers {
-		peer, err := place(file, "peers", text, false)
+		peer, err := parseAddress(file, "peers", text, false)
 		if err != nil {
 			return nil, err
 		}
@@ -100,35 +100,35 @@
 		return nil, fmt.Errorf("%s: limits give no sockets or no memory_mb", file)
 	}
 	for _, name := range []string{"methods.count", "methods.0.name", "family_info.needs", "tick"} {
-		if s.Terms[name] == "" {
+		if s.Settings[name] == "" {
 			return nil, fmt.Errorf("%s: the settings give no %s", file, name)
 		}
 	}
-	if err := terms.New(s.Terms).Unusable(); err != nil {
+	if err := terms.New(s.Settings).Unusable(); err != nil {
 		return nil, fmt.Errorf("%s: settings: %w", file, err)
 	}
 	return s, nil
 }
 
 // Wants reads the operator's file, where there is one.
-func (s *Site) Wants() (wants *operator.File, err error) {
-	if s.Operator == "" {
+func (s *Site) ReadConfig() (wants *operator.File, err error) {
+	if s.ConfigFile == "" {
 		return operator.None(), nil
 	}
-	err = throughShortage(func() (err error) {
-		wants, err = operator.Read(s.Operator, s.Listen, offered(s.Terms))
+	err = retryOnResourceShortage(func() (err error) {
+		wants, err = operator.Read(s.ConfigFile, s.Listen, methodsOf(s.Settings))
 		return err
 	})
 	return wants, err
 }
 
 // Parse is Wants of a text.
-func (s *Site) Parse(text []byte, name string) (*operator.File, error) {
-	return operator.Parse(text, name, s.Listen, offered(s.Terms))
+func (s *Site) ParseConfig(text []byte, name string) (*operator.File, error) {
+	return operator.Parse(text, name, s.Listen, methodsOf(s.Settings))
 }
 
 // offered is what the operator's file is checked against.
-func offered(settings map[string]string) []operator.Method {
+func methodsOf(settings map[string]string) []operator.Method {
 	t := terms.New(settings)
 	var methods []operator.Method
 	for i := range int(t.Number("methods.count", 0)) {
@@ -147,26 +147,26 @@
 }
 
 const (
-	readings = 5
-	between  = 100 * time.Millisecond
+	rereadAttempts = 5
+	rereadInterval = 100 * time.Millisecond
 )
 
 // again reads the file once more. Where the file names another discovery than before, that is newer than what
 // the environment says, which stays as it was at the start.
-func (s *Site) again() (fresh *Site, err error) {
-	for range readings { // it may be half written at that moment
+func (s *Site) reread() (fresh *Site, err error) {
+	for range rereadAttempts { // it may be half written at that moment
 		if fresh, err = ReadSite(s.file, s.environment); err == nil {
 			break
 		}
-		time.Sleep(between)
+		time.Sleep(rereadInterval)
 	}
-	if err == nil && fresh.written.IsValid() {
-		fresh.Discovery = fresh.written
+	if err == nil && fresh.fileDiscovery.IsValid() {
+		fresh.Discovery = fresh.fileDiscovery
 	}
 	return fresh, err
 }
 
-func place(file, name, text string, optional bool) (at netip.AddrPort, err error) {
+func parseAddress(file, name, text string, optional bool) (at netip.AddrPort, err error) {
 	if text == "" && optional {
 		return at, nil
 	}
@@ -178,7 +178,7 @@
 
 // methods gives the names in order, which of them belong to sessions, which carry a token, and which are asked for no more.
 func (s *Site) methods() (names []string, sessions, tokened, retired []bool) {
-	t := terms.New(s.Terms)
+	t := terms.New(s.Settings)
 	for i := range int(t.Number("methods.count", 0)) {
 		need := t.Item("family_info.needs", i)
 		at := "methods." + strconv.Itoa(i)
@@ -190,19 +190,19 @@
 }
 
 // longest is the most that a client waits for an answer.
-func (s *Site) longest() (longest time.Duration) {
-	t := terms.New(s.Terms)
+func (s *Site) maxDeadline() (longest time.Duration) {
+	t := terms.New(s.Settings)
 	for i := range int(t.Number("methods.count", 0)) {
 		longest = max(longest, t.Span("methods."+strconv.Itoa(i)+".limit"))
 	}
 	return longest
 }
 
-func (s *Site) span(name string, otherwise time.Duration) time.Duration {
-	if v := terms.New(s.Terms).Span(name); v > 0 {
+func (s *Site) duration(name string, otherwise time.Duration) time.Duration {
+	if v := terms.New(s.Settings).Span(name); v > 0 {
 		return v
 	}
 	return otherwise
 }
 
-func (s *Site) columns() []string { return strings.Split(s.Terms["report.columns"], ",") }
+func (s *Site) reportColumns() []string { return strings.Split(s.Settings["report.columns"], ",") }
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -40,7 +40,7 @@
 
 // recall opens the folder and takes back what an earlier life has saved. A folder that cannot be used is told, and stops nothing.
 func (n *Node) recall() {
-	t := n.wants.State
+	t := n.config.State
 	if t == nil {
 		return
 	}
@@ -155,7 +155,7 @@
 
 // forgetRepeats lets go of answers to repeats that nobody may ask for any more.
 func (n *Node) forgetRepeats() (chores.Spending, chores.End) {
-	for _, d := range n.doors {
+	for _, d := range n.listeners {
 		if f, ok := d.front.(*odatafront.Front); ok {
 			f.Repeats().Age(n.loop.Now())
 		}
@@ -258,7 +258,7 @@
 	n.Count("state_failures")
 	if now >= n.learned.quiet {
 		n.learned.quiet = now + quietFor
-		slog.Warn("state_not_saved", "folder", n.wants.State.Folder, "cause", err)
+		slog.Warn("state_not_saved", "folder", n.config.State.Folder, "cause", err)
 	}
 }
 
@@ -289,7 +289,7 @@
 		defer close(over)
 		if changes != nil {
 			if err := k.store.Commit(changes); err != nil && !errors.Is(err, keep.ErrTooMuch) {
-				slog.Warn("state_not_saved", "folder", n.wants.State.Folder, "cause", err)
+				slog.Warn("state_not_saved", "folder", n.config.State.Folder, "cause", err)
 			}
 		}
 		n.LetGo()
--- a/internal/node/state_test.go
+++ b/internal/node/state_test.go
@@ -22,7 +22,7 @@
 	if first.learned == nil || first.learned.recalled.Saved != 0 {
 		t.Fatalf("an empty folder gives %+v", first.learned)
 	}
-	if second := next(); second.learned != nil || second.counts["state_unusable"] != 1 {
+	if second := next(); second.learned != nil || second.counters["state_unusable"] != 1 {
 		t.Error("two drivers hold one folder")
 	}
 	d := run(t, first)
--- a/internal/node/talk.go
+++ b/internal/node/talk.go
@@ -24,10 +24,10 @@
 // listen begins to talk, where the operator's file has anything to talk of.
 func (n *Node) listen() error {
 	fleet := ""
-	if n.wants.Leases != nil {
-		fleet = n.wants.Leases.Fleet
-	} else if n.wants.View != nil {
-		fleet = n.wants.View.Fleet
+	if n.config.Leases != nil {
+		fleet = n.config.Leases.Fleet
+	} else if n.config.View != nil {
+		fleet = n.config.View.Fleet
 	} else {
 		return nil
 	}
--- a/internal/node/tasks.go
+++ b/internal/node/tasks.go
@@ -166,8 +166,8 @@
 
 func (s *summary) own() digest {
 	n := s.leases.node
-	return digest{RPCs: uint32(n.counts["rpcs_taken"]), OK: uint32(n.counts["rpcs_ok"]), PushedBack: uint32(n.counts["rpcs_pushed_back"]),
-		Held: uint32(n.rpcs.Count()), Revision: uint64(n.list.Rev()), Ready: uint8(n.back.Ready() * 100)}
+	return digest{RPCs: uint32(n.counters["rpcs_taken"]), OK: uint32(n.counters["rpcs_ok"]), PushedBack: uint32(n.counters["rpcs_pushed_back"]),
+		Held: uint32(n.rpcs.Count()), Revision: uint64(n.list.Rev()), Ready: uint8(n.recovery.Ready() * 100)}
 }
 
 func (s *summary) heard(from lease.Node, letter peers.Letter) {
--- a/internal/node/trace.go
+++ b/internal/node/trace.go
@@ -23,16 +23,16 @@
 		return
 	}
 	after := "none"
-	if len(q.calls) > 0 {
-		after = outcomes[q.last]
+	if len(q.attempts) > 0 {
+		after = outcomeNames[q.lastOutcome]
 	}
-	slog.Debug("attempt", "rpc", id, "n", len(q.calls), "member", to, "left_ms", (until - n.loop.Now()).Milliseconds(), "after", after)
+	slog.Debug("attempt", "rpc", id, "n", len(q.attempts), "member", to, "left_ms", (until - n.loop.Now()).Milliseconds(), "after", after)
 }
 
 // traceEnded logs how an attempt ended.
 func (n *Node) traceEnded(id driver.RPC, call int, from driver.Member, how driver.Outcome, took time.Duration) {
 	if n.tracing() {
-		slog.Debug("attempt_ended", "rpc", id, "n", call, "member", from, "outcome", outcomes[how], "took_ms", took.Milliseconds())
+		slog.Debug("attempt_ended", "rpc", id, "n", call, "member", from, "outcome", outcomeNames[how], "took_ms", took.Milliseconds())
 	}
 }
 
@@ -45,6 +45,6 @@
 	if how == "pushed_back" || how == "aborted" {
 		reason = n.module.LastReason().String()
 	}
-	slog.Debug("rpc_answered", "rpc", id, "how", how, "reason", reason, "attempts", len(q.calls), "out", q.out,
-		"left_ms", (q.until - n.loop.Now()).Milliseconds())
+	slog.Debug("rpc_answered", "rpc", id, "how", how, "reason", reason, "attempts", len(q.attempts), "out", q.inFlight,
+		"left_ms", (q.deadline - n.loop.Now()).Milliseconds())
 }
--- a/internal/node/view.go
+++ b/internal/node/view.go
@@ -31,7 +31,7 @@
 
 // viewFleet begins.
 func (n *Node) viewFleet() {
-	w := n.wants.View
+	w := n.config.View
 	if w == nil {
 		return
 	}
@@ -69,26 +69,26 @@
 	n, now := v.node, v.node.loop.Now()
 	load := 0.0
 	if spent := (now - v.at).Seconds(); spent > 0 {
-		load = float64(n.counts["rpcs_taken"]-v.rpcs) / spent
+		load = float64(n.counters["rpcs_taken"]-v.rpcs) / spent
 	}
-	v.rpcs, v.at = n.counts["rpcs_taken"], now
-	v.seen.Say(fleet.Digest{Ready: uint8(n.back.Ready() * 100), Load: uint16(min(load, 65535)), Revision: uint32(n.list.Rev())})
+	v.rpcs, v.at = n.counters["rpcs_taken"], now
+	v.seen.Say(fleet.Digest{Ready: uint8(n.recovery.Ready() * 100), Load: uint16(min(load, 65535)), Revision: uint32(n.list.Rev())})
 	v.share()
-	n.loop.At(now+min(saying, n.wants.View.Every), v.say)
+	n.loop.At(now+min(saying, n.config.View.Every), v.say)
 }
 
 // share bounds this driver's connections at each member by its part of what that takes from all.
 func (v *view) share() {
 	n, now := v.node, v.node.loop.Now()
 	v.parts.See(v.seen.Living(), v.Peers(), now)
-	if n.wants.View.Connections == 0 || v.Peers() == 0 { // nobody tells how many drivers there may be
+	if n.config.View.Connections == 0 || v.Peers() == 0 { // nobody tells how many drivers there may be
 		return
 	}
-	each := v.parts.Of(n.wants.View.Connections, now)
+	each := v.parts.Of(n.config.View.Connections, now)
 	if each != v.each {
 		slog.Info("fleet_part", "connections", each, "whole", v.parts.Whole(now), "living", v.seen.Living())
 		v.each = each
-		n.opens.Limit(each)
+		n.connectLimiter.Limit(each)
 	}
 	for _, p := range n.pools {
 		p.Trim()
