--- /dev/null
+++ b/deploy/rehearsals/two-versions.hcl
@@ -0,0 +1,78 @@
+# Half of the drivers are an older build (passtack rehearse --sockets --older=FILE): one view, one set of leases, one configuration, and
+# starts of either build while the other serves.
+lasts = "30s"
+
+fleet {
+  drivers  = 6
+  members  = 3
+  peers    = true
+  controls = 3
+  folders  = true
+  older    = [0, 2, 4]
+}
+
+load {
+  rate     = 60
+  retries  = 4
+  sessions = 40
+
+  method "look" {
+    need  = "any"
+    work  = "2ms..4ms"
+    soft  = "1s"
+    limit = "1500ms"
+    share = 3
+  }
+  method "order" {
+    need   = "write"
+    effect = "tokened"
+    window = "1200ms"
+    work   = "2ms..4ms"
+    soft   = "1s"
+    limit  = "1500ms"
+    share  = 1
+  }
+}
+
+leases {
+  voters  = [0, 1, 2]
+  lasts   = "1s"
+  summary = "100ms"
+  watch   = true
+  folders = true
+}
+
+view {
+  every = "300ms"
+}
+
+publish {
+  at   = "4s"
+  text = <<EOT
+{"settings": {"caps": {"most_tries": 3}}}
+EOT
+}
+publish {
+  at   = "16s"
+  text = <<EOT
+{"settings": {"caps": {"most_tries": 4}}}
+EOT
+}
+
+trouble "driver_kill" {
+  at    = "8s"
+  lasts = "500ms"
+  on    = [0, 3]
+}
+trouble "driver_stop" {
+  at    = "14s"
+  lasts = "1s"
+  on    = [1]
+}
+trouble "driver_kill" {
+  at    = "20s"
+  lasts = "500ms"
+  on    = [2, 5]
+}
+
+expect { ok = 0.95 }
--- a/internal/emu/rig/rig.go
+++ b/internal/emu/rig/rig.go
@@ -315,12 +315,14 @@
 	}
 	args := []string{"serve", "--site", at}
 	switch {
-	case f.folders != nil && !slices.Contains(f.script.Older, d.number): // an older program may not know all of it
-		wants, err := f.operate(d)
+	case f.folders != nil:
+		operatorFile, err := f.operate(d)
 		if err = errors.Join(err, f.folders.Starts(d.number)); err != nil {
 			return err
 		}
-		args = append(args, "--operator", wants)
+		if !slices.Contains(f.script.Older, d.number) || accepts(d.program, at, operatorFile) {
+			args = append(args, "--operator", operatorFile)
+		}
 	case f.script.Operator != "":
 		args = append(args, "--operator", f.script.Operator)
 	}
@@ -334,6 +336,11 @@
 	return err
 }
 
+// accepts reports whether a program can read an operator's file: an older build may not know all of its entries.
+func accepts(program, siteFile, operatorFile string) bool {
+	return exec.Command(program, "check", "--site", siteFile, "--operator", operatorFile).Run() == nil
+}
+
 // stop ends all processes that still run, and waits until nobody rings the loop any more.
 func (f *fleet) stop() {
 	for _, d := range f.drivers {
