--- a/internal/emu/rig/leases_test.go
+++ b/internal/emu/rig/leases_test.go
@@ -187,14 +187,14 @@
 	}
 }
 
-// planted builds the program with a mistake that its environment names.
+// planted builds the program with a mutation that its environment names.
 var planted = sync.OnceValues(func() (string, error) {
 	at, err := program()
 	if err != nil {
 		return "", err
 	}
 	name := filepath.Join(filepath.Dir(at), "planted")
-	if out, err := exec.Command("go", "build", "-tags", "planted", "-o", name, "passtack/cmd/passtack").CombinedOutput(); err != nil {
+	if out, err := exec.Command("go", "build", "-tags", "mutation", "-o", name, "passtack/cmd/passtack").CombinedOutput(); err != nil {
 		return "", fmt.Errorf("%w: %s", err, out)
 	}
 	return name, nil
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,95 +1,45 @@
-// Package lease decides about leases that drivers grant each other: work that one of them is to do for all. It does no I/O; it takes
-// messages and times, and gives messages to a host. Time is each side's own steady clock: no message holds a date.
+// Package lease decides about leases that drivers grant each other, so that one driver at a time does some work for all.
 //
-// A lease is granted by a majority of named voters. A voter grants it to one driver at a time and keeps to that for as long as was asked
-// for, counted from when it heard the question. The holder counts from before it asked, and less of it. So two of them never hold at once
-// as long as clocks run level within a stated bound; docs/leases.md has the argument. Each term of a holder has a fencing number, higher than any
-// before: whoever is acted on refuses lower ones than it has seen, which holds whatever clocks do.
+// A lease is granted by a majority of named voters. A voter grants it to one driver at a time and grants it to nobody else for the TTL,
+// counted from when it received the request. The holder counts from before it sent the request, and a little less than the TTL. So two
+// drivers never hold a lease at once while clocks run at the same rate within a stated bound; docs/leases.md has the proof. Each
+// acquisition has a fencing token higher than any before: a resource rejects tokens lower than the highest it has seen, which is safe
+// whatever clocks do.
+//
+// The package does no I/O. Candidate and Voter take messages and times and send messages through a host. Times are readings of the
+// driver's own monotonic clock; messages hold durations and never times of day.
 package lease
 
 import (
 	"slices"
-	"time"
 
 	"github.com/zeebo/xxh3"
 )
 
-// Drift is by how much of a span two clocks may be apart: a part in fifty for both together.
-const Drift = 50
-
-// Mistakes that can be planted, to see that tests find them.
-const (
-	nothingPlanted   = ""
-	countsFromAnswer = "counts-from-answer" // the hold
-	answersAtOnce    = "answers-at-once"    // a voter after its start
-	halfDecides      = "half-decides"       // in place of a majority
-	reusesNumber     = "reuses-number"
-)
-
-// LongestName bounds the name of a lease.
-const LongestName = 32
+// driftDivisor bounds clock drift: over a span the clocks of two drivers differ by at most span/driftDivisor.
+const driftDivisor = 50
 
-// Node is a driver by its name.
+// Node identifies a driver: the xxh3 hash of its name.
 type Node uint64
 
-// NodeOf gives the number of a name.
+// NodeOf returns the node of the driver of that name.
 func NodeOf(name string) Node { return Node(xxh3.HashString(name)) }
 
-// Holder is a driver in one of its lives: what starts again is another.
+// Holder is a driver process that may hold a lease. After a restart the driver is another holder.
 type Holder struct {
-	Node Node
-	Life uint64
-}
-
-// Op is what a message says.
-type Op uint8
-
-const (
-	Ask     Op = iota + 1 // for a lease, or for more time of it
-	Grant                 // one voter's
-	Refuse                // why: Why
-	Release               // the holder, or who asked in vain, gives it back
-	Free                  // to the first who waits: it was given back
-	lastOp  = Free
-)
-
-// Why is why a voter refuses.
-type Why uint8
-
-const (
-	Held    Why = iota + 1 // another has it
-	Lower                  // the number is used up
-	Silent                 // the voter has just started, and may have promised what it does not know
-	Older                  // the asker goes by an older set of voters
-	Unkept                 // the voter's disk does not take its promise
-	lastWhy = Unkept
-)
-
-var whys = [...]string{"", "held", "lower number", "voter has just started", "older set of voters", "promise not on disk"}
-
-func (w Why) String() string { return whys[w] }
-
-// Message is what drivers tell each other. Spans are spans, not dates.
-type Message struct {
-	Op      Op
-	Why     Why
-	Lease   string
-	Version uint32        // of the set of voters that the sender goes by
-	Round   uint64        // of a question; its answer has the same
-	Number  uint64        // fencing number; in a refusal the highest that is used up
-	Lasts   time.Duration // asked for; in a refusal when to ask again
-	Holder  Holder        // who asks; in a refusal who has it
+	Node        Node
+	Incarnation uint64 // of the process, drawn at its start
 }
 
-// Set is who votes. A change goes by way of a set that has both: then majorities of both are wanted.
-type Set struct {
-	Version uint32
+// VoterSet names who votes. One set replaces another by way of a joint set, in which majorities of both are needed.
+type VoterSet struct {
+	Version uint32 // rises with each change
 	Voters  []Node
-	Former  []Node // nil: no change is under way
+	Former  []Node // the voters before, in a joint set only
 }
 
-// All are the voters of both, each once.
-func (s Set) All() []Node {
+// All returns the voters of both sets, each once.
+func (s VoterSet) All() []Node {
 	all := slices.Clone(s.Voters)
 	for _, n := range s.Former {
 		if !slices.Contains(all, n) {
@@ -99,24 +49,24 @@
 	return all
 }
 
-// majority tells whether those who said yes decide.
-func (s Set) majority(yes func(Node) bool) bool {
-	most := func(of []Node) bool {
+// majority reports whether the nodes for which votedFor is true are a majority, of both sets in a joint set.
+func (s VoterSet) majority(votedFor func(Node) bool) bool {
+	majorityOf := func(voters []Node) bool {
 		count := 0
-		for _, n := range of {
-			if yes(n) {
+		for _, n := range voters {
+			if votedFor(n) {
 				count++
 			}
 		}
-		if plant == halfDecides {
-			return count >= len(of)/2
+		if mutation == halfIsMajority {
+			return count >= len(voters)/2
 		}
-		return count > len(of)/2
+		return count > len(voters)/2
 	}
-	return most(s.Voters) && (len(s.Former) == 0 || most(s.Former))
+	return majorityOf(s.Voters) && (len(s.Former) == 0 || majorityOf(s.Former))
 }
 
-// possible tells whether they still may, where those who said no never will.
-func (s Set) possible(no func(Node) bool) bool {
-	return s.majority(func(n Node) bool { return !no(n) })
+// majorityPossible reports whether a majority may still come together without the nodes for which votedAgainst is true.
+func (s VoterSet) majorityPossible(votedAgainst func(Node) bool) bool {
+	return s.majority(func(n Node) bool { return !votedAgainst(n) })
 }
--- /dev/null
+++ b/internal/lease/message_test.go
@@ -0,0 +1,37 @@
+package lease
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+
+	"passtack/internal/seeded"
+)
+
+// TestMessageRoundTrip checks that messages are decoded as they were encoded, and that truncated ones are rejected.
+func TestMessageRoundTrip(t *testing.T) {
+	seeded.Check(t, func(t *rapid.T) {
+		m := Message{Op: Op(rapid.IntRange(1, int(lastOp)).Draw(t, "op")), Reason: Reason(rapid.IntRange(0, int(lastReason)).Draw(t, "why")),
+			Lease: rapid.StringMatching(`[a-z0-9/]{1,32}`).Draw(t, "lease"), VoterSetVersion: rapid.Uint32().Draw(t, "version"), Round: rapid.Uint64().Draw(t, "round"),
+			FencingToken: rapid.Uint64().Draw(t, "number"), TTL: time.Duration(rapid.Int64Range(0, int64(time.Hour)).Draw(t, "lasts")),
+			Holder: Holder{Node(rapid.Uint64().Draw(t, "node")), rapid.Uint64().Draw(t, "life")}}
+		encoded := AppendMessage(nil, m)
+		if got, ok := ParseMessage(encoded); !ok || got != m || len(encoded) > MaxMessageLength {
+			t.Fatalf("%+v is decoded as %+v", m, got)
+		}
+		if _, ok := ParseMessage(encoded[:rapid.IntRange(0, len(encoded)-1).Draw(t, "cut")]); ok {
+			t.Fatal("a truncated message is decoded")
+		}
+	})
+}
+
+func FuzzParseMessage(f *testing.F) {
+	f.Add(AppendMessage(nil, Message{Op: Request, Lease: "summary", Round: 1, FencingToken: 2, TTL: time.Second}))
+	f.Fuzz(func(t *testing.T, in []byte) {
+		if m, ok := ParseMessage(in); ok && fmt.Sprint(AppendMessage(nil, m)) != fmt.Sprint(in) {
+			t.Errorf("%x is decoded as %+v", in, m)
+		}
+	})
+}
--- /dev/null
+++ b/internal/lease/mutation_off.go
@@ -0,0 +1,5 @@
+//go:build !mutation
+
+package lease
+
+const mutation = noMutation
--- /dev/null
+++ b/internal/lease/mutation_on.go
@@ -0,0 +1,7 @@
+//go:build mutation
+
+package lease
+
+import "os"
+
+var mutation = os.Getenv("PASSTACK_PLANTED")
--- a/internal/node/golden_leases_test.go
+++ b/internal/node/golden_leases_test.go
@@ -75,7 +75,7 @@
 	s := &summary{leases: of, puts: 5, refused: 1, failed: 2}
 	status := LeasesStatus{Name: "n0", Version: 2, Voters: []string{"n0", "n1", "n2"}, Former: []string{"n0", "n1", "n3"}, SilentMS: 10,
 		Leases: []LeaseStatus{
-			{Lease: "summary", Holder: "n0", Number: 77, ForMS: 20, LeftMS: 30, Why: map[string]string{"n1": lease.Lower.String()}, Heard: map[string]int64{"n2": 40}, Task: s.tell()},
+			{Lease: "summary", Holder: "n0", Number: 77, ForMS: 20, LeftMS: 30, Why: map[string]string{"n1": lease.StaleToken.String()}, Heard: map[string]int64{"n2": 40}, Task: s.tell()},
 			{Lease: "watch-discovery", Task: newWatcher(of, 0).tell()},
 		},
 		Votes: []VoteStatus{{Lease: "summary", Holder: "n0", Number: 77, LeftMS: 30, Waiting: 4}}}
@@ -102,7 +102,7 @@
 // TestGoldenPromises checks that promises which a voter stored earlier are read as they were.
 func TestGoldenPromises(t *testing.T) {
 	const name = "n0"
-	want := map[string]lease.Promise{"summary": {Number: 1_700_000_000_456, Version: 2}, "watch-discovery": {Number: 1_700_000_000_123, Version: 1}}
+	want := map[string]lease.Promise{"summary": {FencingToken: 1_700_000_000_456, VoterSetVersion: 2}, "watch-discovery": {FencingToken: 1_700_000_000_123, VoterSetVersion: 1}}
 	golden := filepath.Join("testdata", "lease-promises")
 	if *updateGolden {
 		if err := errors.Join(os.RemoveAll(golden), os.Mkdir(golden, 0o755)); err != nil {
--- a/internal/node/talk.go
+++ b/internal/node/talk.go
@@ -65,7 +65,7 @@
 		if letter.Life != t.life {
 			t.twice(n.site.Name)
 			if n.leases != nil {
-				n.leases.voter.Hush(now)
+				n.leases.voter.Silence(now)
 			}
 		}
 		return true
--- a/internal/rollout/server/server.go
+++ b/internal/rollout/server/server.go
@@ -67,7 +67,7 @@
 	kept     Kept
 	register *rollout.Machine
 	voter    *lease.Voter // nil: the machine does not vote yet
-	asker    *lease.Asker
+	asker    *lease.Candidate
 	due      loop.Due // of the asker
 	seed     uint64
 	links    map[lease.Node]*link
@@ -86,7 +86,7 @@
 
 // New opens the port. Kept is what the disk has; a machine that has nothing learns from the others before it votes.
 func New(l *loop.Loop, place Place, disk Disk, kept Kept, seed uint64) (*Server, error) {
-	s := &Server{loop: l, place: place, disk: disk, kept: kept, seed: seed, me: lease.Holder{Node: lease.NodeOf(place.Name), Life: seed | 1}, life: uint64(l.Clock() / time.Millisecond),
+	s := &Server{loop: l, place: place, disk: disk, kept: kept, seed: seed, me: lease.Holder{Node: lease.NodeOf(place.Name), Incarnation: seed | 1}, life: uint64(l.Clock() / time.Millisecond),
 		links: make(map[lease.Node]*link), names: map[lease.Node]string{lease.NodeOf(place.Name): place.Name}, roster: rollout.NewRoster(),
 		tickets: make(map[uint64]*guest), counts: make(map[string]int), Counts: func(uint64) {}}
 	if s.kept.Promises == nil {
@@ -99,7 +99,7 @@
 		s.links[node], s.names[node] = &link{server: s, to: p.At}, p.Name
 	}
 	s.register = rollout.New(s, s.me.Node, others, kept.State)
-	s.asker = lease.NewAsker(voting{s}, s.me, leaseName, LeaseLasts, s.voters(), seed)
+	s.asker = lease.NewCandidate(voting{s}, s.me, leaseName, LeaseLasts, s.voters(), seed)
 	var err error
 	s.listener, err = l.Listen(place.Listen, limits.Head+limits.Body, loop.Door{}, func(open func(loop.Owner) *loop.Stream) {
 		g := &guest{server: s}
@@ -114,8 +114,8 @@
 	return s, nil
 }
 
-func (s *Server) voters() lease.Set {
-	set := lease.Set{Version: 1, Voters: []lease.Node{s.me.Node}}
+func (s *Server) voters() lease.VoterSet {
+	set := lease.VoterSet{Version: 1, Voters: []lease.Node{s.me.Node}}
 	for _, p := range s.place.Peers {
 		set.Voters = append(set.Voters, lease.NodeOf(p.Name))
 	}
@@ -128,9 +128,9 @@
 		return
 	}
 	if s.voter == nil && s.register.Joined() { // only then is it known which numbers are used up
-		kept := map[string]lease.Promise{leaseName: {Number: max(s.kept.Promises[leaseName].Number, s.kept.State.Promised.Number), Version: 1}}
+		kept := map[string]lease.Promise{leaseName: {FencingToken: max(s.kept.Promises[leaseName].FencingToken, s.kept.State.Promised.Number), VoterSetVersion: 1}}
 		s.voter = lease.NewVoter(voting{s}, s.me.Node, s.voters(), LeaseLasts, kept, s.loop.Clock())
-		s.asker.Want(s.loop.Clock())
+		s.asker.Campaign(s.loop.Clock())
 		slog.Info("votes", "machine", s.place.Name, "version", s.register.Newest().Version)
 	}
 	s.register.Wake()
@@ -145,7 +145,7 @@
 func (s *Server) plan() {
 	s.loop.Forget(s.due)
 	s.due = nil
-	if at, wants := s.asker.Wakes(); wants && !s.ended {
+	if at, wants := s.asker.NextWake(); wants && !s.ended {
 		s.due = s.loop.At(max(at, s.loop.Now()+time.Millisecond), func() {
 			s.due = nil
 			s.asker.Wake(s.loop.Clock(), uint64(s.loop.Clock()/time.Millisecond))
@@ -161,7 +161,7 @@
 
 // End gives the lease back and takes nothing more.
 func (s *Server) End() {
-	s.asker.Leave(s.loop.Clock())
+	s.asker.Resign(s.loop.Clock())
 	s.ended = true
 	s.listener.Close()
 	s.plan()
@@ -204,7 +204,7 @@
 		s.loop.Later(func() { s.hearLease(to, m) })
 		return
 	}
-	s.post(to, envelope{Lease: lease.Append(nil, m)})
+	s.post(to, envelope{Lease: lease.AppendMessage(nil, m)})
 }
 
 // hear takes a message of another machine; false: it is none of this fleet.
@@ -218,7 +218,7 @@
 	case e.Rollout != nil:
 		s.register.Take(from, e.Life, *e.Rollout, s.loop.Now())
 	case e.Lease != nil:
-		m, ok := lease.Read(e.Lease)
+		m, ok := lease.ParseMessage(e.Lease)
 		if !ok {
 			return false
 		}
@@ -228,11 +228,11 @@
 }
 
 func (s *Server) hearLease(from lease.Node, m lease.Message) {
-	if m.Op != lease.Ask && m.Op != lease.Release {
-		s.asker.Take(from, m, s.loop.Clock())
+	if m.Op != lease.Request && m.Op != lease.Release {
+		s.asker.Receive(from, m, s.loop.Clock())
 		s.plan()
 	} else if s.voter != nil {
-		s.voter.Take(from, m, s.loop.Clock())
+		s.voter.Receive(from, m, s.loop.Clock())
 	}
 }
 
@@ -263,18 +263,18 @@
 
 func (v voting) Send(to lease.Node, m lease.Message) { v.sendLease(to, m) }
 
-func (v voting) Keep(name string, p lease.Promise, then func(error)) {
+func (v voting) Persist(name string, p lease.Promise, done func(error)) {
 	v.kept.Promises[name] = p
-	v.keep(then)
+	v.keep(done)
 }
 
-func (v voting) Gained(_ string, number uint64) {
-	slog.Info("writes", "machine", v.place.Name, "number", number)
-	v.register.Gained(number)
+func (v voting) Acquired(_ string, fencingToken uint64) {
+	slog.Info("writes", "machine", v.place.Name, "number", fencingToken)
+	v.register.Gained(fencingToken)
 }
 
-func (v voting) Lost(_ string, number uint64) {
-	slog.Info("writes_no_more", "machine", v.place.Name, "number", number)
+func (v voting) Lost(_ string, fencingToken uint64) {
+	slog.Info("writes_no_more", "machine", v.place.Name, "number", fencingToken)
 	v.register.Lost()
 }
 
@@ -289,9 +289,9 @@
 // StepDown gives the lease back, and asks for it anew.
 func (s *Server) StepDown() {
 	s.loop.Later(func() {
-		s.asker.Leave(s.loop.Clock())
+		s.asker.Resign(s.loop.Clock())
 		if !s.ended {
-			s.asker.Want(s.loop.Clock() + LeaseLasts)
+			s.asker.Campaign(s.loop.Clock() + LeaseLasts)
 		}
 		s.plan()
 	})
@@ -321,7 +321,7 @@
 	if s.register.Writes() {
 		return s.place.Name
 	}
-	return s.names[s.asker.Look(s.loop.Clock()).Holder.Node]
+	return s.names[s.asker.Status(s.loop.Clock()).Holder.Node]
 }
 
 // Driver is one as a machine tells of it. Times are in milliseconds.
