--- a/internal/node/golden_leases_test.go
+++ b/internal/node/golden_leases_test.go
@@ -48,8 +48,8 @@
 	own := digest{RPCs: 1000, OK: 900, PushedBack: 50, Held: 7, Revision: revision, Ready: 95}
 	var body bytes.Buffer
 	binary.Write(&body, binary.LittleEndian, own)
-	encoded := peers.Letter{Kind: peers.Digest, From: 5, Life: 6, Body: body.Bytes()}.Write(fleet)
-	letter, err := peers.ReadLetter(checkGolden(t, "digest.datagram", encoded), fleet)
+	encoded := peers.Message{Kind: peers.Digest, From: 5, Incarnation: 6, Body: body.Bytes()}.Encode(fleet)
+	letter, err := peers.ParseMessage(checkGolden(t, "digest.datagram", encoded), fleet)
 	if err != nil || letter.Kind != peers.Digest {
 		t.Fatalf("a digest is decoded as %+v, %v", letter, err)
 	}
@@ -57,8 +57,8 @@
 	if s.heard(5, letter); !maps.Equal(s.digests, map[lease.Node]digest{5: own}) {
 		t.Errorf("the digest is %+v, want %+v", s.digests, own)
 	}
-	encoded = peers.Letter{Kind: peers.Revision, From: 5, Life: 6, Body: binary.LittleEndian.AppendUint64(nil, revision)}.Write(fleet)
-	letter, err = peers.ReadLetter(checkGolden(t, "revision.datagram", encoded), fleet)
+	encoded = peers.Message{Kind: peers.Revision, From: 5, Incarnation: 6, Body: binary.LittleEndian.AppendUint64(nil, revision)}.Encode(fleet)
+	letter, err = peers.ParseMessage(checkGolden(t, "revision.datagram", encoded), fleet)
 	if err != nil || letter.Kind != peers.Revision || len(letter.Body) != 8 || binary.LittleEndian.Uint64(letter.Body) != revision {
 		t.Errorf("a revision is decoded as %+v, %v", letter, err)
 	}
--- a/internal/node/leases.go
+++ b/internal/node/leases.go
@@ -36,8 +36,8 @@
 type task interface {
 	gained(number uint64)
 	lost()
-	heard(from lease.Node, l peers.Letter) // a letter for the task
-	tell() any                             // for who asks
+	heard(from lease.Node, l peers.Message) // a letter for the task
+	tell() any                              // for who asks
 }
 
 type promised struct {
@@ -105,7 +105,7 @@
 func (l *leases) greet() {
 	n := l.node
 	missing := slices.ContainsFunc(l.wants.Set().All(), func(v lease.Node) bool {
-		_, known := l.book.At(uint64(v))
+		_, known := l.book.Address(uint64(v))
 		return v != l.me.Node && !known
 	})
 	if missing || l.voter.IsVoter() && l.voter.SilentFor(l.clock()) > 0 { // a voter that has just started may not be the only one of its name
@@ -118,11 +118,11 @@
 	n.loop.At(n.loop.Now()+l.greets, l.greet)
 }
 
-func (l *leases) read(letter peers.Letter) {
+func (l *leases) read(letter peers.Message) {
 	from := lease.Node(letter.From)
 	switch letter.Kind {
 	case peers.Hello:
-		if _, known := l.book.At(uint64(from)); known && l.voter.IsVoter() && len(letter.Body) == 0 {
+		if _, known := l.book.Address(uint64(from)); known && l.voter.IsVoter() && len(letter.Body) == 0 {
 			l.say(from, peers.Hello, []byte{1}) // an answer, which is not answered
 		}
 	case peers.Lease:
@@ -154,17 +154,19 @@
 // say sends to one driver, to this one too.
 func (l *leases) say(to lease.Node, kind peers.Kind, body []byte) {
 	if to == l.me.Node {
-		letter := peers.Letter{Kind: kind, From: uint64(l.me.Node), Life: l.me.Incarnation, Body: body}
+		letter := peers.Message{Kind: kind, From: uint64(l.me.Node), Incarnation: l.me.Incarnation, Body: body}
 		l.node.loop.Later(func() { l.read(letter) })
 		return
 	}
-	if at, known := l.book.At(uint64(to)); known {
+	if at, known := l.book.Address(uint64(to)); known {
 		l.write(at, kind, body)
 	}
 }
 
 // Send is the voter's and the askers' way to others.
-func (l *leases) Send(to lease.Node, m lease.Message) { l.say(to, peers.Lease, lease.AppendMessage(nil, m)) }
+func (l *leases) Send(to lease.Node, m lease.Message) {
+	l.say(to, peers.Lease, lease.AppendMessage(nil, m))
+}
 
 // Keep brings promises to the disk, all that wait together.
 func (l *leases) Persist(name string, p lease.Promise, done func(error)) {
--- a/internal/peers/golden_test.go
+++ b/internal/peers/golden_test.go
@@ -29,7 +29,7 @@
 	}{
 		"hello":         {kind: peers.Hello},
 		"hello-answer":  {kind: peers.Hello, body: []byte{1}},
-		"collect":       {kind: peers.Collect},
+		"collect":       {kind: peers.CollectDigests},
 		"lease-ask":     {kind: peers.Lease, message: about(lease.Request, 0, 5*time.Second)},
 		"lease-grant":   {kind: peers.Lease, message: about(lease.Grant, 0, 5*time.Second)},
 		"lease-refuse":  {kind: peers.Lease, message: about(lease.Reject, lease.HeldByAnother, 1234*time.Millisecond)},
@@ -43,8 +43,8 @@
 		if c.message != nil {
 			c.body = lease.AppendMessage(nil, *c.message)
 		}
-		want := peers.Letter{Kind: c.kind, From: uint64(holder.Node), Life: holder.Incarnation, Body: c.body}
-		encoded := want.Write(fleet)
+		want := peers.Message{Kind: c.kind, From: uint64(holder.Node), Incarnation: holder.Incarnation, Body: c.body}
+		encoded := want.Encode(fleet)
 		file := filepath.Join("testdata", name+".datagram")
 		if *update {
 			if err := os.WriteFile(file, encoded, 0o644); err != nil {
@@ -58,8 +58,8 @@
 		if !bytes.Equal(encoded, golden) {
 			t.Errorf("%s is encoded as %x, want %x", name, encoded, golden)
 		}
-		got, err := peers.ReadLetter(golden, fleet)
-		if err != nil || got.Kind != want.Kind || got.From != want.From || got.Life != want.Life || !bytes.Equal(got.Body, want.Body) {
+		got, err := peers.ParseMessage(golden, fleet)
+		if err != nil || got.Kind != want.Kind || got.From != want.From || got.Incarnation != want.Incarnation || !bytes.Equal(got.Body, want.Body) {
 			t.Errorf("%s is decoded as %+v, %v, want %+v", name, got, err, want)
 		}
 		if c.message != nil {
--- /dev/null
+++ b/internal/peers/message_test.go
@@ -0,0 +1,55 @@
+package peers
+
+import (
+	"bytes"
+	"errors"
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"passtack/internal/seeded"
+)
+
+// TestMessageRoundTrip checks that messages are decoded as they were encoded, and that messages of other fleets, other versions, corrupted
+// and truncated ones are rejected.
+func TestMessageRoundTrip(t *testing.T) {
+	seeded.Check(t, func(t *rapid.T) {
+		message := Message{Kind: Kind(rapid.IntRange(1, int(lastKind)).Draw(t, "kind")), From: rapid.Uint64().Draw(t, "from"), Incarnation: rapid.Uint64().Draw(t, "life"),
+			Body: rapid.SliceOfN(rapid.Byte(), 0, MaxBodyLength).Draw(t, "body")}
+		encoded := message.Encode(7)
+		got, err := ParseMessage(encoded, 7)
+		if err != nil || got.Kind != message.Kind || got.From != message.From || got.Incarnation != message.Incarnation || !bytes.Equal(got.Body, message.Body) ||
+			len(encoded) > MaxDatagramLength {
+			t.Fatalf("%+v is decoded as %+v, %v", message, got, err)
+		}
+		if _, err := ParseMessage(encoded, 8); !errors.Is(err, ErrChecksum) {
+			t.Fatalf("another fleet's: %v", err)
+		}
+		at := rapid.IntRange(0, len(encoded)-1).Draw(t, "at")
+		corrupted := bytes.Clone(encoded)
+		corrupted[at] ^= byte(1 << rapid.IntRange(0, 7).Draw(t, "bit"))
+		if _, err := ParseMessage(corrupted, 7); err == nil {
+			t.Fatalf("byte %d may be corrupted", at)
+		}
+		if _, err := ParseMessage(encoded[:at], 7); err == nil {
+			t.Fatal("a truncated message is decoded")
+		}
+	})
+	newer := Message{Kind: Hello}.Encode(7)
+	newer[2] = formatVersion + 1
+	if _, err := ParseMessage(newer, 7); !errors.Is(err, ErrUnknownVersion) {
+		t.Errorf("a newer version: %v", err)
+	}
+	if _, err := ParseMessage([]byte("what the module says"), 7); !errors.Is(err, ErrNoMessage) {
+		t.Errorf("no message: %v", err)
+	}
+}
+
+func FuzzParseMessage(f *testing.F) {
+	f.Add(Message{Kind: Lease, From: 1, Incarnation: 2, Body: []byte("body")}.Encode(7))
+	f.Fuzz(func(t *testing.T, in []byte) {
+		if m, err := ParseMessage(in, 7); err == nil && !bytes.Equal(m.Encode(7), in) {
+			t.Errorf("%x is decoded as %+v", in, m)
+		}
+	})
+}
