--- a/cmd/passtack/config.go
+++ b/cmd/passtack/config.go
@@ -50,7 +50,7 @@
 		return err
 	}
 	defer l.Close()
-	folder, kept, err := server.OpenFolder(wants.Folder, wants.Name, l.Ring)
+	folder, kept, err := server.OpenFileStorage(wants.DataDir, wants.Name, l.Ring)
 	if err != nil {
 		return err
 	}
@@ -65,12 +65,12 @@
 		ends <- true
 		l.Ring()
 	}()
-	s.Started()
+	s.LogStarted()
 	return l.Run(func() {
-		folder.Hear()
+		folder.HandleResults()
 		select {
 		case <-ends:
-			s.End()
+			s.Shutdown()
 			l.At(l.Now()+200*time.Millisecond, l.Stop) // what it said last is to go out
 		default:
 		}
@@ -199,7 +199,7 @@
 	for end, i := time.Now().Add(publishing), 0; time.Now().Before(end); i++ {
 		at := m.At[i%len(m.At)]
 		status, _, body, wrong := ask("POST", at, "/publish", fields, text)
-		var told server.Told
+		var told server.PublishResult
 		if wrong == nil {
 			json.Unmarshal(body, &told)
 		}
@@ -230,12 +230,12 @@
 type fleetStanding struct {
 	machines []server.Status
 	silent   []string
-	drivers  map[string]server.Driver
+	drivers  map[string]server.DriverStatus
 }
 
 // standing asks all machines. Of a driver that several know the latest word counts.
 func (m machines) standing() (fleetStanding, error) {
-	f := fleetStanding{drivers: make(map[string]server.Driver)}
+	f := fleetStanding{drivers: make(map[string]server.DriverStatus)}
 	for _, a := range m.all("/status") {
 		var s server.Status
 		err := a.err
@@ -248,7 +248,7 @@
 		}
 		f.machines = append(f.machines, s)
 		for _, d := range s.Drivers {
-			if o, known := f.drivers[d.Name]; !known || d.HeardMS < o.HeardMS {
+			if o, known := f.drivers[d.Name]; !known || d.LastSeenMS < o.LastSeenMS {
 				f.drivers[d.Name] = d
 			}
 		}
@@ -273,7 +273,7 @@
 		switch {
 		case d.Version >= version:
 			in++
-		case d.Refused >= version:
+		case d.RejectedVersion >= version:
 			refused++
 		default:
 			lag++
@@ -295,14 +295,14 @@
 			continue
 		}
 		why := "lags"
-		if d.Refused >= version {
-			why = fmt.Sprintf("refuses %d: %s", d.Refused, d.Why)
+		if d.RejectedVersion >= version {
+			why = fmt.Sprintf("refuses %d: %s", d.RejectedVersion, d.RejectReason)
 		}
-		fmt.Fprintf(w, "%s\t%d\t%.1fs ago\t%.1fs ago\t%s\n", name, d.Version, float64(d.SinceMS)/1000, float64(d.HeardMS)/1000, why)
+		fmt.Fprintf(w, "%s\t%d\t%.1fs ago\t%.1fs ago\t%s\n", name, d.Version, float64(d.VersionAgeMS)/1000, float64(d.LastSeenMS)/1000, why)
 	}
 	for _, name := range slices.Sorted(maps.Keys(f.drivers)) {
-		if d := f.drivers[name]; len(d.Restart) > 0 {
-			fmt.Fprintf(w, "%s\t%d\t\t\tneeds a restart for %s\n", name, d.Version, strings.Join(d.Restart, ", "))
+		if d := f.drivers[name]; len(d.NeedsRestart) > 0 {
+			fmt.Fprintf(w, "%s\t%d\t\t\tneeds a restart for %s\n", name, d.Version, strings.Join(d.NeedsRestart, ", "))
 		}
 	}
 	fmt.Fprintln(w, "\nmachine\tversion\tvotes\tsure\twho writes")
--- a/internal/lab/capacity/configuration.go
+++ b/internal/lab/capacity/configuration.go
@@ -41,15 +41,15 @@
 
 // controller is one control machine in its lives.
 type controller struct {
-	rollouts *rollouts
-	number   int
-	name     string
-	host     *sim.Host
-	at       netip.AddrPort
-	kept     server.Kept
-	life     int
-	server   *server.Server // nil: it is down
-	counted  map[string]int // of earlier lives
+	rollouts  *rollouts
+	number    int
+	name      string
+	host      *sim.Host
+	at        netip.AddrPort
+	persisted server.PersistedState
+	life      int
+	server    *server.Server // nil: it is down
+	counted   map[string]int // of earlier lives
 }
 
 // rollouts is a fleet of hollow drivers with its control machines and publishers.
@@ -118,14 +118,14 @@
 }
 
 // Keep is the machine's disk.
-func (c *controller) Keep(k server.Kept, then func(error)) {
+func (c *controller) Persist(k server.PersistedState, then func(error)) {
 	life, l := c.life, c.rollouts.world
 	wait := 2*time.Millisecond + time.Duration(c.rollouts.chance.Float()*6)*time.Millisecond
 	l.At(l.Now()+wait, func() {
 		if c.life != life {
 			return
 		}
-		c.kept = k
+		c.persisted = k
 		c.host.Do(func() { then(nil) })
 	})
 }
@@ -138,25 +138,25 @@
 		return err
 	}
 	c.host.Serve(l, func() {})
-	place := server.Place{Fleet: "sweep", Name: c.name, Listen: c.at}
+	place := server.MachineConfig{Fleet: "sweep", Name: c.name, Listen: c.at}
 	for _, o := range r.machines {
 		if o != c {
-			place.Peers = append(place.Peers, server.Peer{Name: o.name, At: o.at})
+			place.Peers = append(place.Peers, server.Peer{Name: o.name, Address: o.at})
 		}
 	}
 	c.life++
-	c.server, err = server.New(l, place, c, c.kept, r.seed*7919+uint64(c.number*1000+c.life))
+	c.server, err = server.New(l, place, c, c.persisted, r.seed*7919+uint64(c.number*1000+c.life))
 	if err != nil {
 		return err
 	}
-	c.server.Counts = func(version uint64) { r.counted(c, version) }
+	c.server.OnCommit = func(version uint64) { r.counted(c, version) }
 	return nil
 }
 
 func (c *controller) kill() {
 	if c.server != nil {
 		for _, what := range []string{"bytes_sent", "bytes_taken", "calls"} {
-			c.counted[what] += c.server.Counted(what)
+			c.counted[what] += c.server.Counter(what)
 		}
 	}
 	c.life++
@@ -173,7 +173,7 @@
 		}
 		r.newest = max(r.newest, version)
 	}
-	text := c.server.Register().Newest().Text
+	text := c.server.Machine().Committed().Text
 	if was, known := r.published[version]; known && was != text {
 		r.breaks("version %d is %q at %s and %q elsewhere", version, text, c.name, was)
 	}
@@ -191,8 +191,8 @@
 func (r *rollouts) reaches(i int) bool {
 	d := r.hosts[i]
 	return slices.ContainsFunc(r.machines, func(c *controller) bool {
-		return c.server != nil && c.server.Register().Fresh(r.world.Now()) && !r.cut[[2]*sim.Host{d, c.host}] && !r.cut[[2]*sim.Host{c.host, d}] &&
-			!(r.apart && r.region[d] != r.region[c.host]) && c.server.Register().Newest().Version == r.newest
+		return c.server != nil && c.server.Machine().IsFresh(r.world.Now()) && !r.cut[[2]*sim.Host{d, c.host}] && !r.cut[[2]*sim.Host{c.host, d}] &&
+			!(r.apart && r.region[d] != r.region[c.host]) && c.server.Machine().Committed().Version == r.newest
 	})
 }
 
@@ -213,7 +213,7 @@
 		if s.Version != r.has[i] {
 			r.inForce(i, n, s)
 		}
-		if newest := max(s.Version, s.Refused); newest > r.settled[i] {
+		if newest := max(s.Version, s.RejectedVersion); newest > r.settled[i] {
 			for version := r.settled[i] + 1; version <= newest && r.settled[i] > 0; version++ {
 				if at, counts := r.counts[version]; counts {
 					r.took = append(r.took, (now - max(at, r.able[i])).Seconds())
@@ -228,7 +228,7 @@
 }
 
 // inForce looks whether a driver goes by the version that it has just come to have.
-func (r *rollouts) inForce(i int, n *node.Node, s rollout.Standing) {
+func (r *rollouts) inForce(i int, n *node.Node, s rollout.DriverReport) {
 	r.has[i] = s.Version
 	var text struct {
 		Settings struct{ Caps map[string]json.Number }
@@ -315,7 +315,7 @@
 		return 0
 	}
 	r := p.rollouts
-	var told server.Told
+	var told server.PublishResult
 	json.Unmarshal(body, &told)
 	switch {
 	case status == 200:
@@ -348,7 +348,7 @@
 		r.world.At(now+lasts, func() {
 			if c.server == nil {
 				if empty {
-					c.kept = server.Kept{}
+					c.persisted = server.PersistedState{}
 				}
 				wrong = errors.Join(wrong, c.start())
 			}
@@ -374,7 +374,7 @@
 			}
 		}
 	case 4: // one at a time: what a majority has lost nobody can tell
-		if !slices.ContainsFunc(r.machines, func(o *controller) bool { return o.server == nil || !o.server.Register().Joined() }) {
+		if !slices.ContainsFunc(r.machines, func(o *controller) bool { return o.server == nil || !o.server.Machine().Joined() }) {
 			c.kill()
 			back(true)
 		}
@@ -401,7 +401,7 @@
 
 // writes tells whether some machine does.
 func (r *rollouts) writes() bool {
-	return slices.ContainsFunc(r.machines, func(c *controller) bool { return c.server != nil && c.server.Register().Writes() })
+	return slices.ContainsFunc(r.machines, func(c *controller) bool { return c.server != nil && c.server.Machine().IsWriter() })
 }
 
 func playConfiguration(stop context.Context, size int, seed uint64, faults bool, point func(Point)) error {
@@ -484,7 +484,7 @@
 		for _, what := range []string{"bytes_sent", "bytes_taken", "calls"} {
 			n := c.counted[what]
 			if c.server != nil {
-				n += c.server.Counted(what)
+				n += c.server.Counter(what)
 			}
 			if all[what] += n; what != "calls" {
 				all["bytes"] += n
@@ -530,8 +530,8 @@
 	want := r.newest
 	for i, n := range r.nodes {
 		s := n.Configuration()
-		if s.Version != want && s.Refused != want {
-			return fmt.Errorf("in the end driver %d has version %d, has refused %d, and version %d counts", i, s.Version, s.Refused, want)
+		if s.Version != want && s.RejectedVersion != want {
+			return fmt.Errorf("in the end driver %d has version %d, has refused %d, and version %d counts", i, s.Version, s.RejectedVersion, want)
 		}
 	}
 	r.publish(false)
--- a/internal/node/configuration.go
+++ b/internal/node/configuration.go
@@ -24,7 +24,7 @@
 	node     *Node
 	client   *watch.Client
 	base     own // what the driver's own file says
-	standing rollout.Standing
+	standing rollout.DriverReport
 	since    time.Duration // when that version came into force here
 	memory   int64         // of that version, 0: as the driver's own file has it
 	sockets  int
@@ -86,7 +86,7 @@
 		return
 	}
 	s := n.site
-	c := &configuration{node: n, base: own{s.Terms, n.wants, s.Memory, s.Descriptors}, standing: rollout.Standing{Driver: s.Name}, since: n.loop.Now()}
+	c := &configuration{node: n, base: own{s.Terms, n.wants, s.Memory, s.Descriptors}, standing: rollout.DriverReport{Driver: s.Name}, since: n.loop.Now()}
 	n.configuration = c
 	if w.Folder == "" {
 		return
@@ -126,11 +126,11 @@
 	}
 }
 
-func (c *configuration) Standing() rollout.Standing { return c.standing }
-func (c *configuration) Count(what string)          { c.node.Count(what) }
+func (c *configuration) Report() rollout.DriverReport { return c.standing }
+func (c *configuration) Count(what string)            { c.node.Count(what) }
 
 // Offered checks a newer version on a worker, keeps it, and takes it over between two turns of the loop.
-func (c *configuration) Offered(version uint64, text []byte) {
+func (c *configuration) VersionOffered(version uint64, text []byte) {
 	n, base := c.node, c.base
 	var next *prepared
 	n.carry(func() (err error) {
@@ -150,7 +150,7 @@
 }
 
 func (c *configuration) refuse(version uint64, cause error) {
-	c.standing.Refused, c.standing.Why = version, cause.Error()
+	c.standing.RejectedVersion, c.standing.RejectReason = version, cause.Error()
 	c.node.Count("configuration_refused")
 	slog.Warn("configuration_refused", "version", version, "cause", cause, "in_force", c.standing.Version)
 }
@@ -195,7 +195,7 @@
 		c.client.Settled()
 		return
 	}
-	c.standing = rollout.Standing{Driver: s.Name, Version: next.version, Restart: terms.Restart(s.Terms, next.terms)}
+	c.standing = rollout.DriverReport{Driver: s.Name, Version: next.version, NeedsRestart: terms.Restart(s.Terms, next.terms)}
 	c.since = n.loop.Now()
 	lax := s.Terms["rules.only_draining_binds"] != running["rules.only_draining_binds"]
 	n.stir()
@@ -203,12 +203,12 @@
 	c.limit()
 	n.follow()
 	n.module.Change(running)
-	c.standing.Restart = append(c.standing.Restart, n.offer(next.wants)...)
+	c.standing.NeedsRestart = append(c.standing.NeedsRestart, n.offer(next.wants)...)
 	if lax { // who may be sent to is judged by lists
 		n.list.Fetch()
 	}
 	n.Count("configurations")
-	slog.Info("configuration", "version", next.version, "bytes", len(next.text), "needs_restart", strings.Join(c.standing.Restart, ","))
+	slog.Info("configuration", "version", next.version, "bytes", len(next.text), "needs_restart", strings.Join(c.standing.NeedsRestart, ","))
 	c.client.Settled()
 }
 
@@ -263,7 +263,7 @@
 // refused may go with the files by now.
 func (c *configuration) reloaded(fresh *Site, wants *operator.File) {
 	c.base.memory, c.base.descriptors, c.base.wants = fresh.Memory, fresh.Descriptors, wants
-	c.standing.Refused, c.standing.Why = 0, ""
+	c.standing.RejectedVersion, c.standing.RejectReason = 0, ""
 	c.limit()
 }
 
@@ -282,16 +282,16 @@
 	if c == nil {
 		return nil
 	}
-	machine, silent := c.client.Machine()
+	machine, silent := c.client.CurrentMachine()
 	t := c.standing
 	return &ConfigurationStatus{Version: t.Version, ForMS: (c.node.loop.Now() - c.since).Milliseconds(), Machine: machine.String(), SilentMS: silent.Milliseconds(),
-		Refused: t.Refused, Why: t.Why, Restart: t.Restart}
+		Refused: t.RejectedVersion, Why: t.RejectReason, Restart: t.NeedsRestart}
 }
 
 // Configuration is what holds, for who looks.
-func (n *Node) Configuration() rollout.Standing {
+func (n *Node) Configuration() rollout.DriverReport {
 	if n.configuration == nil {
-		return rollout.Standing{}
+		return rollout.DriverReport{}
 	}
 	return n.configuration.standing
 }
--- a/internal/node/configuration_test.go
+++ b/internal/node/configuration_test.go
@@ -27,12 +27,12 @@
 	number  uint64
 }
 
-type simDisk struct {
+type simStorage struct {
 	world *sim.World
 	host  *sim.Host
 }
 
-func (d simDisk) Keep(_ server.Kept, then func(error)) {
+func (d simStorage) Persist(_ server.PersistedState, then func(error)) {
 	d.world.At(d.world.Now()+2*time.Millisecond, func() { d.host.Do(func() { then(nil) }) })
 }
 
@@ -44,13 +44,13 @@
 	c := &controls{play: p}
 	for n := range 3 {
 		h := p.world.Host(fmt.Sprint("control", n))
-		place := server.Place{Fleet: "shop", Name: h.Name, Listen: controlAt(n)}
+		place := server.MachineConfig{Fleet: "shop", Name: h.Name, Listen: controlAt(n)}
 		for o := range 3 {
 			if o != n {
-				place.Peers = append(place.Peers, server.Peer{Name: fmt.Sprint("control", o), At: controlAt(o)})
+				place.Peers = append(place.Peers, server.Peer{Name: fmt.Sprint("control", o), Address: controlAt(o)})
 			}
 		}
-		s, err := server.New(p.loopOn(h), place, simDisk{p.world, h}, server.Kept{}, uint64(n+1))
+		s, err := server.New(p.loopOn(h), place, simStorage{p.world, h}, server.PersistedState{}, uint64(n+1))
 		if err != nil {
 			p.t.Fatal(err)
 		}
@@ -63,13 +63,13 @@
 func (c *controls) publish(text string) uint64 {
 	c.number++
 	for n, s := range c.servers {
-		if s.Register().Writes() {
+		if s.Machine().IsWriter() {
 			id := c.number
 			c.hosts[n].Do(func() {
-				s.Register().Publish(rollout.Publish{Ticket: id, ID: id, Base: s.Register().Newest().Version, Text: text})
+				s.Machine().Publish(rollout.PublishRequest{RequestID: id, PublicationID: id, BaseVersion: s.Machine().Committed().Version, Text: text})
 			})
 			c.play.run(time.Second)
-			return s.Register().Newest().Version
+			return s.Machine().Committed().Version
 		}
 	}
 	c.play.t.Fatal("nobody writes")
@@ -213,7 +213,7 @@
 	} {
 		v := c.publish(text)
 		got := n.Configuration()
-		if got.Version >= v || got.Refused != v || !strings.HasPrefix(got.Why, want) {
+		if got.Version >= v || got.RejectedVersion != v || !strings.HasPrefix(got.RejectReason, want) {
 			t.Errorf("%s: %+v", text, got)
 		}
 		if n.Terms()["caps.longest_wait"] != "7000" {
@@ -225,7 +225,7 @@
 	if looks() != "ok" {
 		t.Errorf("an RPC hears %q", looks())
 	}
-	if v := c.publish(`{"settings":{"caps":{"max_retry_after_us":8000}}}`); n.Configuration().Version != v || n.Configuration().Refused != 0 {
+	if v := c.publish(`{"settings":{"caps":{"max_retry_after_us":8000}}}`); n.Configuration().Version != v || n.Configuration().RejectedVersion != 0 {
 		t.Errorf("the next one: %+v", n.Configuration())
 	}
 }
@@ -239,7 +239,7 @@
 	p, c, _ := configured(t, "", front("look"))
 	n := p.drivers[0].node
 	v := c.publish(`{"settings":{"classes":[{"name":"seek","effect":"safe","points":2,"target_us":300000,"hard_limit_us":700000}],"family_info":{"class_read":["loose"]}}}`)
-	if got := n.Configuration(); got.Refused != v {
+	if got := n.Configuration(); got.RejectedVersion != v {
 		t.Fatalf("%+v", got)
 	}
 	site := *n.site
@@ -249,7 +249,7 @@
 	}
 	p.drivers[0].host.Do(func() { n.reload(&site, wants, nil) })
 	p.run(2 * time.Second)
-	if got := n.Configuration(); got.Version != v || got.Refused != 0 {
+	if got := n.Configuration(); got.Version != v || got.RejectedVersion != 0 {
 		t.Errorf("%+v", got)
 	}
 }
@@ -260,7 +260,7 @@
 		p, c, start := configured(t, folder, "")
 		c.publish(`{"settings":{"tick_us":8000,"areas":["b","a"],"caps":{"max_retry_after_us":7000}}}`)
 		n := p.drivers[0].node
-		if got := n.Configuration(); got.Version != 1 || strings.Join(got.Restart, " ") != "tick_us areas" || n.tick != 5*time.Millisecond {
+		if got := n.Configuration(); got.Version != 1 || strings.Join(got.NeedsRestart, " ") != "tick_us areas" || n.tick != 5*time.Millisecond {
 			t.Errorf("%+v, tick %v", got, n.tick)
 		}
 		for _, h := range c.hosts {
@@ -268,7 +268,7 @@
 		}
 		n = start()
 		want := map[bool]uint64{true: 1, false: 0}[folder != ""]
-		if got := n.Configuration(); got.Version != want || len(got.Restart) > 0 {
+		if got := n.Configuration(); got.Version != want || len(got.NeedsRestart) > 0 {
 			t.Errorf("with folder %q: %+v", folder, got)
 		}
 		if folder != "" && (n.tick != 8*time.Millisecond || n.Terms()["caps.longest_wait"] != "7000" || n.zones[0] != "b") {
@@ -305,7 +305,7 @@
 	}
 	store.Close()
 	n := start()
-	if got := n.Configuration(); got.Version != 0 || got.Refused != 9 || !strings.Contains(got.Why, "settings.clases") {
+	if got := n.Configuration(); got.Version != 0 || got.RejectedVersion != 9 || !strings.Contains(got.RejectReason, "settings.clases") {
 		t.Errorf("%+v", got)
 	}
 	looks := p.say("look", 600)
--- a/internal/operator/configuration.go
+++ b/internal/operator/configuration.go
@@ -75,7 +75,7 @@
 }
 
 // ReadMachine reads a file for the control machine that it names.
-func ReadMachine(name string) (*server.Place, error) {
+func ReadMachine(name string) (*server.MachineConfig, error) {
 	text, err := os.ReadFile(name)
 	if err != nil {
 		return nil, err
@@ -96,11 +96,11 @@
 	if c == nil {
 		return
 	}
-	p := &server.Place{Name: b.Labels[0]}
+	p := &server.MachineConfig{Name: b.Labels[0]}
 	if !hostNames.MatchString(p.Name) {
 		r.wrong(b.LabelRanges[0], "a machine's name of other than letters, digits, dots and dashes (%q)", p.Name)
 	}
-	p.Fleet, p.Folder = r.fleetAndFolder(c, true)
+	p.Fleet, p.DataDir = r.fleetAndFolder(c, true)
 	var at hcl.Range
 	if p.Listen, at = r.address(c, "listen"); p.Listen.IsValid() {
 		r.taken(p.Listen, at, "the control machine")
@@ -116,7 +116,7 @@
 		}
 		names = append(names, b.Labels[0])
 		address, _ := r.address(in, "at")
-		p.Peers = append(p.Peers, server.Peer{Name: b.Labels[0], At: address})
+		p.Peers = append(p.Peers, server.Peer{Name: b.Labels[0], Address: address})
 	}
 	if n := len(p.Peers); n != 2 && n != 4 {
 		r.wrong(b.DefRange, "%d blocks peer; two or four are wanted", n)
--- a/internal/operator/configuration_test.go
+++ b/internal/operator/configuration_test.go
@@ -53,7 +53,7 @@
 
 func TestAControlMachinesFile(t *testing.T) {
 	p, err := ReadMachine("../../deploy/control.hcl")
-	if err != nil || p.Name != "c0" || p.Fleet != "bureau" || len(p.Peers) != 2 || p.Peers[1].Name != "c2" || p.Peers[1].At.Port() != 7400 || p.Folder == "" {
+	if err != nil || p.Name != "c0" || p.Fleet != "bureau" || len(p.Peers) != 2 || p.Peers[1].Name != "c2" || p.Peers[1].Address.Port() != 7400 || p.DataDir == "" {
 		t.Errorf("%+v, %v", p, err)
 	}
 	other := filepath.Join(t.TempDir(), "driver.hcl")
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -118,8 +118,8 @@
 	Root    string // under which members that speak OData serve
 	Host    string // that they are asked for, "": their address
 
-	Configuration *Configuration // nil: no control machine is asked
-	Machine       *server.Place  // nil: the file is no control machine's
+	Configuration *Configuration        // nil: no control machine is asked
+	Machine       *server.MachineConfig // nil: the file is no control machine's
 
 	again func(methods []Method) (*File, error)
 }
--- a/internal/rollout/client/client.go
+++ b/internal/rollout/client/client.go
@@ -22,33 +22,33 @@
 // Host is told of what comes.
 type Host interface {
 	// Standing is what the driver has in force.
-	Standing() rollout.Standing
+	Report() rollout.DriverReport
 	// Offered brings a version newer than that, and than the one refused. Once it is settled, Settled is to be called.
-	Offered(version uint64, text []byte)
+	VersionOffered(version uint64, text []byte)
 	Count(what string)
 }
 
 const (
-	settling = 2 * time.Second  // that the host may take before the next call goes out all the same
-	quietFor = 30 * time.Second // between two lines about machines that cannot be reached
+	applyTimeout           = 2 * time.Second  // that the host may take before the next call goes out all the same
+	unreachableLogInterval = 30 * time.Second // between two lines about machines that cannot be reached
 )
 
-var limits = httpwire.Limits{Head: 1 << 10, Fields: 16, Body: rollout.LongestText}
+var limits = httpwire.Limits{Head: 1 << 10, Fields: 16, Body: rollout.MaxTextBytes}
 
 // Client is a driver's watch.
 type Client struct {
-	loop     *loop.Loop
-	host     Host
-	fleet    string
-	machines []netip.AddrPort
-	follower *rollout.Follower
-	stream   *loop.Stream
-	at       int      // the machine of the stream
-	out      bool     // a call is
-	due      loop.Due // of the call's end, or of the next call
-	heardAt  time.Duration
-	quiet    time.Duration // until when failures are not logged
-	silent   bool          // it was logged that no machine answers
+	loop              *loop.Loop
+	host              Host
+	fleet             string
+	machines          []netip.AddrPort
+	selector          *rollout.MachineSelector
+	stream            *loop.Stream
+	connectedTo       int      // the machine of the stream
+	inFlight          bool     // a call is
+	timer             loop.Due // of the call's end, or of the next call
+	lastAnswerAt      time.Duration
+	quietUntil        time.Duration // until when failures are not logged
+	unreachableLogged bool          // it was logged that no machine answers
 }
 
 // New begins to ask.
@@ -57,128 +57,128 @@
 	for _, at := range machines {
 		names = append(names, at.String())
 	}
-	c := &Client{loop: l, host: host, fleet: fleet, machines: machines, follower: rollout.NewFollower(driver, names, seed), heardAt: l.Now()}
-	l.Later(c.ask)
+	c := &Client{loop: l, host: host, fleet: fleet, machines: machines, selector: rollout.NewMachineSelector(driver, names, seed), lastAnswerAt: l.Now()}
+	l.Later(c.poll)
 	return c
 }
 
 // Machine is the address of the one that is asked, and for how long none has answered.
-func (c *Client) Machine() (at netip.AddrPort, silent time.Duration) {
-	return c.machines[c.follower.Asks()], c.loop.Now() - c.heardAt
+func (c *Client) CurrentMachine() (at netip.AddrPort, silent time.Duration) {
+	return c.machines[c.selector.Current()], c.loop.Now() - c.lastAnswerAt
 }
 
 // Settled lets the next call go out, after what was offered is in force or refused.
 func (c *Client) Settled() {
-	if !c.out {
-		c.after(0)
+	if !c.inFlight {
+		c.schedule(0)
 	}
 }
 
-func (c *Client) after(wait time.Duration) {
-	c.loop.Forget(c.due)
-	c.due = c.loop.At(c.loop.Now()+wait, c.ask)
+func (c *Client) schedule(wait time.Duration) {
+	c.loop.Forget(c.timer)
+	c.timer = c.loop.At(c.loop.Now()+wait, c.poll)
 }
 
-func (c *Client) ask() {
-	c.loop.Forget(c.due)
-	c.due = nil
-	if c.stream != nil && (c.at != c.follower.Asks() || !c.stream.Alive()) {
-		c.drop()
+func (c *Client) poll() {
+	c.loop.Forget(c.timer)
+	c.timer = nil
+	if c.stream != nil && (c.connectedTo != c.selector.Current() || !c.stream.Alive()) {
+		c.disconnect()
 	}
-	c.at = c.follower.Asks()
+	c.connectedTo = c.selector.Current()
 	if c.stream == nil {
 		var err error
-		if c.stream, err = c.loop.DialKept(c.machines[c.at], c, limits.Head+limits.Body); err != nil {
+		if c.stream, err = c.loop.DialKept(c.machines[c.connectedTo], c, limits.Head+limits.Body); err != nil {
 			c.stream = nil
-			c.failed(err)
+			c.fail(err)
 			return
 		}
 	}
-	s := c.host.Standing()
-	body, err := json.Marshal(server.Call{Fleet: c.fleet, Driver: s.Driver, From: s.Version, Refused: s.Refused, Why: s.Why, Restart: s.Restart, HoldMS: int(rollout.Hold / time.Millisecond)})
+	s := c.host.Report()
+	body, err := json.Marshal(server.WatchRequest{Fleet: c.fleet, Driver: s.Driver, Version: s.Version, RejectedVersion: s.RejectedVersion, RejectReason: s.RejectReason, NeedsRestart: s.NeedsRestart, MaxWaitMS: int(rollout.LongPollWait / time.Millisecond)})
 	if err != nil {
 		slog.Error("call_unwritable", "cause", err)
 		return
 	}
-	head := httpwire.AppendField(httpwire.AppendRequest(nil, "POST", "/watch"), "Host", c.machines[c.at].String())
-	c.out = true
+	head := httpwire.AppendField(httpwire.AppendRequest(nil, "POST", "/watch"), "Host", c.machines[c.connectedTo].String())
+	c.inFlight = true
 	c.host.Count("configuration_calls")
-	c.due = c.loop.At(c.loop.Now()+rollout.Hold+rollout.Slack, func() { c.failed(errors.New("no answer in time")) })
+	c.timer = c.loop.At(c.loop.Now()+rollout.LongPollWait+rollout.LongPollSlack, func() { c.fail(errors.New("no answer in time")) })
 	c.stream.Send(httpwire.AppendLength(head, len(body)), body)
 }
 
 func (c *Client) Opened()              {}
-func (c *Client) Panicked(cause error) { c.failed(cause) }
+func (c *Client) Panicked(cause error) { c.fail(cause) }
 
 func (c *Client) Closed(cause error) {
-	if c.stream = nil; c.out {
+	if c.stream = nil; c.inFlight {
 		if cause == nil {
 			cause = io.EOF
 		}
-		c.failed(cause)
+		c.fail(cause)
 	}
 }
 
 func (c *Client) Input(in []byte) int {
 	r, fault := httpwire.NextReply(in, false, false, limits)
 	if fault != nil {
-		c.failed(fault)
+		c.fail(fault)
 		return 0
 	}
 	if r.Size == 0 {
 		return 0
 	}
-	if !c.out {
-		c.drop()
+	if !c.inFlight {
+		c.disconnect()
 		return len(in)
 	}
-	c.answered(r)
+	c.handleReply(r)
 	return r.Size
 }
 
-func (c *Client) answered(r httpwire.Reply) {
+func (c *Client) handleReply(r httpwire.Reply) {
 	now := c.loop.Now()
 	version, err := strconv.ParseUint(r.Fields.Text(server.VersionField), 10, 64)
-	s := c.host.Standing()
+	s := c.host.Report()
 	switch {
 	case r.Status == 204:
 	case r.Status != 200:
-		c.failed(fmt.Errorf("status %d", r.Status))
+		c.fail(fmt.Errorf("status %d", r.Status))
 		return
-	case err != nil || version <= max(s.Version, s.Refused):
-		c.failed(fmt.Errorf("version %q is offered, %d is in force", r.Fields.Text(server.VersionField), s.Version))
+	case err != nil || version <= max(s.Version, s.RejectedVersion):
+		c.fail(fmt.Errorf("version %q is offered, %d is in force", r.Fields.Text(server.VersionField), s.Version))
 		return
 	}
-	c.loop.Forget(c.due)
-	c.out, c.heardAt = false, now
-	if c.silent {
-		c.silent = false
-		slog.Info("configuration_reached", "machine", c.machines[c.at])
+	c.loop.Forget(c.timer)
+	c.inFlight, c.lastAnswerAt = false, now
+	if c.unreachableLogged {
+		c.unreachableLogged = false
+		slog.Info("configuration_reached", "machine", c.machines[c.connectedTo])
 	}
-	c.follower.Answered(now)
+	c.selector.Succeeded(now)
 	if r.Status == 204 {
-		c.after(0)
+		c.schedule(0)
 		return
 	}
-	c.after(settling)
-	c.host.Offered(version, slices.Clone(r.Body))
+	c.schedule(applyTimeout)
+	c.host.VersionOffered(version, slices.Clone(r.Body))
 }
 
-func (c *Client) drop() {
+func (c *Client) disconnect() {
 	if c.stream != nil {
 		c.stream.Close()
 		c.stream = nil
 	}
 }
 
-func (c *Client) failed(cause error) {
+func (c *Client) fail(cause error) {
 	now := c.loop.Now()
-	c.drop()
-	c.out = false
+	c.disconnect()
+	c.inFlight = false
 	c.host.Count("configuration_failures")
-	c.after(c.follower.Failed(now))
-	if silent := now - c.heardAt; silent > rollout.Hold+rollout.Slack && now >= c.quiet {
-		c.quiet, c.silent = now+quietFor, true
-		slog.Warn("configuration_unreachable", "version", c.host.Standing().Version, "silent_ms", silent.Milliseconds(), "cause", cause)
+	c.schedule(c.selector.Failed(now))
+	if silent := now - c.lastAnswerAt; silent > rollout.LongPollWait+rollout.LongPollSlack && now >= c.quietUntil {
+		c.quietUntil, c.unreachableLogged = now+unreachableLogInterval, true
+		slog.Warn("configuration_unreachable", "version", c.host.Report().Version, "silent_ms", silent.Milliseconds(), "cause", cause)
 	}
 }
--- a/internal/rollout/client/golden_test.go
+++ b/internal/rollout/client/golden_test.go
@@ -19,20 +19,20 @@
 
 // driver is the host of a client: it takes over each version that it is offered but the third.
 type driver struct {
-	standing rollout.Standing
-	client   *Client
-	offered  []string
-	counts   map[string]int
+	report  rollout.DriverReport
+	client  *Client
+	offered []string
+	counts  map[string]int
 }
 
-func (d *driver) Standing() rollout.Standing { return d.standing }
-func (d *driver) Count(what string)          { d.counts[what]++ }
-func (d *driver) Offered(version uint64, text []byte) {
+func (d *driver) Report() rollout.DriverReport { return d.report }
+func (d *driver) Count(what string)            { d.counts[what]++ }
+func (d *driver) VersionOffered(version uint64, text []byte) {
 	d.offered = append(d.offered, fmt.Sprintf("%d: %s", version, text))
 	if version == 3 {
-		d.standing.Refused, d.standing.Why = version, "no \"such\" setting"
+		d.report.RejectedVersion, d.report.RejectReason = version, "no \"such\" setting"
 	} else {
-		d.standing.Version, d.standing.Restart = version, []string{"tick_us", "areas"}
+		d.report.Version, d.report.NeedsRestart = version, []string{"tick_us", "areas"}
 	}
 	d.client.Settled()
 }
@@ -73,7 +73,7 @@
 	if _, err := on("c0").Listen(at, 1<<20, loop.Door{}, func(open func(loop.Owner) *loop.Stream) { m.stream = open(m) }, func(bool) {}); err != nil {
 		t.Fatal(err)
 	}
-	d := &driver{standing: rollout.Standing{Driver: "d0"}, counts: make(map[string]int)}
+	d := &driver{report: rollout.DriverReport{Driver: "d0"}, counts: make(map[string]int)}
 	d.client = New(on("d0"), d, "bureau", "d0", []netip.AddrPort{at}, 1)
 	world.Run(world.Now() + 200*time.Millisecond)
 	path := filepath.Join("testdata", "requests.txt")
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -15,17 +15,17 @@
 
 const (
 	// LongestText bounds a configuration, in bytes.
-	LongestText = 512 << 10
+	MaxTextBytes = 512 << 10
 	// LongestName bounds the names of drivers and machines, in bytes.
-	LongestName = 64
+	MaxNameBytes = 64
 	// Beat is the time between two words of the machine that writes, and between two tries of one that waits for answers.
-	Beat = 200 * time.Millisecond
+	HeartbeatInterval = 200 * time.Millisecond
 	// Quiet is for how long a machine trusts that it has the newest version after it last heard that.
-	Quiet = 700 * time.Millisecond
+	FreshnessTimeout = 700 * time.Millisecond
 
-	mostRecent  = 16      // publications that are remembered, to know one that comes again
-	mostWaiting = 16      // publications at once
-	mostAhead   = 1000000 // by which a driver may be ahead of all that a machine has heard of; more is no version of this fleet
+	maxRecentPublications = 16      // publications that are remembered, to know one that comes again
+	maxPendingPublishes   = 16      // publications at once
+	maxVersionGap         = 1000000 // by which a driver may be ahead of all that a machine has heard of; more is no version of this fleet
 
 )
 
@@ -54,12 +54,12 @@
 }
 
 // newer tells whether an entry was accepted after another.
-func (e *Entry) newer(o *Entry) bool {
+func (e *Entry) acceptedAfter(o *Entry) bool {
 	return o.Ballot.Less(e.Ballot) || e.Ballot == o.Ballot && e.Version > o.Version
 }
 
 // published gives the version under which a publication was written; 0: it was not, as far as is remembered.
-func (e *Entry) published(id uint64) uint64 {
+func (e *Entry) publishedVersion(id uint64) uint64 {
 	for _, p := range e.Recent {
 		if p.ID == id {
 			return p.Version
@@ -81,16 +81,16 @@
 type Op string
 
 const (
-	Prepare  Op = "prepare"  // whoever is about to write asks what is known
-	Promise  Op = "promise"  // and hears that, and that nobody with a lower ballot is heard any more
-	Accept   Op = "accept"   // write this
-	Accepted Op = "accepted" // it is on the disk
-	Commit   Op = "commit"   // a majority has it; said again and again, for who has not heard it and to be heard at all
-	Heard    Op = "heard"
-	Refuse   Op = "refuse" // a higher ballot was promised
-	Learn    Op = "learn"  // a machine with an empty folder asks
-	Learned  Op = "learned"
-	Outlived Op = "outlived" // a later life of the machine that spoke is known
+	OpPrepare          Op = "prepare"  // whoever is about to write asks what is known
+	OpPromise          Op = "promise"  // and hears that, and that nobody with a lower ballot is heard any more
+	OpAccept           Op = "accept"   // write this
+	OpAccepted         Op = "accepted" // it is on the disk
+	OpCommit           Op = "commit"   // a majority has it; said again and again, for who has not heard it and to be heard at all
+	OpCommitAck        Op = "heard"
+	OpReject           Op = "refuse" // a higher ballot was promised
+	OpLearn            Op = "learn"  // a machine with an empty folder asks
+	OpLearned          Op = "learned"
+	OpStaleIncarnation Op = "outlived" // a later life of the machine that spoke is known
 )
 
 // Message is what machines tell each other.
--- a/internal/rollout/server/disk.go
+++ b/internal/rollout/server/disk.go
@@ -12,22 +12,22 @@
 )
 
 // Folder is a machine's disk: what changes is committed by a worker, all that waits together.
-type Folder struct {
-	store   *keep.Store
-	ring    func()
-	jobs    chan []keep.Change
-	done    chan error
-	written map[string]string // as the folder has it, or will
-	waiting []func(error)
-	changes map[string][]byte
-	out     []func(error)     // of what is being written
-	writing map[string][]byte // nil: nothing is
+type FileStorage struct {
+	store            *keep.Store
+	notify           func()
+	batches          chan []keep.Change
+	results          chan error
+	written          map[string]string // as the folder has it, or will
+	pendingCallbacks []func(error)
+	pendingChanges   map[string][]byte
+	activeCallbacks  []func(error)     // of what is being written
+	activeChanges    map[string][]byte // nil: nothing is
 }
 
-const folderMost = 8 << 20 // bytes that a machine's folder may take
+const maxStorageBytes = 8 << 20 // bytes that a machine's folder may take
 
 // parts are what a folder has under each name.
-func parts(k Kept) (map[string][]byte, error) {
+func encodeRecords(k PersistedState) (map[string][]byte, error) {
 	all := make(map[string][]byte)
 	for name, value := range map[string]any{"joined": k.State.Joined, "promised": k.State.Promised, "accepted": k.State.Accepted, "committed": k.State.Committed, "floor": k.State.Floor} {
 		text, err := json.Marshal(value)
@@ -44,13 +44,13 @@
 }
 
 // OpenFolder takes a machine's folder and gives what it has. Ring is called when Hear should be, on the loop.
-func OpenFolder(path, machine string, ring func()) (*Folder, Kept, error) {
-	var k Kept
-	store, found, err := state.Open(path, "control machine "+machine, folderMost)
+func OpenFileStorage(path, machine string, notify func()) (*FileStorage, PersistedState, error) {
+	var k PersistedState
+	store, found, err := state.Open(path, "control machine "+machine, maxStorageBytes)
 	if err != nil {
 		return nil, k, err
 	}
-	f := &Folder{store: store, ring: ring, jobs: make(chan []keep.Change, 1), done: make(chan error, 1), written: make(map[string]string), changes: make(map[string][]byte)}
+	f := &FileStorage{store: store, notify: notify, batches: make(chan []keep.Change, 1), results: make(chan error, 1), written: make(map[string]string), pendingChanges: make(map[string][]byte)}
 	var wrong error
 	store.Each(func(name string, value []byte) {
 		f.written[name] = string(value)
@@ -83,60 +83,60 @@
 	}
 	k.Promises = state.Promises(store)
 	go func() {
-		for changes := range f.jobs {
+		for changes := range f.batches {
 			err := error(nil)
 			if len(changes) > 0 {
 				err = store.Commit(changes)
 			}
-			f.done <- err
-			f.ring()
+			f.results <- err
+			f.notify()
 		}
 	}()
 	return f, k, nil
 }
 
 // Keep lets a worker write what has changed.
-func (f *Folder) Keep(k Kept, then func(error)) {
-	f.waiting = append(f.waiting, then)
-	all, err := parts(k)
+func (f *FileStorage) Persist(k PersistedState, then func(error)) {
+	f.pendingCallbacks = append(f.pendingCallbacks, then)
+	all, err := encodeRecords(k)
 	if err != nil { // it is all plain values
 		panic(err)
 	}
 	for name, value := range all {
 		if f.written[name] != string(value) {
-			f.written[name], f.changes[name] = string(value), value
+			f.written[name], f.pendingChanges[name] = string(value), value
 		}
 	}
-	f.write()
+	f.startWrite()
 }
 
-func (f *Folder) write() {
-	if f.writing != nil || len(f.waiting) == 0 {
+func (f *FileStorage) startWrite() {
+	if f.activeChanges != nil || len(f.pendingCallbacks) == 0 {
 		return
 	}
-	f.out, f.waiting = f.waiting, nil
-	f.writing, f.changes = f.changes, make(map[string][]byte)
+	f.activeCallbacks, f.pendingCallbacks = f.pendingCallbacks, nil
+	f.activeChanges, f.pendingChanges = f.pendingChanges, make(map[string][]byte)
 	var changes []keep.Change
-	for name, value := range f.writing {
+	for name, value := range f.activeChanges {
 		changes = append(changes, keep.Change{Name: name, Value: value})
 	}
-	f.jobs <- changes
+	f.batches <- changes
 }
 
 // Hear tells whoever waits what became of it.
-func (f *Folder) Hear() {
+func (f *FileStorage) HandleResults() {
 	for {
 		select {
-		case err := <-f.done:
-			done, was := f.out, f.writing
-			if f.out, f.writing = nil, nil; err != nil { // it goes with the next, but for what is newer by now
-				maps.Copy(was, f.changes)
-				f.changes = was
+		case err := <-f.results:
+			done, was := f.activeCallbacks, f.activeChanges
+			if f.activeCallbacks, f.activeChanges = nil, nil; err != nil { // it goes with the next, but for what is newer by now
+				maps.Copy(was, f.pendingChanges)
+				f.pendingChanges = was
 			}
 			for _, then := range done {
 				then(err)
 			}
-			f.write()
+			f.startWrite()
 		default:
 			return
 		}
@@ -144,10 +144,10 @@
 }
 
 // Close waits for what is being written, and lets the folder go.
-func (f *Folder) Close() {
-	if f.writing != nil {
-		<-f.done
+func (f *FileStorage) Close() {
+	if f.activeChanges != nil {
+		<-f.results
 	}
-	close(f.jobs)
+	close(f.batches)
 	f.store.Close()
 }
--- a/internal/rollout/server/disk_test.go
+++ b/internal/rollout/server/disk_test.go
@@ -12,11 +12,11 @@
 )
 
 // waits gives what a folder rings for.
-func keepAll(t *testing.T, f *Folder, rung chan bool, all ...Kept) {
+func persistAll(t *testing.T, f *FileStorage, rung chan bool, all ...PersistedState) {
 	t.Helper()
 	left := len(all)
 	for _, k := range all {
-		f.Keep(k, func(err error) {
+		f.Persist(k, func(err error) {
 			if left--; err != nil {
 				t.Error(err)
 			}
@@ -24,15 +24,15 @@
 	}
 	for left > 0 {
 		<-rung
-		f.Hear()
+		f.HandleResults()
 	}
 }
 
-func TestAFolderKeepsWhatAMachinePromised(t *testing.T) {
+func TestFileStorageRoundTrip(t *testing.T) {
 	path := t.TempDir()
 	rung := make(chan bool, 100)
-	open := func() (*Folder, Kept) {
-		f, k, err := OpenFolder(path, "c0", func() { rung <- true })
+	open := func() (*FileStorage, PersistedState) {
+		f, k, err := OpenFileStorage(path, "c0", func() { rung <- true })
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -42,39 +42,39 @@
 	if k.State.Joined || k.State.Accepted.Version != 0 {
 		t.Fatalf("an empty folder has %+v", k)
 	}
-	last := Kept{Promises: map[string]lease.Promise{"configuration": {Number: 1 << 60, Version: 1}}, State: rollout.State{Joined: true, Floor: 7, Promised: rollout.Ballot{Number: 1<<60 + 1, Node: 1<<63 + 5},
+	last := PersistedState{Promises: map[string]lease.Promise{"configuration": {Number: 1 << 60, Version: 1}}, State: rollout.State{Joined: true, Floor: 7, Promised: rollout.Ballot{Number: 1<<60 + 1, Node: 1<<63 + 5},
 		Accepted:  rollout.Entry{Version: 4, Ballot: rollout.Ballot{Number: 9, Node: 3}, Text: strings.Repeat("é", 100), Recent: []rollout.Publication{{ID: 1<<64 - 1, Version: 3}}},
 		Committed: rollout.Entry{Version: 3, Text: "{}"}}}
 	first := last
 	first.State.Accepted.Version, first.State.Floor = 2, 1
-	keepAll(t, f, rung, first, last, last)
+	persistAll(t, f, rung, first, last, last)
 	f.Close()
 	f, k = open()
 	if !reflect.DeepEqual(k, last) {
 		t.Errorf("kept %+v, found %+v", last, k)
 	}
-	if _, _, err := OpenFolder(path, "c0", func() {}); err == nil {
+	if _, _, err := OpenFileStorage(path, "c0", func() {}); err == nil {
 		t.Error("two processes have one folder")
 	}
 	f.Close()
-	if _, _, err := OpenFolder(path, "c1", func() {}); err == nil {
+	if _, _, err := OpenFileStorage(path, "c1", func() {}); err == nil {
 		t.Error("it is taken for another machine's")
 	}
-	if _, _, err := OpenFolder(filepath.Join(path, "none"), "c0", func() {}); err == nil {
+	if _, _, err := OpenFileStorage(filepath.Join(path, "none"), "c0", func() {}); err == nil {
 		t.Error("a folder that is not there")
 	}
 }
 
 // A machine whose folder is spoilt learns from the others before it votes: it may have promised what it no longer knows.
-func TestASpoiltFolderIsNoGroundToVote(t *testing.T) {
+func TestCorruptStorageRevokesVote(t *testing.T) {
 	path := t.TempDir()
 	rung := make(chan bool, 100)
-	f, _, err := OpenFolder(path, "c0", func() { rung <- true })
+	f, _, err := OpenFileStorage(path, "c0", func() { rung <- true })
 	if err != nil {
 		t.Fatal(err)
 	}
-	keepAll(t, f, rung, Kept{State: rollout.State{Joined: true}}, Kept{State: rollout.State{Joined: true, Floor: 3}})
-	keepAll(t, f, rung, Kept{State: rollout.State{Joined: true, Floor: 5}})
+	persistAll(t, f, rung, PersistedState{State: rollout.State{Joined: true}}, PersistedState{State: rollout.State{Joined: true, Floor: 3}})
+	persistAll(t, f, rung, PersistedState{State: rollout.State{Joined: true, Floor: 5}})
 	f.Close()
 	files, err := filepath.Glob(filepath.Join(path, "log-*"))
 	if err != nil || len(files) == 0 {
@@ -88,7 +88,7 @@
 	if err := os.WriteFile(files[len(files)-1], text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	f, k, err := OpenFolder(path, "c0", func() {})
+	f, k, err := OpenFileStorage(path, "c0", func() {})
 	if err != nil || k.State.Joined || k.State.Floor >= 5 {
 		t.Fatalf("%v, %+v", err, k.State)
 	}
--- a/internal/rollout/server/golden_test.go
+++ b/internal/rollout/server/golden_test.go
@@ -42,18 +42,18 @@
 	goldenEntry = rollout.Entry{Version: 4, Ballot: rollout.Ballot{Number: 9, Node: 1<<63 + 5}, Text: "{\"settings\":{\"x\":\"<é\\n>\"}}",
 		Recent: []rollout.Publication{{ID: 1<<64 - 1, Version: 3}, {ID: 7, Version: 4}}}
 	goldenCommitted = rollout.Entry{Version: 3, Ballot: rollout.Ballot{Number: 8, Node: 2}, Text: "{}"}
-	goldenKept      = Kept{Promises: map[string]lease.Promise{"configuration": {Number: 1 << 60, Version: 1}},
+	goldenState     = PersistedState{Promises: map[string]lease.Promise{"configuration": {Number: 1 << 60, Version: 1}},
 		State: rollout.State{Joined: true, Floor: 7, Promised: rollout.Ballot{Number: 1<<60 + 1, Node: 3}, Accepted: goldenEntry, Committed: goldenCommitted}}
 )
 
-func TestGoldenFolder(t *testing.T) {
+func TestGoldenStorage(t *testing.T) {
 	source, path, rung := filepath.Join("testdata", "machine"), t.TempDir(), make(chan bool, 1)
 	if *update {
-		f, _, err := OpenFolder(path, "c0", func() { rung <- true })
+		f, _, err := OpenFileStorage(path, "c0", func() { rung <- true })
 		if err != nil {
 			t.Fatal(err)
 		}
-		keepAll(t, f, rung, goldenKept)
+		persistAll(t, f, rung, goldenState)
 		f.Close()
 		if err := os.CopyFS(source, os.DirFS(path)); err != nil {
 			t.Fatal(err)
@@ -63,15 +63,15 @@
 	if err := os.CopyFS(path, os.DirFS(source)); err != nil {
 		t.Fatal(err)
 	}
-	f, found, err := OpenFolder(path, "c0", func() {})
+	f, found, err := OpenFileStorage(path, "c0", func() {})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer f.Close()
-	if !reflect.DeepEqual(found, goldenKept) {
-		t.Errorf("found %+v, want %+v", found, goldenKept)
+	if !reflect.DeepEqual(found, goldenState) {
+		t.Errorf("found %+v, want %+v", found, goldenState)
 	}
-	written, err := parts(goldenKept)
+	written, err := encodeRecords(goldenState)
 	if err != nil || len(written) != len(f.written) {
 		t.Fatal(err, len(written), len(f.written))
 	}
@@ -84,13 +84,13 @@
 
 func TestGoldenMessages(t *testing.T) {
 	var messages []envelope
-	for _, op := range []rollout.Op{rollout.Prepare, rollout.Promise, rollout.Accept, rollout.Accepted, rollout.Commit, rollout.Heard, rollout.Refuse, rollout.Learn, rollout.Learned, rollout.Outlived} {
+	for _, op := range []rollout.Op{rollout.OpPrepare, rollout.OpPromise, rollout.OpAccept, rollout.OpAccepted, rollout.OpCommit, rollout.OpCommitAck, rollout.OpReject, rollout.OpLearn, rollout.OpLearned, rollout.OpStaleIncarnation} {
 		messages = append(messages, envelope{Rollout: &rollout.Message{Op: op}}, envelope{Rollout: &rollout.Message{Op: op, Ballot: goldenEntry.Ballot, Version: 4, Floor: 7, Joined: true, Entry: &goldenEntry, Committed: &goldenCommitted}})
 	}
 	messages = append(messages, envelope{Lease: []byte{1, 2, 255}})
 	var lines bytes.Buffer
 	for i, e := range messages {
-		e.Fleet, e.From, e.Life = "bureau", "c0", uint64(1767225600000+i)
+		e.Fleet, e.From, e.Incarnation = "bureau", "c0", uint64(1767225600000+i)
 		text, err := json.Marshal(e)
 		if err != nil {
 			t.Fatal(err)
@@ -107,10 +107,10 @@
 func TestGoldenStatusAndCall(t *testing.T) {
 	var lines bytes.Buffer
 	for _, value := range []any{
-		Call{}, Call{Fleet: "bureau", Driver: "d0", From: 4, Refused: 5, Why: "no", Restart: []string{"tick_us"}, HoldMS: 800},
-		Told{}, Told{Version: 4, Outcome: rollout.Published, Writer: "c0", Error: "no"},
-		Status{}, Status{Machine: "c0", Writer: "c1", Votes: true, Fresh: true, Version: 4, Floor: 7, Counts: map[string]int{"calls": 1},
-			Drivers: []Driver{{}, {Name: "d0", Version: 4, SinceMS: 1, HeardMS: 2, Refused: 5, Why: "no", Restart: []string{"tick_us"}}}},
+		WatchRequest{}, WatchRequest{Fleet: "bureau", Driver: "d0", Version: 4, RejectedVersion: 5, RejectReason: "no", NeedsRestart: []string{"tick_us"}, MaxWaitMS: 800},
+		PublishResult{}, PublishResult{Version: 4, Outcome: rollout.Published, Writer: "c0", Error: "no"},
+		Status{}, Status{Machine: "c0", Writer: "c1", Votes: true, Fresh: true, Version: 4, Floor: 7, Counters: map[string]int{"calls": 1},
+			Drivers: []DriverStatus{{}, {Name: "d0", Version: 4, VersionAgeMS: 1, LastSeenMS: 2, RejectedVersion: 5, RejectReason: "no", NeedsRestart: []string{"tick_us"}}}},
 	} {
 		text, err := json.Marshal(value)
 		if err != nil {
@@ -129,17 +129,17 @@
 	f := newFleet(t)
 	var all bytes.Buffer
 	exchange := func(machine int, text string) {
-		c := f.say(machine, text)
+		c := f.send(machine, text)
 		f.run(700 * time.Millisecond)
-		fmt.Fprintf(&all, "---- request\n%s\n---- answer\n%s\n", text, c.said)
+		fmt.Fprintf(&all, "---- request\n%s\n---- answer\n%s\n", text, c.received)
 	}
 	w := f.writer()
 	exchange(w, request("GET", "/configuration", "", ""))
 	exchange(w, watch("d0", 0, 300))
-	exchange((w+1)%3, publish(7, 0, good))
-	exchange(w, publish(7, 0, " "+good+"\n"))
-	exchange(w, publish(7, 0, good))
-	exchange(w, publish(8, 0, good))
+	exchange((w+1)%3, publish(7, 0, validText))
+	exchange(w, publish(7, 0, " "+validText+"\n"))
+	exchange(w, publish(7, 0, validText))
+	exchange(w, publish(8, 0, validText))
 	exchange(w, publish(9, 1, "{"))
 	exchange(w, watch("d0", 0, 300))
 	exchange(w, watch("d0", 1, 300))
@@ -159,7 +159,7 @@
 
 // A request between machines, with its head, as another machine receives it.
 func TestGoldenMachineRequest(t *testing.T) {
-	world := sim.New(3, start)
+	world := sim.New(3, epoch)
 	var loops []*loop.Loop
 	for n := range 2 {
 		h := world.Host(fmt.Sprint("c", n))
@@ -170,17 +170,17 @@
 		h.Serve(l, func() {})
 		loops = append(loops, l)
 	}
-	received := &call{}
-	if _, err := loops[1].Listen(at(1), 1<<20, loop.Door{}, func(open func(loop.Owner) *loop.Stream) { received.stream = open(received) }, func(bool) {}); err != nil {
+	received := &testConnection{}
+	if _, err := loops[1].Listen(addressOf(1), 1<<20, loop.Door{}, func(open func(loop.Owner) *loop.Stream) { received.stream = open(received) }, func(bool) {}); err != nil {
 		t.Fatal(err)
 	}
-	place := Place{Fleet: "test", Name: "c0", Listen: at(0), Peers: []Peer{{"c1", at(1)}}}
-	if _, err := New(loops[0], place, &memory{world: world}, Kept{State: rollout.State{Floor: 5}}, 1); err != nil {
+	place := MachineConfig{Fleet: "test", Name: "c0", Listen: addressOf(0), Peers: []Peer{{"c1", addressOf(1)}}}
+	if _, err := New(loops[0], place, &memoryStorage{world: world}, PersistedState{State: rollout.State{Floor: 5}}, 1); err != nil {
 		t.Fatal(err)
 	}
 	world.Run(world.Now() + 100*time.Millisecond)
-	if !strings.HasPrefix(string(received.said), "POST /machine") {
-		t.Errorf("received %q", received.said)
+	if !strings.HasPrefix(string(received.received), "POST /machine") {
+		t.Errorf("received %q", received.received)
 	}
-	golden(t, "machine_request.txt", received.said)
+	golden(t, "machine_request.txt", received.received)
 }
--- a/internal/rollout/server/guest.go
+++ b/internal/rollout/server/guest.go
@@ -16,14 +16,14 @@
 )
 
 // Call is what a driver says when it asks for a newer version.
-type Call struct {
-	Fleet   string   `json:"fleet"`
-	Driver  string   `json:"driver"`
-	From    uint64   `json:"from"` // the version in force
-	Refused uint64   `json:"refused,omitempty"`
-	Why     string   `json:"why,omitempty"`
-	Restart []string `json:"needs_restart,omitempty"`
-	HoldMS  int      `json:"hold_ms"` // for which the answer may be held back
+type WatchRequest struct {
+	Fleet           string   `json:"fleet"`
+	Driver          string   `json:"driver"`
+	Version         uint64   `json:"from"` // the version in force
+	RejectedVersion uint64   `json:"refused,omitempty"`
+	RejectReason    string   `json:"why,omitempty"`
+	NeedsRestart    []string `json:"needs_restart,omitempty"`
+	MaxWaitMS       int      `json:"hold_ms"` // for which the answer may be held back
 }
 
 // Fields of requests and answers.
@@ -33,51 +33,51 @@
 )
 
 // guest is one connection that came in.
-type guest struct {
-	server *Server
-	stream *loop.Stream
-	due    loop.Due // end of patience, or of holding an answer back
-	place  chain.Link[*guest]
-	from   uint64
-	holds  bool // an answer is held back, or a publication is being decided
-	ticket uint64
+type session struct {
+	server       *Server
+	stream       *loop.Stream
+	timer        loop.Due // end of patience, or of holding an answer back
+	watcherLink  chain.Link[*session]
+	knownVersion uint64
+	waiting      bool // an answer is held back, or a publication is being decided
+	requestID    uint64
 }
 
-func (g *guest) Opened()        {}
-func (g *guest) Panicked(error) { g.end() }
-func (g *guest) Closed(error)   { g.gone() }
+func (g *session) Opened()        {}
+func (g *session) Panicked(error) { g.close() }
+func (g *session) Closed(error)   { g.detach() }
 
 // await gives whoever is connected a while to say something whole.
-func (g *guest) await() {
-	g.server.loop.Forget(g.due)
-	g.due = g.server.loop.At(g.server.loop.Now()+patience, g.end)
+func (g *session) startIdleTimer() {
+	g.server.loop.Forget(g.timer)
+	g.timer = g.server.loop.At(g.server.loop.Now()+idleTimeout, g.close)
 }
 
-func (g *guest) gone() {
-	g.server.loop.Forget(g.due)
-	g.place.Leave()
-	delete(g.server.tickets, g.ticket)
+func (g *session) detach() {
+	g.server.loop.Forget(g.timer)
+	g.watcherLink.Leave()
+	delete(g.server.publishers, g.requestID)
 }
 
-func (g *guest) end() {
-	g.gone()
+func (g *session) close() {
+	g.detach()
 	g.stream.Close()
 }
 
-func (g *guest) Input(in []byte) (taken int) {
-	for !g.holds {
+func (g *session) Input(in []byte) (taken int) {
+	for !g.waiting {
 		r, fault := httpwire.Next(in[taken:], limits)
 		if fault != nil {
-			g.refuse(fault.Status, fault.Reason)
+			g.reject(fault.Status, fault.Reason)
 			return len(in)
 		}
 		if r.Size == 0 {
 			break
 		}
 		taken += r.Size
-		g.await()
-		g.server.counts["bytes_taken"] += r.Size
-		if !g.serve(r) {
+		g.startIdleTimer()
+		g.server.counters["bytes_taken"] += r.Size
+		if !g.handle(r) {
 			return len(in)
 		}
 	}
@@ -85,39 +85,39 @@
 }
 
 // serve takes a request; false: the connection is of no more use.
-func (g *guest) serve(r httpwire.Request) bool {
+func (g *session) handle(r httpwire.Request) bool {
 	s := g.server
 	switch target := string(r.Verb) + " " + string(r.Target); target {
 	case "POST /machine":
-		if !s.hear(r.Body) {
-			s.counts["strangers"]++
-			g.refuse(400, "no message of this fleet's machines")
+		if !s.receive(r.Body) {
+			s.counters["strangers"]++
+			g.reject(400, "no message of this fleet's machines")
 			return false
 		}
-		g.answer(204, "", nil)
+		g.respond(204, "", nil)
 	case "POST /watch":
-		return g.watch(r.Body)
+		return g.handleWatch(r.Body)
 	case "POST /publish":
-		return g.publish(r)
+		return g.handlePublish(r)
 	case "GET /status":
 		body, err := json.Marshal(s.status())
 		if err != nil {
-			g.refuse(500, err.Error())
+			g.reject(500, err.Error())
 			return false
 		}
-		g.answer(200, "", body)
+		g.respond(200, "", body)
 	case "GET /configuration":
-		e := s.register.Newest()
-		g.answer(200, strconv.FormatUint(e.Version, 10), []byte(e.Text))
+		e := s.machine.Committed()
+		g.respond(200, strconv.FormatUint(e.Version, 10), []byte(e.Text))
 	default:
-		s.counts["strangers"]++
-		g.refuse(404, "there is no "+target)
+		s.counters["strangers"]++
+		g.reject(404, "there is no "+target)
 		return false
 	}
 	return true
 }
 
-func (g *guest) answer(status int, version string, body []byte) {
+func (g *session) respond(status int, version string, body []byte) {
 	out := httpwire.AppendStatus(nil, status)
 	if version != "" {
 		out = httpwire.AppendField(out, VersionField, version)
@@ -127,81 +127,81 @@
 	} else {
 		out = append(httpwire.AppendLength(out, len(body)), body...)
 	}
-	g.server.counts["bytes_sent"] += len(out)
+	g.server.counters["bytes_sent"] += len(out)
 	g.stream.Send(out)
 }
 
 // refuse says why and ends the connection.
-func (g *guest) refuse(status int, why string) {
-	body, _ := json.Marshal(Told{Error: why})
+func (g *session) reject(status int, why string) {
+	body, _ := json.Marshal(PublishResult{Error: why})
 	out := httpwire.AppendField(httpwire.AppendStatus(nil, status), "Connection", "close")
-	g.gone()
+	g.detach()
 	g.stream.Send(append(httpwire.AppendLength(out, len(body)), body...))
 	g.stream.CloseWhenSent()
 }
 
 // watch answers at once with a newer version, and else when there is one or the time is over.
-func (g *guest) watch(body []byte) bool {
-	var c Call
+func (g *session) handleWatch(body []byte) bool {
+	var c WatchRequest
 	s, now := g.server, g.server.loop.Now()
-	if err := json.Unmarshal(body, &c); err != nil || c.Fleet != s.place.Fleet || c.Driver == "" || len(c.Driver) > rollout.LongestName {
-		s.counts["strangers"]++
-		g.refuse(400, "no call of a driver of this fleet")
+	if err := json.Unmarshal(body, &c); err != nil || c.Fleet != s.config.Fleet || c.Driver == "" || len(c.Driver) > rollout.MaxNameBytes {
+		s.counters["strangers"]++
+		g.reject(400, "no call of a driver of this fleet")
 		return false
 	}
-	s.counts["calls"]++
-	g.from = max(c.From, c.Refused)
-	if !s.register.Ahead(g.from) { // a number that was refused is not to be used again either
-		s.counts["strangers"]++
-		g.refuse(400, fmt.Sprintf("from is %d: there is no such version", g.from))
+	s.counters["calls"]++
+	g.knownVersion = max(c.Version, c.RejectedVersion)
+	if !s.machine.ObserveVersion(g.knownVersion) { // a number that was refused is not to be used again either
+		s.counters["strangers"]++
+		g.reject(400, fmt.Sprintf("from is %d: there is no such version", g.knownVersion))
 		return false
 	}
-	s.roster.Tell(rollout.Standing{Driver: c.Driver, Version: c.From, Refused: c.Refused, Why: c.Why, Restart: c.Restart}, now)
-	if g.tell() {
+	s.roster.Report(rollout.DriverReport{Driver: c.Driver, Version: c.Version, RejectedVersion: c.RejectedVersion, RejectReason: c.RejectReason, NeedsRestart: c.NeedsRestart}, now)
+	if g.sendNewerVersion() {
 		return true
 	}
-	g.holds, g.place.Value = true, g
-	s.watching.Push(&g.place)
-	s.loop.Forget(g.due)
-	g.due = s.loop.At(now+min(max(time.Duration(c.HoldMS)*time.Millisecond, 0), mostHold), func() {
-		if s.register.Fresh(s.loop.Now()) {
-			g.answer(204, "", nil)
+	g.waiting, g.watcherLink.Value = true, g
+	s.watchers.Push(&g.watcherLink)
+	s.loop.Forget(g.timer)
+	g.timer = s.loop.At(now+min(max(time.Duration(c.MaxWaitMS)*time.Millisecond, 0), maxLongPoll), func() {
+		if s.machine.IsFresh(s.loop.Now()) {
+			g.respond(204, "", nil)
 		} else {
-			s.counts["unsure"]++
-			g.answer(503, "", nil)
+			s.counters["unsure"]++
+			g.respond(503, "", nil)
 		}
-		g.released()
+		g.resume()
 	})
 	return true
 }
 
 // tell gives a version that is newer than the driver's; false: there is none.
-func (g *guest) tell() bool {
-	e := g.server.register.Newest()
-	if e.Version <= g.from {
+func (g *session) sendNewerVersion() bool {
+	e := g.server.machine.Committed()
+	if e.Version <= g.knownVersion {
 		return false
 	}
-	g.answer(200, strconv.FormatUint(e.Version, 10), []byte(e.Text))
+	g.respond(200, strconv.FormatUint(e.Version, 10), []byte(e.Text))
 	return true
 }
 
 // wakes answers who waits for a newer version.
-func (g *guest) wakes() {
-	if g.tell() {
-		g.released()
+func (g *session) versionCommitted() {
+	if g.sendNewerVersion() {
+		g.resume()
 	}
 }
 
 // released goes on with what came meanwhile.
-func (g *guest) released() {
-	g.holds = false
-	g.place.Leave()
-	g.await()
+func (g *session) resume() {
+	g.waiting = false
+	g.watcherLink.Leave()
+	g.startIdleTimer()
 	g.server.loop.Later(g.stream.Look)
 }
 
 // Told is what a publisher hears.
-type Told struct {
+type PublishResult struct {
 	Version uint64          `json:"version,omitempty"`
 	Outcome rollout.Outcome `json:"outcome,omitempty"`
 	Writer  string          `json:"writer,omitempty"` // who to ask
@@ -209,48 +209,48 @@
 }
 
 // publish checks a text and hands it to the register.
-func (g *guest) publish(r httpwire.Request) bool {
+func (g *session) handlePublish(r httpwire.Request) bool {
 	s := g.server
 	base, err := strconv.ParseUint(r.Fields.Text(VersionField), 10, 64)
 	id, wrong := strconv.ParseUint(r.Fields.Text(PublicationField), 16, 64)
 	switch {
 	case err != nil:
-		g.refuse(400, fmt.Sprintf("%s is %q: the version that the text was made from is wanted", VersionField, r.Fields.Text(VersionField)))
+		g.reject(400, fmt.Sprintf("%s is %q: the version that the text was made from is wanted", VersionField, r.Fields.Text(VersionField)))
 		return false
 	case wrong != nil || id == 0:
-		g.refuse(400, fmt.Sprintf("%s is %q: a number in hex is wanted", PublicationField, r.Fields.Text(PublicationField)))
+		g.reject(400, fmt.Sprintf("%s is %q: a number in hex is wanted", PublicationField, r.Fields.Text(PublicationField)))
 		return false
-	case len(r.Body) > rollout.LongestText:
-		g.refuse(413, fmt.Sprintf("%d bytes are over the %d that a configuration may have", len(r.Body), rollout.LongestText))
+	case len(r.Body) > rollout.MaxTextBytes:
+		g.reject(413, fmt.Sprintf("%d bytes are over the %d that a configuration may have", len(r.Body), rollout.MaxTextBytes))
 		return false
 	case !utf8.Valid(r.Body):
-		g.refuse(400, "the text is no UTF-8")
+		g.reject(400, "the text is no UTF-8")
 		return false
 	}
 	if _, err := terms.ParsePublished(r.Body); err != nil {
-		s.counts["refused"]++
-		g.refuse(400, err.Error())
+		s.counters["refused"]++
+		g.reject(400, err.Error())
 		return false
 	}
 	var text bytes.Buffer
 	if err := json.Compact(&text, r.Body); err != nil {
-		g.refuse(400, err.Error())
+		g.reject(400, err.Error())
 		return false
 	}
-	s.ticket++
-	g.ticket, g.holds = s.ticket, true
-	s.tickets[g.ticket] = g
-	s.loop.Forget(g.due)
-	g.due = nil
-	s.register.Publish(rollout.Publish{Ticket: g.ticket, ID: id, Base: base, Text: text.String()})
+	s.lastRequestID++
+	g.requestID, g.waiting = s.lastRequestID, true
+	s.publishers[g.requestID] = g
+	s.loop.Forget(g.timer)
+	g.timer = nil
+	s.machine.Publish(rollout.PublishRequest{RequestID: g.requestID, PublicationID: id, BaseVersion: base, Text: text.String()})
 	return true
 }
 
-var statuses = map[rollout.Outcome]int{rollout.Published: 200, rollout.Outdated: 409, rollout.Elsewhere: 421, rollout.Unknown: 503, rollout.Busy: 503, rollout.Exhausted: 409}
+var outcomeStatus = map[rollout.Outcome]int{rollout.Published: 200, rollout.Outdated: 409, rollout.NotWriter: 421, rollout.Unknown: 503, rollout.Busy: 503, rollout.Exhausted: 409}
 
-func (g *guest) published(o rollout.Outcome, version uint64) {
-	g.server.counts["publish_"+string(o)]++
-	body, _ := json.Marshal(Told{Version: version, Outcome: o, Writer: g.server.writer()})
-	g.answer(statuses[o], "", body)
-	g.released()
+func (g *session) publishDone(o rollout.Outcome, version uint64) {
+	g.server.counters["publish_"+string(o)]++
+	body, _ := json.Marshal(PublishResult{Version: version, Outcome: o, Writer: g.server.writer()})
+	g.respond(outcomeStatus[o], "", body)
+	g.resume()
 }
--- a/internal/rollout/server/server.go
+++ b/internal/rollout/server/server.go
@@ -19,175 +19,175 @@
 
 // Peer is another control machine.
 type Peer struct {
-	Name string
-	At   netip.AddrPort
+	Name    string
+	Address netip.AddrPort
 }
 
 // Place is what one control machine is told of itself and of the others.
-type Place struct {
+type MachineConfig struct {
 	Fleet, Name string
 	Listen      netip.AddrPort
 	Peers       []Peer
-	Folder      string
+	DataDir     string
 }
 
 // Kept is what has to outlast a machine.
-type Kept struct {
+type PersistedState struct {
 	State    rollout.State
 	Promises map[string]lease.Promise
 }
 
 // Disk brings what has to outlast a machine to where it does. Then is called on the loop, in the order of the calls, never at once.
-type Disk interface {
-	Keep(k Kept, then func(error))
+type Storage interface {
+	Persist(k PersistedState, then func(error))
 }
 
 const (
 	leaseName = "configuration"
 	// LeaseLasts is how long the machine that writes holds the lease, and so how long nobody may write after it has died.
-	LeaseLasts = time.Second
-
-	patience  = 5 * time.Second        // in which a request has to come whole, and the next one after an answer
-	linger    = time.Second            // in which another machine has to take a message, else the connection is made anew
-	dialAgain = 100 * time.Millisecond // between two tries to reach another machine
-	mostOut   = 64                     // messages to another machine that are not taken yet
-	mostHold  = 5 * time.Second
-	envelopes = 2*rollout.LongestText + 64<<10 // bytes of a message, as JSON quotes the text
+	LeaseTTL = time.Second
+
+	idleTimeout       = 5 * time.Second        // in which a request has to come whole, and the next one after an answer
+	ackTimeout        = time.Second            // in which another machine has to take a message, else the connection is made anew
+	redialInterval    = 100 * time.Millisecond // between two tries to reach another machine
+	maxUnacknowledged = 64                     // messages to another machine that are not taken yet
+	maxLongPoll       = 5 * time.Second
+	maxEnvelopeBytes  = 2*rollout.MaxTextBytes + 64<<10 // bytes of a message, as JSON quotes the text
 )
 
-var limits = httpwire.Limits{Target: 64, Head: 2 << 10, Fields: 24, Body: envelopes}
+var limits = httpwire.Limits{Target: 64, Head: 2 << 10, Fields: 24, Body: maxEnvelopeBytes}
 
 // Server is one control machine.
 type Server struct {
-	loop     *loop.Loop
-	place    Place
-	me       lease.Holder
-	life     uint64 // as other machines are told: from the time of day on, so that it rises from start to start
-	disk     Disk
-	kept     Kept
-	register *rollout.Machine
-	voter    *lease.Voter // nil: the machine does not vote yet
-	asker    *lease.Asker
-	due      loop.Due // of the asker
-	seed     uint64
-	links    map[lease.Node]*link
-	names    map[lease.Node]string
-	roster   *rollout.Roster
-	watching chain.Chain[*guest]
-	tickets  map[uint64]*guest
-	ticket   uint64
-	listener *loop.Listener
-	counts   map[string]int
-	ended    bool
+	loop           *loop.Loop
+	config         MachineConfig
+	self           lease.Holder
+	incarnation    uint64 // as other machines are told: from the time of day on, so that it rises from start to start
+	storage        Storage
+	persisted      PersistedState
+	machine        *rollout.Machine
+	voter          *lease.Voter // nil: the machine does not vote yet
+	candidate      *lease.Asker
+	candidateTimer loop.Due // of the asker
+	seed           uint64
+	peers          map[lease.Node]*peerLink
+	names          map[lease.Node]string
+	roster         *rollout.Roster
+	watchers       chain.Chain[*session]
+	publishers     map[uint64]*session
+	lastRequestID  uint64
+	listener       *loop.Listener
+	counters       map[string]int
+	stopped        bool
 
 	// Counts is called when a version is known to count on this machine.
-	Counts func(version uint64)
+	OnCommit func(version uint64)
 }
 
 // New opens the port. Kept is what the disk has; a machine that has nothing learns from the others before it votes.
-func New(l *loop.Loop, place Place, disk Disk, kept Kept, seed uint64) (*Server, error) {
-	s := &Server{loop: l, place: place, disk: disk, kept: kept, seed: seed, me: lease.Holder{Node: lease.NodeOf(place.Name), Life: seed | 1}, life: uint64(l.Clock() / time.Millisecond),
-		links: make(map[lease.Node]*link), names: map[lease.Node]string{lease.NodeOf(place.Name): place.Name}, roster: rollout.NewRoster(),
-		tickets: make(map[uint64]*guest), counts: make(map[string]int), Counts: func(uint64) {}}
-	if s.kept.Promises == nil {
-		s.kept.Promises = make(map[string]lease.Promise)
+func New(l *loop.Loop, config MachineConfig, storage Storage, persisted PersistedState, seed uint64) (*Server, error) {
+	s := &Server{loop: l, config: config, storage: storage, persisted: persisted, seed: seed, self: lease.Holder{Node: lease.NodeOf(config.Name), Life: seed | 1}, incarnation: uint64(l.Clock() / time.Millisecond),
+		peers: make(map[lease.Node]*peerLink), names: map[lease.Node]string{lease.NodeOf(config.Name): config.Name}, roster: rollout.NewRoster(),
+		publishers: make(map[uint64]*session), counters: make(map[string]int), OnCommit: func(uint64) {}}
+	if s.persisted.Promises == nil {
+		s.persisted.Promises = make(map[string]lease.Promise)
 	}
 	var others []lease.Node
-	for _, p := range place.Peers {
+	for _, p := range config.Peers {
 		node := lease.NodeOf(p.Name)
 		others = append(others, node)
-		s.links[node], s.names[node] = &link{server: s, to: p.At}, p.Name
+		s.peers[node], s.names[node] = &peerLink{server: s, address: p.Address}, p.Name
 	}
-	s.register = rollout.New(s, s.me.Node, others, kept.State)
-	s.asker = lease.NewAsker(voting{s}, s.me, leaseName, LeaseLasts, s.voters(), seed)
+	s.machine = rollout.New(s, s.self.Node, others, persisted.State)
+	s.candidate = lease.NewAsker(leaseHost{s}, s.self, leaseName, LeaseTTL, s.voterSet(), seed)
 	var err error
-	s.listener, err = l.Listen(place.Listen, limits.Head+limits.Body, loop.Door{}, func(open func(loop.Owner) *loop.Stream) {
-		g := &guest{server: s}
+	s.listener, err = l.Listen(config.Listen, limits.Head+limits.Body, loop.Door{}, func(open func(loop.Owner) *loop.Stream) {
+		g := &session{server: s}
 		if g.stream = open(g); g.stream != nil {
-			g.await()
+			g.startIdleTimer()
 		}
 	}, func(bool) {})
 	if err != nil {
-		return nil, fmt.Errorf("listen %s: %w", place.Listen, err)
+		return nil, fmt.Errorf("listen %s: %w", config.Listen, err)
 	}
-	s.beat()
+	s.heartbeat()
 	return s, nil
 }
 
-func (s *Server) voters() lease.Set {
-	set := lease.Set{Version: 1, Voters: []lease.Node{s.me.Node}}
-	for _, p := range s.place.Peers {
+func (s *Server) voterSet() lease.Set {
+	set := lease.Set{Version: 1, Voters: []lease.Node{s.self.Node}}
+	for _, p := range s.config.Peers {
 		set.Voters = append(set.Voters, lease.NodeOf(p.Name))
 	}
 	return set
 }
 
 // beat does again what may have been lost.
-func (s *Server) beat() {
-	if s.ended {
+func (s *Server) heartbeat() {
+	if s.stopped {
 		return
 	}
-	if s.voter == nil && s.register.Joined() { // only then is it known which numbers are used up
-		kept := map[string]lease.Promise{leaseName: {Number: max(s.kept.Promises[leaseName].Number, s.kept.State.Promised.Number), Version: 1}}
-		s.voter = lease.NewVoter(voting{s}, s.me.Node, s.voters(), LeaseLasts, kept, s.loop.Clock())
-		s.asker.Want(s.loop.Clock())
-		slog.Info("votes", "machine", s.place.Name, "version", s.register.Newest().Version)
+	if s.voter == nil && s.machine.Joined() { // only then is it known which numbers are used up
+		kept := map[string]lease.Promise{leaseName: {Number: max(s.persisted.Promises[leaseName].Number, s.persisted.State.Promised.Number), Version: 1}}
+		s.voter = lease.NewVoter(leaseHost{s}, s.self.Node, s.voterSet(), LeaseTTL, kept, s.loop.Clock())
+		s.candidate.Want(s.loop.Clock())
+		slog.Info("votes", "machine", s.config.Name, "version", s.machine.Committed().Version)
 	}
-	s.register.Wake()
-	for _, k := range s.links {
-		k.look()
+	s.machine.Tick()
+	for _, k := range s.peers {
+		k.checkAckTimeout()
 	}
-	s.plan()
-	s.loop.At(s.loop.Now()+rollout.Beat, s.beat)
+	s.scheduleCandidate()
+	s.loop.At(s.loop.Now()+rollout.HeartbeatInterval, s.heartbeat)
 }
 
 // plan wakes the asker when it is time.
-func (s *Server) plan() {
-	s.loop.Forget(s.due)
-	s.due = nil
-	if at, wants := s.asker.Wakes(); wants && !s.ended {
-		s.due = s.loop.At(max(at, s.loop.Now()+time.Millisecond), func() {
-			s.due = nil
-			s.asker.Wake(s.loop.Clock(), uint64(s.loop.Clock()/time.Millisecond))
-			s.plan()
+func (s *Server) scheduleCandidate() {
+	s.loop.Forget(s.candidateTimer)
+	s.candidateTimer = nil
+	if at, wants := s.candidate.Wakes(); wants && !s.stopped {
+		s.candidateTimer = s.loop.At(max(at, s.loop.Now()+time.Millisecond), func() {
+			s.candidateTimer = nil
+			s.candidate.Wake(s.loop.Clock(), uint64(s.loop.Clock()/time.Millisecond))
+			s.scheduleCandidate()
 		})
 	}
 }
 
 // Started says so in the log.
-func (s *Server) Started() {
-	slog.Info("started", "machine", s.place.Name, "listen", s.place.Listen, "version", s.register.Newest().Version, "votes", s.register.Joined())
+func (s *Server) LogStarted() {
+	slog.Info("started", "machine", s.config.Name, "listen", s.config.Listen, "version", s.machine.Committed().Version, "votes", s.machine.Joined())
 }
 
 // End gives the lease back and takes nothing more.
-func (s *Server) End() {
-	s.asker.Leave(s.loop.Clock())
-	s.ended = true
+func (s *Server) Shutdown() {
+	s.candidate.Leave(s.loop.Clock())
+	s.stopped = true
 	s.listener.Close()
-	s.plan()
+	s.scheduleCandidate()
 }
 
 // Counted gives a counter.
-func (s *Server) Counted(what string) int { return s.counts[what] }
+func (s *Server) Counter(what string) int { return s.counters[what] }
 
 // Register is what is known of versions here, for who looks.
-func (s *Server) Register() *rollout.Machine { return s.register }
+func (s *Server) Machine() *rollout.Machine { return s.machine }
 
 // envelope is what machines send each other: one of both.
 type envelope struct {
-	Fleet   string           `json:"fleet"`
-	From    string           `json:"from"`
-	Life    uint64           `json:"life"`
-	Lease   []byte           `json:"lease,omitempty"`
-	Rollout *rollout.Message `json:"rollout,omitempty"`
+	Fleet       string           `json:"fleet"`
+	From        string           `json:"from"`
+	Incarnation uint64           `json:"life"`
+	Lease       []byte           `json:"lease,omitempty"`
+	Rollout     *rollout.Message `json:"rollout,omitempty"`
 }
 
-func (s *Server) post(to lease.Node, e envelope) {
-	k := s.links[to]
+func (s *Server) sendEnvelope(to lease.Node, e envelope) {
+	k := s.peers[to]
 	if k == nil {
 		return
 	}
-	e.Fleet, e.From, e.Life = s.place.Fleet, s.place.Name, s.life
+	e.Fleet, e.From, e.Incarnation = s.config.Fleet, s.config.Name, s.incarnation
 	text, err := json.Marshal(e)
 	if err != nil {
 		slog.Error("message_unwritable", "cause", err)
@@ -197,162 +197,162 @@
 }
 
 // Send is the way of the register, sending that of leases.
-func (s *Server) Send(to lease.Node, m rollout.Message) { s.post(to, envelope{Rollout: &m}) }
+func (s *Server) Send(to lease.Node, m rollout.Message) { s.sendEnvelope(to, envelope{Rollout: &m}) }
 
 func (s *Server) sendLease(to lease.Node, m lease.Message) {
-	if to == s.me.Node {
-		s.loop.Later(func() { s.hearLease(to, m) })
+	if to == s.self.Node {
+		s.loop.Later(func() { s.receiveLease(to, m) })
 		return
 	}
-	s.post(to, envelope{Lease: lease.Append(nil, m)})
+	s.sendEnvelope(to, envelope{Lease: lease.Append(nil, m)})
 }
 
 // hear takes a message of another machine; false: it is none of this fleet.
-func (s *Server) hear(text []byte) bool {
+func (s *Server) receive(text []byte) bool {
 	var e envelope
-	if json.Unmarshal(text, &e) != nil || e.Fleet != s.place.Fleet || e.Life == 0 || s.links[lease.NodeOf(e.From)] == nil {
+	if json.Unmarshal(text, &e) != nil || e.Fleet != s.config.Fleet || e.Incarnation == 0 || s.peers[lease.NodeOf(e.From)] == nil {
 		return false
 	}
 	from := lease.NodeOf(e.From)
 	switch {
 	case e.Rollout != nil:
-		s.register.Take(from, e.Life, *e.Rollout, s.loop.Now())
+		s.machine.Receive(from, e.Incarnation, *e.Rollout, s.loop.Now())
 	case e.Lease != nil:
 		m, ok := lease.Read(e.Lease)
 		if !ok {
 			return false
 		}
-		s.hearLease(from, m)
+		s.receiveLease(from, m)
 	}
 	return true
 }
 
-func (s *Server) hearLease(from lease.Node, m lease.Message) {
+func (s *Server) receiveLease(from lease.Node, m lease.Message) {
 	if m.Op != lease.Ask && m.Op != lease.Release {
-		s.asker.Take(from, m, s.loop.Clock())
-		s.plan()
+		s.candidate.Take(from, m, s.loop.Clock())
+		s.scheduleCandidate()
 	} else if s.voter != nil {
 		s.voter.Take(from, m, s.loop.Clock())
 	}
 }
 
 // Keep is how the register brings its state to the disk.
-func (s *Server) Keep(state rollout.State, then func(error)) {
-	s.kept.State = state
-	s.keep(then)
+func (s *Server) Persist(state rollout.State, then func(error)) {
+	s.persisted.State = state
+	s.persist(then)
 }
 
-func (s *Server) keep(then func(error)) {
-	k := Kept{State: s.kept.State, Promises: make(map[string]lease.Promise)}
-	for name, p := range s.kept.Promises {
+func (s *Server) persist(then func(error)) {
+	k := PersistedState{State: s.persisted.State, Promises: make(map[string]lease.Promise)}
+	for name, p := range s.persisted.Promises {
 		k.Promises[name] = p
 	}
-	s.disk.Keep(k, func(err error) {
+	s.storage.Persist(k, func(err error) {
 		if err != nil {
-			s.counts["not_kept"]++
-			slog.Warn("configuration_not_kept", "machine", s.place.Name, "cause", err)
+			s.counters["not_kept"]++
+			slog.Warn("configuration_not_kept", "machine", s.config.Name, "cause", err)
 		}
-		if !s.ended {
+		if !s.stopped {
 			then(err)
 		}
 	})
 }
 
 // voting is the voter's host, whose names are those of the register's as well.
-type voting struct{ *Server }
+type leaseHost struct{ *Server }
 
-func (v voting) Send(to lease.Node, m lease.Message) { v.sendLease(to, m) }
+func (v leaseHost) Send(to lease.Node, m lease.Message) { v.sendLease(to, m) }
 
-func (v voting) Keep(name string, p lease.Promise, then func(error)) {
-	v.kept.Promises[name] = p
-	v.keep(then)
+func (v leaseHost) Keep(name string, p lease.Promise, then func(error)) {
+	v.persisted.Promises[name] = p
+	v.persist(then)
 }
 
-func (v voting) Gained(_ string, number uint64) {
-	slog.Info("writes", "machine", v.place.Name, "number", number)
-	v.register.Gained(number)
+func (v leaseHost) Gained(_ string, number uint64) {
+	slog.Info("writes", "machine", v.config.Name, "number", number)
+	v.machine.LeaseGained(number)
 }
 
-func (v voting) Lost(_ string, number uint64) {
-	slog.Info("writes_no_more", "machine", v.place.Name, "number", number)
-	v.register.Lost()
+func (v leaseHost) Lost(_ string, number uint64) {
+	slog.Info("writes_no_more", "machine", v.config.Name, "number", number)
+	v.machine.LeaseLost()
 }
 
 // Outlived takes a later life, where the clock was set back between two.
-func (s *Server) Outlived(life uint64) {
-	if life > s.life {
-		slog.Warn("clock_set_back", "machine", s.place.Name, "by_ms", life-s.life)
-		s.life = life + 1
+func (s *Server) IncarnationSuperseded(incarnation uint64) {
+	if incarnation > s.incarnation {
+		slog.Warn("clock_set_back", "machine", s.config.Name, "by_ms", incarnation-s.incarnation)
+		s.incarnation = incarnation + 1
 	}
 }
 
 // StepDown gives the lease back, and asks for it anew.
 func (s *Server) StepDown() {
 	s.loop.Later(func() {
-		s.asker.Leave(s.loop.Clock())
-		if !s.ended {
-			s.asker.Want(s.loop.Clock() + LeaseLasts)
+		s.candidate.Leave(s.loop.Clock())
+		if !s.stopped {
+			s.candidate.Want(s.loop.Clock() + LeaseTTL)
 		}
-		s.plan()
+		s.scheduleCandidate()
 	})
 }
 
 // Newest answers all who wait for it.
-func (s *Server) Newest(e rollout.Entry) {
-	slog.Info("version", "machine", s.place.Name, "version", e.Version, "bytes", len(e.Text))
-	s.Counts(e.Version)
-	for at := s.watching.First(); at != nil; {
+func (s *Server) VersionCommitted(e rollout.Entry) {
+	slog.Info("version", "machine", s.config.Name, "version", e.Version, "bytes", len(e.Text))
+	s.OnCommit(e.Version)
+	for at := s.watchers.First(); at != nil; {
 		g := at.Value
 		at = at.Next()
-		g.wakes()
+		g.versionCommitted()
 	}
 }
 
 // Answer tells a publisher.
-func (s *Server) Answer(ticket uint64, o rollout.Outcome, version uint64) {
-	g := s.tickets[ticket]
-	if delete(s.tickets, ticket); g != nil {
-		g.published(o, version)
+func (s *Server) PublishDone(requestID uint64, o rollout.Outcome, version uint64) {
+	g := s.publishers[requestID]
+	if delete(s.publishers, requestID); g != nil {
+		g.publishDone(o, version)
 	}
 }
 
 // Writer names the machine that writes, as far as this one knows.
 func (s *Server) writer() string {
-	if s.register.Writes() {
-		return s.place.Name
+	if s.machine.IsWriter() {
+		return s.config.Name
 	}
-	return s.names[s.asker.Look(s.loop.Clock()).Holder.Node]
+	return s.names[s.candidate.Look(s.loop.Clock()).Holder.Node]
 }
 
 // Driver is one as a machine tells of it. Times are in milliseconds.
-type Driver struct {
-	Name    string   `json:"driver"`
-	Version uint64   `json:"version"`
-	SinceMS int64    `json:"since_ms"` // ago
-	HeardMS int64    `json:"heard_ms"` // ago
-	Refused uint64   `json:"refused,omitempty"`
-	Why     string   `json:"why,omitempty"`
-	Restart []string `json:"needs_restart,omitempty"`
+type DriverStatus struct {
+	Name            string   `json:"driver"`
+	Version         uint64   `json:"version"`
+	VersionAgeMS    int64    `json:"since_ms"` // ago
+	LastSeenMS      int64    `json:"heard_ms"` // ago
+	RejectedVersion uint64   `json:"refused,omitempty"`
+	RejectReason    string   `json:"why,omitempty"`
+	NeedsRestart    []string `json:"needs_restart,omitempty"`
 }
 
 // Status is what a machine tells of itself and of the drivers that ask it.
 type Status struct {
-	Machine string         `json:"machine"`
-	Writer  string         `json:"writer"` // "": it knows of none
-	Votes   bool           `json:"votes"`
-	Fresh   bool           `json:"fresh"` // it may say that no newer version counts
-	Version uint64         `json:"version"`
-	Floor   uint64         `json:"floor"` // the newest that any driver has had
-	Drivers []Driver       `json:"drivers"`
-	Counts  map[string]int `json:"counts"`
+	Machine  string         `json:"machine"`
+	Writer   string         `json:"writer"` // "": it knows of none
+	Votes    bool           `json:"votes"`
+	Fresh    bool           `json:"fresh"` // it may say that no newer version counts
+	Version  uint64         `json:"version"`
+	Floor    uint64         `json:"floor"` // the newest that any driver has had
+	Drivers  []DriverStatus `json:"drivers"`
+	Counters map[string]int `json:"counts"`
 }
 
 func (s *Server) status() Status {
 	now := s.loop.Now()
-	t := Status{Machine: s.place.Name, Writer: s.writer(), Votes: s.voter != nil, Fresh: s.register.Fresh(now), Version: s.register.Newest().Version,
-		Floor: s.kept.State.Floor, Counts: s.counts, Drivers: []Driver{}}
+	t := Status{Machine: s.config.Name, Writer: s.writer(), Votes: s.voter != nil, Fresh: s.machine.IsFresh(now), Version: s.machine.Committed().Version,
+		Floor: s.persisted.State.Floor, Counters: s.counters, Drivers: []DriverStatus{}}
 	for _, d := range s.roster.All(now) {
-		t.Drivers = append(t.Drivers, Driver{d.Driver, d.Version, (now - d.Since).Milliseconds(), (now - d.Heard).Milliseconds(), d.Refused, d.Why, slices.Clone(d.Restart)})
+		t.Drivers = append(t.Drivers, DriverStatus{d.Driver, d.Version, (now - d.VersionSince).Milliseconds(), (now - d.LastSeen).Milliseconds(), d.RejectedVersion, d.RejectReason, slices.Clone(d.NeedsRestart)})
 	}
 	return t
 }
--- a/internal/rollout/server/server_test.go
+++ b/internal/rollout/server/server_test.go
@@ -14,46 +14,46 @@
 	"passtack/internal/rollout"
 )
 
-const start = 1767225600 * time.Second
+const epoch = 1767225600 * time.Second
 
 // fleet is three machines in simulated time, and somebody who speaks with them.
-type fleet struct {
-	t        *testing.T
-	world    *sim.World
-	machines []*Server
-	hosts    []*sim.Host
-	caller   *sim.Host
-	loop     *loop.Loop
+type testFleet struct {
+	t          *testing.T
+	world      *sim.World
+	machines   []*Server
+	hosts      []*sim.Host
+	clientHost *sim.Host
+	clientLoop *loop.Loop
 }
 
-func at(n int) netip.AddrPort {
+func addressOf(n int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(n + 1)}), 7400)
 }
 
 // memory is a disk that takes a few milliseconds.
-type memory struct {
-	world *sim.World
-	host  *sim.Host
-	kept  Kept
-	fails bool
+type memoryStorage struct {
+	world     *sim.World
+	host      *sim.Host
+	persisted PersistedState
+	fails     bool
 }
 
-func (m *memory) Keep(k Kept, then func(error)) {
+func (m *memoryStorage) Persist(k PersistedState, then func(error)) {
 	m.world.At(m.world.Now()+3*time.Millisecond, func() {
 		m.host.Do(func() {
 			if m.fails {
 				then(fmt.Errorf("the disk is full"))
 				return
 			}
-			m.kept = k
+			m.persisted = k
 			then(nil)
 		})
 	})
 }
 
-func newFleet(t *testing.T) *fleet {
+func newFleet(t *testing.T) *testFleet {
 	t.Helper()
-	f := &fleet{t: t, world: sim.New(3, start)}
+	f := &testFleet{t: t, world: sim.New(3, epoch)}
 	for n := range 3 {
 		h := f.world.Host(fmt.Sprint("c", n))
 		l, err := loop.On(h, 1000, 16<<20)
@@ -61,24 +61,24 @@
 			t.Fatal(err)
 		}
 		h.Serve(l, func() {})
-		place := Place{Fleet: "test", Name: h.Name, Listen: at(n)}
+		place := MachineConfig{Fleet: "test", Name: h.Name, Listen: addressOf(n)}
 		for o := range 3 {
 			if o != n {
-				place.Peers = append(place.Peers, Peer{fmt.Sprint("c", o), at(o)})
+				place.Peers = append(place.Peers, Peer{fmt.Sprint("c", o), addressOf(o)})
 			}
 		}
-		s, err := New(l, place, &memory{world: f.world, host: h}, Kept{}, uint64(n+1))
+		s, err := New(l, place, &memoryStorage{world: f.world, host: h}, PersistedState{}, uint64(n+1))
 		if err != nil {
 			t.Fatal(err)
 		}
 		f.machines, f.hosts = append(f.machines, s), append(f.hosts, h)
 	}
-	f.caller = f.world.Host("caller")
+	f.clientHost = f.world.Host("caller")
 	var err error
-	if f.loop, err = loop.On(f.caller, 1000, 64<<20); err != nil {
+	if f.clientLoop, err = loop.On(f.clientHost, 1000, 64<<20); err != nil {
 		t.Fatal(err)
 	}
-	f.caller.Serve(f.loop, func() {})
+	f.clientHost.Serve(f.clientLoop, func() {})
 	f.run(4 * time.Second)
 	if f.writer() < 0 {
 		t.Fatal("no machine writes")
@@ -86,11 +86,11 @@
 	return f
 }
 
-func (f *fleet) run(lasts time.Duration) { f.world.Run(f.world.Now() + lasts) }
+func (f *testFleet) run(duration time.Duration) { f.world.Run(f.world.Now() + duration) }
 
-func (f *fleet) writer() int {
+func (f *testFleet) writer() int {
 	for n, s := range f.machines {
-		if s.Register().Writes() {
+		if s.Machine().IsWriter() {
 			return n
 		}
 	}
@@ -98,25 +98,25 @@
 }
 
 // call is one connection and what came back on it.
-type call struct {
-	stream *loop.Stream
-	said   []byte
-	closed bool
+type testConnection struct {
+	stream   *loop.Stream
+	received []byte
+	closed   bool
 }
 
-func (c *call) Opened()        {}
-func (c *call) Panicked(error) {}
-func (c *call) Closed(error)   { c.closed = true }
-func (c *call) Input(in []byte) int {
-	c.said = append(c.said, in...)
+func (c *testConnection) Opened()        {}
+func (c *testConnection) Panicked(error) {}
+func (c *testConnection) Closed(error)   { c.closed = true }
+func (c *testConnection) Input(in []byte) int {
+	c.received = append(c.received, in...)
 	return len(in)
 }
 
-func (f *fleet) say(n int, text string) *call {
-	c := &call{}
-	f.caller.Do(func() {
+func (f *testFleet) send(n int, text string) *testConnection {
+	c := &testConnection{}
+	f.clientHost.Do(func() {
 		var err error
-		if c.stream, err = f.loop.Dial(at(n), c, 8<<20); err != nil {
+		if c.stream, err = f.clientLoop.Dial(addressOf(n), c, 8<<20); err != nil {
 			f.t.Fatal(err)
 		}
 		c.stream.Send([]byte(text))
@@ -129,74 +129,74 @@
 }
 
 // answer reads the first one.
-func (c *call) answer(t *testing.T) httpwire.Reply {
+func (c *testConnection) answer(t *testing.T) httpwire.Reply {
 	t.Helper()
-	r, fault := httpwire.NextReply(c.said, false, false, httpwire.Limits{Head: 2000, Fields: 20, Body: 1 << 20})
+	r, fault := httpwire.NextReply(c.received, false, false, httpwire.Limits{Head: 2000, Fields: 20, Body: 1 << 20})
 	if fault != nil {
-		t.Fatalf("%q: %v", c.said, fault)
+		t.Fatalf("%q: %v", c.received, fault)
 	}
 	return r
 }
 
-func watch(driver string, from uint64, hold int) string {
-	return request("POST", "/watch", "", fmt.Sprintf(`{"fleet":"test","driver":%q,"from":%d,"hold_ms":%d}`, driver, from, hold))
+func watch(driver string, version uint64, maxWaitMS int) string {
+	return request("POST", "/watch", "", fmt.Sprintf(`{"fleet":"test","driver":%q,"from":%d,"hold_ms":%d}`, driver, version, maxWaitMS))
 }
 
 func publish(id, base uint64, text string) string {
 	return request("POST", "/publish", fmt.Sprintf("Version: %d\r\nPublication: %x\r\n", base, id), text)
 }
 
-const good = `{"settings":{"caps":{"most_tries":4}}}`
+const validText = `{"settings":{"caps":{"most_tries":4}}}`
 
 // A watch is held back, ends with the time it gave where nothing is new, and is answered at the moment in which something is, at each machine.
-func TestDriversHearOfVersions(t *testing.T) {
+func TestWatchesReceiveNewVersions(t *testing.T) {
 	f := newFleet(t)
-	idle := f.say(0, watch("d0", 0, 500))
+	idle := f.send(0, watch("d0", 0, 500))
 	f.run(400 * time.Millisecond)
-	if len(idle.said) > 0 {
-		t.Errorf("it was not held back: %q", idle.said)
+	if len(idle.received) > 0 {
+		t.Errorf("it was not held back: %q", idle.received)
 	}
 	if f.run(200 * time.Millisecond); idle.answer(t).Status != 204 {
-		t.Errorf("answered %q", idle.said)
+		t.Errorf("answered %q", idle.received)
 	}
-	var waiting []*call
+	var waiting []*testConnection
 	for n := range 3 {
-		waiting = append(waiting, f.say(n, watch("d0", 0, 3000)))
+		waiting = append(waiting, f.send(n, watch("d0", 0, 3000)))
 	}
 	f.run(10 * time.Millisecond)
-	p := f.say(f.writer(), publish(7, 0, " {\n \"settings\": {\"caps\": {\"most_tries\": 4}}\n}\n"))
+	p := f.send(f.writer(), publish(7, 0, " {\n \"settings\": {\"caps\": {\"most_tries\": 4}}\n}\n"))
 	f.run(300 * time.Millisecond)
 	if r := p.answer(t); r.Status != 200 || !strings.Contains(string(r.Body), `"version":1`) {
 		t.Fatalf("published: %d %s", r.Status, r.Body)
 	}
 	for n, c := range waiting {
-		if r := c.answer(t); r.Status != 200 || r.Fields.Text(VersionField) != "1" || string(r.Body) != good {
-			t.Errorf("machine %d: %q", n, c.said)
+		if r := c.answer(t); r.Status != 200 || r.Fields.Text(VersionField) != "1" || string(r.Body) != validText {
+			t.Errorf("machine %d: %q", n, c.received)
 		}
 	}
-	late := f.say(1, watch("d1", 1, 100))
-	refuses := f.say(1, request("POST", "/watch", "", `{"fleet":"test","driver":"d2","from":0,"refused":1,"why":"no","needs_restart":["tick_us"],"hold_ms":100}`))
+	late := f.send(1, watch("d1", 1, 100))
+	refuses := f.send(1, request("POST", "/watch", "", `{"fleet":"test","driver":"d2","from":0,"refused":1,"why":"no","needs_restart":["tick_us"],"hold_ms":100}`))
 	f.run(300 * time.Millisecond)
 	if late.answer(t).Status != 204 || refuses.answer(t).Status != 204 {
-		t.Errorf("%q, %q", late.said, refuses.said)
+		t.Errorf("%q, %q", late.received, refuses.received)
 	}
-	status := f.say(1, request("GET", "/status", "", ""))
+	status := f.send(1, request("GET", "/status", "", ""))
 	f.run(100 * time.Millisecond)
 	var s Status
 	if err := json.Unmarshal(status.answer(t).Body, &s); err != nil || len(s.Drivers) != 3 || s.Version != 1 || !s.Fresh || !s.Votes || s.Writer != fmt.Sprint("c", f.writer()) {
 		t.Fatalf("%v: %+v", err, s)
 	}
-	if d := s.Drivers[2]; d.Name != "d2" || d.Refused != 1 || d.Why != "no" || len(d.Restart) != 1 {
+	if d := s.Drivers[2]; d.Name != "d2" || d.RejectedVersion != 1 || d.RejectReason != "no" || len(d.NeedsRestart) != 1 {
 		t.Errorf("%+v", d)
 	}
 }
 
 // A machine that hears nobody says that it is not sure, and a publisher elsewhere is told who writes.
-func TestWhoIsNotSureSaysSo(t *testing.T) {
+func TestStaleMachineAnswersUnavailable(t *testing.T) {
 	f := newFleet(t)
 	w := f.writer()
 	other, third := (w+1)%3, (w+2)%3
-	p := f.say(other, publish(7, 0, good))
+	p := f.send(other, publish(7, 0, validText))
 	f.run(100 * time.Millisecond)
 	if r := p.answer(t); r.Status != 421 || !strings.Contains(string(r.Body), fmt.Sprintf(`"writer":"c%d"`, w)) {
 		t.Errorf("%d %s", r.Status, r.Body)
@@ -205,24 +205,24 @@
 		f.world.Join(f.hosts[other], f.hosts[o], sim.Link{Cut: true, Resend: 100 * time.Millisecond})
 	}
 	f.run(2 * time.Second)
-	c := f.say(other, watch("d0", 0, 300))
+	c := f.send(other, watch("d0", 0, 300))
 	f.run(500 * time.Millisecond)
 	if c.answer(t).Status != 503 {
-		t.Errorf("%q", c.said)
+		t.Errorf("%q", c.received)
 	}
 	for _, o := range []int{w, third} {
 		f.world.Join(f.hosts[other], f.hosts[o], sim.Plain)
 	}
 	f.run(4 * time.Second)
-	c = f.say(other, watch("d0", 0, 300))
+	c = f.send(other, watch("d0", 0, 300))
 	f.run(500 * time.Millisecond)
 	if c.answer(t).Status != 204 {
-		t.Errorf("healed: %q", c.said)
+		t.Errorf("healed: %q", c.received)
 	}
 }
 
 // What is wrong is refused with one line that names it, costs its own connection only, and changes nothing.
-func TestBadInputCostsItsConnection(t *testing.T) {
+func TestInvalidInputClosesOnlyItsConnection(t *testing.T) {
 	f := newFleet(t)
 	w := f.writer()
 	machine := func(body string) string { return request("POST", "/machine", "", body) }
@@ -233,16 +233,16 @@
 		"no HTTP":                 {"hello\r\n\r\n", "", 400},
 		"nothing there":           {request("GET", "/secrets", "", ""), "there is no GET /secrets", 404},
 		"a body of 4 MiB":         {publish(7, 0, strings.Repeat("x", 4<<20)), "the body is too long", 413},
-		"a text over its bound":   {publish(7, 0, `{"settings":{"`+strings.Repeat("x", rollout.LongestText)+`":1}}`), "524307 bytes are over the 524288", 413},
+		"a text over its bound":   {publish(7, 0, `{"settings":{"`+strings.Repeat("x", rollout.MaxTextBytes)+`":1}}`), "524307 bytes are over the 524288", 413},
 		"no JSON":                 {publish(7, 0, "{\n \"settings\": oops}"), "2:14: invalid character 'o'", 400},
 		"an unknown key":          {publish(7, 0, `{"settings":{"clases":[]}}`), `settings.clases is \"\": there is no such setting`, 400},
 		"an unknown part":         {publish(7, 0, `{"listen":"x"}`), `unknown field \"listen\"`, 400},
 		"a wrong value":           {publish(7, 0, `{"settings":{"caps":{"most_tries":0}}}`), `settings.caps.most_tries is \"0\": a whole number from 1 on is wanted`, 400},
 		"each driver's own":       {publish(7, 0, `{"settings":{"locality":1}}`), `settings.locality is \"1\": it is each driver's own`, 400},
-		"no version":              {request("POST", "/publish", "Publication: 7\r\n", good), `Version is \"\"`, 400},
-		"no publication":          {request("POST", "/publish", "Version: 0\r\nPublication: x\r\n", good), `Publication is \"x\"`, 400},
+		"no version":              {request("POST", "/publish", "Publication: 7\r\n", validText), `Version is \"\"`, 400},
+		"no publication":          {request("POST", "/publish", "Version: 0\r\nPublication: x\r\n", validText), `Publication is \"x\"`, 400},
 		"no UTF-8":                {publish(7, 0, "{\"settings\":{\"caps\":{\"x\":\"\xff\"}}}"), "no UTF-8", 400},
-		"another version":         {publish(7, 5, good), `"outcome":"outdated"`, 409},
+		"another version":         {publish(7, 5, validText), `"outcome":"outdated"`, 409},
 		"a driver of another":     {request("POST", "/watch", "", `{"fleet":"other","driver":"d0"}`), "no call of a driver of this fleet", 400},
 		"a driver without a name": {request("POST", "/watch", "", `{"fleet":"test"}`), "no call of a driver", 400},
 		"a version of the future": {watch("d9", 1<<62, 100), "from is 4611686018427387904: there is no such version", 400},
@@ -250,7 +250,7 @@
 		"another fleet's machine": {machine(`{"fleet":"other","from":"c1","life":1}`), "no message of this fleet", 400},
 		"a spoilt lease":          {machine(fmt.Sprintf(`{"fleet":"test","from":"c%d","life":1,"lease":"AAAA"}`, (w+1)%3)), "no message of this fleet", 400},
 	} {
-		call := f.say(w, c.text)
+		call := f.send(w, c.text)
 		f.run(700 * time.Millisecond)
 		r := call.answer(t)
 		if r.Status != c.status || !strings.Contains(string(r.Body), c.want) {
@@ -260,16 +260,16 @@
 			t.Errorf("%s: the connection goes on", name)
 		}
 	}
-	half := f.say(w, "POST /publish HTTP/1.1\r\nContent-Length: 100\r\n\r\n{")
-	silent := f.say(w, "")
-	f.run(patience + 300*time.Millisecond)
+	half := f.send(w, "POST /publish HTTP/1.1\r\nContent-Length: 100\r\n\r\n{")
+	silent := f.send(w, "")
+	f.run(idleTimeout + 300*time.Millisecond)
 	if !half.closed || !silent.closed {
 		t.Errorf("who sends half a request is let go: %v, who is silent: %v", half.closed, silent.closed)
 	}
-	if v := f.machines[w].Register().Newest().Version; v != 0 {
+	if v := f.machines[w].Machine().Committed().Version; v != 0 {
 		t.Errorf("version %d counts", v)
 	}
-	p := f.say(f.writer(), publish(7, 0, good))
+	p := f.send(f.writer(), publish(7, 0, validText))
 	f.run(300 * time.Millisecond)
 	if r := p.answer(t); r.Status != 200 {
 		t.Errorf("afterwards: %d %s", r.Status, r.Body)
@@ -277,41 +277,41 @@
 }
 
 // A version that a driver had, or refused, is above all that machines know which have lost their folders: its number is not used for another text.
-func TestRefusedNumbersAreNotUsedAgain(t *testing.T) {
+func TestRejectedVersionNumbersAreNotReused(t *testing.T) {
 	f := newFleet(t)
-	c := f.say((f.writer()+1)%3, request("POST", "/watch", "", `{"fleet":"test","driver":"d0","from":8,"refused":9,"why":"no","hold_ms":2000}`))
+	c := f.send((f.writer()+1)%3, request("POST", "/watch", "", `{"fleet":"test","driver":"d0","from":8,"refused":9,"why":"no","hold_ms":2000}`))
 	f.run(500 * time.Millisecond)
-	p := f.say(f.writer(), publish(7, 0, good))
+	p := f.send(f.writer(), publish(7, 0, validText))
 	f.run(500 * time.Millisecond)
 	if r := p.answer(t); r.Status != 200 || !strings.Contains(string(r.Body), `"version":10`) {
 		t.Fatalf("%d %s", r.Status, r.Body)
 	}
 	if r := c.answer(t); r.Status != 200 || r.Fields.Text(VersionField) != "10" {
-		t.Errorf("the driver hears %q", c.said)
+		t.Errorf("the driver hears %q", c.received)
 	}
 }
 
 // A disk that does not take what a machine promises keeps that machine from voting, and one such of three is borne.
-func TestADiskThatFails(t *testing.T) {
+func TestFailingStorage(t *testing.T) {
 	f := newFleet(t)
 	w := f.writer()
-	f.machines[(w+1)%3].disk.(*memory).fails = true
-	p := f.say(w, publish(7, 0, good))
+	f.machines[(w+1)%3].storage.(*memoryStorage).fails = true
+	p := f.send(w, publish(7, 0, validText))
 	f.run(300 * time.Millisecond)
 	if r := p.answer(t); r.Status != 200 {
 		t.Fatalf("%d %s", r.Status, r.Body)
 	}
-	f.machines[(w+2)%3].disk.(*memory).fails = true
-	p = f.say(w, publish(8, 1, good))
+	f.machines[(w+2)%3].storage.(*memoryStorage).fails = true
+	p = f.send(w, publish(8, 1, validText))
 	f.run(time.Second)
-	if len(p.said) > 0 && p.answer(t).Status == 200 {
+	if len(p.received) > 0 && p.answer(t).Status == 200 {
 		t.Error("published with one disk of three")
 	}
 	for n := range 3 {
-		f.machines[n].disk.(*memory).fails = false
+		f.machines[n].storage.(*memoryStorage).fails = false
 	}
 	f.run(3 * time.Second)
-	p = f.say(f.writer(), publish(8, 1, good))
+	p = f.send(f.writer(), publish(8, 1, validText))
 	f.run(300 * time.Millisecond)
 	if r := p.answer(t); r.Status != 200 || !strings.Contains(string(r.Body), `"version":2`) {
 		t.Errorf("%d %s", r.Status, r.Body)
