--- a/internal/rollout/server/server.go
+++ b/internal/rollout/server/server.go
@@ -101,7 +101,7 @@
 	s.machine = rollout.New(s, s.self.Node, others, persisted.State)
 	s.candidate = lease.NewAsker(leaseHost{s}, s.self, leaseName, LeaseTTL, s.voterSet(), seed)
 	var err error
-	s.listener, err = l.Listen(config.Listen, limits.Head+limits.Body, loop.Door{}, func(open func(loop.Owner) *loop.Stream) {
+	s.listener, err = l.Listen(config.Listen, limits.Head+limits.Body, loop.Door{}, func(open func(loop.Handler) *loop.Stream) {
 		g := &session{server: s}
 		if g.stream = open(g); g.stream != nil {
 			g.startIdleTimer()
