--- a/cmd/passtack/lives_test.go
+++ b/cmd/passtack/lives_test.go
@@ -363,7 +363,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := store.Commit([]keep.Change{state.PromiseOf("summary", lease.Promise{Number: 7, Version: 1})}); err != nil {
+	if err := store.Commit([]keep.Change{state.PromiseOf("summary", lease.Promise{FencingToken: 7, VoterSetVersion: 1})}); err != nil {
 		t.Fatal(err)
 	}
 	store.Close()
--- a/internal/lab/capacity/growth_test.go
+++ b/internal/lab/capacity/growth_test.go
@@ -73,7 +73,7 @@
 		state = append(state, (heap()-before)/size)
 		got := collect(t, func(point func(Point)) error { return f.steady(point, Point{}, "view", 20*time.Second) })
 		messages, worst = append(messages, got["view_messages"]), append(worst, got["view_messages_worst"])
-		if most := got["view_messages"] * peers.Most; got["view_bytes"] > most {
+		if most := got["view_messages"] * peers.MaxDatagramLength; got["view_bytes"] > most {
 			t.Errorf("%v drivers: %.0f bytes a second in messages for %.0f", size, got["view_bytes"], most)
 		}
 		f.kill(3)
@@ -87,8 +87,8 @@
 		if err := f.run(5 * time.Second); err != nil {
 			t.Fatal(err)
 		}
-		_, sent := f.sent[3].of(peers.Fleet)
-		_, taken := f.taken[3].of(peers.Fleet)
+		_, sent := f.sent[3].of(peers.Membership)
+		_, taken := f.taken[3].of(peers.Membership)
 		start = append(start, sent+taken)
 	}
 	grows(t, "messages a second", 0.02, sizes, messages)
--- a/internal/lab/capacity/views.go
+++ b/internal/lab/capacity/views.go
@@ -60,8 +60,8 @@
 		if n == nil {
 			continue
 		}
-		m, b := f.sent[i].of(peers.Fleet)
-		_, t := f.taken[i].of(peers.Fleet)
+		m, b := f.sent[i].of(peers.Membership)
+		_, t := f.taken[i].of(peers.Membership)
 		messages, bytes, heard = append(messages, m/lasts.Seconds()), append(bytes, b/lasts.Seconds()), append(heard, t/lasts.Seconds())
 	}
 	for _, q := range []struct {
@@ -82,8 +82,8 @@
 // most is what the worst driver has sent and taken a second since then.
 func (f *hollow) most(from time.Duration) (most float64) {
 	for i := range f.sent {
-		_, s := f.sent[i].of(peers.Fleet)
-		_, t := f.taken[i].of(peers.Fleet)
+		_, s := f.sent[i].of(peers.Membership)
+		_, t := f.taken[i].of(peers.Membership)
 		most = max(most, (s+t)/max((f.world.Now()-from).Seconds(), 0.1))
 	}
 	return most
@@ -108,8 +108,8 @@
 		return err
 	}
 	one("joined", "s until all know all, after a start of all within a second", took+2)
-	_, bytes := f.sent[0].of(peers.Fleet)
-	_, heard := f.taken[0].of(peers.Fleet)
+	_, bytes := f.sent[0].of(peers.Membership)
+	_, heard := f.taken[0].of(peers.Membership)
 	one("joined_bytes", "B of one driver, sent and taken, until then", bytes+heard)
 	if err := f.run(time.Minute); err != nil {
 		return err
@@ -154,8 +154,8 @@
 	if _, err := f.settle(time.Minute); err != nil {
 		return err
 	}
-	_, bytes = f.sent[gone].of(peers.Fleet)
-	_, heard = f.taken[gone].of(peers.Fleet)
+	_, bytes = f.sent[gone].of(peers.Membership)
+	_, heard = f.taken[gone].of(peers.Membership)
 	one("start_bytes", "B of the one that starts, sent and taken, until it knows all", bytes+heard)
 	if err := f.run(20 * time.Second); err != nil {
 		return err
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -15,19 +15,19 @@
 )
 
 // Drift is by how much of a span two clocks may be apart: a part in fifty for both together.
-const Drift = 50
+const driftDivisor = 50
 
 // Mistakes that can be planted, to see that tests find them.
 const (
-	nothingPlanted   = ""
-	countsFromAnswer = "counts-from-answer" // the hold
-	answersAtOnce    = "answers-at-once"    // a voter after its start
-	halfDecides      = "half-decides"       // in place of a majority
-	reusesNumber     = "reuses-number"
+	noMutation   = ""
+	holdCountedFromAnswer = "counts-from-answer" // the hold
+	noSilenceAfterStart    = "answers-at-once"    // a voter after its start
+	halfIsMajority      = "half-decides"       // in place of a majority
+	reusedToken     = "reuses-number"
 )
 
 // LongestName bounds the name of a lease.
-const LongestName = 32
+const MaxNameLength = 32
 
 // Node is a driver by its name.
 type Node uint64
@@ -38,85 +38,85 @@
 // Holder is a driver in one of its lives: what starts again is another.
 type Holder struct {
 	Node Node
-	Life uint64
+	Incarnation uint64
 }
 
 // Op is what a message says.
 type Op uint8
 
 const (
-	Ask     Op = iota + 1 // for a lease, or for more time of it
+	Request     Op = iota + 1 // for a lease, or for more time of it
 	Grant                 // one voter's
-	Refuse                // why: Why
+	Reject                // why: Why
 	Release               // the holder, or who asked in vain, gives it back
-	Free                  // to the first who waits: it was given back
-	lastOp  = Free
+	Available                  // to the first who waits: it was given back
+	lastOp  = Available
 )
 
 // Why is why a voter refuses.
-type Why uint8
+type Reason uint8
 
 const (
-	Held    Why = iota + 1 // another has it
-	Lower                  // the number is used up
-	Silent                 // the voter has just started, and may have promised what it does not know
-	Older                  // the asker goes by an older set of voters
-	Unkept                 // the voter's disk does not take its promise
-	lastWhy = Unkept
+	HeldByAnother    Reason = iota + 1 // another has it
+	StaleToken                  // the number is used up
+	VoterStarting                 // the voter has just started, and may have promised what it does not know
+	StaleVoterSet                  // the asker goes by an older set of voters
+	NotPersisted                 // the voter's disk does not take its promise
+	lastReason = NotPersisted
 )
 
-var whys = [...]string{"", "held", "lower number", "voter has just started", "older set of voters", "promise not on disk"}
+var reasonTexts = [...]string{"", "held", "lower number", "voter has just started", "older set of voters", "promise not on disk"}
 
-func (w Why) String() string { return whys[w] }
+func (r Reason) String() string { return reasonTexts[r] }
 
 // Message is what drivers tell each other. Spans are spans, not dates.
 type Message struct {
 	Op      Op
-	Why     Why
+	Reason     Reason
 	Lease   string
-	Version uint32        // of the set of voters that the sender goes by
+	VoterSetVersion uint32        // of the set of voters that the sender goes by
 	Round   uint64        // of a question; its answer has the same
-	Number  uint64        // fencing number; in a refusal the highest that is used up
-	Lasts   time.Duration // asked for; in a refusal when to ask again
+	FencingToken  uint64        // fencing number; in a refusal the highest that is used up
+	TTL   time.Duration // asked for; in a refusal when to ask again
 	Holder  Holder        // who asks; in a refusal who has it
 }
 
 // Set is who votes. A change goes by way of a set that has both: then majorities of both are wanted.
-type Set struct {
+type VoterSet struct {
 	Version uint32
 	Voters  []Node
 	Former  []Node // nil: no change is under way
 }
 
 // All are the voters of both, each once.
-func (s Set) All() []Node {
-	all := slices.Clone(s.Voters)
+func (s VoterSet) All() []Node {
+	voters := slices.Clone(s.Voters)
 	for _, n := range s.Former {
-		if !slices.Contains(all, n) {
-			all = append(all, n)
+		if !slices.Contains(voters, n) {
+			voters = append(voters, n)
 		}
 	}
-	return all
+	return voters
 }
 
 // majority tells whether those who said yes decide.
-func (s Set) majority(yes func(Node) bool) bool {
-	most := func(of []Node) bool {
+func (s VoterSet) majority(votedFor func(Node) bool) bool {
+	majorityOf := func(voters []Node) bool {
 		count := 0
-		for _, n := range of {
-			if yes(n) {
+		for _, n := range voters {
+			if votedFor(n) {
 				count++
 			}
 		}
-		if plant == halfDecides {
-			return count >= len(of)/2
+		if mutation == halfIsMajority {
+			return count >= len(voters)/2
 		}
-		return count > len(of)/2
+		return count > len(voters)/2
 	}
-	return most(s.Voters) && (len(s.Former) == 0 || most(s.Former))
+	return majorityOf(s.Voters) && (len(s.Former) == 0 || majorityOf(s.Former))
 }
 
 // possible tells whether they still may, where those who said no never will.
-func (s Set) possible(no func(Node) bool) bool {
-	return s.majority(func(n Node) bool { return !no(n) })
+func (s VoterSet) majorityPossible(votedAgainst func(Node) bool) bool {
+	return s.majority(func(n Node) bool { return !votedAgainst(n) })
 }
--- a/internal/lease/orders_test.go
+++ b/internal/lease/orders_test.go
@@ -14,133 +14,133 @@
 )
 
 var (
-	depth  = flag.Int("depth", 11, "steps of the search over all orders")
-	states = flag.Int("states", 250_000, "states that the search looks at, at most")
+	searchDepth  = flag.Int("depth", 11, "steps of the search over all orders")
+	maxStates = flag.Int("states", 250_000, "states that the search looks at, at most")
 )
 
 // What the search may do beside letting messages arrive and time pass, each so many times on one way.
 const (
-	mostAsks     = 3 // of each asker
-	mostRestarts = 1
-	mostDoubles  = 1
-	mostLeaves   = 1
-	mostTicks    = 12
+	maxRequests     = 3 // of each asker
+	maxRestarts = 1
+	maxDuplicates  = 1
+	maxResignations   = 1
+	maxTicks    = 12
 
 	tick      = 100 * ms
-	shortest  = 4 * tick
-	askerOne  = 101
-	electors  = 3
-	contended = 2
+	modelTTL  = 4 * tick
+	firstCandidate  = 101
+	voterCount  = 3
+	candidateCount = 2
 )
 
 // sent is a message on its way.
-type sent struct {
+type envelope struct {
 	from, to Node
-	m        Message
+	message        Message
 }
 
 // point is one state of three voters, two askers, what is on its way between them, and time. All clocks are the same.
-type point struct {
+type model struct {
 	now                       time.Duration
-	voters                    [electors]*Voter
-	askers                    [contended]*Asker
-	way                       []sent
-	asks                      [contended]int
-	restarts, doubles, leaves int
-	gained                    uint64
-	wrong                     string
-	from                      Node // who sends, during a step
+	voters                    [voterCount]*Voter
+	candidates                    [candidateCount]*Candidate
+	inTransit                       []envelope
+	requests                      [candidateCount]int
+	restarts, duplicates, resignations int
+	highestAcquired                    uint64
+	violation                     string
+	sender                      Node // who sends, during a step
 }
 
-func (p *point) Send(to Node, m Message)                    { p.way = append(p.way, sent{p.from, to, m}) }
-func (p *point) Keep(_ string, _ Promise, then func(error)) { then(nil) }
-func (p *point) Lost(string, uint64)                        {}
-func (p *point) Gained(_ string, number uint64) {
-	if number <= p.gained {
-		p.wrong = "a number was held before"
+func (p *model) Send(to Node, m Message)                    { p.inTransit = append(p.inTransit, envelope{p.sender, to, m}) }
+func (p *model) Persist(_ string, _ Promise, done func(error)) { done(nil) }
+func (p *model) Lost(string, uint64)                        {}
+func (p *model) Acquired(_ string, number uint64) {
+	if number <= p.highestAcquired {
+		p.violation = "a number was held before"
 	}
-	p.gained = max(p.gained, number)
+	p.highestAcquired = max(p.highestAcquired, number)
 }
 
-func firstPoint() *point {
-	p := &point{now: tick}
-	set := setOf(1, 1, 2, 3)
+func initialModel() *model {
+	p := &model{now: tick}
+	set := voterSet(1, 1, 2, 3)
 	for i := range p.voters {
-		p.voters[i] = NewVoter(p, Node(i+1), set, shortest, nil, p.now)
-		p.voters[i].silent = 0 // they have been there for long
+		p.voters[i] = NewVoter(p, Node(i+1), set, modelTTL, nil, p.now)
+		p.voters[i].silentUntil = 0 // they have been there for long
 	}
-	for i := range p.askers {
-		p.askers[i] = NewAsker(p, Holder{askerOne + Node(i), 1}, "x", shortest, set, uint64(i))
-		p.askers[i].Want(mostTicks * tick * 2) // it asks when the search lets it
+	for i := range p.candidates {
+		p.candidates[i] = NewCandidate(p, Holder{firstCandidate + Node(i), 1}, "x", modelTTL, set, uint64(i))
+		p.candidates[i].Campaign(maxTicks * tick * 2) // it asks when the search lets it
 	}
 	return p
 }
 
-func (p *point) copy() *point {
+func (p *model) copy() *model {
 	c := *p
-	c.way = slices.Clone(p.way)
+	c.inTransit = slices.Clone(p.inTransit)
 	for i, v := range p.voters {
 		o := *v
-		o.host, o.votes = &c, make(map[string]*vote)
-		for name, t := range v.votes {
+		o.host, o.grants = &c, make(map[string]*grantState)
+		for name, t := range v.grants {
 			u := *t
-			u.waiting = slices.Clone(t.waiting)
-			o.votes[name] = &u
+			u.queue = slices.Clone(t.queue)
+			o.grants[name] = &u
 		}
 		c.voters[i] = &o
 	}
-	for i, a := range p.askers {
+	for i, a := range p.candidates {
 		o := *a
-		o.host, o.why, o.heard = &c, maps.Clone(a.why), maps.Clone(a.heard)
-		chance := *a.chance
-		o.chance = &chance
+		o.host, o.rejectionReasons, o.lastHeard = &c, maps.Clone(a.rejectionReasons), maps.Clone(a.lastHeard)
+		chance := *a.random
+		o.random = &chance
 		o.rounds = slices.Clone(a.rounds)
 		for j := range o.rounds {
-			o.rounds[j].yes, o.rounds[j].no = slices.Clone(o.rounds[j].yes), slices.Clone(o.rounds[j].no)
+			o.rounds[j].grants, o.rounds[j].rejections = slices.Clone(o.rounds[j].grants), slices.Clone(o.rounds[j].rejections)
 		}
-		c.askers[i] = &o
+		c.candidates[i] = &o
 	}
 	return &c
 }
 
 // key is what two states have to have in common to be one. Who waits, and what is only told, decides nothing.
-func (p *point) key() xxh3.Uint128 {
+func (p *model) fingerprint() xxh3.Uint128 {
 	out := make([]byte, 0, 512)
 	put := func(n uint64) { out = binary.LittleEndian.AppendUint64(out, n) }
 	put(uint64(p.now))
-	put(uint64(p.restarts)<<32 | uint64(p.doubles)<<16 | uint64(p.leaves))
-	put(p.gained)
+	put(uint64(p.restarts)<<32 | uint64(p.duplicates)<<16 | uint64(p.resignations))
+	put(p.highestAcquired)
 	for _, v := range p.voters {
-		put(uint64(v.silent))
-		if t := v.votes["x"]; t != nil {
-			put(t.promise.Number)
+		put(uint64(v.silentUntil))
+		if t := v.grants["x"]; t != nil {
+			put(t.promise.FencingToken)
 			put(uint64(t.holder.Node))
-			put(uint64(t.until))
+			put(uint64(t.expiresAt))
 		}
 		out = append(out, 0xff)
 	}
-	for i, a := range p.askers {
-		for _, n := range []uint64{uint64(p.asks[i]), a.term, uint64(a.end), a.seen, uint64(a.judge)} {
+	for i, a := range p.candidates {
+		for _, n := range []uint64{uint64(p.requests[i]), a.fencingToken, uint64(a.expiresAt), a.highestToken, uint64(a.answersDueAt)} {
 			put(n)
 		}
 		for _, r := range a.rounds {
 			put(r.number)
-			put(uint64(r.sent))
-			for _, n := range electors3 {
-				if slices.Contains(r.yes, n) {
+			put(uint64(r.sentAt))
+			for _, n := range voterNodes {
+				if slices.Contains(r.grants, n) {
 					out = append(out, byte(n))
 				}
-				if r.refused(n) {
+				if r.rejectedBy(n) {
 					out = append(out, byte(n)|0x80)
 				}
 			}
 			out = append(out, 0xff)
 		}
 	}
-	way := make([]uint64, 0, len(p.way))
-	for _, s := range p.way {
+	way := make([]uint64, 0, len(p.inTransit))
+	for _, s := range p.inTransit {
 		text := binary.LittleEndian.AppendUint64(binary.LittleEndian.AppendUint64(nil, uint64(s.from)), uint64(s.to))
-		way = append(way, xxh3.Hash(Append(text, s.m)))
+		way = append(way, xxh3.Hash(AppendMessage(text, s.message)))
 	}
 	slices.Sort(way)
 	for _, k := range way {
@@ -149,141 +149,141 @@
 	return xxh3.Hash128(out)
 }
 
-var electors3 = []Node{1, 2, 3}
+var voterNodes = []Node{1, 2, 3}
 
 // deliver lets a message arrive.
-func (p *point) deliver(s sent) {
-	p.from = s.to
-	if s.to <= electors {
-		p.voters[s.to-1].Take(s.from, s.m, p.now)
+func (p *model) deliver(s envelope) {
+	p.sender = s.to
+	if s.to <= voterCount {
+		p.voters[s.to-1].Receive(s.from, s.message, p.now)
 	} else {
-		p.askers[s.to-askerOne].Take(s.from, s.m, p.now)
+		p.candidates[s.to-firstCandidate].Receive(s.from, s.message, p.now)
 	}
 }
 
 // steps calls with every state that may follow.
-func (p *point) steps(plant func(*point), each func(*point)) {
-	try := func(act func(c *point)) {
+func (p *model) successors(mutate func(*model), visit func(*model)) {
+	apply := func(action func(c *model)) {
 		c := p.copy()
-		act(c)
-		if plant != nil {
-			plant(c)
+		action(c)
+		if mutate != nil {
+			mutate(c)
 		}
-		c.way = slices.DeleteFunc(c.way, func(s sent) bool { return s.to > electors && s.m.Op == Free }) // it only saves time
-		c.look()
-		each(c)
+		c.inTransit = slices.DeleteFunc(c.inTransit, func(s envelope) bool { return s.to > voterCount && s.message.Op == Available }) // it only saves time
+		c.checkInvariants()
+		visit(c)
 	}
-	for i := range p.way {
-		try(func(c *point) {
-			s := c.way[i]
-			c.way = slices.Delete(c.way, i, i+1)
+	for i := range p.inTransit {
+		apply(func(c *model) {
+			s := c.inTransit[i]
+			c.inTransit = slices.Delete(c.inTransit, i, i+1)
 			c.deliver(s)
 		})
-		if p.doubles < mostDoubles {
-			try(func(c *point) {
-				c.doubles++
-				c.deliver(c.way[i])
+		if p.duplicates < maxDuplicates {
+			apply(func(c *model) {
+				c.duplicates++
+				c.deliver(c.inTransit[i])
 			})
 		}
 	}
-	if p.now < mostTicks*tick {
-		try(func(c *point) { c.now += tick })
+	if p.now < maxTicks*tick {
+		apply(func(c *model) { c.now += tick })
 	}
-	for i, a := range p.askers {
-		if at, ok := a.Wakes(); ok && at <= p.now {
-			try(func(c *point) { c.wake(i) })
+	for i, a := range p.candidates {
+		if at, ok := a.NextWake(); ok && at <= p.now {
+			apply(func(c *model) { c.wake(i) })
 		}
-		if p.asks[i] < mostAsks && a.judge == 0 && a.wants {
-			try(func(c *point) {
-				c.asks[i]++
-				c.askers[i].next = c.now
+		if p.requests[i] < maxRequests && a.answersDueAt == 0 && a.campaigning {
+			apply(func(c *model) {
+				c.requests[i]++
+				c.candidates[i].nextRequestAt = c.now
 				c.wake(i)
 			})
 		}
-		if _, held := a.Held(p.now); held && p.leaves < mostLeaves {
-			try(func(c *point) {
-				c.leaves++
-				c.from = askerOne + Node(i)
-				c.askers[i].Leave(c.now)
-				c.askers[i].Want(mostTicks * tick * 2)
+		if _, held := a.Held(p.now); held && p.resignations < maxResignations {
+			apply(func(c *model) {
+				c.resignations++
+				c.sender = firstCandidate + Node(i)
+				c.candidates[i].Resign(c.now)
+				c.candidates[i].Campaign(maxTicks * tick * 2)
 			})
 		}
 	}
-	if p.restarts < mostRestarts {
+	if p.restarts < maxRestarts {
 		for i := range p.voters {
-			for _, emptied := range []bool{false, true} {
-				try(func(c *point) {
+			for _, emptyStorage := range []bool{false, true} {
+				apply(func(c *model) {
 					c.restarts++
-					kept := make(map[string]Promise)
-					if t := c.voters[i].votes["x"]; t != nil && !emptied {
-						kept["x"] = t.promise
+					persisted := make(map[string]Promise)
+					if t := c.voters[i].grants["x"]; t != nil && !emptyStorage {
+						persisted["x"] = t.promise
 					}
-					c.voters[i] = NewVoter(c, Node(i+1), c.voters[i].set, shortest, kept, c.now)
+					c.voters[i] = NewVoter(c, Node(i+1), c.voters[i].voters, modelTTL, persisted, c.now)
 				})
 			}
 		}
 	}
 }
 
-func (p *point) wake(i int) {
-	p.from = askerOne + Node(i)
-	p.askers[i].Wake(p.now, uint64(p.now/tick))
-	if p.askers[i].term == 0 || p.askers[i].next > p.now+tick {
-		p.askers[i].next = mostTicks * tick * 2
+func (p *model) wake(i int) {
+	p.sender = firstCandidate + Node(i)
+	p.candidates[i].Wake(p.now, uint64(p.now/tick))
+	if p.candidates[i].fencingToken == 0 || p.candidates[i].nextRequestAt > p.now+tick {
+		p.candidates[i].nextRequestAt = maxTicks * tick * 2
 	}
 }
 
 // look checks what has to hold in every state.
-func (p *point) look() {
-	_, one := p.askers[0].Held(p.now)
-	_, two := p.askers[1].Held(p.now)
+func (p *model) checkInvariants() {
+	_, one := p.candidates[0].Held(p.now)
+	_, two := p.candidates[1].Held(p.now)
 	if one && two {
-		p.wrong = "two hold at once"
+		p.violation = "two hold at once"
 	}
 }
 
 // search goes through all orders, nearest first, and gives what it found wrong.
-func search(depth, most int, plant func(*point)) (wrong string, seen, deepest int) {
-	known := make(map[xxh3.Uint128]struct{})
-	layer := []*point{firstPoint()}
+func search(depth, maxStates int, mutate func(*model)) (violation string, visited, deepest int) {
+	fingerprints := make(map[xxh3.Uint128]struct{})
+	layer := []*model{initialModel()}
 	for deepest = 0; deepest < depth && len(layer) > 0; deepest++ {
-		var next []*point
+		var next []*model
 		for _, p := range layer {
-			p.steps(plant, func(c *point) {
-				if wrong != "" || len(known) >= most {
+			p.successors(mutate, func(c *model) {
+				if violation != "" || len(fingerprints) >= maxStates {
 					return
 				}
-				if c.wrong != "" {
-					wrong = c.wrong
+				if c.violation != "" {
+					violation = c.violation
 					return
 				}
-				k := c.key()
-				if _, was := known[k]; was {
+				k := c.fingerprint()
+				if _, was := fingerprints[k]; was {
 					return
 				}
-				known[k] = struct{}{}
+				fingerprints[k] = struct{}{}
 				next = append(next, c)
 			})
-			if wrong != "" || len(known) >= most {
-				return wrong, len(known), deepest + 1
+			if violation != "" || len(fingerprints) >= maxStates {
+				return violation, len(fingerprints), deepest + 1
 			}
 		}
 		layer = next
 	}
-	return wrong, len(known), deepest
+	return violation, len(fingerprints), deepest
 }
 
 // walk goes one way at random, deeper than a search comes, and tells what it found wrong.
-func walk(seed uint64, steps int, plant func(*point)) string {
-	chance, p := pcg.New(seed), firstPoint()
+func randomWalk(seed uint64, steps int, mutate func(*model)) string {
+	random, p := pcg.New(seed), initialModel()
 	for range steps {
-		var all []*point
-		p.steps(plant, func(c *point) { all = append(all, c) })
-		if len(all) == 0 {
+		var successors []*model
+		p.successors(mutate, func(c *model) { successors = append(successors, c) })
+		if len(successors) == 0 {
 			return ""
 		}
-		if p = all[chance.Below(len(all))]; p.wrong != "" {
-			return p.wrong
+		if p = successors[random.Below(len(successors))]; p.violation != "" {
+			return p.violation
 		}
 	}
 	return ""
@@ -291,68 +291,68 @@
 
 // Every order in which messages arrive, come twice or never, voters start again with or without what they knew, time passes, and askers ask,
 // wait and give back, up to a depth; and many ways beyond it: no two hold at once and no number comes twice.
-func TestEveryOrderOfLeases(t *testing.T) {
-	wrong, seen, deepest := search(*depth, *states, nil)
-	if wrong != "" {
-		t.Fatal(wrong)
+func TestModelCheck(t *testing.T) {
+	violation, visited, deepest := search(*searchDepth, *maxStates, nil)
+	if violation != "" {
+		t.Fatal(violation)
 	}
-	t.Logf("%d states, up to %d steps", seen, deepest)
-	if seen < 10_000 {
-		t.Errorf("%d states are few", seen)
+	t.Logf("%d states, up to %d steps", visited, deepest)
+	if visited < 10_000 {
+		t.Errorf("%d states are few", visited)
 	}
 	for seed := range uint64(500) {
-		if wrong := walk(seed, 60, nil); wrong != "" {
-			t.Fatalf("seed %d: %s", seed, wrong)
+		if violation := randomWalk(seed, 60, nil); violation != "" {
+			t.Fatalf("seed %d: %s", seed, violation)
 		}
 	}
 }
 
 // The same search finds what somebody might do wrong.
-func TestPlantedMistakesAreFoundByTheSearch(t *testing.T) {
-	for name, plant := range map[string]func(*point){
-		"the hold counts from the answer": func(p *point) {
-			for _, a := range p.askers {
-				if a.term != 0 && a.end < p.now+shortest-shortest/Drift && len(a.rounds) > 0 && len(a.rounds[len(a.rounds)-1].yes) == 2 {
-					a.end = p.now + shortest - shortest/Drift
-					a.rounds[len(a.rounds)-1].yes = append(a.rounds[len(a.rounds)-1].yes, 9) // once
+func TestMutationsFoundByModelCheck(t *testing.T) {
+	for name, mutate := range map[string]func(*model){
+		"the hold counts from the answer": func(p *model) {
+			for _, a := range p.candidates {
+				if a.fencingToken != 0 && a.expiresAt < p.now+modelTTL-modelTTL/driftDivisor && len(a.rounds) > 0 && len(a.rounds[len(a.rounds)-1].grants) == 2 {
+					a.expiresAt = p.now + modelTTL - modelTTL/driftDivisor
+					a.rounds[len(a.rounds)-1].grants = append(a.rounds[len(a.rounds)-1].grants, 9) // once
 				}
 			}
 		},
-		"a voter answers at once after a start": func(p *point) {
+		"a voter answers at once after a start": func(p *model) {
 			for _, v := range p.voters {
-				v.silent = 0
+				v.silentUntil = 0
 			}
 		},
-		"less than half of the voters decide": func(p *point) {
-			for _, a := range p.askers {
+		"less than half of the voters decide": func(p *model) {
+			for _, a := range p.candidates {
 				for i := range a.rounds {
-					if r := &a.rounds[i]; len(r.yes) == 1 {
-						r.yes = append(r.yes, r.yes[0]%3+1)
-						a.granted(r, p.now)
+					if r := &a.rounds[i]; len(r.grants) == 1 {
+						r.grants = append(r.grants, r.grants[0]%3+1)
+						a.countGrants(r, p.now)
 					}
 				}
 			}
 		},
-		"a number comes again": func(p *point) {
+		"a number comes again": func(p *model) {
 			for _, v := range p.voters {
-				if u := v.votes["x"]; u != nil && p.now >= u.until {
-					u.promise.Number = 0
+				if u := v.grants["x"]; u != nil && p.now >= u.expiresAt {
+					u.promise.FencingToken = 0
 				}
 			}
-			for _, a := range p.askers {
-				a.seen = 0
+			for _, a := range p.candidates {
+				a.highestToken = 0
 			}
-			p.gained = min(p.gained, 1<<40)
+			p.highestAcquired = min(p.highestAcquired, 1<<40)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			found := ""
-			if wrong, _, _ := search(*depth, 40_000, plant); wrong != "" {
+			if wrong, _, _ := search(*searchDepth, 40_000, mutate); wrong != "" {
 				found = wrong
 			}
 			for seed := uint64(0); found == "" && seed < 60_000; seed++ {
-				found = walk(seed, 40, plant)
+				found = randomWalk(seed, 40, mutate)
 			}
 			if found == "" {
 				t.Error("it is not found")
--- a/internal/lease/plant.go
+++ b/internal/lease/plant.go
@@ -3,4 +3,4 @@
 package lease
 
 // plant is a mistake that a build for tests makes; this one makes none.
-const plant = nothingPlanted
+const mutation = noMutation
--- a/internal/node/golden_leases_test.go
+++ b/internal/node/golden_leases_test.go
@@ -45,8 +45,8 @@
 	own := digest{RPCs: 1000, OK: 900, PushedBack: 50, Held: 7, Revision: revision, Ready: 95}
 	var body bytes.Buffer
 	binary.Write(&body, binary.LittleEndian, own)
-	encoded := peers.Letter{Kind: peers.Digest, From: 5, Life: 6, Body: body.Bytes()}.Write(fleet)
-	letter, err := peers.ReadLetter(checkGolden(t, "digest.datagram", encoded), fleet)
+	encoded := peers.Message{Kind: peers.Digest, From: 5, Incarnation: 6, Body: body.Bytes()}.Encode(fleet)
+	letter, err := peers.ParseMessage(checkGolden(t, "digest.datagram", encoded), fleet)
 	if err != nil || letter.Kind != peers.Digest {
 		t.Fatalf("a digest is decoded as %+v, %v", letter, err)
 	}
@@ -54,8 +54,8 @@
 	if s.heard(5, letter); !maps.Equal(s.digests, map[lease.Node]digest{5: own}) {
 		t.Errorf("the digest is %+v, want %+v", s.digests, own)
 	}
-	encoded = peers.Letter{Kind: peers.Revision, From: 5, Life: 6, Body: binary.LittleEndian.AppendUint64(nil, revision)}.Write(fleet)
-	letter, err = peers.ReadLetter(checkGolden(t, "revision.datagram", encoded), fleet)
+	encoded = peers.Message{Kind: peers.Revision, From: 5, Incarnation: 6, Body: binary.LittleEndian.AppendUint64(nil, revision)}.Encode(fleet)
+	letter, err = peers.ParseMessage(checkGolden(t, "revision.datagram", encoded), fleet)
 	if err != nil || letter.Kind != peers.Revision || len(letter.Body) != 8 || binary.LittleEndian.Uint64(letter.Body) != revision {
 		t.Errorf("a revision is decoded as %+v, %v", letter, err)
 	}
@@ -72,7 +72,7 @@
 	s := &summary{leases: of, puts: 5, refused: 1, failed: 2}
 	status := LeasesStatus{Name: "n0", Version: 2, Voters: []string{"n0", "n1", "n2"}, Former: []string{"n0", "n1", "n3"}, SilentMS: 10,
 		Leases: []LeaseStatus{
-			{Lease: "summary", Holder: "n0", Number: 77, ForMS: 20, LeftMS: 30, Why: map[string]string{"n1": lease.Lower.String()}, Heard: map[string]int64{"n2": 40}, Task: s.tell()},
+			{Lease: "summary", Holder: "n0", Number: 77, ForMS: 20, LeftMS: 30, Why: map[string]string{"n1": lease.StaleToken.String()}, Heard: map[string]int64{"n2": 40}, Task: s.tell()},
 			{Lease: "watch-discovery", Task: newWatcher(of, 0).tell()},
 		},
 		Votes: []VoteStatus{{Lease: "summary", Holder: "n0", Number: 77, LeftMS: 30, Waiting: 4}}}
@@ -99,7 +99,7 @@
 // TestGoldenPromises checks that promises which a voter stored earlier are read as they were.
 func TestGoldenPromises(t *testing.T) {
 	const name = "n0"
-	want := map[string]lease.Promise{"summary": {Number: 1_700_000_000_456, Version: 2}, "watch-discovery": {Number: 1_700_000_000_123, Version: 1}}
+	want := map[string]lease.Promise{"summary": {FencingToken: 1_700_000_000_456, VoterSetVersion: 2}, "watch-discovery": {FencingToken: 1_700_000_000_123, VoterSetVersion: 1}}
 	golden := filepath.Join("testdata", "lease-promises")
 	if *update {
 		if err := errors.Join(os.RemoveAll(golden), os.Mkdir(golden, 0o755)); err != nil {
--- a/internal/node/leases.go
+++ b/internal/node/leases.go
@@ -21,7 +21,7 @@
 	wants  *operator.Leases
 	me     lease.Holder
 	voter  *lease.Voter
-	askers []*lease.Asker
+	askers []*lease.Candidate
 	tasks  []task // of each
 	due    loop.Due
 	greets time.Duration // between two greetings while some voter's address is not known
@@ -36,7 +36,7 @@
 type task interface {
 	gained(number uint64)
 	lost()
-	heard(from lease.Node, l peers.Letter) // a letter for the task
+	heard(from lease.Node, l peers.Message) // a letter for the task
 	tell() any                             // for who asks
 }
 
@@ -58,7 +58,7 @@
 		return nil
 	}
 	now := n.loop.Now()
-	l := &leases{talk: n.talk, wants: w, me: lease.Holder{Node: lease.Node(n.talk.me), Life: n.talk.life}}
+	l := &leases{talk: n.talk, wants: w, me: lease.Holder{Node: lease.Node(n.talk.me), Incarnation: n.talk.life}}
 	kept := make(map[string]lease.Promise)
 	if w.Folder != "" {
 		store, found, err := n.openFolder(w.Folder, leaseFolder)
@@ -75,9 +75,9 @@
 	}
 	l.voter = lease.NewVoter(l, l.me.Node, w.Set(), w.Longest, kept, now)
 	for i, t := range w.Tasks {
-		l.askers = append(l.askers, lease.NewAsker(l, l.me, t.Name, w.Lasts, w.Set(), n.site.Seed+uint64(i)+1))
+		l.askers = append(l.askers, lease.NewCandidate(l, l.me, t.Name, w.Lasts, w.Set(), n.site.Seed+uint64(i)+1))
 		l.tasks = append(l.tasks, l.newTask(i, t))
-		l.askers[i].Want(now)
+		l.askers[i].Campaign(now)
 	}
 	n.leases = l
 	l.greet()
@@ -105,10 +105,10 @@
 func (l *leases) greet() {
 	n := l.node
 	missing := slices.ContainsFunc(l.wants.Set().All(), func(v lease.Node) bool {
-		_, known := l.book.At(uint64(v))
+		_, known := l.book.Address(uint64(v))
 		return v != l.me.Node && !known
 	})
-	if missing || l.voter.Votes() && l.voter.Silence(l.clock()) > 0 { // a voter that has just started may not be the only one of its name
+	if missing || l.voter.IsVoter() && l.voter.SilentFor(l.clock()) > 0 { // a voter that has just started may not be the only one of its name
 		n.Count("lease_greetings")
 		l.write(driver.EveryPeer, peers.Hello, nil)
 		l.greets = min(max(2*l.greets, greeting), mostGreeting)
@@ -118,15 +118,15 @@
 	n.loop.At(n.loop.Now()+l.greets, l.greet)
 }
 
-func (l *leases) read(letter peers.Letter) {
+func (l *leases) read(letter peers.Message) {
 	from := lease.Node(letter.From)
 	switch letter.Kind {
 	case peers.Hello:
-		if _, known := l.book.At(uint64(from)); known && l.voter.Votes() && len(letter.Body) == 0 {
+		if _, known := l.book.Address(uint64(from)); known && l.voter.IsVoter() && len(letter.Body) == 0 {
 			l.say(from, peers.Hello, []byte{1}) // an answer, which is not answered
 		}
 	case peers.Lease:
-		m, ok := lease.Read(letter.Body)
+		m, ok := lease.ParseMessage(letter.Body)
 		if !ok {
 			l.node.Count("letters_strange")
 			return
@@ -141,12 +141,12 @@
 
 // hear takes what is said about a lease.
 func (l *leases) hear(from lease.Node, m lease.Message) {
-	if m.Op == lease.Ask || m.Op == lease.Release {
-		l.voter.Take(from, m, l.clock())
+	if m.Op == lease.Request || m.Op == lease.Release {
+		l.voter.Receive(from, m, l.clock())
 		return
 	}
 	for _, a := range l.askers {
-		a.Take(from, m, l.clock())
+		a.Receive(from, m, l.clock())
 	}
 	l.plan()
 }
@@ -154,25 +154,25 @@
 // say sends to one driver, to this one too.
 func (l *leases) say(to lease.Node, kind peers.Kind, body []byte) {
 	if to == l.me.Node {
-		letter := peers.Letter{Kind: kind, From: uint64(l.me.Node), Life: l.me.Life, Body: body}
+		letter := peers.Message{Kind: kind, From: uint64(l.me.Node), Incarnation: l.me.Incarnation, Body: body}
 		l.node.loop.Later(func() { l.read(letter) })
 		return
 	}
-	if at, known := l.book.At(uint64(to)); known {
+	if at, known := l.book.Address(uint64(to)); known {
 		l.write(at, kind, body)
 	}
 }
 
 // Send is the voter's and the askers' way to others.
-func (l *leases) Send(to lease.Node, m lease.Message) { l.say(to, peers.Lease, lease.Append(nil, m)) }
+func (l *leases) Send(to lease.Node, m lease.Message) { l.say(to, peers.Lease, lease.AppendMessage(nil, m)) }
 
 // Keep brings promises to the disk, all that wait together.
-func (l *leases) Keep(name string, p lease.Promise, then func(error)) {
+func (l *leases) Persist(name string, p lease.Promise, done func(error)) {
 	if l.store == nil {
-		then(nil)
+		done(nil)
 		return
 	}
-	l.waiting = append(l.waiting, promised{name, p, then})
+	l.waiting = append(l.waiting, promised{name, p, done})
 	l.commit()
 }
 
@@ -204,7 +204,7 @@
 }
 
 // Gained and Lost are told by the askers.
-func (l *leases) Gained(name string, number uint64) {
+func (l *leases) Acquired(name string, number uint64) {
 	l.node.Count("leases_gained")
 	slog.Info("lease_gained", "lease", name, "number", number)
 	l.tasks[l.place(name)].gained(number)
@@ -227,7 +227,7 @@
 	l.due = nil
 	first, any := time.Duration(0), false
 	for _, a := range l.askers {
-		if at, ok := a.Wakes(); ok && (!any || at < first) {
+		if at, ok := a.NextWake(); ok && (!any || at < first) {
 			first, any = at, true
 		}
 	}
@@ -247,9 +247,9 @@
 // change takes over another set of voters.
 func (l *leases) change(w *operator.Leases) {
 	l.wants = w
-	l.voter.Change(w.Set())
+	l.voter.ChangeVoters(w.Set())
 	for _, a := range l.askers {
-		a.Change(w.Set())
+		a.ChangeVoters(w.Set())
 	}
 	slog.Info("voters_changed", "version", w.Version, "voters", len(w.Voters), "former", len(w.Former))
 	l.plan()
@@ -258,7 +258,7 @@
 // leave hands over what this driver holds.
 func (l *leases) leave() {
 	for _, a := range l.askers {
-		a.Leave(l.clock())
+		a.Resign(l.clock())
 	}
 	l.plan()
 }
@@ -310,20 +310,20 @@
 		return fmt.Sprintf("%016x", uint64(node))
 	}
 	s := LeasesStatus{Name: l.node.site.Name, Version: l.wants.Version, Voters: l.wants.Voters, Former: l.wants.Former}
-	if l.voter.Votes() {
-		s.SilentMS = l.voter.Silence(now).Milliseconds()
+	if l.voter.IsVoter() {
+		s.SilentMS = l.voter.SilentFor(now).Milliseconds()
 		for _, g := range l.voter.Grants(now) {
-			s.Votes = append(s.Votes, VoteStatus{g.Lease, name(g.Holder.Node), g.Number, g.Left.Milliseconds(), g.Waiting})
+			s.Votes = append(s.Votes, VoteStatus{g.Lease, name(g.Holder.Node), g.FencingToken, g.Remaining.Milliseconds(), g.Waiting})
 		}
 	}
 	for i, a := range l.askers {
-		r := a.Look(now)
-		one := LeaseStatus{Lease: r.Lease, Holder: name(r.Holder.Node), Number: r.Number, ForMS: r.For.Milliseconds(), LeftMS: r.Left.Milliseconds(),
+		r := a.Status(now)
+		one := LeaseStatus{Lease: r.Lease, Holder: name(r.Holder.Node), Number: r.FencingToken, ForMS: r.HeldFor.Milliseconds(), LeftMS: r.Remaining.Milliseconds(),
 			Why: make(map[string]string), Heard: make(map[string]int64), Task: l.tasks[i].tell()}
-		for node, why := range r.Why {
+		for node, why := range r.RejectionReasons {
 			one.Why[name(node)] = why.String()
 		}
-		for node, ago := range r.Heard {
+		for node, ago := range r.LastHeard {
 			one.Heard[name(node)] = ago.Milliseconds()
 		}
 		s.Leases = append(s.Leases, one)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -298,7 +298,7 @@
 		n.configuration.reloaded(fresh, wants)
 	}
 	if n.peers != nil {
-		n.peers.Place(s.PeerBroadcast, s.Peers)
+		n.peers.SetAddresses(s.PeerBroadcast, s.Peers)
 	}
 	for _, name := range n.applyConfig(wants) {
 		restart += "," + name
@@ -582,7 +582,7 @@
 func (n *Node) Tell(to driver.Peer, text []byte) {
 	if n.peers != nil {
 		n.Count("peer_texts_sent")
-		n.peers.Tell(to, text)
+		n.peers.Send(to, text)
 	}
 }
 
--- a/internal/node/talk.go
+++ b/internal/node/talk.go
@@ -17,7 +17,7 @@
 	fleet uint64
 	me    uint64 // its name, as a number
 	life  uint64
-	book  *peers.Book
+	book  *peers.AddressBook
 	quiet time.Duration // until when a name used twice is not logged
 }
 
@@ -34,7 +34,7 @@
 	if n.peers == nil {
 		return errors.New("leases, view: the platform gives no peer_listen, so that drivers cannot talk")
 	}
-	n.talk = &talk{node: n, fleet: xxh3.HashString(fleet), me: xxh3.HashString(n.site.Name), life: uint64(n.loop.Clock()), book: peers.NewBook()}
+	n.talk = &talk{node: n, fleet: xxh3.HashString(fleet), me: xxh3.HashString(n.site.Name), life: uint64(n.loop.Clock()), book: peers.NewAddressBook()}
 	if err := n.takePart(); err != nil {
 		return err
 	}
@@ -44,37 +44,37 @@
 
 func (t *talk) write(to driver.Peer, kind peers.Kind, body []byte) {
 	t.node.Count("letters_sent")
-	t.node.Tell(to, peers.Letter{Kind: kind, From: t.me, Life: t.life, Body: body}.Write(t.fleet))
+	t.node.Tell(to, peers.Message{Kind: kind, From: t.me, Incarnation: t.life, Body: body}.Encode(t.fleet))
 }
 
 // take reads a text of another driver; false: it is no letter.
 func (t *talk) take(from driver.Peer, text []byte) bool {
 	n := t.node
-	letter, err := peers.ReadLetter(text, t.fleet)
+	letter, err := peers.ParseMessage(text, t.fleet)
 	switch err {
 	case nil:
-	case peers.ErrOther:
+	case peers.ErrNoMessage:
 		return false
 	default:
-		n.Count(map[error]string{peers.ErrVersion: "letters_other_version", peers.ErrStranger: "letters_strange"}[err])
+		n.Count(map[error]string{peers.ErrUnknownVersion: "letters_other_version", peers.ErrChecksum: "letters_strange"}[err])
 		return true
 	}
 	n.Count("letters_taken")
 	now := n.loop.Clock()
 	if letter.From == t.me {
-		if letter.Life != t.life {
+		if letter.Incarnation != t.life {
 			t.twice(n.site.Name)
 			if n.leases != nil {
-				n.leases.voter.Hush(now)
+				n.leases.voter.Silence(now)
 			}
 		}
 		return true
 	}
-	if t.book.Heard(from, letter, now) {
+	if t.book.Record(from, letter, now) {
 		t.twice("another")
 	}
 	switch {
-	case letter.Kind == peers.Fleet && n.view != nil:
+	case letter.Kind == peers.Membership && n.view != nil:
 		n.view.take(from, letter.Body)
 	case letter.Kind == peers.Drain && n.view != nil:
 		n.view.drains.heard(letter.Body)
--- a/internal/node/tasks.go
+++ b/internal/node/tasks.go
@@ -74,7 +74,7 @@
 	w.due = n.loop.At(now+noticing, w.say)
 }
 
-func (w *watcher) heard(from lease.Node, letter peers.Letter) {
+func (w *watcher) heard(from lease.Node, letter peers.Message) {
 	if letter.Kind != peers.Revision || len(letter.Body) != 8 || w.holds {
 		return
 	}
@@ -158,7 +158,7 @@
 	s.put()
 	clear(s.digests)
 	if _, ok := s.leases.held(s.number); ok {
-		s.leases.write(driver.EveryPeer, peers.Collect, nil)
+		s.leases.write(driver.EveryPeer, peers.CollectDigests, nil)
 	}
 	n.loop.Forget(s.next)
 	s.next = n.loop.At(n.loop.Now()+s.every, s.collect)
@@ -170,9 +170,9 @@
 		Held: uint32(n.rpcs.Count()), Revision: uint64(n.list.Rev()), Ready: uint8(n.recovery.Ready() * 100)}
 }
 
-func (s *summary) heard(from lease.Node, letter peers.Letter) {
+func (s *summary) heard(from lease.Node, letter peers.Message) {
 	switch {
-	case letter.Kind == peers.Collect:
+	case letter.Kind == peers.CollectDigests:
 		var out bytes.Buffer
 		binary.Write(&out, binary.LittleEndian, s.own())
 		s.leases.say(from, peers.Digest, out.Bytes())
--- a/internal/node/view.go
+++ b/internal/node/view.go
@@ -47,7 +47,7 @@
 // Peers counts the addresses that the platform gives.
 func (v *view) Peers() int { return len(v.node.site.Peers) }
 
-func (v *view) Send(to driver.Peer, text []byte) { v.write(to, peers.Fleet, text) }
+func (v *view) Send(to driver.Peer, text []byte) { v.write(to, peers.Membership, text) }
 
 // Changed logs what has changed, few lines however many changes there are.
 func (v *view) Changed(e fleet.Entry, why string) {
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -87,8 +87,8 @@
 }
 
 // Set is who votes.
-func (l *Leases) Set() lease.Set {
-	s := lease.Set{Version: l.Version}
+func (l *Leases) Set() lease.VoterSet {
+	s := lease.VoterSet{Version: l.Version}
 	for _, name := range l.Voters {
 		s.Voters = append(s.Voters, lease.NodeOf(name))
 	}
--- a/internal/peers/book.go
+++ b/internal/peers/book.go
@@ -7,52 +7,52 @@
 )
 
 // Book knows at which address a driver of the fleet was heard last. A name that two lives use at once is told.
-type Book struct {
+type AddressBook struct {
 	entries map[uint64]*entry
 }
 
 type entry struct {
-	at    driver.Peer
-	life  uint64
-	heard time.Duration
-	other struct { // the life before this one, or beside it
-		life  uint64
-		heard time.Duration
+	address    driver.Peer
+	incarnation  uint64
+	lastHeard time.Duration
+	previous struct { // the life before this one, or beside it
+		incarnation  uint64
+		lastHeard time.Duration
 	}
 }
 
 const (
-	mostNames = 4096
-	beside    = 3 * time.Second // within which two lives that are both heard are there at once
-	forgotten = time.Hour
+	maxNames = 4096
+	duplicateWindow    = 3 * time.Second // within which two lives that are both heard are there at once
+	expiry = time.Hour
 )
 
 // NewBook knows nobody.
-func NewBook() *Book { return &Book{entries: make(map[uint64]*entry)} }
+func NewAddressBook() *AddressBook { return &AddressBook{entries: make(map[uint64]*entry)} }
 
 // Heard notes a letter. Twice tells that the name is used by two lives at once: the one before was heard after this one had begun.
-func (b *Book) Heard(from driver.Peer, l Letter, now time.Duration) (twice bool) {
-	e := b.entries[l.From]
+func (b *AddressBook) Record(from driver.Peer, m Message, now time.Duration) (duplicate bool) {
+	e := b.entries[m.From]
 	if e == nil {
-		if len(b.entries) >= mostNames && !b.forget(now) {
+		if len(b.entries) >= maxNames && !b.evictExpired(now) {
 			return false
 		}
-		b.entries[l.From] = &entry{at: from, life: l.Life, heard: now}
+		b.entries[m.From] = &entry{address: from, incarnation: m.Incarnation, lastHeard: now}
 		return false
 	}
-	if e.life != l.Life {
-		twice = e.other.life == l.Life && now-e.heard < beside && now-e.other.heard < beside
-		e.other.life, e.other.heard = e.life, e.heard
-		e.life = l.Life
+	if e.incarnation != m.Incarnation {
+		duplicate = e.previous.incarnation == m.Incarnation && now-e.lastHeard < duplicateWindow && now-e.previous.lastHeard < duplicateWindow
+		e.previous.incarnation, e.previous.lastHeard = e.incarnation, e.lastHeard
+		e.incarnation = m.Incarnation
 	}
-	e.at, e.heard = from, now
-	return twice
+	e.address, e.lastHeard = from, now
+	return duplicate
 }
 
 // forget lets go of one that was not heard for long.
-func (b *Book) forget(now time.Duration) bool {
+func (b *AddressBook) evictExpired(now time.Duration) bool {
 	for name, e := range b.entries {
-		if now-e.heard > forgotten {
+		if now-e.lastHeard > expiry {
 			delete(b.entries, name)
 			return true
 		}
@@ -61,9 +61,9 @@
 }
 
 // At tells where a driver was heard last.
-func (b *Book) At(name uint64) (at driver.Peer, known bool) {
+func (b *AddressBook) Address(name uint64) (address driver.Peer, known bool) {
 	if e := b.entries[name]; e != nil {
-		return e.at, true
+		return e.address, true
 	}
 	return 0, false
 }
--- a/internal/peers/golden_test.go
+++ b/internal/peers/golden_test.go
@@ -18,9 +18,9 @@
 // TestGoldenDatagrams checks that datagrams between drivers keep their bytes: drivers of several versions run side by side.
 func TestGoldenDatagrams(t *testing.T) {
 	const fleet = 0x1122334455667788
-	holder := lease.Holder{Node: 0x0102030405060708, Life: 0x1112131415161718}
-	about := func(op lease.Op, why lease.Why, lasts time.Duration) *lease.Message {
-		return &lease.Message{Op: op, Why: why, Lease: "watch-discovery", Version: 3, Round: 41, Number: 1_700_000_000_123, Lasts: lasts, Holder: holder}
+	holder := lease.Holder{Node: 0x0102030405060708, Incarnation: 0x1112131415161718}
+	about := func(op lease.Op, why lease.Reason, lasts time.Duration) *lease.Message {
+		return &lease.Message{Op: op, Reason: why, Lease: "watch-discovery", VoterSetVersion: 3, Round: 41, FencingToken: 1_700_000_000_123, TTL: lasts, Holder: holder}
 	}
 	for name, c := range map[string]struct {
 		kind    peers.Kind
@@ -29,22 +29,22 @@
 	}{
 		"hello":         {kind: peers.Hello},
 		"hello-answer":  {kind: peers.Hello, body: []byte{1}},
-		"collect":       {kind: peers.Collect},
-		"lease-ask":     {kind: peers.Lease, message: about(lease.Ask, 0, 5*time.Second)},
+		"collect":       {kind: peers.CollectDigests},
+		"lease-ask":     {kind: peers.Lease, message: about(lease.Request, 0, 5*time.Second)},
 		"lease-grant":   {kind: peers.Lease, message: about(lease.Grant, 0, 5*time.Second)},
-		"lease-refuse":  {kind: peers.Lease, message: about(lease.Refuse, lease.Held, 1234*time.Millisecond)},
-		"lease-lower":   {kind: peers.Lease, message: about(lease.Refuse, lease.Lower, 0)},
-		"lease-silent":  {kind: peers.Lease, message: about(lease.Refuse, lease.Silent, 10*time.Second)},
-		"lease-older":   {kind: peers.Lease, message: about(lease.Refuse, lease.Older, 10*time.Second)},
-		"lease-unkept":  {kind: peers.Lease, message: about(lease.Refuse, lease.Unkept, 10*time.Second)},
+		"lease-refuse":  {kind: peers.Lease, message: about(lease.Reject, lease.HeldByAnother, 1234*time.Millisecond)},
+		"lease-lower":   {kind: peers.Lease, message: about(lease.Reject, lease.StaleToken, 0)},
+		"lease-silent":  {kind: peers.Lease, message: about(lease.Reject, lease.VoterStarting, 10*time.Second)},
+		"lease-older":   {kind: peers.Lease, message: about(lease.Reject, lease.StaleVoterSet, 10*time.Second)},
+		"lease-unkept":  {kind: peers.Lease, message: about(lease.Reject, lease.NotPersisted, 10*time.Second)},
 		"lease-release": {kind: peers.Lease, message: about(lease.Release, 0, 0)},
-		"lease-free":    {kind: peers.Lease, message: about(lease.Free, 0, 0)},
+		"lease-free":    {kind: peers.Lease, message: about(lease.Available, 0, 0)},
 	} {
 		if c.message != nil {
-			c.body = lease.Append(nil, *c.message)
+			c.body = lease.AppendMessage(nil, *c.message)
 		}
-		want := peers.Letter{Kind: c.kind, From: uint64(holder.Node), Life: holder.Life, Body: c.body}
-		encoded := want.Write(fleet)
+		want := peers.Message{Kind: c.kind, From: uint64(holder.Node), Incarnation: holder.Incarnation, Body: c.body}
+		encoded := want.Encode(fleet)
 		file := filepath.Join("testdata", name+".datagram")
 		if *update {
 			if err := os.WriteFile(file, encoded, 0o644); err != nil {
@@ -58,12 +58,12 @@
 		if !bytes.Equal(encoded, golden) {
 			t.Errorf("%s is encoded as %x, want %x", name, encoded, golden)
 		}
-		got, err := peers.ReadLetter(golden, fleet)
-		if err != nil || got.Kind != want.Kind || got.From != want.From || got.Life != want.Life || !bytes.Equal(got.Body, want.Body) {
+		got, err := peers.ParseMessage(golden, fleet)
+		if err != nil || got.Kind != want.Kind || got.From != want.From || got.Incarnation != want.Incarnation || !bytes.Equal(got.Body, want.Body) {
 			t.Errorf("%s is decoded as %+v, %v, want %+v", name, got, err, want)
 		}
 		if c.message != nil {
-			if m, ok := lease.Read(got.Body); !ok || !reflect.DeepEqual(m, *c.message) {
+			if m, ok := lease.ParseMessage(got.Body); !ok || !reflect.DeepEqual(m, *c.message) {
 				t.Errorf("%s is decoded as %+v, %v, want %+v", name, m, ok, *c.message)
 			}
 		}
--- a/internal/peers/letter.go
+++ b/internal/peers/letter.go
@@ -13,69 +13,69 @@
 const (
 	Hello    Kind = iota + 1 // only who and where
 	Lease                    // leases
-	Collect                  // the holder of a lease asks all for a digest
+	CollectDigests                  // the holder of a lease asks all for a digest
 	Digest                   // one
 	Revision                 // the holder tells which list it has
-	Fleet                    // the view of the fleet
+	Membership                    // the view of the fleet
 	Drain                    // members that drain
 	lastKind = Drain
 )
 
 // Letter is what drivers of one fleet tell each other, in one datagram.
-type Letter struct {
+type Message struct {
 	Kind Kind
 	From uint64 // the sender's name, as a number
-	Life uint64 // drawn anew at each start
+	Incarnation uint64 // drawn anew at each start
 	Body []byte
 }
 
 // A letter is: 2 bytes f7 70, 1 version, 1 kind, 8 sender, 8 life, 8 checksum by the fleet's name; the body. Numbers are little-endian.
 const (
-	first, second = 0xf7, 'p'
-	form          = 1
-	head          = 2 + 1 + 1 + 8 + 8 + 8
+	magicFirst, magicSecond = 0xf7, 'p'
+	formatVersion          = 1
+	headerLength          = 2 + 1 + 1 + 8 + 8 + 8
 )
 
 // MostBody is how long the body of a letter may be.
-const MostBody = Most - head
+const MaxBodyLength = MaxDatagramLength - headerLength
 
 // Why a text is no letter of the fleet.
 var (
-	ErrOther    = errors.New("no letter")
-	ErrVersion  = errors.New("a letter of another version")
-	ErrStranger = errors.New("a letter of another fleet, or spoilt")
+	ErrNoMessage    = errors.New("no letter")
+	ErrUnknownVersion  = errors.New("a letter of another version")
+	ErrChecksum = errors.New("a letter of another fleet, or spoilt")
 )
 
 // Write gives the text of a letter for drivers of the fleet.
-func (l Letter) Write(fleet uint64) []byte {
-	out := make([]byte, 0, head+len(l.Body))
-	out = append(out, first, second, form, byte(l.Kind))
-	out = binary.LittleEndian.AppendUint64(out, l.From)
-	out = binary.LittleEndian.AppendUint64(out, l.Life)
+func (m Message) Encode(fleet uint64) []byte {
+	out := make([]byte, 0, headerLength+len(m.Body))
+	out = append(out, magicFirst, magicSecond, formatVersion, byte(m.Kind))
+	out = binary.LittleEndian.AppendUint64(out, m.From)
+	out = binary.LittleEndian.AppendUint64(out, m.Incarnation)
 	out = binary.LittleEndian.AppendUint64(out, 0)
-	out = append(out, l.Body...)
-	binary.LittleEndian.PutUint64(out[20:], sum(out, fleet))
+	out = append(out, m.Body...)
+	binary.LittleEndian.PutUint64(out[20:], checksum(out, fleet))
 	return out
 }
 
 // sum is taken with its own place left out.
-func sum(text []byte, fleet uint64) uint64 {
-	h := xxh3.NewSeed(fleet)
-	h.Write(text[:20])
-	h.Write(text[head:])
-	return h.Sum64()
+func checksum(encoded []byte, fleet uint64) uint64 {
+	hash := xxh3.NewSeed(fleet)
+	hash.Write(encoded[:20])
+	hash.Write(encoded[headerLength:])
+	return hash.Sum64()
 }
 
 // ReadLetter takes a letter of the fleet; its body is part of the text.
-func ReadLetter(text []byte, fleet uint64) (l Letter, err error) {
-	if len(text) < 4 || text[0] != first || text[1] != second {
-		return l, ErrOther
+func ParseMessage(encoded []byte, fleet uint64) (m Message, err error) {
+	if len(encoded) < 4 || encoded[0] != magicFirst || encoded[1] != magicSecond {
+		return m, ErrNoMessage
 	}
-	if text[2] != form || text[3] == 0 || Kind(text[3]) > lastKind {
-		return l, ErrVersion
+	if encoded[2] != formatVersion || encoded[3] == 0 || Kind(encoded[3]) > lastKind {
+		return m, ErrUnknownVersion
 	}
-	if len(text) < head || len(text) > Most || sum(text, fleet) != binary.LittleEndian.Uint64(text[20:]) {
-		return l, ErrStranger
+	if len(encoded) < headerLength || len(encoded) > MaxDatagramLength || checksum(encoded, fleet) != binary.LittleEndian.Uint64(encoded[20:]) {
+		return m, ErrChecksum
 	}
-	return Letter{Kind: Kind(text[3]), From: binary.LittleEndian.Uint64(text[4:]), Life: binary.LittleEndian.Uint64(text[12:]), Body: text[head:]}, nil
+	return Message{Kind: Kind(encoded[3]), From: binary.LittleEndian.Uint64(encoded[4:]), Incarnation: binary.LittleEndian.Uint64(encoded[12:]), Body: encoded[headerLength:]}, nil
 }
--- a/internal/rollout/server/golden_test.go
+++ b/internal/rollout/server/golden_test.go
@@ -42,7 +42,7 @@
 	goldenEntry = rollout.Entry{Version: 4, Ballot: rollout.Ballot{Number: 9, Node: 1<<63 + 5}, Text: "{\"settings\":{\"x\":\"<é\\n>\"}}",
 		Recent: []rollout.Publication{{ID: 1<<64 - 1, Version: 3}, {ID: 7, Version: 4}}}
 	goldenCommitted = rollout.Entry{Version: 3, Ballot: rollout.Ballot{Number: 8, Node: 2}, Text: "{}"}
-	goldenState     = PersistedState{Promises: map[string]lease.Promise{"configuration": {Number: 1 << 60, Version: 1}},
+	goldenState     = PersistedState{Promises: map[string]lease.Promise{"configuration": {FencingToken: 1 << 60, VoterSetVersion: 1}},
 		State: rollout.State{Joined: true, Floor: 7, Promised: rollout.Ballot{Number: 1<<60 + 1, Node: 3}, Accepted: goldenEntry, Committed: goldenCommitted}}
 )
 
--- a/internal/rollout/server/server.go
+++ b/internal/rollout/server/server.go
@@ -67,7 +67,7 @@
 	persisted      PersistedState
 	machine        *rollout.Machine
 	voter          *lease.Voter // nil: the machine does not vote yet
-	candidate      *lease.Asker
+	candidate      *lease.Candidate
 	candidateTimer loop.Due // of the asker
 	seed           uint64
 	peers          map[lease.Node]*peerLink
@@ -86,7 +86,7 @@
 
 // New opens the port. Kept is what the disk has; a machine that has nothing learns from the others before it votes.
 func New(l *loop.Loop, config MachineConfig, storage Storage, persisted PersistedState, seed uint64) (*Server, error) {
-	s := &Server{loop: l, config: config, storage: storage, persisted: persisted, seed: seed, self: lease.Holder{Node: lease.NodeOf(config.Name), Life: seed | 1}, incarnation: uint64(l.Clock() / time.Millisecond),
+	s := &Server{loop: l, config: config, storage: storage, persisted: persisted, seed: seed, self: lease.Holder{Node: lease.NodeOf(config.Name), Incarnation: seed | 1}, incarnation: uint64(l.Clock() / time.Millisecond),
 		peers: make(map[lease.Node]*peerLink), names: map[lease.Node]string{lease.NodeOf(config.Name): config.Name}, roster: rollout.NewRoster(),
 		publishers: make(map[uint64]*session), counters: make(map[string]int), OnCommit: func(uint64) {}}
 	if s.persisted.Promises == nil {
@@ -99,7 +99,7 @@
 		s.peers[node], s.names[node] = &peerLink{server: s, address: p.Address}, p.Name
 	}
 	s.machine = rollout.New(s, s.self.Node, others, persisted.State)
-	s.candidate = lease.NewAsker(leaseHost{s}, s.self, leaseName, LeaseTTL, s.voterSet(), seed)
+	s.candidate = lease.NewCandidate(leaseHost{s}, s.self, leaseName, LeaseTTL, s.voterSet(), seed)
 	var err error
 	s.listener, err = l.Listen(config.Listen, limits.Head+limits.Body, loop.Door{}, func(open func(loop.Handler) *loop.Stream) {
 		g := &session{server: s}
@@ -114,8 +114,8 @@
 	return s, nil
 }
 
-func (s *Server) voterSet() lease.Set {
-	set := lease.Set{Version: 1, Voters: []lease.Node{s.self.Node}}
+func (s *Server) voterSet() lease.VoterSet {
+	set := lease.VoterSet{Version: 1, Voters: []lease.Node{s.self.Node}}
 	for _, p := range s.config.Peers {
 		set.Voters = append(set.Voters, lease.NodeOf(p.Name))
 	}
@@ -128,9 +128,9 @@
 		return
 	}
 	if s.voter == nil && s.machine.Joined() { // only then is it known which numbers are used up
-		kept := map[string]lease.Promise{leaseName: {Number: max(s.persisted.Promises[leaseName].Number, s.persisted.State.Promised.Number), Version: 1}}
+		kept := map[string]lease.Promise{leaseName: {FencingToken: max(s.persisted.Promises[leaseName].FencingToken, s.persisted.State.Promised.Number), VoterSetVersion: 1}}
 		s.voter = lease.NewVoter(leaseHost{s}, s.self.Node, s.voterSet(), LeaseTTL, kept, s.loop.Clock())
-		s.candidate.Want(s.loop.Clock())
+		s.candidate.Campaign(s.loop.Clock())
 		slog.Info("votes", "machine", s.config.Name, "version", s.machine.Committed().Version)
 	}
 	s.machine.Tick()
@@ -145,7 +145,7 @@
 func (s *Server) scheduleCandidate() {
 	s.loop.Forget(s.candidateTimer)
 	s.candidateTimer = nil
-	if at, wants := s.candidate.Wakes(); wants && !s.stopped {
+	if at, wants := s.candidate.NextWake(); wants && !s.stopped {
 		s.candidateTimer = s.loop.At(max(at, s.loop.Now()+time.Millisecond), func() {
 			s.candidateTimer = nil
 			s.candidate.Wake(s.loop.Clock(), uint64(s.loop.Clock()/time.Millisecond))
@@ -161,7 +161,7 @@
 
 // End gives the lease back and takes nothing more.
 func (s *Server) Shutdown() {
-	s.candidate.Leave(s.loop.Clock())
+	s.candidate.Resign(s.loop.Clock())
 	s.stopped = true
 	s.listener.Close()
 	s.scheduleCandidate()
@@ -204,7 +204,7 @@
 		s.loop.Later(func() { s.receiveLease(to, m) })
 		return
 	}
-	s.sendEnvelope(to, envelope{Lease: lease.Append(nil, m)})
+	s.sendEnvelope(to, envelope{Lease: lease.AppendMessage(nil, m)})
 }
 
 // hear takes a message of another machine; false: it is none of this fleet.
@@ -218,7 +218,7 @@
 	case e.Rollout != nil:
 		s.machine.Receive(from, e.Incarnation, *e.Rollout, s.loop.Now())
 	case e.Lease != nil:
-		m, ok := lease.Read(e.Lease)
+		m, ok := lease.ParseMessage(e.Lease)
 		if !ok {
 			return false
 		}
@@ -228,11 +228,11 @@
 }
 
 func (s *Server) receiveLease(from lease.Node, m lease.Message) {
-	if m.Op != lease.Ask && m.Op != lease.Release {
-		s.candidate.Take(from, m, s.loop.Clock())
+	if m.Op != lease.Request && m.Op != lease.Release {
+		s.candidate.Receive(from, m, s.loop.Clock())
 		s.scheduleCandidate()
 	} else if s.voter != nil {
-		s.voter.Take(from, m, s.loop.Clock())
+		s.voter.Receive(from, m, s.loop.Clock())
 	}
 }
 
@@ -263,18 +263,18 @@
 
 func (v leaseHost) Send(to lease.Node, m lease.Message) { v.sendLease(to, m) }
 
-func (v leaseHost) Keep(name string, p lease.Promise, then func(error)) {
+func (v leaseHost) Persist(name string, p lease.Promise, done func(error)) {
 	v.persisted.Promises[name] = p
-	v.persist(then)
+	v.persist(done)
 }
 
-func (v leaseHost) Gained(_ string, number uint64) {
-	slog.Info("writes", "machine", v.config.Name, "number", number)
-	v.machine.LeaseGained(number)
+func (v leaseHost) Acquired(_ string, fencingToken uint64) {
+	slog.Info("writes", "machine", v.config.Name, "number", fencingToken)
+	v.machine.LeaseGained(fencingToken)
 }
 
-func (v leaseHost) Lost(_ string, number uint64) {
-	slog.Info("writes_no_more", "machine", v.config.Name, "number", number)
+func (v leaseHost) Lost(_ string, fencingToken uint64) {
+	slog.Info("writes_no_more", "machine", v.config.Name, "number", fencingToken)
 	v.machine.LeaseLost()
 }
 
@@ -289,9 +289,9 @@
 // StepDown gives the lease back, and asks for it anew.
 func (s *Server) StepDown() {
 	s.loop.Later(func() {
-		s.candidate.Leave(s.loop.Clock())
+		s.candidate.Resign(s.loop.Clock())
 		if !s.stopped {
-			s.candidate.Want(s.loop.Clock() + LeaseTTL)
+			s.candidate.Campaign(s.loop.Clock() + LeaseTTL)
 		}
 		s.scheduleCandidate()
 	})
@@ -321,7 +321,7 @@
 	if s.machine.IsWriter() {
 		return s.config.Name
 	}
-	return s.names[s.candidate.Look(s.loop.Clock()).Holder.Node]
+	return s.names[s.candidate.Status(s.loop.Clock()).Holder.Node]
 }
 
 // Driver is one as a machine tells of it. Times are in milliseconds.
--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -29,7 +29,7 @@
 		"s-2": {Position: time.Hour + time.Second, Replica: driver.LongAgo, Timed: 59 * time.Minute, Ratio: 0.5},
 		"s-3": {Position: time.Hour + 9*time.Second, Replica: time.Hour, Timed: time.Hour, Ratio: 2},
 	}
-	goldenPromise = lease.Promise{Number: 7, Version: 3}
+	goldenPromise = lease.Promise{FencingToken: 7, VoterSetVersion: 3}
 )
 
 // writeGolden writes a folder with one snapshot and two log records.
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -434,7 +434,7 @@
 
 // PromiseOf is the change that keeps a promise about a lease.
 func PromiseOf(name string, p lease.Promise) keep.Change {
-	return keep.Change{Name: promisePrefix + name, Value: binary.LittleEndian.AppendUint32(binary.LittleEndian.AppendUint64(nil, p.Number), p.Version)}
+	return keep.Change{Name: promisePrefix + name, Value: binary.LittleEndian.AppendUint32(binary.LittleEndian.AppendUint64(nil, p.FencingToken), p.VoterSetVersion)}
 }
 
 // Promises gives those that a folder holds, by lease.
@@ -442,7 +442,7 @@
 	all := make(map[string]lease.Promise)
 	s.Each(func(name string, value []byte) {
 		if of, ok := strings.CutPrefix(name, promisePrefix); ok && len(value) == 12 {
-			all[of] = lease.Promise{Number: binary.LittleEndian.Uint64(value), Version: binary.LittleEndian.Uint32(value[8:])}
+			all[of] = lease.Promise{FencingToken: binary.LittleEndian.Uint64(value), VoterSetVersion: binary.LittleEndian.Uint32(value[8:])}
 		}
 	})
 	return all
