--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -218,7 +218,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got := fmt.Sprint(m.Name, " ", m.Fleet, " ", m.Listen, " ", m.Folder, " ", m.Peers)
+	got := fmt.Sprint(m.Name, " ", m.Fleet, " ", m.Listen, " ", m.DataDir, " ", m.Peers)
 	if want := "c0 bureau 127.0.0.1:7400 /var/lib/passtack/c0 [{c1 127.0.0.2:7400} {c2 127.0.0.3:7400}]"; got != want {
 		t.Errorf("read as %s, want %s", got, want)
 	}
