--- a/cmd/passtack/lives_test.go
+++ b/cmd/passtack/lives_test.go
@@ -19,11 +19,11 @@
 
 	"passtack/driver"
 	"passtack/internal/control"
-	"passtack/internal/keep"
 	"passtack/internal/lease"
 	"passtack/internal/node"
 	"passtack/internal/pgwire"
 	"passtack/internal/state"
+	"passtack/internal/storage"
 )
 
 // primary is a member that keeps the statements it was sent, but for those that only look.
@@ -363,7 +363,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := store.Commit([]keep.Change{state.PromiseOf("summary", lease.Promise{Number: 7, Version: 1})}); err != nil {
+	if err := store.Commit([]storage.Change{state.PromiseOf("summary", lease.Promise{Number: 7, Version: 1})}); err != nil {
 		t.Fatal(err)
 	}
 	store.Close()
--- a/cmd/passtack/state.go
+++ b/cmd/passtack/state.go
@@ -14,8 +14,8 @@
 	"time"
 
 	"passtack/driver"
-	"passtack/internal/keep"
 	"passtack/internal/state"
+	"passtack/internal/storage"
 )
 
 // stateShow prints what a driver keeps in its folder.
@@ -33,7 +33,7 @@
 		out := json.NewEncoder(os.Stdout)
 		out.SetIndent("", " ")
 		return out.Encode(map[string]any{"saved": r.Saved, "members": r.Members, "sessions": r.writes, "list": json.RawMessage(r.List()),
-			"repeats": counts(r.Repeats), "lost": found.Lost})
+			"repeats": counts(r.Repeats), "lost": found.Unreadable})
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "saved\t%s\n", when(r.Saved))
@@ -72,12 +72,12 @@
 	writes map[driver.Session]time.Duration
 }
 
-func lookAt(path string) (*found, uint64, keep.Found, error) {
-	folder, err := keep.OpenFolder(path)
+func lookAt(path string) (*found, uint64, storage.RecoveryReport, error) {
+	folder, err := storage.OpenDirectory(path)
 	if err != nil {
-		return nil, 0, keep.Found{}, err
+		return nil, 0, storage.RecoveryReport{}, err
 	}
-	s, owner, whole, err := keep.Look(folder)
+	s, owner, whole, err := storage.OpenReadOnly(folder)
 	if err != nil {
 		return nil, 0, whole, err
 	}
@@ -96,9 +96,9 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("snapshot=%d values=%d members=%d sessions=%d listed=%d saved=%s\n", found.Sequence, found.Values, len(r.Members), len(r.writes), len(r.Entries), when(r.Saved))
-	if len(found.Lost) > 0 {
-		return errors.New(strings.Join(found.Lost, "\n"))
+	fmt.Printf("snapshot=%d values=%d members=%d sessions=%d listed=%d saved=%s\n", found.SnapshotSequence, found.Values, len(r.Members), len(r.writes), len(r.Entries), when(r.Saved))
+	if len(found.Unreadable) > 0 {
+		return errors.New(strings.Join(found.Unreadable, "\n"))
 	}
 	return nil
 }
--- a/cmd/passtack/state_test.go
+++ b/cmd/passtack/state_test.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"passtack/driver"
-	"passtack/internal/keep"
 	"passtack/internal/state"
+	"passtack/internal/storage"
 )
 
 // What a folder holds is shown while its driver has it, and what is spoilt in it is named.
@@ -29,7 +29,7 @@
 	if err := s.Commit(changes); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Commit([]keep.Change{{Name: "member/s-1"}}); err != nil {
+	if err := s.Commit([]storage.Change{{Name: "member/s-1"}}); err != nil {
 		t.Fatal(err)
 	}
 	if out, ok := passtack(t, "state", "verify", path); !ok || !strings.Contains(out, "snapshot=1 values=4 members=0 sessions=1 listed=1 saved=1970-01-01T01:00:00Z") {
--- a/internal/node/configuration.go
+++ b/internal/node/configuration.go
@@ -12,10 +12,10 @@
 
 	odatafront "passtack/internal/front/odata"
 	pgfront "passtack/internal/front/pg"
-	"passtack/internal/keep"
 	"passtack/internal/operator"
 	"passtack/internal/rollout"
 	watch "passtack/internal/rollout/client"
+	"passtack/internal/storage"
 	"passtack/internal/terms"
 )
 
@@ -28,7 +28,7 @@
 	since    time.Duration // when that version came into force here
 	memory   int64         // of that version, 0: as the driver's own file has it
 	sockets  int
-	store    *keep.Store // nil: nothing is kept
+	store    *storage.Store // nil: nothing is kept
 	quiet    time.Duration
 }
 
@@ -97,11 +97,11 @@
 		n.Count("configuration_folder_unusable")
 		return
 	}
-	for _, lost := range found.Lost {
+	for _, lost := range found.Unreadable {
 		slog.Warn("configuration_lost", "file", lost)
 	}
 	c.store = store
-	store.Each(func(name string, value []byte) {
+	store.ForEach(func(name string, value []byte) {
 		if name != inForceName || len(value) < 8 {
 			return
 		}
@@ -170,7 +170,7 @@
 		}
 	}
 	value := append(binary.LittleEndian.AppendUint64(nil, next.version), next.text...)
-	n.carry(func() error { return c.store.Commit([]keep.Change{{Name: inForceName, Value: value}}) }, func(err error, _ time.Duration) {
+	n.carry(func() error { return c.store.Commit([]storage.Change{{Name: inForceName, Value: value}}) }, func(err error, _ time.Duration) {
 		if err != nil {
 			n.Count("configuration_not_kept")
 			if now := n.loop.Now(); now >= c.quiet {
--- a/internal/node/configuration_test.go
+++ b/internal/node/configuration_test.go
@@ -8,7 +8,6 @@
 	"testing"
 	"time"
 
-	"passtack/internal/keep"
 	"passtack/internal/loop/sim"
 	"passtack/internal/operator"
 	"passtack/internal/pcg"
@@ -16,6 +15,7 @@
 	"passtack/internal/rollout"
 	"passtack/internal/rollout/server"
 	"passtack/internal/state"
+	"passtack/internal/storage"
 	"passtack/internal/terms"
 )
 
@@ -300,7 +300,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := store.Commit([]keep.Change{{Name: inForceName, Value: append([]byte{9, 0, 0, 0, 0, 0, 0, 0}, `{"settings":{"clases":[]}}`...)}}); err != nil {
+	if err := store.Commit([]storage.Change{{Name: inForceName, Value: append([]byte{9, 0, 0, 0, 0, 0, 0, 0}, `{"settings":{"clases":[]}}`...)}}); err != nil {
 		t.Fatal(err)
 	}
 	store.Close()
--- a/internal/node/leases.go
+++ b/internal/node/leases.go
@@ -7,12 +7,12 @@
 	"time"
 
 	"passtack/driver"
-	"passtack/internal/keep"
 	"passtack/internal/lease"
 	"passtack/internal/loop"
 	"passtack/internal/operator"
 	"passtack/internal/peers"
 	"passtack/internal/state"
+	"passtack/internal/storage"
 )
 
 // leases is the driver's part in the leases of its fleet, where the operator's file says so.
@@ -27,9 +27,9 @@
 	greets time.Duration // between two greetings while some voter's address is not known
 	hushed time.Duration // until when promises that are not kept are not logged
 
-	store   *keep.Store // of promises; nil: there is no folder
-	waiting []promised  // not on the disk yet
-	out     int         // of them being written
+	store   *storage.Store // of promises; nil: there is no folder
+	waiting []promised     // not on the disk yet
+	out     int            // of them being written
 }
 
 // task is what a driver does while it holds a lease.
@@ -66,7 +66,7 @@
 			slog.Warn("promises_unusable", "folder", w.Folder, "cause", err)
 			n.Count("promises_unusable")
 		}
-		for _, lost := range found.Lost {
+		for _, lost := range found.Unreadable {
 			slog.Warn("promises_lost", "file", lost)
 		}
 		if l.store = store; store != nil {
@@ -181,7 +181,7 @@
 		return
 	}
 	l.out = len(l.waiting)
-	var changes []keep.Change
+	var changes []storage.Change
 	for _, p := range l.waiting {
 		changes = append(changes, state.PromiseOf(p.lease, p.promise))
 	}
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -10,13 +10,13 @@
 	"passtack/driver"
 	"passtack/internal/chores"
 	odatafront "passtack/internal/front/odata"
-	"passtack/internal/keep"
 	"passtack/internal/state"
+	"passtack/internal/storage"
 )
 
 // learned is what the driver keeps in a folder, where the operator gives it one.
 type learned struct {
-	store                     *keep.Store
+	store                     *storage.Store
 	saver                     *state.Saver
 	recalled                  *state.Recalled
 	unlisted                  time.Duration // until when what was recalled of members that nobody has listed is kept on
@@ -50,7 +50,7 @@
 		n.Count("state_unusable")
 		return
 	}
-	for _, lost := range found.Lost {
+	for _, lost := range found.Unreadable {
 		slog.Warn("state_lost", "file", lost)
 	}
 	now := n.loop.Now()
@@ -61,7 +61,7 @@
 	k.recalling = false
 	if r.Saved > 0 {
 		slog.Info("state_recalled", "members", len(r.Members), "sessions", r.Sessions, "listed", len(r.Entries), "age_ms", (now - r.Saved).Milliseconds(),
-			"lost", len(found.Lost))
+			"lost", len(found.Unreadable))
 	}
 	n.module.Usual(r.Usual...)
 	n.list.Keep = n.keepList
@@ -71,10 +71,10 @@
 }
 
 // openFolder opens the folder, where the loop turns already or a disk that stalls would hold the start up.
-func (n *Node) openFolder(path string, most int) (*keep.Store, keep.Found, error) {
+func (n *Node) openFolder(path string, most int) (*storage.Store, storage.RecoveryReport, error) {
 	type opened struct {
-		store *keep.Store
-		found keep.Found
+		store *storage.Store
+		found storage.RecoveryReport
 		err   error
 	}
 	if n.simulated {
@@ -94,7 +94,7 @@
 				o.store.Close()
 			}
 		}()
-		return nil, keep.Found{}, errors.New("the disk does not answer")
+		return nil, storage.RecoveryReport{}, errors.New("the disk does not answer")
 	}
 }
 
@@ -221,7 +221,7 @@
 	worth := false // the store is asked by the worker only: it waits for whoever has the disk
 	n.carry(func() error {
 		err := k.store.Commit(changes)
-		worth = err == nil && k.store.Worth()
+		worth = err == nil && k.store.CompactionDue()
 		return err
 	}, func(err error, took time.Duration) {
 		k.saver.Committed(err)
@@ -288,7 +288,7 @@
 	go func() {
 		defer close(over)
 		if changes != nil {
-			if err := k.store.Commit(changes); err != nil && !errors.Is(err, keep.ErrTooMuch) {
+			if err := k.store.Commit(changes); err != nil && !errors.Is(err, storage.ErrTooLarge) {
 				slog.Warn("state_not_saved", "folder", n.wants.State.Folder, "cause", err)
 			}
 		}
--- a/internal/node/state_test.go
+++ b/internal/node/state_test.go
@@ -5,8 +5,8 @@
 	"strings"
 	"testing"
 
-	"passtack/internal/keep"
 	"passtack/internal/state"
+	"passtack/internal/storage"
 )
 
 // What a driver learned is in its folder once it has ended, and its next life has it; meanwhile no other may use the folder.
@@ -30,12 +30,12 @@
 		t.Fatalf("it is answered by %s", a)
 	}
 	d.stop()
-	look, err := keep.OpenFolder(folder)
+	look, err := storage.OpenDirectory(folder)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, owner, found, err := keep.Look(look)
-	if err != nil || owner != state.Owner("n0") || len(found.Lost) > 0 {
+	s, owner, found, err := storage.OpenReadOnly(look)
+	if err != nil || owner != state.Owner("n0") || len(found.Unreadable) > 0 {
 		t.Fatalf("owner %x, %+v, %v", owner, found, err)
 	}
 	k := state.Read(s).Members["s-0"]
--- a/internal/rollout/server/disk.go
+++ b/internal/rollout/server/disk.go
@@ -7,15 +7,15 @@
 	"log/slog"
 	"maps"
 
-	"passtack/internal/keep"
 	"passtack/internal/state"
+	"passtack/internal/storage"
 )
 
 // Folder is a machine's disk: what changes is committed by a worker, all that waits together.
 type Folder struct {
-	store   *keep.Store
+	store   *storage.Store
 	ring    func()
-	jobs    chan []keep.Change
+	jobs    chan []storage.Change
 	done    chan error
 	written map[string]string // as the folder has it, or will
 	waiting []func(error)
@@ -50,9 +50,9 @@
 	if err != nil {
 		return nil, k, err
 	}
-	f := &Folder{store: store, ring: ring, jobs: make(chan []keep.Change, 1), done: make(chan error, 1), written: make(map[string]string), changes: make(map[string][]byte)}
+	f := &Folder{store: store, ring: ring, jobs: make(chan []storage.Change, 1), done: make(chan error, 1), written: make(map[string]string), changes: make(map[string][]byte)}
 	var wrong error
-	store.Each(func(name string, value []byte) {
+	store.ForEach(func(name string, value []byte) {
 		f.written[name] = string(value)
 		var into any
 		switch name {
@@ -77,7 +77,7 @@
 		store.Close()
 		return nil, k, wrong
 	}
-	for _, lost := range found.Lost { // it may have promised what it does not know any more: it learns from the others, as with an empty folder
+	for _, lost := range found.Unreadable { // it may have promised what it does not know any more: it learns from the others, as with an empty folder
 		k.State.Joined = false
 		slog.Warn("configuration_lost", "machine", machine, "file", lost)
 	}
@@ -116,9 +116,9 @@
 	}
 	f.out, f.waiting = f.waiting, nil
 	f.writing, f.changes = f.changes, make(map[string][]byte)
-	var changes []keep.Change
+	var changes []storage.Change
 	for name, value := range f.writing {
-		changes = append(changes, keep.Change{Name: name, Value: value})
+		changes = append(changes, storage.Change{Name: name, Value: value})
 	}
 	f.jobs <- changes
 }
--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -13,9 +13,9 @@
 	"github.com/zeebo/xxh3"
 
 	"passtack/driver"
-	"passtack/internal/keep"
 	"passtack/internal/lease"
 	"passtack/internal/repeat"
+	"passtack/internal/storage"
 )
 
 var update = flag.Bool("update", false, "rewrite golden files")
@@ -70,7 +70,7 @@
 	run("unsure", repeat.Unsure)
 	v.Repeat("offices", xxh3.HashString("gone"), nil)
 	commit(time.Hour+2*time.Second, "s-2", "s-3")
-	if err := s.Commit([]keep.Change{PromiseOf("summary", goldenPromise)}); err != nil {
+	if err := s.Commit([]storage.Change{PromiseOf("summary", goldenPromise)}); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -18,8 +18,8 @@
 	"github.com/zeebo/xxh3"
 
 	"passtack/driver"
-	"passtack/internal/keep"
 	"passtack/internal/lease"
+	"passtack/internal/storage"
 )
 
 // Names of what is kept: a member by its uid; the latest writes of sessions, in batches by the time of their commit; entries of the list
@@ -91,10 +91,10 @@
 }
 
 // Read gives what a store holds. What cannot be read is left out: it was written by this program, so it is of another form.
-func Read(s *keep.Store) *Recalled {
+func Read(s *storage.Store) *Recalled {
 	r := &Recalled{Members: make(map[string]driver.Known), Repeats: make(map[string][][]byte)}
 	EachWrite(s, func(driver.Session, time.Duration) { r.Sessions++ })
-	s.Each(func(name string, value []byte) {
+	s.ForEach(func(name string, value []byte) {
 		kind, rest, _ := strings.Cut(name, "/")
 		switch kind + "/" {
 		case memberPrefix:
@@ -127,8 +127,8 @@
 }
 
 // EachWrite gives the writes of sessions that a store holds. A session may come more than once; its latest write counts.
-func EachWrite(s *keep.Store, wrote func(driver.Session, time.Duration)) {
-	s.Each(func(name string, value []byte) {
+func EachWrite(s *storage.Store, wrote func(driver.Session, time.Duration)) {
+	s.ForEach(func(name string, value []byte) {
 		if strings.HasPrefix(name, writtenPrefix) {
 			for at := 0; at+16 <= len(value); at += 16 {
 				wrote(driver.Session(span(value[at:], 0)), span(value[at:], 1))
@@ -162,9 +162,9 @@
 	most    int // bytes that a state may take
 	kept    map[string]piece
 	round   uint32
-	out     []keep.Change // what is being written; nil: nothing
-	changes []keep.Change // of the members, in this round
-	bytes   int           // of those
+	out     []storage.Change // what is being written; nil: nothing
+	changes []storage.Change // of the members, in this round
+	bytes   int              // of those
 	told    map[string][]byte
 	written map[driver.Session]time.Duration // not yet in a commit
 	writing map[driver.Session]time.Duration // in the one that is out
@@ -179,9 +179,9 @@
 }
 
 // NewSaver begins with what the store holds; a state may take so many bytes.
-func NewSaver(s *keep.Store, most int) *Saver {
+func NewSaver(s *storage.Store, most int) *Saver {
 	v := &Saver{most: most, kept: make(map[string]piece), told: make(map[string][]byte), written: make(map[driver.Session]time.Duration)}
-	s.Each(func(name string, value []byte) {
+	s.ForEach(func(name string, value []byte) {
 		v.kept[name] = piece{value: value}
 		if at, err := strconv.ParseUint(strings.TrimPrefix(name, writtenPrefix), 16, 64); err == nil && strings.HasPrefix(name, writtenPrefix) {
 			v.batches = append(v.batches, batch{time.Duration(at), len(value)})
@@ -275,7 +275,7 @@
 }
 
 func (v *Saver) change(name string, value []byte) {
-	v.changes = append(v.changes, keep.Change{Name: name, Value: value})
+	v.changes = append(v.changes, storage.Change{Name: name, Value: value})
 	v.bytes += len(name) + len(value)
 }
 
@@ -292,7 +292,7 @@
 }
 
 // Finish ends a round and gives the changes to commit; none where nothing has changed.
-func (v *Saver) Finish(now time.Duration) []keep.Change {
+func (v *Saver) Finish(now time.Duration) []storage.Change {
 	for name, p := range v.kept {
 		if p.round != v.round && strings.HasPrefix(name, memberPrefix) {
 			v.change(name, nil)
@@ -316,8 +316,8 @@
 	if len(v.changes) == 0 {
 		return nil
 	}
-	slices.SortFunc(v.changes, func(a, b keep.Change) int { return strings.Compare(a.Name, b.Name) })
-	v.out = append(v.changes, keep.Change{Name: savedName, Value: appendSpan(nil, now)})
+	slices.SortFunc(v.changes, func(a, b storage.Change) int { return strings.Compare(a.Name, b.Name) })
+	v.out = append(v.changes, storage.Change{Name: savedName, Value: appendSpan(nil, now)})
 	v.changes = nil
 	return v.out
 }
@@ -385,13 +385,13 @@
 }
 
 // Open takes a driver's folder and reads it. Why it cannot be used is told in one line; the driver then goes on without.
-func Open(path, name string, most int) (*keep.Store, keep.Found, error) {
-	folder, err := keep.OpenFolder(path)
+func Open(path, name string, most int) (*storage.Store, storage.RecoveryReport, error) {
+	folder, err := storage.OpenDirectory(path)
 	if err != nil {
-		return nil, keep.Found{}, fmt.Errorf("state folder: %w", err)
+		return nil, storage.RecoveryReport{}, fmt.Errorf("state folder: %w", err)
 	}
-	s, found, err := keep.Open(folder, Owner(name), most)
-	if errors.Is(err, keep.ErrOwner) {
+	s, found, err := storage.Open(folder, Owner(name), most)
+	if errors.Is(err, storage.ErrWrongOwner) {
 		err = fmt.Errorf("%w, this one is %q", err, name)
 	}
 	return s, found, err
@@ -399,18 +399,18 @@
 
 // Prune writes a folder anew without what is older than that, and gives what it took and takes.
 func Prune(path string, owner uint64, older, now time.Duration, most int) (before, after int, err error) {
-	folder, err := keep.OpenFolder(path)
+	folder, err := storage.OpenDirectory(path)
 	if err != nil {
 		return 0, 0, err
 	}
-	s, _, err := keep.Open(folder, owner, most)
+	s, _, err := storage.Open(folder, owner, most)
 	if err != nil {
 		return 0, 0, err
 	}
 	defer s.Close()
 	before = s.Size()
-	var gone []keep.Change
-	s.Each(func(name string, value []byte) {
+	var gone []storage.Change
+	s.ForEach(func(name string, value []byte) {
 		at := now
 		if k, ok := memberOf(value); ok && strings.HasPrefix(name, memberPrefix) {
 			at = max(k.Position, k.Replica, k.Timed)
@@ -420,7 +420,7 @@
 			at = span(value, 0)
 		}
 		if now-at > older {
-			gone = append(gone, keep.Change{Name: name})
+			gone = append(gone, storage.Change{Name: name})
 		}
 	})
 	if err = s.Commit(gone); err == nil {
@@ -433,14 +433,14 @@
 const promisePrefix = "promise/"
 
 // PromiseOf is the change that keeps a promise about a lease.
-func PromiseOf(name string, p lease.Promise) keep.Change {
-	return keep.Change{Name: promisePrefix + name, Value: binary.LittleEndian.AppendUint32(binary.LittleEndian.AppendUint64(nil, p.Number), p.Version)}
+func PromiseOf(name string, p lease.Promise) storage.Change {
+	return storage.Change{Name: promisePrefix + name, Value: binary.LittleEndian.AppendUint32(binary.LittleEndian.AppendUint64(nil, p.Number), p.Version)}
 }
 
 // Promises gives those that a folder holds, by lease.
-func Promises(s *keep.Store) map[string]lease.Promise {
+func Promises(s *storage.Store) map[string]lease.Promise {
 	all := make(map[string]lease.Promise)
-	s.Each(func(name string, value []byte) {
+	s.ForEach(func(name string, value []byte) {
 		if of, ok := strings.CutPrefix(name, promisePrefix); ok && len(value) == 12 {
 			all[of] = lease.Promise{Number: binary.LittleEndian.Uint64(value), Version: binary.LittleEndian.Uint32(value[8:])}
 		}
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -13,8 +13,8 @@
 	"pgregory.net/rapid"
 
 	"passtack/driver"
-	"passtack/internal/keep"
 	"passtack/internal/seeded"
+	"passtack/internal/storage"
 )
 
 const ms = time.Millisecond
@@ -22,7 +22,7 @@
 func open(t interface {
 	TempDir() string
 	Fatal(...any)
-}, path string) *keep.Store {
+}, path string) *storage.Store {
 	s, _, err := Open(path, "n0", 32<<20)
 	if err != nil {
 		t.Fatal(err)
@@ -43,7 +43,7 @@
 }
 
 // round saves what has changed.
-func (l life) round(v *Saver, now time.Duration) []keep.Change {
+func (l life) round(v *Saver, now time.Duration) []storage.Change {
 	v.Begin()
 	for uid, k := range l.members {
 		v.Member(uid, k)
@@ -135,7 +135,7 @@
 }
 
 // writes gives the latest write of each session.
-func writes(s *keep.Store) map[driver.Session]time.Duration {
+func writes(s *storage.Store) map[driver.Session]time.Duration {
 	all := make(map[driver.Session]time.Duration)
 	EachWrite(s, func(who driver.Session, commit time.Duration) { all[who] = max(all[who], commit) })
 	return all
@@ -169,7 +169,7 @@
 		step(50) // 800 bytes: twenty seconds fill a quarter of the room
 	}
 	r, bytes := Read(s), 0
-	s.Each(func(name string, value []byte) { bytes += len(value) })
+	s.ForEach(func(name string, value []byte) { bytes += len(value) })
 	if bytes > most/4+1000 || len(writes(s)) != 50 || writes(s)[7] != now || v.Dropped() == 0 {
 		t.Errorf("%d bytes, %d sessions, the latest write %v before now", bytes, r.Sessions, now-writes(s)[7])
 	}
@@ -191,7 +191,7 @@
 	path := t.TempDir()
 	s := open(t, path)
 	k := driver.Known{Position: time.Hour, Replica: time.Hour, Timed: time.Hour, Ratio: 1}
-	if err := s.Commit([]keep.Change{{Name: "session/a", Value: appendSpan(nil, time.Hour)}, {Name: "member/s-1", Value: memberValue(k)},
+	if err := s.Commit([]storage.Change{{Name: "session/a", Value: appendSpan(nil, time.Hour)}, {Name: "member/s-1", Value: memberValue(k)},
 		{Name: "saved", Value: appendSpan(nil, time.Hour)}}); err != nil {
 		t.Fatal(err)
 	}
@@ -203,7 +203,7 @@
 	v.Keep("s-1")
 	v.Committed(s.Commit(v.Finish(time.Hour + time.Second)))
 	var names []string
-	s.Each(func(name string, _ []byte) { names = append(names, strings.Split(name, "/")[0]) })
+	s.ForEach(func(name string, _ []byte) { names = append(names, strings.Split(name, "/")[0]) })
 	if again := Read(s); writes(s)[10] != time.Hour || again.Members["s-1"] != k || !slices.Equal(names, []string{"member", "saved", "written"}) {
 		t.Errorf("%+v under %v", again, names)
 	}
@@ -221,7 +221,7 @@
 	v.Member("old", driver.Known{Position: now - 30*time.Hour, Replica: driver.LongAgo, Timed: now - 30*time.Hour, Ratio: 1})
 	v.Member("new", driver.Known{Position: now, Replica: driver.LongAgo, Timed: now - 30*time.Hour, Ratio: 1})
 	v.Committed(s.Commit(v.Finish(now)))
-	if _, _, err := Prune(path, Owner("n0"), 24*time.Hour, now, 1<<20); !errors.Is(err, keep.ErrHeld) {
+	if _, _, err := Prune(path, Owner("n0"), 24*time.Hour, now, 1<<20); !errors.Is(err, storage.ErrLocked) {
 		t.Errorf("a folder that a driver holds: %v", err)
 	}
 	s.Close()
@@ -239,7 +239,7 @@
 func TestFoldersThatCannotBeUsed(t *testing.T) {
 	path := t.TempDir()
 	s := open(t, path)
-	if err := s.Commit([]keep.Change{{Name: memberPrefix + "s-1", Value: []byte("short")}, {Name: sessionPrefix + "zz", Value: make([]byte, 8)},
+	if err := s.Commit([]storage.Change{{Name: memberPrefix + "s-1", Value: []byte("short")}, {Name: sessionPrefix + "zz", Value: make([]byte, 8)},
 		{Name: sessionPrefix + "5", Value: make([]byte, 8)}, {Name: "other", Value: []byte{}}}); err != nil {
 		t.Fatal(err)
 	}
@@ -247,7 +247,7 @@
 		t.Errorf("%+v", r)
 	}
 	s.Close()
-	if _, _, err := Open(path, "n1", 1<<20); !errors.Is(err, keep.ErrOwner) {
+	if _, _, err := Open(path, "n1", 1<<20); !errors.Is(err, storage.ErrWrongOwner) {
 		t.Errorf("another driver's folder: %v", err)
 	}
 	if _, _, err := Open(path+"/none", "n0", 1<<20); err == nil {
--- a/internal/keep/disk.go
+++ b/internal/storage/directory.go
@@ -1,6 +1,6 @@
 // Package keep stores small values by name in a folder, so that a crash at any moment leaves a whole older or a whole newer
 // state, never a mixture. It is used by one goroutine at a time, and blocks: whoever serves RPCs lets a worker call it.
-package keep
+package storage
 
 import (
 	"errors"
@@ -13,7 +13,7 @@
 )
 
 // Disk is what a store needs of a folder.
-type Disk interface {
+type FileSystem interface {
 	Lock() error // until Unlock; fails where another process has it
 	Unlock()
 	List() ([]string, error)
@@ -32,16 +32,16 @@
 }
 
 // ErrHeld tells that another process uses the folder.
-var ErrHeld = errors.New("another process holds the folder")
+var ErrLocked = errors.New("another process holds the folder")
 
 // Folder is a folder of this machine.
-type Folder struct {
+type Directory struct {
 	path string
 	lock *os.File
 }
 
 // OpenFolder takes a folder that is there.
-func OpenFolder(path string) (*Folder, error) {
+func OpenDirectory(path string) (*Directory, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, err
@@ -49,13 +49,13 @@
 	if !info.IsDir() {
 		return nil, fmt.Errorf("%s is no folder", path)
 	}
-	return &Folder{path: path}, nil
+	return &Directory{path: path}, nil
 }
 
 const lockName = "lock"
 
 // Lock is given up by the kernel when the process ends, however it ends.
-func (f *Folder) Lock() error {
+func (f *Directory) Lock() error {
 	lock, err := os.OpenFile(filepath.Join(f.path, lockName), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return err
@@ -63,7 +63,7 @@
 	if err := unix.Flock(int(lock.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
 		lock.Close()
 		if err == unix.EWOULDBLOCK {
-			return fmt.Errorf("%s: %w", f.path, ErrHeld)
+			return fmt.Errorf("%s: %w", f.path, ErrLocked)
 		}
 		return fmt.Errorf("%s: lock: %w", f.path, err)
 	}
@@ -72,7 +72,7 @@
 }
 
 // Unlock lets others use the folder.
-func (f *Folder) Unlock() {
+func (f *Directory) Unlock() {
 	if f.lock != nil {
 		f.lock.Close()
 		f.lock = nil
@@ -80,7 +80,7 @@
 }
 
 // List names the files.
-func (f *Folder) List() (names []string, err error) {
+func (f *Directory) List() (names []string, err error) {
 	entries, err := os.ReadDir(f.path)
 	for _, e := range entries {
 		if e.Type().IsRegular() && e.Name() != lockName {
@@ -91,10 +91,12 @@
 }
 
 // Read gives the whole file.
-func (f *Folder) Read(name string) ([]byte, error) { return os.ReadFile(filepath.Join(f.path, name)) }
+func (f *Directory) Read(name string) ([]byte, error) {
+	return os.ReadFile(filepath.Join(f.path, name))
+}
 
 // Create makes an empty file.
-func (f *Folder) Create(name string) (File, error) {
+func (f *Directory) Create(name string) (File, error) {
 	file, err := os.OpenFile(filepath.Join(f.path, name), os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, err
@@ -103,15 +105,15 @@
 }
 
 // Rename puts a file in the place of another, or of none.
-func (f *Folder) Rename(from, to string) error {
+func (f *Directory) Rename(from, to string) error {
 	return os.Rename(filepath.Join(f.path, from), filepath.Join(f.path, to))
 }
 
 // Remove takes a file away.
-func (f *Folder) Remove(name string) error { return os.Remove(filepath.Join(f.path, name)) }
+func (f *Directory) Remove(name string) error { return os.Remove(filepath.Join(f.path, name)) }
 
 // Sync brings the folder's own entries to the disk.
-func (f *Folder) Sync() error {
+func (f *Directory) Sync() error {
 	folder, err := os.Open(f.path)
 	if err != nil {
 		return err
