--- a/cmd/passtack/state.go
+++ b/cmd/passtack/state.go
@@ -77,13 +77,13 @@
 	if err != nil {
 		return nil, 0, storage.RecoveryReport{}, err
 	}
-	s, owner, whole, err := storage.OpenReadOnly(folder)
+	s, whole, err := storage.OpenReadOnly(folder)
 	if err != nil {
 		return nil, 0, whole, err
 	}
 	f := &found{state.Read(s), make(map[driver.Session]time.Duration)}
 	state.EachWrite(s, func(who driver.Session, commit time.Duration) { f.writes[who] = max(f.writes[who], commit) })
-	return f, owner, whole, nil
+	return f, s.Owner(), whole, nil
 }
 
 // stateVerify reads a folder as a driver would.
--- a/internal/node/state_test.go
+++ b/internal/node/state_test.go
@@ -34,9 +34,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, owner, found, err := storage.OpenReadOnly(look)
-	if err != nil || owner != state.Owner("n0") || len(found.Unreadable) > 0 {
-		t.Fatalf("owner %x, %+v, %v", owner, found, err)
+	s, report, err := storage.OpenReadOnly(look)
+	if err != nil || s.Owner() != state.Owner("n0") || len(report.Unreadable) > 0 {
+		t.Fatalf("%+v, %v", report, err)
 	}
 	k := state.Read(s).Members["s-0"]
 	if k.Position == 0 || k.Timed == 0 {
--- a/internal/storage/directory.go
+++ b/internal/storage/directory.go
@@ -1,5 +1,3 @@
-// Package keep stores small values by name in a folder, so that a crash at any moment leaves a whole older or a whole newer
-// state, never a mixture. It is used by one goroutine at a time, and blocks: whoever serves RPCs lets a worker call it.
 package storage
 
 import (
@@ -12,76 +10,81 @@
 	"golang.org/x/sys/unix"
 )
 
-// Disk is what a store needs of a folder.
+// FileSystem is the directory access that a Store needs. Tests replace it to inject crashes and disk failures.
 type FileSystem interface {
-	Lock() error // until Unlock; fails where another process has it
+	// Lock takes exclusive use of the directory until Unlock. It returns ErrLocked while another process has it.
+	Lock() error
 	Unlock()
+	// List returns the names of the regular files.
 	List() ([]string, error)
 	Read(name string) ([]byte, error)
-	Create(name string) (File, error) // empty; what had the name is gone
+	// Create returns an empty file and replaces an existing one of that name.
+	Create(name string) (File, error)
 	Rename(from, to string) error
 	Remove(name string) error
-	Sync() error // what was created, renamed and removed
+	// Sync makes preceding creations, renames and removals durable.
+	Sync() error
 }
 
-// File is one that is written from its start to its end.
+// File is a file that is written sequentially.
 type File interface {
 	io.Writer
 	Sync() error
 	Close() error
 }
 
-// ErrHeld tells that another process uses the folder.
-var ErrLocked = errors.New("another process holds the folder")
+// ErrLocked reports that another process uses the directory.
+var ErrLocked = errors.New("directory is locked by another process")
+
+// lockName is the file whose lock guards the directory.
+const lockName = "lock"
 
-// Folder is a folder of this machine.
+// Directory is a FileSystem on a directory of the operating system.
 type Directory struct {
 	path string
 	lock *os.File
 }
 
-// OpenFolder takes a folder that is there.
+// OpenDirectory returns the existing directory at path, not yet locked.
 func OpenDirectory(path string) (*Directory, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, err
 	}
 	if !info.IsDir() {
-		return nil, fmt.Errorf("%s is no folder", path)
+		return nil, fmt.Errorf("%s is not a directory", path)
 	}
 	return &Directory{path: path}, nil
 }
 
-const lockName = "lock"
-
-// Lock is given up by the kernel when the process ends, however it ends.
-func (f *Directory) Lock() error {
-	lock, err := os.OpenFile(filepath.Join(f.path, lockName), os.O_CREATE|os.O_RDWR, 0o600)
+// Lock takes an advisory lock, which the kernel releases when the process ends, even if it is killed.
+func (d *Directory) Lock() error {
+	lock, err := os.OpenFile(d.file(lockName), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return err
 	}
 	if err := unix.Flock(int(lock.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
 		lock.Close()
 		if err == unix.EWOULDBLOCK {
-			return fmt.Errorf("%s: %w", f.path, ErrLocked)
+			return fmt.Errorf("%s: %w", d.path, ErrLocked)
 		}
-		return fmt.Errorf("%s: lock: %w", f.path, err)
+		return fmt.Errorf("lock %s: %w", d.path, err)
 	}
-	f.lock = lock
+	d.lock = lock
 	return nil
 }
 
-// Unlock lets others use the folder.
-func (f *Directory) Unlock() {
-	if f.lock != nil {
-		f.lock.Close()
-		f.lock = nil
+// Unlock releases the lock; it does nothing without one.
+func (d *Directory) Unlock() {
+	if d.lock != nil {
+		d.lock.Close()
+		d.lock = nil
 	}
 }
 
-// List names the files.
-func (f *Directory) List() (names []string, err error) {
-	entries, err := os.ReadDir(f.path)
+// List returns the names of the regular files, without the lock file.
+func (d *Directory) List() (names []string, err error) {
+	entries, err := os.ReadDir(d.path)
 	for _, e := range entries {
 		if e.Type().IsRegular() && e.Name() != lockName {
 			names = append(names, e.Name())
@@ -90,34 +93,32 @@
 	return names, err
 }
 
-// Read gives the whole file.
-func (f *Directory) Read(name string) ([]byte, error) {
-	return os.ReadFile(filepath.Join(f.path, name))
-}
+// Read returns the content of a file.
+func (d *Directory) Read(name string) ([]byte, error) { return os.ReadFile(d.file(name)) }
 
-// Create makes an empty file.
-func (f *Directory) Create(name string) (File, error) {
-	file, err := os.OpenFile(filepath.Join(f.path, name), os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
+// Create returns an empty file that only the owner of the process may read.
+func (d *Directory) Create(name string) (File, error) {
+	file, err := os.OpenFile(d.file(name), os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, err
 	}
 	return file, nil
 }
 
-// Rename puts a file in the place of another, or of none.
-func (f *Directory) Rename(from, to string) error {
-	return os.Rename(filepath.Join(f.path, from), filepath.Join(f.path, to))
-}
+// Rename renames a file and replaces an existing one of the new name.
+func (d *Directory) Rename(from, to string) error { return os.Rename(d.file(from), d.file(to)) }
 
-// Remove takes a file away.
-func (f *Directory) Remove(name string) error { return os.Remove(filepath.Join(f.path, name)) }
+// Remove deletes a file.
+func (d *Directory) Remove(name string) error { return os.Remove(d.file(name)) }
 
-// Sync brings the folder's own entries to the disk.
-func (f *Directory) Sync() error {
-	folder, err := os.Open(f.path)
+// Sync makes the entries of the directory itself durable.
+func (d *Directory) Sync() error {
+	directory, err := os.Open(d.path)
 	if err != nil {
 		return err
 	}
-	defer folder.Close()
-	return folder.Sync()
+	defer directory.Close()
+	return directory.Sync()
 }
+
+func (d *Directory) file(name string) string { return filepath.Join(d.path, name) }
--- a/internal/storage/fakedisk_test.go
+++ b/internal/storage/fakedisk_test.go
@@ -15,65 +15,65 @@
 	errMachineDown = errors.New("the machine is down")
 )
 
-// paper is a disk of the tests. What was not synced is lost, torn, kept in part or out of order when it crashes.
+// fakeDisk is a FileSystem in memory. At a crash, what was not synced is lost, torn, partly written or reordered.
 type fakeDisk struct {
 	random     *pcg.Source
-	files      map[string]*fakeFile // as the program sees the folder
-	durable    map[string]*fakeFile // as it is after a crash
+	files      map[string]*fakeFile // as the program sees them
+	durable    map[string]*fakeFile // as they are after a crash
 	pending    []func(map[string]*fakeFile)
 	operations int
-	crashAt    int // the operation at which the machine goes down; 0: never
+	crashAt    int // the operation at which the machine crashes; 0: never
 	failAt     int // the operation that fails
 	failure    error
-	freeBytes  int // bytes that still fit, under 0: without limit
+	freeBytes  int // below 0: unlimited
 	locked     bool
 	down       bool
 }
 
-// sheet is the content of a file.
+// fakeFile is the content of a file.
 type fakeFile struct {
 	content    []byte // as written
-	synced     int    // so much of it is on the disk
-	syncFailed bool   // a sync failed: what it had not brought to the disk is gone
+	synced     int    // this many bytes are durable
+	syncFailed bool   // a sync failed: what was not durable by then is lost
 }
 
 func newFakeDisk(seed uint64) *fakeDisk {
 	return &fakeDisk{random: pcg.New(seed), files: make(map[string]*fakeFile), durable: make(map[string]*fakeFile), freeBytes: -1}
 }
 
-// op counts an operation, and lets it fail or the machine go down.
-func (p *fakeDisk) operation() error {
-	if p.down {
+// operation counts an operation, and lets it fail or the machine crash.
+func (d *fakeDisk) operation() error {
+	if d.down {
 		return errMachineDown
 	}
-	p.operations++
-	if p.operations == p.crashAt {
-		p.down = true
+	d.operations++
+	if d.operations == d.crashAt {
+		d.down = true
 		return errMachineDown
 	}
-	if p.operations == p.failAt {
-		return p.failure
+	if d.operations == d.failAt {
+		return d.failure
 	}
 	return nil
 }
 
-// restart is the disk as the next start of the machine finds it.
-func (p *fakeDisk) restart() *fakeDisk {
-	next := newFakeDisk(uint64(p.random.Uint32()))
-	found := maps.Clone(p.durable)
-	for _, change := range p.pending { // each may have reached the disk or not
-		if p.random.Below(2) == 0 {
+// restart returns the disk as it is found after a crash.
+func (d *fakeDisk) restart() *fakeDisk {
+	next := newFakeDisk(uint64(d.random.Uint32()))
+	found := maps.Clone(d.durable)
+	for _, change := range d.pending { // each may be durable or not
+		if d.random.Below(2) == 0 {
 			change(found)
 		}
 	}
 	for name, s := range found {
 		text := slices.Clone(s.content[:s.synced])
 		if rest := s.content[s.synced:]; len(rest) > 0 && !s.syncFailed {
-			switch kept := p.random.Below(len(rest) + 1); p.random.Below(3) {
-			case 0: // a part of it
-				text = append(text, rest[:kept]...)
-			case 1: // its length, but not all that stood there
-				text = append(append(text, rest[:kept]...), make([]byte, len(rest)-kept)...)
+			switch prefix := d.random.Below(len(rest) + 1); d.random.Below(3) {
+			case 0: // a prefix of it
+				text = append(text, rest[:prefix]...)
+			case 1: // its length, but only a prefix of the content
+				text = append(append(text, rest[:prefix]...), make([]byte, len(rest)-prefix)...)
 			}
 		}
 		next.files[name] = &fakeFile{content: text, synced: len(text)}
@@ -82,110 +82,110 @@
 	return next
 }
 
-func (p *fakeDisk) Lock() error {
-	if p.locked {
+func (d *fakeDisk) Lock() error {
+	if d.locked {
 		return ErrLocked
 	}
-	p.locked = true
+	d.locked = true
 	return nil
 }
 
-func (p *fakeDisk) Unlock() { p.locked = false }
+func (d *fakeDisk) Unlock() { d.locked = false }
 
-func (p *fakeDisk) List() ([]string, error) {
-	return slices.Sorted(maps.Keys(p.files)), p.operation()
+func (d *fakeDisk) List() ([]string, error) {
+	return slices.Sorted(maps.Keys(d.files)), d.operation()
 }
 
-func (p *fakeDisk) Read(name string) ([]byte, error) {
-	if err := p.operation(); err != nil {
+func (d *fakeDisk) Read(name string) ([]byte, error) {
+	if err := d.operation(); err != nil {
 		return nil, err
 	}
-	if s := p.files[name]; s != nil {
+	if s := d.files[name]; s != nil {
 		return slices.Clone(s.content), nil
 	}
 	return nil, os.ErrNotExist
 }
 
-func (p *fakeDisk) Create(name string) (File, error) {
-	if err := p.operation(); err != nil {
+func (d *fakeDisk) Create(name string) (File, error) {
+	if err := d.operation(); err != nil {
 		return nil, err
 	}
 	s := new(fakeFile)
-	p.files[name] = s
-	p.pending = append(p.pending, func(on map[string]*fakeFile) { on[name] = s })
-	return &fakeFileWriter{p, s}, nil
+	d.files[name] = s
+	d.pending = append(d.pending, func(on map[string]*fakeFile) { on[name] = s })
+	return &fakeFileWriter{d, s}, nil
 }
 
-func (p *fakeDisk) Rename(from, to string) error {
-	if err := p.operation(); err != nil {
+func (d *fakeDisk) Rename(from, to string) error {
+	if err := d.operation(); err != nil {
 		return err
 	}
-	s := p.files[from]
+	s := d.files[from]
 	if s == nil {
 		return os.ErrNotExist
 	}
-	delete(p.files, from)
-	p.files[to] = s
-	p.pending = append(p.pending, func(on map[string]*fakeFile) {
+	delete(d.files, from)
+	d.files[to] = s
+	d.pending = append(d.pending, func(on map[string]*fakeFile) {
 		delete(on, from)
 		on[to] = s
 	})
 	return nil
 }
 
-func (p *fakeDisk) Remove(name string) error {
-	if err := p.operation(); err != nil {
+func (d *fakeDisk) Remove(name string) error {
+	if err := d.operation(); err != nil {
 		return err
 	}
-	delete(p.files, name)
-	p.pending = append(p.pending, func(on map[string]*fakeFile) { delete(on, name) })
+	delete(d.files, name)
+	d.pending = append(d.pending, func(on map[string]*fakeFile) { delete(on, name) })
 	return nil
 }
 
-func (p *fakeDisk) Sync() error {
-	if err := p.operation(); err != nil {
+func (d *fakeDisk) Sync() error {
+	if err := d.operation(); err != nil {
 		return err
 	}
-	for _, change := range p.pending {
-		change(p.durable)
+	for _, change := range d.pending {
+		change(d.durable)
 	}
-	p.pending = nil
+	d.pending = nil
 	return nil
 }
 
-// pen writes a sheet.
+// fakeFileWriter writes a fakeFile.
 type fakeFileWriter struct {
 	disk *fakeDisk
 	file *fakeFile
 }
 
-func (n *fakeFileWriter) Write(text []byte) (int, error) {
-	if err := n.disk.operation(); err != nil {
-		half := len(text) / 2 // some of it may have got there all the same
-		n.file.content = append(n.file.content, text[:half]...)
+func (w *fakeFileWriter) Write(text []byte) (int, error) {
+	if err := w.disk.operation(); err != nil {
+		half := len(text) / 2 // a part may have been written nevertheless
+		w.file.content = append(w.file.content, text[:half]...)
 		return half, err
 	}
-	if n.disk.freeBytes >= 0 && len(text) > n.disk.freeBytes {
-		n.file.content = append(n.file.content, text[:n.disk.freeBytes]...)
-		return n.disk.freeBytes, errFull
+	if w.disk.freeBytes >= 0 && len(text) > w.disk.freeBytes {
+		w.file.content = append(w.file.content, text[:w.disk.freeBytes]...)
+		return w.disk.freeBytes, errFull
 	}
-	if n.disk.freeBytes >= 0 {
-		n.disk.freeBytes -= len(text)
+	if w.disk.freeBytes >= 0 {
+		w.disk.freeBytes -= len(text)
 	}
-	n.file.content = append(n.file.content, text...)
+	w.file.content = append(w.file.content, text...)
 	return len(text), nil
 }
 
-// Sync that fails loses what it should have brought to the disk, and the next one says nothing of that.
-func (n *fakeFileWriter) Sync() error {
-	if err := n.disk.operation(); err != nil {
-		n.file.syncFailed = true
+// Sync loses the unsynced content if it fails, and later calls do not report that, as Linux does.
+func (w *fakeFileWriter) Sync() error {
+	if err := w.disk.operation(); err != nil {
+		w.file.syncFailed = true
 		return err
 	}
-	if !n.file.syncFailed {
-		n.file.synced = len(n.file.content)
+	if !w.file.syncFailed {
+		w.file.synced = len(w.file.content)
 	}
 	return nil
 }
 
-func (n *fakeFileWriter) Close() error { return nil }
+func (w *fakeFileWriter) Close() error { return nil }
--- a/internal/storage/format.go
+++ b/internal/storage/format.go
@@ -10,75 +10,99 @@
 	"github.com/zeebo/xxh3"
 )
 
-// A file is a head and frames. All numbers are little-endian.
+// A file consists of a header and records. All numbers are little-endian.
 //
-//	head   8 bytes "passtack", 2 version, 2 kind (1 snapshot, 2 log), 4 zero, 8 sequence, 8 owner, 8 checksum of what is before
-//	frame  4 length of the body, 8 checksum of sequence, index, length and body; the body
-//	body   1 what (1 put, 2 delete, 3 end), 2 length of the name, the name, the value
+//	header  8 bytes "passtack", 2 version, 2 kind (1 snapshot, 2 log), 4 zero, 8 sequence, 8 owner, 8 checksum of the preceding
+//	record  4 length of the body, 8 checksum of sequence, index, length and body; the body
+//	body    for each entry: 1 operation (1 put, 2 delete, 3 end), 2 length of the name, 4 length of the value, the name, the value
 //
-// Index counts the frames of a file from 0. A snapshot ends with a frame "end" whose value is the number of frames before it; a log just
-// ends. Frames of one batch of changes are one frame, one behind the other in its body, so that a batch is there as a whole or not at all.
+// The index counts the records of a file from 0. All changes of a commit are entries of one record, so that they are recovered
+// together or not at all. A snapshot ends with an "end" entry whose value is the number of records before it; a log has no end mark.
 const (
-	magic      = "passtack"
-	version    = 1
-	headerSize = 40
+	magic         = "passtack"
+	formatVersion = 1
 
-	kindSnapshot = 1
-	kindLog      = 2
+	magicSize        = 8  // bytes
+	headerSize       = 40 // bytes
+	recordHeaderSize = 12 // bytes
+	entryHeaderSize  = 7  // bytes
 
-	opPut    = 1
-	opDelete = 2
-	opEnd    = 3
+	maxRecordSize = 16 << 20 // bytes
+	maxNameLength = 1 << 10  // bytes
+)
+
+// fileKind tells snapshots from logs.
+type fileKind uint16
+
+const (
+	kindSnapshot fileKind = 1
+	kindLog      fileKind = 2
+)
 
-	maxRecordSize = 16 << 20
-	maxNameLength = 1 << 10
+// operation is what an entry does to its name.
+type operation byte
+
+const (
+	opPut    operation = 1
+	opDelete operation = 2
+	opEnd    operation = 3 // marks the end of a snapshot
 )
 
-// Change puts a value under a name, or takes the name away where Value is nil.
+// Change puts a value under a name, or deletes the name if Value is nil.
 type Change struct {
 	Name  string
 	Value []byte
 }
 
 var (
-	errCorrupt = errors.New("it ends in the middle or its checksum does not fit")
-	// ErrNewer tells of files that a newer version of the program has written.
+	// ErrNewerVersion reports files that a newer version of the program has written.
 	ErrNewerVersion = errors.New("written by a newer version of the program")
-	// ErrOwner tells of a folder that belongs to another driver.
-	ErrWrongOwner = errors.New("the folder belongs to another driver")
+	// ErrWrongOwner reports a directory that belongs to another driver.
+	ErrWrongOwner = errors.New("directory belongs to another driver")
+
+	errCorrupt   = errors.New("truncated or checksum mismatch")
+	errWrongName = errors.New("header does not match the file name")
 )
 
+// fileHeader is the beginning of each file.
 type fileHeader struct {
-	version, kind   uint16
-	sequence, owner uint64
+	version  uint16
+	kind     fileKind
+	sequence uint64 // of the snapshot, which its log shares
+	owner    uint64
 }
 
 func (h fileHeader) append(out []byte) []byte {
-	from := len(out)
+	start := len(out)
 	out = append(out, magic...)
 	out = binary.LittleEndian.AppendUint16(out, h.version)
-	out = binary.LittleEndian.AppendUint16(out, h.kind)
+	out = binary.LittleEndian.AppendUint16(out, uint16(h.kind))
 	out = binary.LittleEndian.AppendUint32(out, 0)
 	out = binary.LittleEndian.AppendUint64(out, h.sequence)
 	out = binary.LittleEndian.AppendUint64(out, h.owner)
-	return binary.LittleEndian.AppendUint64(out, xxh3.Hash(out[from:]))
+	return binary.LittleEndian.AppendUint64(out, xxh3.Hash(out[start:]))
 }
 
-// readHead gives the head of a file. One of a newer version is told even though the rest of its head may be another.
+// parseHeader splits the header off a file. Version is set with ErrNewerVersion too: only magic and version have the same place
+// in all versions.
 func parseHeader(in []byte) (h fileHeader, rest []byte, err error) {
-	if len(in) < 10 || string(in[:8]) != magic {
+	if len(in) < magicSize+2 || string(in[:magicSize]) != magic {
 		return h, nil, errCorrupt
 	}
-	if h.version = binary.LittleEndian.Uint16(in[8:]); h.version > version {
+	h.version = binary.LittleEndian.Uint16(in[magicSize:])
+	if h.version > formatVersion {
 		return h, nil, ErrNewerVersion
 	}
 	if len(in) < headerSize || xxh3.Hash(in[:headerSize-8]) != binary.LittleEndian.Uint64(in[headerSize-8:]) {
 		return h, nil, errCorrupt
 	}
-	h.kind, h.sequence, h.owner = binary.LittleEndian.Uint16(in[10:]), binary.LittleEndian.Uint64(in[16:]), binary.LittleEndian.Uint64(in[24:])
+	h.kind = fileKind(binary.LittleEndian.Uint16(in[10:]))
+	h.sequence = binary.LittleEndian.Uint64(in[16:])
+	h.owner = binary.LittleEndian.Uint64(in[24:])
 	return h, in[headerSize:], nil
 }
 
+// recordChecksum covers the place of a record too, so that a record of another file or place is not accepted.
 func recordChecksum(sequence uint64, index int, body []byte) uint64 {
 	var place [20]byte
 	binary.LittleEndian.PutUint64(place[:], sequence)
@@ -96,61 +120,97 @@
 	return append(out, body...)
 }
 
-// nextFrame cuts a frame off; a nil body tells that nothing is left.
+// nextRecord splits the first record off. The body is nil at the end of the input.
 func nextRecord(in []byte, sequence uint64, index int) (body, rest []byte, err error) {
 	if len(in) == 0 {
 		return nil, nil, nil
 	}
-	if len(in) < 12 {
+	if len(in) < recordHeaderSize {
 		return nil, nil, errCorrupt
 	}
 	size := int(binary.LittleEndian.Uint32(in))
-	if size == 0 || size > maxRecordSize || size > len(in)-12 {
+	if size == 0 || size > maxRecordSize || size > len(in)-recordHeaderSize {
 		return nil, nil, errCorrupt
 	}
-	body = in[12 : 12+size]
+	body = in[recordHeaderSize : recordHeaderSize+size]
 	if recordChecksum(sequence, index, body) != binary.LittleEndian.Uint64(in[4:]) {
 		return nil, nil, errCorrupt
 	}
-	return body, in[12+size:], nil
+	return body, in[recordHeaderSize+size:], nil
+}
+
+// entry is one operation within the body of a record.
+type entry struct {
+	operation operation
+	name      string
+	value     []byte
 }
 
-func appendChange(out []byte, c Change) []byte {
-	what := byte(opPut)
+func (c Change) entry() entry {
 	if c.Value == nil {
-		what = opDelete
+		return entry{operation: opDelete, name: c.Name}
 	}
-	out = append(out, what)
-	out = binary.LittleEndian.AppendUint16(out, uint16(len(c.Name)))
-	out = binary.LittleEndian.AppendUint32(out, uint32(len(c.Value)))
-	return append(append(out, c.Name...), c.Value...)
+	return entry{operation: opPut, name: c.Name, value: c.Value}
 }
 
-// eachChange reads the changes of one frame.
-func forEachOperation(body []byte, each func(what byte, name string, value []byte)) error {
+func (e entry) append(out []byte) []byte {
+	out = append(out, byte(e.operation))
+	out = binary.LittleEndian.AppendUint16(out, uint16(len(e.name)))
+	out = binary.LittleEndian.AppendUint32(out, uint32(len(e.value)))
+	out = append(out, e.name...)
+	return append(out, e.value...)
+}
+
+// forEachEntry calls visit for each entry of a record's body. Values are only valid during the call.
+func forEachEntry(body []byte, visit func(entry)) error {
 	for len(body) > 0 {
-		if len(body) < 7 {
+		if len(body) < entryHeaderSize {
 			return errCorrupt
 		}
-		what, name, value := body[0], int(binary.LittleEndian.Uint16(body[1:])), int(binary.LittleEndian.Uint32(body[3:]))
-		if body = body[7:]; name+value > len(body) || what < opPut || what > opEnd {
+		op := operation(body[0])
+		nameLength := int(binary.LittleEndian.Uint16(body[1:]))
+		valueLength := int(binary.LittleEndian.Uint32(body[3:]))
+		body = body[entryHeaderSize:]
+		end := nameLength + valueLength
+		if end > len(body) || op < opPut || op > opEnd {
 			return errCorrupt
 		}
-		each(what, string(body[:name]), body[name:name+value])
-		body = body[name+value:]
+		visit(entry{operation: op, name: string(body[:nameLength]), value: body[nameLength:end]})
+		body = body[end:]
 	}
 	return nil
 }
 
-// Names of files: what they are and their sequence.
-func snapshotName(sequence uint64) string { return fmt.Sprintf("state-%016x", sequence) }
-func logName(sequence uint64) string      { return fmt.Sprintf("log-%016x", sequence) }
+const (
+	snapshotPrefix  = "state"
+	logPrefix       = "log"
+	temporarySuffix = ".new" // of a snapshot that is being written
+	sequenceDigits  = 16     // hexadecimal, in file names
+)
+
+func snapshotName(sequence uint64) string {
+	return fmt.Sprintf("%s-%0*x", snapshotPrefix, sequenceDigits, sequence)
+}
 
-const temporarySuffix = ".new" // behind the name of a snapshot that is not whole yet
+func logName(sequence uint64) string {
+	return fmt.Sprintf("%s-%0*x", logPrefix, sequenceDigits, sequence)
+}
 
-func parseFileName(name string) (kind uint16, sequence uint64, ok bool) {
+// parseFileName returns what the name of a snapshot or log says; ok is false for any other name.
+func parseFileName(name string) (kind fileKind, sequence uint64, ok bool) {
 	prefix, digits, found := strings.Cut(name, "-")
+	if !found || len(digits) != sequenceDigits {
+		return 0, 0, false
+	}
 	sequence, err := strconv.ParseUint(digits, 16, 64)
-	kind = map[string]uint16{"state": kindSnapshot, "log": kindLog}[prefix]
-	return kind, sequence, found && err == nil && len(digits) == 16 && kind != 0
+	if err != nil {
+		return 0, 0, false
+	}
+	switch prefix {
+	case snapshotPrefix:
+		return kindSnapshot, sequence, true
+	case logPrefix:
+		return kindLog, sequence, true
+	}
+	return 0, 0, false
 }
--- a/internal/storage/store_test.go
+++ b/internal/storage/store_test.go
@@ -24,12 +24,12 @@
 	return all
 }
 
-// draw makes the changes of one commit.
-func randomChanges(chance *pcg.Source, n int) (changes []Change) {
-	for range 1 + chance.Below(4) {
-		c := Change{Name: fmt.Sprint("name", chance.Below(12))}
-		if chance.Below(4) > 0 {
-			c.Value = bytes.Repeat([]byte{byte(n)}, chance.Below(9000))
+// randomChanges returns the changes of one commit.
+func randomChanges(random *pcg.Source, n int) (changes []Change) {
+	for range 1 + random.Below(4) {
+		c := Change{Name: fmt.Sprint("name", random.Below(12))}
+		if random.Below(4) > 0 {
+			c.Value = bytes.Repeat([]byte{byte(n)}, random.Below(9000))
 		}
 		if c.Value != nil && len(c.Value) == 0 {
 			c.Value = []byte{}
@@ -51,39 +51,39 @@
 	return next
 }
 
-// The machine goes down at every single operation on the disk, one after the other. What the next start finds is a whole state: that
-// of the last commit that was told to be on the disk, or of the one that was under way.
+// The machine crashes at each disk operation in turn. The next start recovers a complete state: that of the last successful commit or
+// of the one that was in progress.
 func TestCrashAtEveryOperationLeavesACompleteState(t *testing.T) {
 	crashes := 0
 	for seed := range uint64(3) {
 		for at := 1; ; at++ {
 			disk := newFakeDisk(seed*1000 + uint64(at))
 			disk.crashAt = at
-			told := map[string]string{}
-			under := told
+			committed := map[string]string{}
+			attempted := committed
 			s, _, err := Open(disk, testOwner, testMaxSize)
 			for n := 0; err == nil && n < 30; n++ {
 				changes := randomChanges(pcg.New(seed*100+uint64(n)), n)
-				under = applied(told, changes)
+				attempted = applied(committed, changes)
 				if err = s.Commit(changes); err == nil {
-					if told = under; n%7 == 6 {
+					if committed = attempted; n%7 == 6 {
 						err = s.Compact()
 					}
 				}
 			}
 			if !disk.down {
-				break // it had nothing more to do
+				break // the run needs fewer operations
 			}
 			crashes++
-			again, found, err := Open(disk.restart(), testOwner, testMaxSize)
+			reopened, report, err := Open(disk.restart(), testOwner, testMaxSize)
 			if err != nil {
 				t.Fatalf("seed %d, operation %d: %v", seed, at, err)
 			}
-			if got := contents(again); !maps.Equal(got, told) && !maps.Equal(got, under) {
-				t.Fatalf("seed %d, operation %d: neither the state before nor after, found %+v", seed, at, found)
+			if got := contents(reopened); !maps.Equal(got, committed) && !maps.Equal(got, attempted) {
+				t.Fatalf("seed %d, operation %d: neither the state before nor after, report %+v", seed, at, report)
 			}
-			last := applied(contents(again), []Change{{"after", []byte("it")}})
-			if err := again.Commit([]Change{{"after", []byte("it")}}); err != nil || !maps.Equal(contents(again), last) {
+			last := applied(contents(reopened), []Change{{"after", []byte("it")}})
+			if err := reopened.Commit([]Change{{"after", []byte("it")}}); err != nil || !maps.Equal(contents(reopened), last) {
 				t.Fatalf("seed %d, operation %d: after the restart %v", seed, at, err)
 			}
 		}
@@ -93,8 +93,8 @@
 	}
 }
 
-// Each operation fails once, as a full disk or a broken one does. What was told to be kept still is, what was told not to be is not,
-// and once the disk works again the store does.
+// Each disk operation fails once, as on a full or broken disk. What Commit reported as durable is recovered, what it reported as failed
+// is not in the store, and the store works again once the disk does.
 func TestDiskFailuresAreReportedAndRecoveredFrom(t *testing.T) {
 	for _, failure := range []error{errFull, errIO} {
 		for seed := range uint64(2) {
@@ -103,22 +103,22 @@
 				disk.failAt, disk.failure = at, failure
 				s, _, err := Open(disk, testOwner, testMaxSize)
 				if err != nil {
-					continue // nothing was opened, and nothing is lost
+					continue // not opened, so nothing is lost
 				}
-				told, failed := map[string]string{}, 0
-				var under map[string]string // of the last commit, where that failed: it may have reached the disk all the same
+				committed, failed := map[string]string{}, 0
+				var attempted map[string]string // if the last commit failed: it may be durable nevertheless
 				for n := range 30 {
 					changes := randomChanges(pcg.New(seed*100+uint64(n)), n)
-					under = nil
+					attempted = nil
 					if err := s.Commit(changes); err == nil {
-						told = applied(told, changes)
+						committed = applied(committed, changes)
 					} else if failed++; !errors.Is(err, failure) {
 						t.Fatalf("operation %d: %v", at, err)
 					} else {
-						under = applied(told, changes)
+						attempted = applied(committed, changes)
 					}
-					if got := contents(s); !maps.Equal(got, told) {
-						t.Fatalf("operation %d: the store holds what it said is not kept", at)
+					if got := contents(s); !maps.Equal(got, committed) {
+						t.Fatalf("operation %d: the store holds what it reported as failed", at)
 					}
 				}
 				if failed > 1 {
@@ -127,8 +127,8 @@
 				if disk.operations < at {
 					break
 				}
-				again, _, err := Open(disk.restart(), testOwner, testMaxSize)
-				if got := contents(again); err != nil || !maps.Equal(got, told) && (under == nil || !maps.Equal(got, under)) {
+				reopened, _, err := Open(disk.restart(), testOwner, testMaxSize)
+				if got := contents(reopened); err != nil || !maps.Equal(got, committed) && (attempted == nil || !maps.Equal(got, attempted)) {
 					t.Fatalf("operation %d fails with %v: after a restart the state is another (%v)", at, failure, err)
 				}
 			}
@@ -136,7 +136,7 @@
 	}
 }
 
-// A disk that stays full keeps the last state; once it has room again so does the store.
+// While the disk is full the last state stays; the store works again once there is space.
 func TestDiskFullForAWhile(t *testing.T) {
 	disk := newFakeDisk(1)
 	s, _, err := Open(disk, testOwner, testMaxSize)
@@ -154,16 +154,16 @@
 	if err := s.Commit([]Change{{"c", []byte("3")}}); err != nil {
 		t.Fatal(err)
 	}
-	again, _, err := Open(disk.restart(), testOwner, testMaxSize)
-	if err != nil || !maps.Equal(contents(again), map[string]string{"a": "1", "c": "3"}) {
-		t.Errorf("%v, %v", contents(again), err)
+	reopened, _, err := Open(disk.restart(), testOwner, testMaxSize)
+	if err != nil || !maps.Equal(contents(reopened), map[string]string{"a": "1", "c": "3"}) {
+		t.Errorf("%v, %v", contents(reopened), err)
 	}
 	if err := s.Commit([]Change{{"d", make([]byte, 16<<20)}}); !errors.Is(err, ErrTooLarge) {
 		t.Errorf("16 MiB at once: %v", err)
 	}
 }
 
-// Any byte of any file may be flipped, and any file cut short: what is read is a state that once was whole, or none.
+// Whatever byte is flipped and wherever a file is truncated, what is recovered is a state that was once committed, or none.
 func TestCorruptedFilesAreDetected(t *testing.T) {
 	seeded.Check(t, func(t *rapid.T) {
 		disk := newFakeDisk(rapid.Uint64().Draw(t, "seed"))
@@ -181,42 +181,42 @@
 		}
 		names, _ := disk.List()
 		name := rapid.SampledFrom(names).Draw(t, "name")
-		sheet := disk.files[name]
-		at := rapid.IntRange(0, len(sheet.content)-1).Draw(t, "at")
+		file := disk.files[name]
+		at := rapid.IntRange(0, len(file.content)-1).Draw(t, "at")
 		if rapid.Bool().Draw(t, "cut") {
-			sheet.content = sheet.content[:at]
+			file.content = file.content[:at]
 		} else {
-			sheet.content[at] ^= byte(1 << rapid.IntRange(0, 7).Draw(t, "bit"))
+			file.content[at] ^= byte(1 << rapid.IntRange(0, 7).Draw(t, "bit"))
 		}
 		disk.locked = false
-		again, found, err := Open(disk, testOwner, testMaxSize)
+		reopened, report, err := Open(disk, testOwner, testMaxSize)
 		if errors.Is(err, ErrNewerVersion) || errors.Is(err, ErrWrongOwner) {
-			return // a version or an owner that was spoilt: nothing is touched
+			return // the version or the owner was hit: nothing is touched
 		}
 		if err != nil {
 			t.Fatal(err)
 		}
-		got := contents(again)
+		got := contents(reopened)
 		for _, state := range states {
 			if maps.Equal(got, state) {
 				return
 			}
 		}
-		t.Fatalf("the state found never was: %+v", found)
+		t.Fatalf("the recovered state was never committed: %+v", report)
 	})
 }
 
-func (p *fakeDisk) randomSeed() uint64 { return uint64(p.random.Uint32()) }
+func (d *fakeDisk) randomSeed() uint64 { return uint64(d.random.Uint32()) }
 
-// What is written on a real folder is found again by the next process, and refused to others.
+// What one process writes to a real directory is recovered by the next of the same owner and refused to others.
 func TestRealDirectory(t *testing.T) {
 	path := t.TempDir()
 	open := func(owner uint64) (*Store, error) {
-		folder, err := OpenDirectory(path)
+		directory, err := OpenDirectory(path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		s, _, err := Open(folder, owner, testMaxSize)
+		s, _, err := Open(directory, owner, testMaxSize)
 		return s, err
 	}
 	s, err := open(testOwner)
@@ -234,14 +234,14 @@
 	want := contents(s)
 	s.Close()
 	if s, err = open(testOwner); err != nil || !maps.Equal(contents(s), want) {
-		t.Fatalf("found again: %v", err)
+		t.Fatalf("recovered: %v", err)
 	}
 	s.Close()
 	if entries, _ := os.ReadDir(path); len(entries) > 5 {
 		t.Errorf("%d files are left", len(entries))
 	}
 	if _, err := open(8); !errors.Is(err, ErrWrongOwner) {
-		t.Errorf("another driver's folder: %v", err)
+		t.Errorf("another driver's directory: %v", err)
 	}
 	names, _ := filepath.Glob(filepath.Join(path, "state-*"))
 	text, _ := os.ReadFile(names[0])
@@ -254,16 +254,16 @@
 		t.Error("a file of a newer version was touched")
 	}
 	if _, err := OpenDirectory(names[0]); err == nil {
-		t.Error("a file is taken for a folder")
+		t.Error("a file is opened as a directory")
 	}
 }
 
 func BenchmarkCommit(b *testing.B) {
-	folder, err := OpenDirectory(b.TempDir())
+	directory, err := OpenDirectory(b.TempDir())
 	if err != nil {
 		b.Fatal(err)
 	}
-	s, _, err := Open(folder, testOwner, testMaxSize)
+	s, _, err := Open(directory, testOwner, testMaxSize)
 	if err != nil {
 		b.Fatal(err)
 	}
