--- a/cmd/passtack/lives_test.go
+++ b/cmd/passtack/lives_test.go
@@ -21,8 +21,8 @@
 	"passtack/internal/control"
 	"passtack/internal/lease"
 	"passtack/internal/node"
+	"passtack/internal/persist"
 	"passtack/internal/pgwire"
-	"passtack/internal/state"
 	"passtack/internal/storage"
 )
 
@@ -242,7 +242,7 @@
 		t.Fatalf("the create: %d %s %s\n%s", status, body, result, first.log)
 	}
 	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(20 * time.Millisecond) {
-		if f, _, _, err := lookAt(folder); err == nil && len(f.Repeats["offices"]) == 1 {
+		if f, _, _, err := lookAt(folder); err == nil && len(f.Requests["offices"]) == 1 {
 			break
 		}
 		if time.Now().After(deadline) {
@@ -276,13 +276,13 @@
 	dir, ask := t.TempDir(), freeAddress(t)
 	folder := filepath.Join(dir, "state")
 	os.Mkdir(folder, 0o700)
-	store, _, err := state.Open(folder, "n0", 32<<20)
+	store, _, err := persist.Open(folder, "n0", 32<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := time.Duration(time.Now().UnixNano())
-	v := state.NewSaver(store, 32<<20)
-	v.Begin()
+	v := persist.NewSaver(store, 32<<20)
+	v.BeginRound()
 	type target struct {
 		UID      string `json:"uid"`
 		Endpoint string `json:"endpoint"`
@@ -294,13 +294,13 @@
 	var targets []target
 	for n := range members {
 		uid := fmt.Sprint("s-", n)
-		v.Member(uid, driver.Known{Position: now - time.Second, Replica: now - time.Second, Timed: now - time.Second, Ratio: 1})
+		v.SaveMember(uid, driver.Known{Position: now - time.Second, Replica: now - time.Second, Timed: now - time.Second, Ratio: 1})
 		targets = append(targets, target{uid, fmt.Sprintf("127.0.%d.%d:7000", n/250+1, n%250+1), "a", n / 5, "in_service", 1})
 	}
 	for n := range sessions {
-		v.Wrote(driver.Session(n+1), now-time.Second)
+		v.SessionWrote(driver.Session(n+1), now-time.Second)
 	}
-	if err := store.Commit(v.Finish(now)); err != nil {
+	if err := store.Commit(v.FinishRound(now)); err != nil {
 		t.Fatal(err)
 	}
 	store.Close()
@@ -359,11 +359,11 @@
 	dir, talks, ask := t.TempDir(), freeAddress(t), freeAddress(t)
 	folder := filepath.Join(dir, "votes")
 	os.Mkdir(folder, 0o700)
-	store, _, err := state.Open(folder, "another", 1<<20)
+	store, _, err := persist.Open(folder, "another", 1<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := store.Commit([]storage.Change{state.PromiseOf("summary", lease.Promise{Number: 7, Version: 1})}); err != nil {
+	if err := store.Commit([]storage.Change{persist.PromiseChange("summary", lease.Promise{Number: 7, Version: 1})}); err != nil {
 		t.Fatal(err)
 	}
 	store.Close()
--- a/cmd/passtack/state.go
+++ b/cmd/passtack/state.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"passtack/driver"
-	"passtack/internal/state"
+	"passtack/internal/persist"
 	"passtack/internal/storage"
 )
 
@@ -32,20 +32,20 @@
 	if c.JSON {
 		out := json.NewEncoder(os.Stdout)
 		out.SetIndent("", " ")
-		return out.Encode(map[string]any{"saved": r.Saved, "members": r.Members, "sessions": r.writes, "list": json.RawMessage(r.List()),
-			"repeats": counts(r.Repeats), "lost": found.Unreadable})
+		return out.Encode(map[string]any{"saved": r.SavedAt, "members": r.Members, "sessions": r.writes, "list": json.RawMessage(r.EndpointList()),
+			"repeats": counts(r.Requests), "lost": found.Unreadable})
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(w, "saved\t%s\n", when(r.Saved))
+	fmt.Fprintf(w, "saved\t%s\n", when(r.SavedAt))
 	fmt.Fprintf(w, "member\tposition\treplica\tlatencies seen\tagainst the usual\n")
 	for _, uid := range slices.Sorted(maps.Keys(r.Members)) {
 		k := r.Members[uid]
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%.2f\n", uid, when(k.Position), when(k.Replica), when(k.Timed), k.Ratio)
 	}
 	fmt.Fprintf(w, "sessions\t%d\n", len(r.writes))
-	fmt.Fprintf(w, "list\trevision %d, %d entries\n", r.Listed.Rev, len(r.Entries))
-	for _, front := range slices.Sorted(maps.Keys(r.Repeats)) {
-		fmt.Fprintf(w, "repeats of %s\t%d\n", front, len(r.Repeats[front]))
+	fmt.Fprintf(w, "list\trevision %d, %d entries\n", r.ListVersion.Revision, len(r.Endpoints))
+	for _, front := range slices.Sorted(maps.Keys(r.Requests)) {
+		fmt.Fprintf(w, "repeats of %s\t%d\n", front, len(r.Requests[front]))
 	}
 	return w.Flush()
 }
@@ -68,7 +68,7 @@
 
 // found is what a folder holds, with the latest write of each session.
 type found struct {
-	*state.Recalled
+	*persist.LearnedState
 	writes map[driver.Session]time.Duration
 }
 
@@ -81,8 +81,8 @@
 	if err != nil {
 		return nil, 0, whole, err
 	}
-	f := &found{state.Read(s), make(map[driver.Session]time.Duration)}
-	state.EachWrite(s, func(who driver.Session, commit time.Duration) { f.writes[who] = max(f.writes[who], commit) })
+	f := &found{persist.Restore(s), make(map[driver.Session]time.Duration)}
+	persist.ForEachSessionWrite(s, func(who driver.Session, commit time.Duration) { f.writes[who] = max(f.writes[who], commit) })
 	return f, s.Owner(), whole, nil
 }
 
@@ -96,7 +96,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("snapshot=%d values=%d members=%d sessions=%d listed=%d saved=%s\n", found.SnapshotSequence, found.Values, len(r.Members), len(r.writes), len(r.Entries), when(r.Saved))
+	fmt.Printf("snapshot=%d values=%d members=%d sessions=%d listed=%d saved=%s\n", found.SnapshotSequence, found.Values, len(r.Members), len(r.writes), len(r.Endpoints), when(r.SavedAt))
 	if len(found.Unreadable) > 0 {
 		return errors.New(strings.Join(found.Unreadable, "\n"))
 	}
@@ -146,7 +146,7 @@
 	if err != nil {
 		return err
 	}
-	before, after, err := state.Prune(c.Folder, owner, c.Older, time.Duration(time.Now().UnixNano()), 1<<30)
+	before, after, err := persist.Prune(c.Folder, owner, c.Older, time.Duration(time.Now().UnixNano()), 1<<30)
 	if err != nil {
 		return err
 	}
--- a/cmd/passtack/state_test.go
+++ b/cmd/passtack/state_test.go
@@ -8,24 +8,24 @@
 	"time"
 
 	"passtack/driver"
-	"passtack/internal/state"
+	"passtack/internal/persist"
 	"passtack/internal/storage"
 )
 
 // What a folder holds is shown while its driver has it, and what is spoilt in it is named.
 func TestStateIsShownAndVerified(t *testing.T) {
 	path := t.TempDir()
-	s, _, err := state.Open(path, "n0", 1<<20)
+	s, _, err := persist.Open(path, "n0", 1<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
-	v := state.NewSaver(s, 1<<20)
-	v.Wrote(7, time.Hour)
-	v.List("s-9", []byte(`{"uid":"s-9"}`))
-	v.Of(state.Listed{Rev: 4})
-	v.Begin()
-	v.Member("s-1", driver.Known{Position: time.Hour, Replica: driver.LongAgo, Timed: time.Hour, Ratio: 1.25})
-	changes := v.Finish(time.Hour)
+	v := persist.NewSaver(s, 1<<20)
+	v.SessionWrote(7, time.Hour)
+	v.SetEndpoint("s-9", []byte(`{"uid":"s-9"}`))
+	v.SetListVersion(persist.ListVersion{Revision: 4})
+	v.BeginRound()
+	v.SaveMember("s-1", driver.Known{Position: time.Hour, Replica: driver.LongAgo, Timed: time.Hour, Ratio: 1.25})
+	changes := v.FinishRound(time.Hour)
 	if err := s.Commit(changes); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/configuration_test.go
+++ b/internal/node/configuration_test.go
@@ -11,10 +11,10 @@
 	"passtack/internal/loop/sim"
 	"passtack/internal/operator"
 	"passtack/internal/pcg"
+	"passtack/internal/persist"
 	"passtack/internal/pgwire"
 	"passtack/internal/rollout"
 	"passtack/internal/rollout/server"
-	"passtack/internal/state"
 	"passtack/internal/storage"
 	"passtack/internal/terms"
 )
@@ -296,7 +296,7 @@
 	for _, h := range c.hosts {
 		h.Kill()
 	}
-	store, _, err := state.Open(folder, "d0", configurationFolder)
+	store, _, err := persist.Open(folder, "d0", configurationFolder)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/leases.go
+++ b/internal/node/leases.go
@@ -11,7 +11,7 @@
 	"passtack/internal/loop"
 	"passtack/internal/operator"
 	"passtack/internal/peers"
-	"passtack/internal/state"
+	"passtack/internal/persist"
 	"passtack/internal/storage"
 )
 
@@ -70,7 +70,7 @@
 			slog.Warn("promises_lost", "file", lost)
 		}
 		if l.store = store; store != nil {
-			kept = state.Promises(store)
+			kept = persist.RestorePromises(store)
 		}
 	}
 	l.voter = lease.NewVoter(l, l.me.Node, w.Set(), w.Longest, kept, now)
@@ -183,7 +183,7 @@
 	l.out = len(l.waiting)
 	var changes []storage.Change
 	for _, p := range l.waiting {
-		changes = append(changes, state.PromiseOf(p.lease, p.promise))
+		changes = append(changes, persist.PromiseChange(p.lease, p.promise))
 	}
 	l.node.carry(func() error { return l.store.Commit(changes) }, func(err error, _ time.Duration) {
 		done := l.waiting[:l.out]
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -10,23 +10,23 @@
 	"passtack/driver"
 	"passtack/internal/chores"
 	odatafront "passtack/internal/front/odata"
-	"passtack/internal/state"
+	"passtack/internal/persist"
 	"passtack/internal/storage"
 )
 
 // learned is what the driver keeps in a folder, where the operator gives it one.
 type learned struct {
 	store                     *storage.Store
-	saver                     *state.Saver
-	recalled                  *state.Recalled
+	saver                     *persist.Saver
+	recalled                  *persist.LearnedState
 	unlisted                  time.Duration // until when what was recalled of members that nobody has listed is kept on
 	at                        int           // place of the round over the members; 0: a new one begins
 	begun                     bool
-	discovery                 state.Listed    // whose list the entries that are kept are of
-	entries                   map[string]bool // of the list, that are kept
-	quiet                     time.Duration   // until when failures are not logged
-	recalling                 bool            // what the module is told is kept already
-	saving, compacting, aging int             // chores
+	discovery                 persist.ListVersion // whose list the entries that are kept are of
+	entries                   map[string]bool     // of the list, that are kept
+	quiet                     time.Duration       // until when failures are not logged
+	recalling                 bool                // what the module is told is kept already
+	saving, compacting, aging int                 // chores
 }
 
 const (
@@ -54,16 +54,16 @@
 		slog.Warn("state_lost", "file", lost)
 	}
 	now := n.loop.Now()
-	k := &learned{store: store, saver: state.NewSaver(store, t.Bytes), recalled: state.Read(store), unlisted: now + unlistedFor, recalling: true, entries: make(map[string]bool)}
+	k := &learned{store: store, saver: persist.NewSaver(store, t.Bytes), recalled: persist.Restore(store), unlisted: now + unlistedFor, recalling: true, entries: make(map[string]bool)}
 	n.learned = k
 	r := k.recalled
-	state.EachWrite(store, n.module.RecallToken)
+	persist.ForEachSessionWrite(store, n.module.RecallToken)
 	k.recalling = false
-	if r.Saved > 0 {
-		slog.Info("state_recalled", "members", len(r.Members), "sessions", r.Sessions, "listed", len(r.Entries), "age_ms", (now - r.Saved).Milliseconds(),
+	if r.SavedAt > 0 {
+		slog.Info("state_recalled", "members", len(r.Members), "sessions", r.SessionWrites, "listed", len(r.Endpoints), "age_ms", (now - r.SavedAt).Milliseconds(),
 			"lost", len(found.Unreadable))
 	}
-	n.module.Usual(r.Usual...)
+	n.module.Usual(r.UsualLatencies...)
 	n.list.Keep = n.keepList
 	k.saving = n.chore(chores.Chore{Name: "save", Priority: 1, Period: t.Every, Deadline: 5 * time.Second, Budget: chores.Spending{Time: savingPart}, Least: t.Every, Most: mostBackOff}, n.save)
 	k.compacting = n.chore(chores.Chore{Name: "compact", Least: time.Second, Most: mostBackOff}, n.compact)
@@ -78,11 +78,11 @@
 		err   error
 	}
 	if n.simulated {
-		return state.Open(path, n.site.Name, most)
+		return persist.Open(path, n.site.Name, most)
 	}
 	read := make(chan opened, 1)
 	go func() {
-		s, found, err := state.Open(path, n.site.Name, most)
+		s, found, err := persist.Open(path, n.site.Name, most)
 		read <- opened{s, found, err}
 	}()
 	select {
@@ -105,9 +105,9 @@
 		return
 	}
 	r := n.learned.recalled
-	body := r.List()
-	r.Entries = nil
-	if body == nil || r.Listed.Discovery != n.site.Discovery || r.Listed.Rev <= n.list.Rev() {
+	body := r.EndpointList()
+	r.Endpoints = nil
+	if body == nil || r.ListVersion.Discovery != n.site.Discovery || r.ListVersion.Revision <= n.list.Rev() {
 		return
 	}
 	if err := n.list.Know(body); err != nil {
@@ -129,15 +129,15 @@
 		}
 	}
 	for uid, text := range entries {
-		if k.saver.List(uid, text); text == nil {
+		if k.saver.SetEndpoint(uid, text); text == nil {
 			delete(k.entries, uid)
 		} else {
 			k.entries[uid] = true
 		}
 	}
-	if now := (state.Listed{Rev: rev, Discovery: n.site.Discovery}); now != k.discovery {
+	if now := (persist.ListVersion{Revision: rev, Discovery: n.site.Discovery}); now != k.discovery {
 		k.discovery = now
-		k.saver.Of(now)
+		k.saver.SetListVersion(now)
 	}
 }
 
@@ -147,10 +147,10 @@
 	if k == nil {
 		return
 	}
-	if known := f.Repeats().Recall(k.recalled.Repeats[name], n.loop.Now()); known > 0 {
+	if known := f.Repeats().Recall(k.recalled.Requests[name], n.loop.Now()); known > 0 {
 		slog.Info("repeats_recalled", "front", name, "requests", known)
 	}
-	f.Repeats().Keep = func(key string, e []byte) { k.saver.Repeat(name, xxh3.HashString(key), e) }
+	f.Repeats().Keep = func(key string, e []byte) { k.saver.SetRequest(name, xxh3.HashString(key), e) }
 }
 
 // forgetRepeats lets go of answers to repeats that nobody may ask for any more.
@@ -169,7 +169,7 @@
 		return
 	}
 	if k, known := n.learned.recalled.Members[uid]; known {
-		n.module.Recall(m, k, n.learned.recalled.Saved)
+		n.module.Recall(m, k, n.learned.recalled.SavedAt)
 		delete(n.learned.recalled.Members, uid)
 	}
 }
@@ -177,7 +177,7 @@
 // Remembered keeps the latest write of a session.
 func (n *Node) Remembered(who driver.Session, commit time.Duration) {
 	if n.learned != nil && !n.learned.recalling {
-		n.learned.saver.Wrote(who, commit)
+		n.learned.saver.SessionWrote(who, commit)
 	}
 }
 
@@ -186,17 +186,17 @@
 	k := n.learned
 	if !k.begun {
 		k.begun, k.at = true, 0
-		k.saver.Begin()
+		k.saver.BeginRound()
 	}
-	k.at = n.module.Learned(k.at, most, func(m driver.Member, known driver.Known) { k.saver.Member(n.uids[m], known) })
+	k.at = n.module.Learned(k.at, most, func(m driver.Member, known driver.Known) { k.saver.SaveMember(n.uids[m], known) })
 	if k.at > 0 {
 		return false
 	}
 	k.begun = false
-	k.saver.Usual(n.module.Usual())
+	k.saver.SaveUsualLatencies(n.module.Usual())
 	if n.loop.Now() < k.unlisted {
 		for uid := range k.recalled.Members {
-			k.saver.Keep(uid)
+			k.saver.KeepMember(uid)
 		}
 	} else {
 		clear(k.recalled.Members)
@@ -210,7 +210,7 @@
 		return chores.Spending{}, chores.Goes
 	}
 	k := n.learned
-	changes := k.saver.Finish(n.loop.Now())
+	changes := k.saver.FinishRound(n.loop.Now())
 	if changes == nil {
 		return chores.Spending{}, chores.Done
 	}
@@ -278,13 +278,13 @@
 // saveRest writes what came since the latest commit, once the driver serves no more.
 func (n *Node) saveRest() {
 	k := n.learned
-	if k == nil || k.saver.Out() { // what is out is on a disk that does not answer
+	if k == nil || k.saver.Committing() { // what is out is on a disk that does not answer
 		return
 	}
 	for !n.look(membersATime) {
 	}
 	over := make(chan struct{})
-	changes := k.saver.Finish(n.loop.Now())
+	changes := k.saver.FinishRound(n.loop.Now())
 	go func() {
 		defer close(over)
 		if changes != nil {
--- a/internal/node/state_test.go
+++ b/internal/node/state_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"passtack/internal/state"
+	"passtack/internal/persist"
 	"passtack/internal/storage"
 )
 
@@ -19,7 +19,7 @@
 		})
 	}
 	first := next()
-	if first.learned == nil || first.learned.recalled.Saved != 0 {
+	if first.learned == nil || first.learned.recalled.SavedAt != 0 {
 		t.Fatalf("an empty folder gives %+v", first.learned)
 	}
 	if second := next(); second.learned != nil || second.counts["state_unusable"] != 1 {
@@ -35,15 +35,15 @@
 		t.Fatal(err)
 	}
 	s, report, err := storage.OpenReadOnly(look)
-	if err != nil || s.Owner() != state.Owner("n0") || len(report.Unreadable) > 0 {
+	if err != nil || s.Owner() != persist.Owner("n0") || len(report.Unreadable) > 0 {
 		t.Fatalf("%+v, %v", report, err)
 	}
-	k := state.Read(s).Members["s-0"]
+	k := persist.Restore(s).Members["s-0"]
 	if k.Position == 0 || k.Timed == 0 {
 		t.Errorf("kept of the member: %+v", k)
 	}
 	again := next()
-	if again.learned == nil || again.learned.recalled.Saved == 0 || len(again.learned.recalled.Members) != 0 {
+	if again.learned == nil || again.learned.recalled.SavedAt == 0 || len(again.learned.recalled.Members) != 0 {
 		t.Errorf("the next life recalls %+v", again.learned)
 	}
 	run(t, again).stop()
--- a/internal/state/golden_test.go
+++ b/internal/persist/golden_test.go
@@ -1,4 +1,4 @@
-package state
+package persist
 
 import (
 	"bytes"
@@ -39,14 +39,14 @@
 	v := NewSaver(s, 32<<20)
 	memory := repeat.New(0)
 	memory.Kept, memory.Most, memory.Open = time.Hour, 1<<20, 10
-	memory.Keep = func(key string, e []byte) { v.Repeat("offices", xxh3.HashString(key), e) }
+	memory.Keep = func(key string, e []byte) { v.SetRequest("offices", xxh3.HashString(key), e) }
 	commit := func(now time.Duration, members ...string) {
-		v.Begin()
+		v.BeginRound()
 		for _, uid := range members {
-			v.Member(uid, goldenMembers[uid])
+			v.SaveMember(uid, goldenMembers[uid])
 		}
-		v.Usual([]time.Duration{3 * ms, 40 * ms})
-		changes := v.Finish(now)
+		v.SaveUsualLatencies([]time.Duration{3 * ms, 40 * ms})
+		changes := v.FinishRound(now)
 		err := s.Commit(changes)
 		if v.Committed(err); err != nil {
 			t.Fatal(err)
@@ -56,21 +56,21 @@
 		_, e := memory.Asked(key, 11, time.Second, time.Second, 2*time.Second)
 		memory.Ended(e, how, []byte("answer of "+key), 1500*ms)
 	}
-	v.Wrote(0xbeef, time.Hour)
-	v.Wrote(5, time.Hour-time.Second)
-	v.List("s-1", []byte(`{"uid":"s-1"}`))
-	v.List("s-2", []byte(`{"uid":"s-2"}`))
-	v.Of(Listed{Rev: 4, Discovery: goldenDiscovery})
+	v.SessionWrote(0xbeef, time.Hour)
+	v.SessionWrote(5, time.Hour-time.Second)
+	v.SetEndpoint("s-1", []byte(`{"uid":"s-1"}`))
+	v.SetEndpoint("s-2", []byte(`{"uid":"s-2"}`))
+	v.SetListVersion(ListVersion{Revision: 4, Discovery: goldenDiscovery})
 	run("done", repeat.Done)
 	run("gone", repeat.Nothing)
 	commit(time.Hour, "s-1", "s-2")
-	v.Wrote(5, time.Hour+time.Second)
-	v.List("s-1", nil)
-	v.Of(Listed{Rev: 5, Discovery: goldenDiscovery})
+	v.SessionWrote(5, time.Hour+time.Second)
+	v.SetEndpoint("s-1", nil)
+	v.SetListVersion(ListVersion{Revision: 5, Discovery: goldenDiscovery})
 	run("unsure", repeat.Unsure)
-	v.Repeat("offices", xxh3.HashString("gone"), nil)
+	v.SetRequest("offices", xxh3.HashString("gone"), nil)
 	commit(time.Hour+2*time.Second, "s-2", "s-3")
-	if err := s.Commit([]storage.Change{PromiseOf("summary", goldenPromise)}); err != nil {
+	if err := s.Commit([]storage.Change{PromiseChange("summary", goldenPromise)}); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -128,28 +128,28 @@
 	}
 	s := open(t, path)
 	defer s.Close()
-	r := Read(s)
-	repeats := r.Repeats["offices"]
-	r.Repeats = nil
-	want := &Recalled{
-		Saved:    time.Hour + 2*time.Second,
-		Members:  map[string]driver.Known{"s-2": goldenMembers["s-2"], "s-3": goldenMembers["s-3"]},
-		Sessions: 3,
-		Usual:    []time.Duration{3 * ms, 40 * ms},
-		Listed:   Listed{Rev: 5, Discovery: goldenDiscovery},
-		Entries:  [][]byte{[]byte(`{"uid":"s-2"}`)},
+	r := Restore(s)
+	repeats := r.Requests["offices"]
+	r.Requests = nil
+	want := &LearnedState{
+		SavedAt:        time.Hour + 2*time.Second,
+		Members:        map[string]driver.Known{"s-2": goldenMembers["s-2"], "s-3": goldenMembers["s-3"]},
+		SessionWrites:  3,
+		UsualLatencies: []time.Duration{3 * ms, 40 * ms},
+		ListVersion:    ListVersion{Revision: 5, Discovery: goldenDiscovery},
+		Endpoints:      [][]byte{[]byte(`{"uid":"s-2"}`)},
 	}
 	if !reflect.DeepEqual(r, want) {
 		t.Errorf("read %+v, want %+v", r, want)
 	}
-	if got, want := string(r.List()), `{"all":true,"rev":5,"targets":[{"uid":"s-2"}]}`; got != want {
+	if got, want := string(r.EndpointList()), `{"all":true,"rev":5,"targets":[{"uid":"s-2"}]}`; got != want {
 		t.Errorf("list %s, want %s", got, want)
 	}
 	wantWrites := map[driver.Session]time.Duration{0xbeef: time.Hour, 5: time.Hour + time.Second}
-	if got := writes(s); !reflect.DeepEqual(got, wantWrites) {
+	if got := sessionWrites(s); !reflect.DeepEqual(got, wantWrites) {
 		t.Errorf("writes of sessions %v, want %v", got, wantWrites)
 	}
-	if got := Promises(s); !reflect.DeepEqual(got, map[string]lease.Promise{"summary": goldenPromise}) {
+	if got := RestorePromises(s); !reflect.DeepEqual(got, map[string]lease.Promise{"summary": goldenPromise}) {
 		t.Errorf("promises %v", got)
 	}
 	memory := repeat.New(0)
--- a/internal/state/state_test.go
+++ b/internal/persist/persist_test.go
@@ -1,4 +1,4 @@
-package state
+package persist
 
 import (
 	"errors"
@@ -31,34 +31,34 @@
 }
 
 // life is what a driver knows, as a test has it.
-type life struct {
-	members  map[string]driver.Known
-	sessions map[driver.Session]time.Duration
-	list     map[string]string
-	repeats  map[uint64]string
+type knowledge struct {
+	members   map[string]driver.Known
+	sessions  map[driver.Session]time.Duration
+	endpoints map[string]string
+	requests  map[uint64]string
 }
 
-func (l life) copy() life {
-	return life{maps.Clone(l.members), maps.Clone(l.sessions), maps.Clone(l.list), maps.Clone(l.repeats)}
+func (l knowledge) copy() knowledge {
+	return knowledge{maps.Clone(l.members), maps.Clone(l.sessions), maps.Clone(l.endpoints), maps.Clone(l.requests)}
 }
 
 // round saves what has changed.
-func (l life) round(v *Saver, now time.Duration) []storage.Change {
-	v.Begin()
+func (l knowledge) saveRound(v *Saver, now time.Duration) []storage.Change {
+	v.BeginRound()
 	for uid, k := range l.members {
-		v.Member(uid, k)
+		v.SaveMember(uid, k)
 	}
-	return v.Finish(now)
+	return v.FinishRound(now)
 }
 
 // What is learned, forgotten and learned again is recalled as it was when it was last told to be saved; failed commits and those that
 // come late change nothing of that, and what failed to be written is written by the next.
-func TestWhatIsSavedIsRecalled(t *testing.T) {
+func TestSavedStateIsRestored(t *testing.T) {
 	seeded.Check(t, func(rt *rapid.T) {
 		path := t.TempDir()
 		s := open(t, path)
 		v := NewSaver(s, 32<<20)
-		known := life{make(map[string]driver.Known), make(map[driver.Session]time.Duration), make(map[string]string), make(map[uint64]string)}
+		known := knowledge{make(map[string]driver.Known), make(map[driver.Session]time.Duration), make(map[string]string), make(map[uint64]string)}
 		saved, rev := known.copy(), int64(0)
 		now, savedAt := time.Hour, time.Duration(0)
 		change := func() {
@@ -70,31 +70,31 @@
 				delete(known.members, uid)
 			case 2:
 				known.sessions[who] = now
-				v.Wrote(who, now)
+				v.SessionWrote(who, now)
 			case 3:
 				entry := fmt.Sprintf(`{"uid":%q,"rev":%d}`, uid, rev)
 				rev++
-				if known.list[uid] = entry; rapid.Bool().Draw(rt, "gone") {
-					delete(known.list, uid)
-					v.List(uid, nil)
+				if known.endpoints[uid] = entry; rapid.Bool().Draw(rt, "gone") {
+					delete(known.endpoints, uid)
+					v.SetEndpoint(uid, nil)
 				} else {
-					v.List(uid, []byte(entry))
+					v.SetEndpoint(uid, []byte(entry))
 				}
-				v.Of(Listed{Rev: rev, Discovery: netip.MustParseAddrPort("127.0.0.1:1")})
+				v.SetListVersion(ListVersion{Revision: rev, Discovery: netip.MustParseAddrPort("127.0.0.1:1")})
 			case 4:
 				key := uint64(rapid.IntRange(0, 3).Draw(rt, "key"))
-				if known.repeats[key] = fmt.Sprint("answer ", now); rapid.Bool().Draw(rt, "gone") {
-					delete(known.repeats, key)
-					v.Repeat("offices", key, nil)
+				if known.requests[key] = fmt.Sprint("answer ", now); rapid.Bool().Draw(rt, "gone") {
+					delete(known.requests, key)
+					v.SetRequest("offices", key, nil)
 				} else {
-					v.Repeat("offices", key, []byte(known.repeats[key]))
+					v.SetRequest("offices", key, []byte(known.requests[key]))
 				}
 			}
 		}
 		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
 			now += time.Duration(rapid.IntRange(50, 2000).Draw(rt, "ms")) * ms
 			change()
-			changes := known.round(v, now)
+			changes := known.saveRound(v, now)
 			if changes == nil {
 				continue
 			}
@@ -115,33 +115,33 @@
 		s.Close()
 		s = open(t, path)
 		defer s.Close()
-		r := Read(s)
-		if !maps.Equal(writes(s), saved.sessions) || r.Saved != savedAt || len(r.Members) != len(saved.members) {
+		r := Restore(s)
+		if !maps.Equal(sessionWrites(s), saved.sessions) || r.SavedAt != savedAt || len(r.Members) != len(saved.members) {
 			rt.Fatalf("recalled %+v, saved %+v at %v", r, saved, savedAt)
 		}
 		for uid, k := range saved.members { // what moves on all the time is saved when it has moved on a little
-			if got := r.Members[uid]; got.Ratio != k.Ratio || k.Position-got.Position > still || got.Position > k.Position {
+			if got := r.Members[uid]; got.Ratio != k.Ratio || k.Position-got.Position > minProgress || got.Position > k.Position {
 				rt.Fatalf("%s: %+v, saved %+v", uid, got, k)
 			}
 		}
-		entries, answers := slices.Sorted(maps.Values(saved.list)), slices.Sorted(maps.Values(saved.repeats))
-		if got := texts(r.Entries); !slices.Equal(got, entries) {
+		entries, answers := slices.Sorted(maps.Values(saved.endpoints)), slices.Sorted(maps.Values(saved.requests))
+		if got := sortedTexts(r.Endpoints); !slices.Equal(got, entries) {
 			rt.Fatalf("the list is %q, saved %q", got, entries)
 		}
-		if got := texts(r.Repeats["offices"]); !slices.Equal(got, answers) {
+		if got := sortedTexts(r.Requests["offices"]); !slices.Equal(got, answers) {
 			rt.Fatalf("repeats are %q, saved %q", got, answers)
 		}
 	})
 }
 
 // writes gives the latest write of each session.
-func writes(s *storage.Store) map[driver.Session]time.Duration {
+func sessionWrites(s *storage.Store) map[driver.Session]time.Duration {
 	all := make(map[driver.Session]time.Duration)
-	EachWrite(s, func(who driver.Session, commit time.Duration) { all[who] = max(all[who], commit) })
+	ForEachSessionWrite(s, func(who driver.Session, commit time.Duration) { all[who] = max(all[who], commit) })
 	return all
 }
 
-func texts(all [][]byte) (out []string) {
+func sortedTexts(all [][]byte) (out []string) {
 	for _, text := range all {
 		out = append(out, string(text))
 	}
@@ -151,7 +151,7 @@
 
 // Writes of many sessions stay within their part of the room, the newest are kept; what is long ago goes, and so do batches of a clock
 // that has gone back.
-func TestWritesOfSessionsStayWithinTheirRoom(t *testing.T) {
+func TestSessionWritesStayWithinTheirShare(t *testing.T) {
 	s := open(t, t.TempDir())
 	defer s.Close()
 	const most = 64 << 10
@@ -159,68 +159,68 @@
 	step := func(sessions int) {
 		now += time.Second
 		for n := range sessions {
-			v.Wrote(driver.Session(n+1), now)
+			v.SessionWrote(driver.Session(n+1), now)
 		}
-		if changes := (life{}).round(v, now); changes != nil {
+		if changes := (knowledge{}).saveRound(v, now); changes != nil {
 			v.Committed(s.Commit(changes))
 		}
 	}
 	for range 100 {
 		step(50) // 800 bytes: twenty seconds fill a quarter of the room
 	}
-	r, bytes := Read(s), 0
+	r, bytes := Restore(s), 0
 	s.ForEach(func(name string, value []byte) { bytes += len(value) })
-	if bytes > most/4+1000 || len(writes(s)) != 50 || writes(s)[7] != now || v.Dropped() == 0 {
-		t.Errorf("%d bytes, %d sessions, the latest write %v before now", bytes, r.Sessions, now-writes(s)[7])
+	if bytes > most/4+1000 || len(sessionWrites(s)) != 50 || sessionWrites(s)[7] != now || v.Dropped() == 0 {
+		t.Errorf("%d bytes, %d sessions, the latest write %v before now", bytes, r.SessionWrites, now-sessionWrites(s)[7])
 	}
-	now += forgets
+	now += sessionRetention
 	step(0)
-	if r := Read(s); r.Sessions != 0 {
-		t.Errorf("%d sessions are kept of long ago", r.Sessions)
+	if r := Restore(s); r.SessionWrites != 0 {
+		t.Errorf("%d sessions are kept of long ago", r.SessionWrites)
 	}
 	step(1)
 	now -= time.Hour
 	step(0)
-	if r := Read(s); r.Sessions != 0 {
+	if r := Restore(s); r.SessionWrites != 0 {
 		t.Error("what was written after now is kept")
 	}
 }
 
 // Sessions that an earlier version of the program kept one by one are recalled, and are kept in the newer form from then on.
-func TestTheFormOfAnEarlierVersionIsTakenOver(t *testing.T) {
+func TestLegacySessionsAreMigrated(t *testing.T) {
 	path := t.TempDir()
 	s := open(t, path)
 	k := driver.Known{Position: time.Hour, Replica: time.Hour, Timed: time.Hour, Ratio: 1}
-	if err := s.Commit([]storage.Change{{Name: "session/a", Value: appendSpan(nil, time.Hour)}, {Name: "member/s-1", Value: memberValue(k)},
-		{Name: "saved", Value: appendSpan(nil, time.Hour)}}); err != nil {
+	if err := s.Commit([]storage.Change{{Name: "session/a", Value: appendDuration(nil, time.Hour)}, {Name: "member/s-1", Value: encodeMember(k)},
+		{Name: "saved", Value: appendDuration(nil, time.Hour)}}); err != nil {
 		t.Fatal(err)
 	}
-	r, v := Read(s), NewSaver(s, 1<<20)
-	if writes(s)[10] != time.Hour || r.Members["s-1"] != k || r.Saved != time.Hour || r.List() != nil {
+	r, v := Restore(s), NewSaver(s, 1<<20)
+	if sessionWrites(s)[10] != time.Hour || r.Members["s-1"] != k || r.SavedAt != time.Hour || r.EndpointList() != nil {
 		t.Fatalf("%+v", r)
 	}
-	v.Begin()
-	v.Keep("s-1")
-	v.Committed(s.Commit(v.Finish(time.Hour + time.Second)))
+	v.BeginRound()
+	v.KeepMember("s-1")
+	v.Committed(s.Commit(v.FinishRound(time.Hour + time.Second)))
 	var names []string
 	s.ForEach(func(name string, _ []byte) { names = append(names, strings.Split(name, "/")[0]) })
-	if again := Read(s); writes(s)[10] != time.Hour || again.Members["s-1"] != k || !slices.Equal(names, []string{"member", "saved", "written"}) {
+	if again := Restore(s); sessionWrites(s)[10] != time.Hour || again.Members["s-1"] != k || !slices.Equal(names, []string{"member", "saved", "written"}) {
 		t.Errorf("%+v under %v", again, names)
 	}
 	s.Close()
 }
 
 // Pruning takes out what has not changed for long and nothing else.
-func TestPruning(t *testing.T) {
+func TestPrune(t *testing.T) {
 	path := t.TempDir()
 	s := open(t, path)
 	v := NewSaver(s, 1<<20)
 	now := 100 * time.Hour
-	v.Wrote(1, now)
-	v.Begin()
-	v.Member("old", driver.Known{Position: now - 30*time.Hour, Replica: driver.LongAgo, Timed: now - 30*time.Hour, Ratio: 1})
-	v.Member("new", driver.Known{Position: now, Replica: driver.LongAgo, Timed: now - 30*time.Hour, Ratio: 1})
-	v.Committed(s.Commit(v.Finish(now)))
+	v.SessionWrote(1, now)
+	v.BeginRound()
+	v.SaveMember("old", driver.Known{Position: now - 30*time.Hour, Replica: driver.LongAgo, Timed: now - 30*time.Hour, Ratio: 1})
+	v.SaveMember("new", driver.Known{Position: now, Replica: driver.LongAgo, Timed: now - 30*time.Hour, Ratio: 1})
+	v.Committed(s.Commit(v.FinishRound(now)))
 	if _, _, err := Prune(path, Owner("n0"), 24*time.Hour, now, 1<<20); !errors.Is(err, storage.ErrLocked) {
 		t.Errorf("a folder that a driver holds: %v", err)
 	}
@@ -230,20 +230,20 @@
 	}
 	s = open(t, path)
 	defer s.Close()
-	if r := Read(s); len(r.Members) != 1 || r.Members["new"].Position != now || r.Sessions != 1 {
+	if r := Restore(s); len(r.Members) != 1 || r.Members["new"].Position != now || r.SessionWrites != 1 {
 		t.Errorf("%+v", r)
 	}
 }
 
 // A folder of another driver, one that is not there, and values of another form.
-func TestFoldersThatCannotBeUsed(t *testing.T) {
+func TestUnusableDirectories(t *testing.T) {
 	path := t.TempDir()
 	s := open(t, path)
-	if err := s.Commit([]storage.Change{{Name: memberPrefix + "s-1", Value: []byte("short")}, {Name: sessionPrefix + "zz", Value: make([]byte, 8)},
-		{Name: sessionPrefix + "5", Value: make([]byte, 8)}, {Name: "other", Value: []byte{}}}); err != nil {
+	if err := s.Commit([]storage.Change{{Name: memberPrefix + "s-1", Value: []byte("short")}, {Name: legacySessionPrefix + "zz", Value: make([]byte, 8)},
+		{Name: legacySessionPrefix + "5", Value: make([]byte, 8)}, {Name: "other", Value: []byte{}}}); err != nil {
 		t.Fatal(err)
 	}
-	if r := Read(s); len(r.Members) != 0 || r.Sessions != 1 {
+	if r := Restore(s); len(r.Members) != 0 || r.SessionWrites != 1 {
 		t.Errorf("%+v", r)
 	}
 	s.Close()
--- a/internal/rollout/server/disk.go
+++ b/internal/rollout/server/disk.go
@@ -7,7 +7,7 @@
 	"log/slog"
 	"maps"
 
-	"passtack/internal/state"
+	"passtack/internal/persist"
 	"passtack/internal/storage"
 )
 
@@ -37,7 +37,7 @@
 		all[name] = text
 	}
 	for name, p := range k.Promises {
-		c := state.PromiseOf(name, p)
+		c := persist.PromiseChange(name, p)
 		all[c.Name] = c.Value
 	}
 	return all, nil
@@ -46,7 +46,7 @@
 // OpenFolder takes a machine's folder and gives what it has. Ring is called when Hear should be, on the loop.
 func OpenFolder(path, machine string, ring func()) (*Folder, Kept, error) {
 	var k Kept
-	store, found, err := state.Open(path, "control machine "+machine, folderMost)
+	store, found, err := persist.Open(path, "control machine "+machine, folderMost)
 	if err != nil {
 		return nil, k, err
 	}
@@ -81,7 +81,7 @@
 		k.State.Joined = false
 		slog.Warn("configuration_lost", "machine", machine, "file", lost)
 	}
-	k.Promises = state.Promises(store)
+	k.Promises = persist.RestorePromises(store)
 	go func() {
 		for changes := range f.jobs {
 			err := error(nil)
