--- a/internal/node/sim_test.go
+++ b/internal/node/sim_test.go
@@ -33,7 +33,6 @@
 	answers  map[string]string // by id
 	ran      map[string]int    // attempts that may have run, by id
 	sent     int
-	hostOf   map[string]*sim.Host
 	lateCall int
 }
 
@@ -74,7 +73,7 @@
 
 func (m *simMember) start() {
 	m.loop = m.play.loopOn(m.host)
-	if _, err := m.loop.Listen(m.at, 1<<20, loop.Door{}, func(open func(loop.Owner) *loop.Stream) {
+	if _, err := m.loop.Listen(m.at, 1<<20, loop.Door{}, func(open func(loop.Handler) *loop.Stream) {
 		c := &simServed{member: m}
 		c.stream = open(c)
 	}, func(bool) {}); err != nil {
@@ -139,7 +138,7 @@
 	}
 	site := &Site{
 		Name: d.host.Name, Listen: d.at, Discovery: netip.MustParseAddrPort("10.0.9.1:8500"), Seed: p.chance2(), Descriptors: 256, Memory: 64 << 20,
-		Known: []byte(listOf(1, true, targets...)), Terms: terms.Nested(simSettings(p.t)),
+		InitialList: []byte(listOf(1, true, targets...)), Settings: terms.Nested(simSettings(p.t)),
 	}
 	n, err := On(p.loopOn(d.host), site, operator.None())
 	if err != nil {
