--- a/internal/node/configuration_golden_test.go
+++ b/internal/node/configuration_golden_test.go
@@ -5,19 +5,19 @@
 	"path/filepath"
 	"testing"
 
-	"passtack/internal/state"
+	"passtack/internal/persist"
 )
 
 // storedConfiguration gives the records of a folder of published configuration.
 func storedConfiguration(t *testing.T, folder string) map[string]string {
 	t.Helper()
-	store, _, err := state.Open(folder, "d0", configurationFolder)
+	store, _, err := persist.Open(folder, "d0", configurationFolder)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer store.Close()
 	records := make(map[string]string)
-	store.Each(func(name string, value []byte) { records[name] = string(value) })
+	store.ForEach(func(name string, value []byte) { records[name] = string(value) })
 	return records
 }
 
--- a/internal/node/golden_leases_test.go
+++ b/internal/node/golden_leases_test.go
@@ -12,12 +12,12 @@
 	"testing"
 	"time"
 
-	"passtack/internal/keep"
 	"passtack/internal/lease"
 	"passtack/internal/list"
 	"passtack/internal/loop"
 	"passtack/internal/peers"
-	"passtack/internal/state"
+	"passtack/internal/persist"
+	"passtack/internal/storage"
 )
 
 // checkGolden compares what is encoded with a file of testdata, and gives the file's bytes.
@@ -105,12 +105,12 @@
 		if err := errors.Join(os.RemoveAll(golden), os.Mkdir(golden, 0o755)); err != nil {
 			t.Fatal(err)
 		}
-		store, _, err := state.Open(golden, name, leaseFolder)
+		store, _, err := persist.Open(golden, name, leaseFolder)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for lease, promise := range want {
-			if err := store.Commit([]keep.Change{state.PromiseOf(lease, promise)}); err != nil {
+			if err := store.Commit([]storage.Change{persist.PromiseChange(lease, promise)}); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -120,12 +120,12 @@
 	if err := os.CopyFS(folder, os.DirFS(golden)); err != nil {
 		t.Fatal(err)
 	}
-	store, found, err := state.Open(folder, name, leaseFolder)
-	if err != nil || len(found.Lost) > 0 {
-		t.Fatalf("%v, lost %v", err, found.Lost)
+	store, found, err := persist.Open(folder, name, leaseFolder)
+	if err != nil || len(found.Unreadable) > 0 {
+		t.Fatalf("%v, lost %v", err, found.Unreadable)
 	}
 	defer store.Close()
-	if got := state.Promises(store); !maps.Equal(got, want) {
+	if got := persist.RestorePromises(store); !maps.Equal(got, want) {
 		t.Errorf("promises are %v, want %v", got, want)
 	}
 }
