--- a/cmd/passtack/state.go
+++ b/cmd/passtack/state.go
@@ -146,10 +146,10 @@
 	if err != nil {
 		return err
 	}
-	before, after, err := persist.Prune(c.Folder, owner, c.Older, time.Duration(time.Now().UnixNano()), 1<<30)
+	result, err := persist.Prune(c.Folder, owner, c.Older, time.Duration(time.Now().UnixNano()), 1<<30)
 	if err != nil {
 		return err
 	}
-	fmt.Printf("bytes_before=%d bytes_after=%d\n", before, after)
+	fmt.Printf("bytes_before=%d bytes_after=%d\n", result.SizeBefore, result.SizeAfter)
 	return nil
 }
--- a/internal/persist/golden_test.go
+++ b/internal/persist/golden_test.go
@@ -20,7 +20,7 @@
 
 var update = flag.Bool("update", false, "rewrite golden files")
 
-const goldenFolder = "testdata/folder"
+const goldenDirectory = "testdata/folder"
 
 var (
 	goldenDiscovery = netip.MustParseAddrPort("127.0.0.1:7001")
@@ -32,7 +32,7 @@
 	goldenPromise = lease.Promise{Number: 7, Version: 3}
 )
 
-// writeGolden writes a folder with one snapshot and two log records.
+// writeGolden writes a directory with one snapshot and two log records.
 func writeGolden(t *testing.T, path string) {
 	s := open(t, path)
 	defer s.Close()
@@ -75,7 +75,7 @@
 	}
 }
 
-// goldenFiles gives the snapshots and logs of a folder by name.
+// goldenFiles returns the snapshots and logs of a directory by name.
 func goldenFiles(t *testing.T, path string) map[string][]byte {
 	names, err := filepath.Glob(filepath.Join(path, "*-*"))
 	if err != nil || len(names) == 0 {
@@ -93,21 +93,21 @@
 }
 
 // The same changes are written as the same bytes as by earlier versions.
-func TestGoldenFolderIsWritten(t *testing.T) {
+func TestGoldenDirectoryIsWritten(t *testing.T) {
 	path := t.TempDir()
 	writeGolden(t, path)
 	files := goldenFiles(t, path)
 	if *update {
-		if err := os.MkdirAll(goldenFolder, 0o755); err != nil {
+		if err := os.MkdirAll(goldenDirectory, 0o755); err != nil {
 			t.Fatal(err)
 		}
 		for name, text := range files {
-			if err := os.WriteFile(filepath.Join(goldenFolder, name), text, 0o644); err != nil {
+			if err := os.WriteFile(filepath.Join(goldenDirectory, name), text, 0o644); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
-	want := goldenFiles(t, goldenFolder)
+	want := goldenFiles(t, goldenDirectory)
 	for name, text := range want {
 		if !bytes.Equal(files[name], text) {
 			t.Errorf("%s differs from the golden file", name)
@@ -118,10 +118,10 @@
 	}
 }
 
-// A folder that an earlier version wrote is read to the same values.
-func TestGoldenFolderIsRead(t *testing.T) {
+// A directory that an earlier version wrote is read to the same values.
+func TestGoldenDirectoryIsRead(t *testing.T) {
 	path := t.TempDir()
-	for name, text := range goldenFiles(t, goldenFolder) {
+	for name, text := range goldenFiles(t, goldenDirectory) {
 		if err := os.WriteFile(filepath.Join(path, name), text, 0o600); err != nil {
 			t.Fatal(err)
 		}
--- /dev/null
+++ b/internal/persist/members.go
@@ -0,0 +1,79 @@
+package persist
+
+import (
+	"encoding/binary"
+	"math"
+	"time"
+
+	"passtack/driver"
+)
+
+const (
+	numberSize = 8              // bytes of each stored number, little-endian
+	memberSize = 4 * numberSize // bytes
+)
+
+func appendDuration(out []byte, d time.Duration) []byte {
+	return binary.LittleEndian.AppendUint64(out, uint64(d))
+}
+
+// durationAt returns the number with index i.
+func durationAt(in []byte, i int) time.Duration {
+	return time.Duration(binary.LittleEndian.Uint64(in[numberSize*i:]))
+}
+
+func encodeMember(k driver.Known) []byte {
+	out := make([]byte, 0, memberSize)
+	out = appendDuration(out, k.Position)
+	out = appendDuration(out, k.Replica)
+	out = appendDuration(out, k.Timed)
+	return binary.LittleEndian.AppendUint64(out, math.Float64bits(k.Ratio))
+}
+
+// decodeMember returns false for a value that encodeMember cannot have written.
+func decodeMember(in []byte) (k driver.Known, ok bool) {
+	if len(in) != memberSize {
+		return k, false
+	}
+	k = driver.Known{
+		Position: durationAt(in, 0),
+		Replica:  durationAt(in, 1),
+		Timed:    durationAt(in, 2),
+		Ratio:    math.Float64frombits(binary.LittleEndian.Uint64(in[3*numberSize:])),
+	}
+	return k, k.Ratio > 0 && !math.IsInf(k.Ratio, 0)
+}
+
+// minProgress is how far a position or a time of a member has to advance to be worth saving.
+const minProgress = 500 * time.Millisecond
+
+func progressed(old, current driver.Known) bool {
+	return current.Position-old.Position > minProgress ||
+		current.Replica-old.Replica > minProgress ||
+		current.Timed-old.Timed > minProgress
+}
+
+func encodeLatencies(latencies []time.Duration) (out []byte) {
+	for _, d := range latencies {
+		out = appendDuration(out, d)
+	}
+	return out
+}
+
+func decodeLatencies(in []byte) (latencies []time.Duration) {
+	for i := range len(in) / numberSize {
+		latencies = append(latencies, durationAt(in, i))
+	}
+	return latencies
+}
+
+// latenciesMoved reports whether a latency differs by more than a tenth from what is stored.
+func latenciesMoved(stored []byte, latencies []time.Duration) bool {
+	old := decodeLatencies(stored)
+	for i, d := range latencies {
+		if len(stored) != numberSize*len(latencies) || (old[i]-d).Abs() > d/10 {
+			return true
+		}
+	}
+	return false
+}
--- a/internal/persist/persist_test.go
+++ b/internal/persist/persist_test.go
@@ -30,7 +30,7 @@
 	return s
 }
 
-// life is what a driver knows, as a test has it.
+// knowledge is what a driver knows, as a test has it.
 type knowledge struct {
 	members   map[string]driver.Known
 	sessions  map[driver.Session]time.Duration
@@ -38,21 +38,21 @@
 	requests  map[uint64]string
 }
 
-func (l knowledge) copy() knowledge {
-	return knowledge{maps.Clone(l.members), maps.Clone(l.sessions), maps.Clone(l.endpoints), maps.Clone(l.requests)}
+func (k knowledge) copy() knowledge {
+	return knowledge{maps.Clone(k.members), maps.Clone(k.sessions), maps.Clone(k.endpoints), maps.Clone(k.requests)}
 }
 
-// round saves what has changed.
-func (l knowledge) saveRound(v *Saver, now time.Duration) []storage.Change {
+// saveRound saves what has changed.
+func (k knowledge) saveRound(v *Saver, now time.Duration) []storage.Change {
 	v.BeginRound()
-	for uid, k := range l.members {
-		v.SaveMember(uid, k)
+	for uid, member := range k.members {
+		v.SaveMember(uid, member)
 	}
 	return v.FinishRound(now)
 }
 
-// What is learned, forgotten and learned again is recalled as it was when it was last told to be saved; failed commits and those that
-// come late change nothing of that, and what failed to be written is written by the next.
+// What is learned, forgotten and learned again is restored as of the last successful commit. Failed commits and changes during a commit
+// do not affect that, and what a failed commit should have written is in the next.
 func TestSavedStateIsRestored(t *testing.T) {
 	seeded.Check(t, func(rt *rapid.T) {
 		path := t.TempDir()
@@ -117,24 +117,24 @@
 		defer s.Close()
 		r := Restore(s)
 		if !maps.Equal(sessionWrites(s), saved.sessions) || r.SavedAt != savedAt || len(r.Members) != len(saved.members) {
-			rt.Fatalf("recalled %+v, saved %+v at %v", r, saved, savedAt)
+			rt.Fatalf("restored %+v, saved %+v at %v", r, saved, savedAt)
 		}
-		for uid, k := range saved.members { // what moves on all the time is saved when it has moved on a little
+		for uid, k := range saved.members { // times advance all the time and are saved at steps of minProgress
 			if got := r.Members[uid]; got.Ratio != k.Ratio || k.Position-got.Position > minProgress || got.Position > k.Position {
 				rt.Fatalf("%s: %+v, saved %+v", uid, got, k)
 			}
 		}
 		entries, answers := slices.Sorted(maps.Values(saved.endpoints)), slices.Sorted(maps.Values(saved.requests))
 		if got := sortedTexts(r.Endpoints); !slices.Equal(got, entries) {
-			rt.Fatalf("the list is %q, saved %q", got, entries)
+			rt.Fatalf("endpoints %q, saved %q", got, entries)
 		}
 		if got := sortedTexts(r.Requests["offices"]); !slices.Equal(got, answers) {
-			rt.Fatalf("repeats are %q, saved %q", got, answers)
+			rt.Fatalf("requests %q, saved %q", got, answers)
 		}
 	})
 }
 
-// writes gives the latest write of each session.
+// sessionWrites returns the latest write of each session.
 func sessionWrites(s *storage.Store) map[driver.Session]time.Duration {
 	all := make(map[driver.Session]time.Duration)
 	ForEachSessionWrite(s, func(who driver.Session, commit time.Duration) { all[who] = max(all[who], commit) })
@@ -149,13 +149,13 @@
 	return out
 }
 
-// Writes of many sessions stay within their part of the room, the newest are kept; what is long ago goes, and so do batches of a clock
-// that has gone back.
+// Writes of many sessions stay within their share of the size and the newest are kept. Expired batches are deleted, and so are batches
+// from the future after the clock went back.
 func TestSessionWritesStayWithinTheirShare(t *testing.T) {
 	s := open(t, t.TempDir())
 	defer s.Close()
-	const most = 64 << 10
-	v, now := NewSaver(s, most), time.Hour
+	const maxSize = 64 << 10
+	v, now := NewSaver(s, maxSize), time.Hour
 	step := func(sessions int) {
 		now += time.Second
 		for n := range sessions {
@@ -166,27 +166,27 @@
 		}
 	}
 	for range 100 {
-		step(50) // 800 bytes: twenty seconds fill a quarter of the room
+		step(50) // 800 bytes: twenty seconds fill a quarter of the size
 	}
 	r, bytes := Restore(s), 0
 	s.ForEach(func(name string, value []byte) { bytes += len(value) })
-	if bytes > most/4+1000 || len(sessionWrites(s)) != 50 || sessionWrites(s)[7] != now || v.Dropped() == 0 {
+	if bytes > maxSize/4+1000 || len(sessionWrites(s)) != 50 || sessionWrites(s)[7] != now || v.Dropped() == 0 {
 		t.Errorf("%d bytes, %d sessions, the latest write %v before now", bytes, r.SessionWrites, now-sessionWrites(s)[7])
 	}
 	now += sessionRetention
 	step(0)
 	if r := Restore(s); r.SessionWrites != 0 {
-		t.Errorf("%d sessions are kept of long ago", r.SessionWrites)
+		t.Errorf("%d expired sessions are kept", r.SessionWrites)
 	}
 	step(1)
 	now -= time.Hour
 	step(0)
 	if r := Restore(s); r.SessionWrites != 0 {
-		t.Error("what was written after now is kept")
+		t.Error("a write from the future is kept")
 	}
 }
 
-// Sessions that an earlier version of the program kept one by one are recalled, and are kept in the newer form from then on.
+// Sessions that an earlier version stored one by one are restored, and stored in batches from then on.
 func TestLegacySessionsAreMigrated(t *testing.T) {
 	path := t.TempDir()
 	s := open(t, path)
@@ -210,7 +210,7 @@
 	s.Close()
 }
 
-// Pruning takes out what has not changed for long and nothing else.
+// Prune deletes what has not changed for long and nothing else.
 func TestPrune(t *testing.T) {
 	path := t.TempDir()
 	s := open(t, path)
@@ -221,12 +221,12 @@
 	v.SaveMember("old", driver.Known{Position: now - 30*time.Hour, Replica: driver.LongAgo, Timed: now - 30*time.Hour, Ratio: 1})
 	v.SaveMember("new", driver.Known{Position: now, Replica: driver.LongAgo, Timed: now - 30*time.Hour, Ratio: 1})
 	v.Committed(s.Commit(v.FinishRound(now)))
-	if _, _, err := Prune(path, Owner("n0"), 24*time.Hour, now, 1<<20); !errors.Is(err, storage.ErrLocked) {
-		t.Errorf("a folder that a driver holds: %v", err)
+	if _, err := Prune(path, Owner("n0"), 24*time.Hour, now, 1<<20); !errors.Is(err, storage.ErrLocked) {
+		t.Errorf("a directory that a driver has locked: %v", err)
 	}
 	s.Close()
-	if before, after, err := Prune(path, Owner("n0"), 24*time.Hour, now, 1<<20); err != nil || after >= before {
-		t.Errorf("%d, %d, %v", before, after, err)
+	if result, err := Prune(path, Owner("n0"), 24*time.Hour, now, 1<<20); err != nil || result.SizeAfter >= result.SizeBefore {
+		t.Errorf("%+v, %v", result, err)
 	}
 	s = open(t, path)
 	defer s.Close()
@@ -235,7 +235,7 @@
 	}
 }
 
-// A folder of another driver, one that is not there, and values of another form.
+// Directories of another driver and missing ones are refused; values of another form are left out.
 func TestUnusableDirectories(t *testing.T) {
 	path := t.TempDir()
 	s := open(t, path)
@@ -248,9 +248,9 @@
 	}
 	s.Close()
 	if _, _, err := Open(path, "n1", 1<<20); !errors.Is(err, storage.ErrWrongOwner) {
-		t.Errorf("another driver's folder: %v", err)
+		t.Errorf("another driver's directory: %v", err)
 	}
 	if _, _, err := Open(path+"/none", "n0", 1<<20); err == nil {
-		t.Error("a folder that is not there is opened")
+		t.Error("a missing directory is opened")
 	}
 }
--- /dev/null
+++ b/internal/persist/promises.go
@@ -0,0 +1,34 @@
+package persist
+
+import (
+	"encoding/binary"
+	"strings"
+
+	"passtack/internal/lease"
+	"passtack/internal/storage"
+)
+
+const promiseSize = 12 // bytes: 8 of the number, 4 of the version
+
+// PromiseChange returns the change that stores a voter's promise about the lease of that name.
+func PromiseChange(name string, p lease.Promise) storage.Change {
+	value := binary.LittleEndian.AppendUint64(make([]byte, 0, promiseSize), p.Number)
+	value = binary.LittleEndian.AppendUint32(value, p.Version)
+	return storage.Change{Name: promisePrefix + name, Value: value}
+}
+
+// RestorePromises returns the stored promises by the name of their lease.
+func RestorePromises(s *storage.Store) map[string]lease.Promise {
+	promises := make(map[string]lease.Promise)
+	s.ForEach(func(name string, value []byte) {
+		leaseName, found := strings.CutPrefix(name, promisePrefix)
+		if !found || len(value) != promiseSize {
+			return
+		}
+		promises[leaseName] = lease.Promise{
+			Number:  binary.LittleEndian.Uint64(value),
+			Version: binary.LittleEndian.Uint32(value[8:]),
+		}
+	})
+	return promises
+}
