--- a/internal/front/odata/batch.go
+++ b/internal/front/odata/batch.go
@@ -5,9 +5,9 @@
 
 	"passtack/internal/batch"
 	"passtack/internal/httpwire"
+	"passtack/internal/idempotency"
 	"passtack/internal/loop"
 	"passtack/internal/odata"
-	"passtack/internal/repeat"
 )
 
 // batchWork is a batch under way.
@@ -138,16 +138,16 @@
 }
 
 // ended takes the answer of one item.
-func (b *batchWork) ended(e *errand, how repeat.End, r *reply, position time.Duration) {
+func (b *batchWork) ended(e *errand, how idempotency.Outcome, r *reply, position time.Duration) {
 	if b.work == nil {
 		return
 	}
 	b.replies[e.index] = r
 	end := batch.OK
 	switch {
-	case how == repeat.Nothing:
+	case how == idempotency.NotRun:
 		end = batch.Refused
-	case how == repeat.Unsure:
+	case how == idempotency.Uncertain:
 		end = batch.Aborted
 	case r.status >= 400:
 		end = batch.Refused
--- a/internal/front/odata/errand.go
+++ b/internal/front/odata/errand.go
@@ -14,10 +14,10 @@
 	"passtack/driver"
 	"passtack/internal/front"
 	"passtack/internal/httpwire"
+	"passtack/internal/idempotency"
 	"passtack/internal/loop"
 	"passtack/internal/member"
 	"passtack/internal/odata"
-	"passtack/internal/repeat"
 	"passtack/internal/slots"
 )
 
@@ -48,8 +48,8 @@
 	repeatKey string // "": it is not repeatable
 	repeatID  string
 	firstSent time.Duration
-	entry     *repeat.Entry // of its own run
-	joined    *repeat.Entry // of the run that it waits for
+	entry     *idempotency.Entry // of its own run
+	joined    *idempotency.Entry // of the run that it waits for
 	giveUp    loop.Due
 	ended     bool
 }
@@ -59,7 +59,7 @@
 func (f *Front) send(e *errand, until, floor time.Duration, method driver.Method) {
 	now := f.loop.Now()
 	if e.handle = f.errands.Put(e); e.handle == 0 {
-		e.end(repeat.Nothing, pushedBack(0), 0)
+		e.end(idempotency.NotRun, pushedBack(0), 0)
 		return
 	}
 	token := ""
@@ -67,7 +67,7 @@
 		if !f.judgeRepeat(e, now, until) {
 			return
 		}
-		until = min(until, e.entry.Until)
+		until = min(until, e.entry.Deadline)
 		token = tokenOf(e.repeatKey, e.repeatID)
 	}
 	e.id = f.newID()
@@ -133,34 +133,34 @@
 	if e.operation.Repeats { // running again does no harm at any time
 		window = always
 	}
-	verdict, entry := f.memory.Asked(e.repeatKey, digest.Sum64(), e.firstSent, now, window)
+	verdict, entry := f.memory.Begin(e.repeatKey, digest.Sum64(), e.firstSent, now, window)
 	refuse := func(counter string, status int, code, text string) {
 		f.clerk.Count(counter)
 		r := failure(fault(status, code, "%s", text))
 		r.fields = httpwire.AppendField(r.fields, "Repeatability-Result", "rejected")
-		e.end(repeat.Nothing, r, 0)
+		e.end(idempotency.NotRun, r, 0)
 	}
 	switch verdict {
-	case repeat.Run:
+	case idempotency.Run:
 		e.entry, entry.Runner = entry, uint32(e.handle)
 		return true
-	case repeat.Joins:
+	case idempotency.Join:
 		f.clerk.Count("repeats_joined")
 		e.joined = entry
 		entry.Waiters = append(entry.Waiters, uint32(e.handle))
-		e.giveUp = f.loop.At(until, func() { e.end(repeat.Unsure, aborted(), 0) })
-	case repeat.Told:
+		e.giveUp = f.loop.At(until, func() { e.end(idempotency.Uncertain, aborted(), 0) })
+	case idempotency.Replay:
 		f.clerk.Count("repeats_told")
-		e.end(repeat.Done, decode(entry.Answer), 0)
-	case repeat.Late:
+		e.end(idempotency.Completed, decode(entry.Response), 0)
+	case idempotency.TooLate:
 		refuse("repeats_refused", 412, "TooLate", "it may have been done, and a repeat is no longer known; look before asking anew under another id")
-	case repeat.Other:
+	case idempotency.KeyReused:
 		refuse("repeats_refused", 412, "OtherRequest", "this Repeatability-Request-ID was used for another request")
-	case repeat.Early:
+	case idempotency.FromFuture:
 		refuse("repeats_refused", 400, "BadRequest", "Repeatability-First-Sent lies in the future")
-	case repeat.NoRoom:
+	case idempotency.AtCapacity:
 		f.clerk.Count("repeats_no_room")
-		e.end(repeat.Nothing, pushedBack(0), 0)
+		e.end(idempotency.NotRun, pushedBack(0), 0)
 	}
 	return false
 }
@@ -234,7 +234,7 @@
 }
 
 // end gives the errand its one answer, to all who wait for it.
-func (e *errand) end(how repeat.End, r *reply, position time.Duration) {
+func (e *errand) end(how idempotency.Outcome, r *reply, position time.Duration) {
 	if e.ended {
 		return
 	}
@@ -246,11 +246,11 @@
 		delete(f.open, e.id)
 	}
 	if e.joined != nil {
-		e.joined.Leave(uint32(e.handle))
+		e.joined.RemoveWaiter(uint32(e.handle))
 	}
 	if e.entry != nil {
 		r.fields = httpwire.AppendField(r.fields, "Repeatability-Result", "accepted")
-		for _, h := range f.memory.Ended(e.entry, how, encode(r, f.offer.Repeats.Bytes/8), f.loop.Now()) {
+		for _, h := range f.memory.Finish(e.entry, how, encode(r, f.offer.Repeats.Bytes/8), f.loop.Now()) {
 			if waiter := f.errands.Get(slots.Handle(h)); waiter != nil {
 				waiter.joined = nil
 				waiter.end(how, r, position)
@@ -283,7 +283,7 @@
 	f.loop.Forget(e.giveUp)
 	delete(f.open, e.id)
 	if e.joined != nil {
-		e.joined.Leave(uint32(e.handle))
+		e.joined.RemoveWaiter(uint32(e.handle))
 		if runner := f.errands.Get(slots.Handle(e.joined.Runner)); runner != nil {
 			runner.part()
 		}
--- a/internal/front/odata/front.go
+++ b/internal/front/odata/front.go
@@ -11,11 +11,11 @@
 	"passtack/driver"
 	"passtack/internal/front"
 	"passtack/internal/httpwire"
+	"passtack/internal/idempotency"
 	"passtack/internal/loop"
 	"passtack/internal/odata"
 	"passtack/internal/operator"
 	"passtack/internal/pcg"
-	"passtack/internal/repeat"
 	"passtack/internal/slots"
 )
 
@@ -29,7 +29,7 @@
 	members     string   // the root that members serve under
 	errands     slots.Table[*errand]
 	open        front.Ids
-	memory      *repeat.Memory
+	memory      *idempotency.Registry
 	chance      *pcg.Source
 	second      time.Duration // that now was made in
 	now         string
@@ -39,7 +39,7 @@
 func Listen(l *loop.Loop, clerk driver.Clerk, at netip.AddrPort, door loop.Door, open front.Ids, offer *operator.OData,
 	methods []string, members string, seed uint64) (*Front, error) {
 	f := &Front{
-		loop: l, clerk: clerk, open: open, methods: methods, members: members, memory: repeat.New(l.Now()), chance: pcg.New(seed),
+		loop: l, clerk: clerk, open: open, methods: methods, members: members, memory: idempotency.New(l.Now()), chance: pcg.New(seed),
 	}
 	f.Offer(offer)
 	var err error
@@ -58,15 +58,15 @@
 	if f.connections != nil {
 		f.connections.Bear(most(offer))
 	}
-	f.memory.Sticky, f.memory.Kept = offer.Repeats.Sticky, offer.Repeats.Kept
-	f.memory.Most, f.memory.Open = offer.Repeats.Bytes, offer.Repeats.Open
+	f.memory.Sticky, f.memory.Retention = offer.Repeats.Sticky, offer.Repeats.Kept
+	f.memory.MaxBytes, f.memory.MaxInProgress = offer.Repeats.Bytes, offer.Repeats.Open
 }
 
 // Methods changes the names of methods, by number. What is under way keeps its numbers.
 func (f *Front) Methods(names []string) { f.methods = names }
 
 // Repeats gives what it remembers of repeatable requests.
-func (f *Front) Repeats() *repeat.Memory { return f.memory }
+func (f *Front) Repeats() *idempotency.Registry { return f.memory }
 
 // Connections gives those that it holds.
 func (f *Front) Connections() *front.Connections { return f.connections }
@@ -275,21 +275,21 @@
 // Answer renders what a member gave.
 func (f *Front) Answer(to driver.Client, a *driver.Answer) {
 	if e := f.errands.Get(slots.Handle(to)); e != nil {
-		e.end(repeat.Done, f.render(e, a), a.Position)
+		e.end(idempotency.Completed, f.render(e, a), a.Position)
 	}
 }
 
 // PushBack tells the client that it may ask again, after some time if one is given.
 func (f *Front) PushBack(to driver.Client, comeBack time.Duration) {
 	if e := f.errands.Get(slots.Handle(to)); e != nil {
-		e.end(repeat.Nothing, pushedBack(comeBack), 0)
+		e.end(idempotency.NotRun, pushedBack(comeBack), 0)
 	}
 }
 
 // Abort tells the client that the RPC failed and may have run.
 func (f *Front) Abort(to driver.Client) {
 	if e := f.errands.Get(slots.Handle(to)); e != nil {
-		e.end(repeat.Unsure, aborted(), 0)
+		e.end(idempotency.Uncertain, aborted(), 0)
 	}
 }
 
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -147,17 +147,17 @@
 	if k == nil {
 		return
 	}
-	if known := f.Repeats().Recall(k.recalled.Requests[name], n.loop.Now()); known > 0 {
+	if known := f.Repeats().Restore(k.recalled.Requests[name], n.loop.Now()); known > 0 {
 		slog.Info("repeats_recalled", "front", name, "requests", known)
 	}
-	f.Repeats().Keep = func(key string, e []byte) { k.saver.SetRequest(name, xxh3.HashString(key), e) }
+	f.Repeats().Persist = func(key string, e []byte) { k.saver.SetRequest(name, xxh3.HashString(key), e) }
 }
 
 // forgetRepeats lets go of answers to repeats that nobody may ask for any more.
 func (n *Node) forgetRepeats() (chores.Spending, chores.End) {
 	for _, d := range n.listeners {
 		if f, ok := d.front.(*odatafront.Front); ok {
-			f.Repeats().Age(n.loop.Now())
+			f.Repeats().Expire(n.loop.Now())
 		}
 	}
 	return chores.Spending{}, chores.Done
--- a/internal/persist/golden_test.go
+++ b/internal/persist/golden_test.go
@@ -13,8 +13,8 @@
 	"github.com/zeebo/xxh3"
 
 	"passtack/driver"
+	"passtack/internal/idempotency"
 	"passtack/internal/lease"
-	"passtack/internal/repeat"
 	"passtack/internal/storage"
 )
 
@@ -37,9 +37,9 @@
 	s := open(t, path)
 	defer s.Close()
 	v := NewSaver(s, 32<<20)
-	memory := repeat.New(0)
-	memory.Kept, memory.Most, memory.Open = time.Hour, 1<<20, 10
-	memory.Keep = func(key string, e []byte) { v.SetRequest("offices", xxh3.HashString(key), e) }
+	memory := idempotency.New(0)
+	memory.Retention, memory.MaxBytes, memory.MaxInProgress = time.Hour, 1<<20, 10
+	memory.Persist = func(key string, e []byte) { v.SetRequest("offices", xxh3.HashString(key), e) }
 	commit := func(now time.Duration, members ...string) {
 		v.BeginRound()
 		for _, uid := range members {
@@ -52,22 +52,22 @@
 			t.Fatal(err)
 		}
 	}
-	run := func(key string, how repeat.End) {
-		_, e := memory.Asked(key, 11, time.Second, time.Second, 2*time.Second)
-		memory.Ended(e, how, []byte("answer of "+key), 1500*ms)
+	run := func(key string, how idempotency.Outcome) {
+		_, e := memory.Begin(key, 11, time.Second, time.Second, 2*time.Second)
+		memory.Finish(e, how, []byte("answer of "+key), 1500*ms)
 	}
 	v.SessionWrote(0xbeef, time.Hour)
 	v.SessionWrote(5, time.Hour-time.Second)
 	v.SetEndpoint("s-1", []byte(`{"uid":"s-1"}`))
 	v.SetEndpoint("s-2", []byte(`{"uid":"s-2"}`))
 	v.SetListVersion(ListVersion{Revision: 4, Discovery: goldenDiscovery})
-	run("done", repeat.Done)
-	run("gone", repeat.Nothing)
+	run("done", idempotency.Completed)
+	run("gone", idempotency.NotRun)
 	commit(time.Hour, "s-1", "s-2")
 	v.SessionWrote(5, time.Hour+time.Second)
 	v.SetEndpoint("s-1", nil)
 	v.SetListVersion(ListVersion{Revision: 5, Discovery: goldenDiscovery})
-	run("unsure", repeat.Unsure)
+	run("unsure", idempotency.Uncertain)
 	v.SetRequest("offices", xxh3.HashString("gone"), nil)
 	commit(time.Hour+2*time.Second, "s-2", "s-3")
 	if err := s.Commit([]storage.Change{PromiseChange("summary", goldenPromise)}); err != nil {
@@ -152,16 +152,16 @@
 	if got := RestorePromises(s); !reflect.DeepEqual(got, map[string]lease.Promise{"summary": goldenPromise}) {
 		t.Errorf("promises %v", got)
 	}
-	memory := repeat.New(0)
-	memory.Kept, memory.Most, memory.Open = time.Hour, 1<<20, 10
-	if n := memory.Recall(repeats, 2*time.Second); n != 2 {
+	memory := idempotency.New(0)
+	memory.Retention, memory.MaxBytes, memory.MaxInProgress = time.Hour, 1<<20, 10
+	if n := memory.Restore(repeats, 2*time.Second); n != 2 {
 		t.Fatalf("%d repeatable requests are restored, want 2", n)
 	}
-	verdict, e := memory.Asked("done", 11, time.Second, 2*time.Second, 2*time.Second)
-	if verdict != repeat.Told || string(e.Answer) != "answer of done" {
+	verdict, e := memory.Begin("done", 11, time.Second, 2*time.Second, 2*time.Second)
+	if verdict != idempotency.Replay || string(e.Response) != "answer of done" {
 		t.Errorf("a repeat of a request that was done: %v", verdict)
 	}
-	if verdict, _ := memory.Asked("unsure", 11, time.Second, 4*time.Second, 2*time.Second); verdict != repeat.Late {
+	if verdict, _ := memory.Begin("unsure", 11, time.Second, 4*time.Second, 2*time.Second); verdict != idempotency.TooLate {
 		t.Errorf("a late repeat of a request that may have run: %v", verdict)
 	}
 }
