--- a/internal/front/odata/errand.go
+++ b/internal/front/odata/errand.go
@@ -133,7 +133,7 @@
 	if e.operation.Repeats { // running again does no harm at any time
 		window = always
 	}
-	verdict, entry := f.memory.Begin(e.repeatKey, digest.Sum64(), e.firstSent, now, window)
+	verdict, entry := f.memory.Begin(idempotency.Request{Key: e.repeatKey, Digest: digest.Sum64(), FirstSent: e.firstSent, Window: window}, now)
 	refuse := func(counter string, status int, code, text string) {
 		f.clerk.Count(counter)
 		r := failure(fault(status, code, "%s", text))
--- /dev/null
+++ b/internal/idempotency/entry.go
@@ -0,0 +1,104 @@
+package idempotency
+
+import (
+	"encoding/binary"
+	"slices"
+	"time"
+
+	"passtack/internal/chain"
+)
+
+// Entry is one request with an idempotency key.
+type Entry struct {
+	Deadline time.Duration // no attempt may begin later
+	Response []byte        // of a completed request; nil if it was too long to keep
+	Waiters  []uint32      // who gets the same response
+	Runner   uint32        // who runs the request
+
+	request    Request
+	state      state
+	mayHaveRun bool
+	finishedAt time.Duration
+	link       chain.Link[*Entry] // among the finished ones
+}
+
+// state is the state of an entry. Its numbers are stored.
+type state uint8
+
+const (
+	inProgress state = iota
+	completed
+	unresolved // finished without a response that could be replayed
+)
+
+// RemoveWaiter removes a waiter that no longer wants the response.
+func (e *Entry) RemoveWaiter(waiter uint32) {
+	if i := slices.Index(e.Waiters, waiter); i >= 0 {
+		e.Waiters = slices.Delete(e.Waiters, i, i+1)
+	}
+}
+
+// size returns the bytes that an entry takes in memory.
+func (e *Entry) size() int { return entryOverhead + len(e.request.Key) + len(e.Response) }
+
+// A stored entry is a header, the key and the response. All numbers are little-endian.
+//
+//	header  1 byte encodingVersion, 1 state, 1 mayHaveRun, 1 noResponse, 4 zero,
+//	        8 digest, 8 firstSent, 8 window, 8 finishedAt, 4 length of the key
+const (
+	encodingVersion = 1
+	flagsSize       = 8                   // bytes of the header before its numbers
+	entryHeaderSize = flagsSize + 4*8 + 4 // bytes
+)
+
+func (e *Entry) encode() []byte {
+	q := &e.request
+	out := make([]byte, flagsSize, entryHeaderSize+len(q.Key)+len(e.Response))
+	out[0] = encodingVersion
+	out[1] = byte(e.state)
+	if e.mayHaveRun {
+		out[2] = 1
+	}
+	if e.state == completed && e.Response == nil {
+		out[3] = 1
+	}
+	for _, n := range []uint64{q.Digest, uint64(q.FirstSent), uint64(q.Window), uint64(e.finishedAt)} {
+		out = binary.LittleEndian.AppendUint64(out, n)
+	}
+	out = binary.LittleEndian.AppendUint32(out, uint32(len(q.Key)))
+	out = append(out, q.Key...)
+	return append(out, e.Response...)
+}
+
+// decodeEntry returns nil for an entry of another form.
+func decodeEntry(in []byte) *Entry {
+	if len(in) < entryHeaderSize || in[0] != encodingVersion {
+		return nil
+	}
+	entryState := state(in[1])
+	if entryState != completed && entryState != unresolved {
+		return nil
+	}
+	noResponse := in[3] != 0
+	number := func(i int) uint64 { return binary.LittleEndian.Uint64(in[flagsSize+8*i:]) }
+	keyLength := int(binary.LittleEndian.Uint32(in[entryHeaderSize-4:]))
+	rest := in[entryHeaderSize:]
+	if keyLength > len(rest) {
+		return nil
+	}
+	e := &Entry{
+		request: Request{
+			Key:       string(rest[:keyLength]),
+			Digest:    number(0),
+			FirstSent: time.Duration(number(1)),
+			Window:    time.Duration(number(2)),
+		},
+		state:      entryState,
+		mayHaveRun: true,
+		finishedAt: time.Duration(number(3)),
+	}
+	if entryState == completed && !noResponse {
+		e.Response = rest[keyLength:]
+	}
+	return e
+}
--- a/internal/idempotency/registry.go
+++ b/internal/idempotency/registry.go
@@ -1,107 +1,94 @@
-// Package repeat knows which repeatable requests were asked before, and decides what a repeat may get: the first
-// outcome, a place beside the first that is still out, another run inside the window in which its group drops a repeat,
-// or a refusal. It never lets an effect come twice: what it cannot tell from a repeat that may have run is refused once
-// the window is over.
+// Package idempotency knows which requests with an idempotency key were sent before and decides what a repeat gets: the response
+// of the first, a place beside the first while that is in progress, another run inside the window in which its group drops
+// duplicates, or a rejection. No request takes effect twice: what may be a duplicate of one that ran is rejected once the window
+// is over.
 //
-// When a request was first sent is told by its client. A restart forgets what was not kept (Keep, Recall), and other drivers know
-// nothing of it: what is unknown here may be a repeat of what ran elsewhere. Unless the operator says that a client's repeats come to this driver only
-// (Sticky), an unknown request may therefore run only inside the window since it was first sent.
+// Clients say when a request was first sent. A restart forgets what was not persisted (Registry.Persist, Registry.Restore), and
+// other drivers have registries of their own: an unknown request may be a repeat of one that ran elsewhere. Unless the operator
+// says that all repeats of a client come to this driver (Registry.Sticky), an unknown request may therefore only run inside the
+// window that began when it was first sent.
 package idempotency
 
 import (
 	"cmp"
-	"encoding/binary"
 	"slices"
 	"time"
 
 	"passtack/internal/chain"
 )
 
-// Verdict is what a request gets.
+// Verdict is the decision on a request.
 type Verdict uint8
 
 const (
-	Run        Verdict = iota // it may run, until Entry.Until
-	Join                      // the first is still out: it gets the same answer
-	Replay                    // the first outcome is known
-	KeyReused                 // the id was used for something else
-	TooLate                   // it may have run and its group may have forgotten: never again
-	FromFuture                // first sent later than now: its clock is wrong
-	AtCapacity                // too many are out
+	Run        Verdict = iota // it may run, until Entry.Deadline
+	Join                      // the first is in progress: the request gets the same response
+	Replay                    // the response of the first is known
+	KeyReused                 // another request was sent under this key
+	TooLate                   // it may have run, and its group may have forgotten that
+	FromFuture                // it was first sent later than now: the client's clock is wrong
+	AtCapacity                // too many requests are in progress
 )
 
-// End is how a request that ran ended.
+// Outcome tells how a request that was allowed to run ended.
 type Outcome uint8
 
 const (
-	Completed Outcome = iota // it has run once, and the answer is known
-	NotRun                   // nothing ran
+	Completed Outcome = iota // it ran once and has a response
+	NotRun                   // it did not run
 	Uncertain                // it may have run
 )
 
 const (
-	maxClockSkew  = 2 * time.Second // that clocks may disagree before a time is taken for wrong
+	maxClockSkew  = 2 * time.Second // by which a client's clock may be ahead
 	windowMargin  = 20 * time.Millisecond
-	entryOverhead = 256 // bytes that an entry takes besides its answer
-)
-
-type state uint8
+	entryOverhead = 256 // bytes that an entry takes besides its key and its response
 
-const (
-	inProgress state = iota
-	completed
-	unresolved // it ended without an answer that could be told again
+	// noDeadline is far beyond the time that any request has: the module alone limits its attempts.
+	noDeadline = time.Hour
 )
 
-// Entry is one request that was asked.
-type Entry struct {
-	Deadline time.Duration // no attempt may begin later
-	Response []byte        // once it is done; nil where it was too long to keep
-	Waiters  []uint32      // who waits for the same answer
-	Runner   uint32        // who asks members for it
-
-	key        string
-	digest     uint64
-	firstSent  time.Duration
-	window     time.Duration
-	state      state
-	mayHaveRun bool // have run
-	finishedAt time.Duration
-	link       chain.Link[*Entry]
+// Request is what a client sent.
+type Request struct {
+	Key       string        // unique among all requests of all clients
+	Digest    uint64        // of the content, to detect a key that is used again
+	FirstSent time.Duration // as the client says, rounded down to its resolution
+	Window    time.Duration // in which the request's group drops duplicates
 }
 
-// Memory holds the requests of one driver.
+// Registry holds the requests of one driver. It is used by one goroutine.
 type Registry struct {
-	Sticky        bool                       // repeats come to this driver only
-	Retention     time.Duration              // how long an outcome is remembered
-	MaxBytes      int                        // bytes
-	MaxInProgress int                        // requests that may be out
-	Persist       func(key string, e []byte) // is told what has ended, to be recalled by another life; nil: it is forgotten
-	began         time.Duration
-	knownSince    time.Duration // what was first sent before may have been forgotten
-	entries       map[string]*Entry
-	finished      chain.Chain[*Entry] // in the order in which they ended
-	bytes         int                 // bytes
-	inProgress    int
+	Sticky        bool          // all repeats of a client come to this driver
+	Retention     time.Duration // of finished requests
+	MaxBytes      int           // of all entries, beyond which the oldest finished ones expire
+	MaxInProgress int           // requests
+
+	// Persist, if set, is called with the encoded entry of a request that has finished and with nil when it has expired.
+	Persist func(key string, entry []byte)
+
+	knownSince time.Duration // requests first sent earlier may have been forgotten
+	entries    map[string]*Entry
+	finished   chain.Chain[*Entry] // the oldest first
+	bytes      int
+	inProgress int
 }
 
-// New makes a memory that remembers nothing from before now.
+// New returns a registry that knows no requests from before now.
 func New(now time.Duration) *Registry {
-	return &Registry{began: now, knownSince: now, entries: make(map[string]*Entry)}
+	return &Registry{knownSince: now, entries: make(map[string]*Entry)}
 }
 
-// Asked judges a request: what it was asked under, a digest of what it asks, when it was first sent (truncated as its
-// client told it), and the window of its group. Where it may run or joins, the entry is given.
-func (m *Registry) Begin(key string, content uint64, firstSent, now, window time.Duration) (Verdict, *Entry) {
-	m.Expire(now)
-	if firstSent > now+maxClockSkew {
+// Begin decides on a request. The entry is set with Run, Join and Replay. After Run, Finish has to be called.
+func (r *Registry) Begin(q Request, now time.Duration) (Verdict, *Entry) {
+	r.Expire(now)
+	if q.FirstSent > now+maxClockSkew {
 		return FromFuture, nil
 	}
-	e := m.entries[key]
+	e := r.entries[q.Key]
 	if e == nil {
-		return m.unknown(key, content, firstSent, now, window)
+		return r.beginUnknown(q, now)
 	}
-	if e.digest != content {
+	if e.request.Digest != q.Digest {
 		return KeyReused, nil
 	}
 	switch e.state {
@@ -110,153 +97,129 @@
 	case completed:
 		return Replay, e
 	}
-	if e.Deadline = m.bound(e, now); now >= e.Deadline {
-		return TooLate, nil
-	}
-	if m.inProgress >= m.MaxInProgress {
-		return AtCapacity, nil
+	if verdict := r.admit(e, now); verdict != Run {
+		return verdict, nil
 	}
 	e.link.Leave()
-	e.state = inProgress
-	m.inProgress++
+	r.run(e)
 	return Run, e
 }
 
-// bound is until when attempts may begin: while the group still drops a repeat, unless this surely is none.
-func (m *Registry) bound(e *Entry, now time.Duration) time.Duration {
-	if m.Sticky && !e.mayHaveRun && e.firstSent > m.knownSince {
-		return now + time.Hour // the module alone bounds its attempts
+func (r *Registry) beginUnknown(q Request, now time.Duration) (Verdict, *Entry) {
+	e := &Entry{request: q}
+	e.link.Value = e
+	if verdict := r.admit(e, now); verdict != Run {
+		return verdict, nil
 	}
-	return e.firstSent + e.window - windowMargin
+	r.add(e)
+	r.run(e)
+	return Run, e
 }
 
-func (m *Registry) unknown(key string, content uint64, firstSent, now, window time.Duration) (Verdict, *Entry) {
-	e := &Entry{key: key, digest: content, firstSent: firstSent, window: window}
-	e.link.Value = e
-	if e.Deadline = m.bound(e, now); now >= e.Deadline {
-		return TooLate, nil
+// admit sets the deadline of a request and decides whether it may run before that.
+func (r *Registry) admit(e *Entry, now time.Duration) Verdict {
+	e.Deadline = r.deadline(e, now)
+	if now >= e.Deadline {
+		return TooLate
 	}
-	if m.inProgress >= m.MaxInProgress {
-		return AtCapacity, nil
+	if r.inProgress >= r.MaxInProgress {
+		return AtCapacity
 	}
-	m.entries[key] = e
-	m.bytes += entryOverhead + len(key)
-	m.inProgress++
-	return Run, e
+	return Run
+}
+
+// deadline returns until when attempts may begin: while the group drops duplicates, unless the request certainly has not run.
+func (r *Registry) deadline(e *Entry, now time.Duration) time.Duration {
+	if r.Sticky && !e.mayHaveRun && e.request.FirstSent > r.knownSince {
+		return now + noDeadline
+	}
+	return e.request.FirstSent + e.request.Window - windowMargin
 }
 
-// Ended tells how a request that was let run ended. Who waited for the same answer is given.
-func (m *Registry) Finish(e *Entry, how Outcome, answer []byte, now time.Duration) (waiters []uint32) {
+func (r *Registry) run(e *Entry) {
+	e.state = inProgress
+	r.inProgress++
+}
+
+func (r *Registry) add(e *Entry) {
+	r.entries[e.request.Key] = e
+	r.bytes += e.size()
+}
+
+// Finish reports the outcome of a request that Begin let run and returns those who wait for the same response.
+func (r *Registry) Finish(e *Entry, outcome Outcome, response []byte, now time.Duration) (waiters []uint32) {
 	if e.state != inProgress {
 		return nil
 	}
-	m.inProgress--
+	r.inProgress--
 	waiters, e.Waiters = e.Waiters, nil
 	e.finishedAt = now
-	switch how {
-	case Completed:
-		e.state, e.Response = completed, answer
-		m.bytes += len(answer)
-	case NotRun:
+	if outcome == Completed {
+		e.state = completed
+		e.Response = response
+		r.bytes += len(response)
+	} else {
 		e.state = unresolved
-	case Uncertain:
-		e.state, e.mayHaveRun = unresolved, true
+		e.mayHaveRun = e.mayHaveRun || outcome == Uncertain
 	}
-	m.finished.Push(&e.link)
-	m.persist(e.key, e.encode())
-	m.Expire(now)
+	r.finished.Push(&e.link)
+	r.persist(e.request.Key, e.encode())
+	r.Expire(now)
 	return waiters
 }
 
-// Leave takes back that somebody waits.
-func (e *Entry) RemoveWaiter(waiter uint32) {
-	for i, w := range e.Waiters {
-		if w == waiter {
-			e.Waiters = append(e.Waiters[:i], e.Waiters[i+1:]...)
+// Expire forgets requests whose retention is over, and the oldest finished ones while there is no space for all. Forgotten
+// requests are treated as unknown ones from then on, even if Sticky is set.
+func (r *Registry) Expire(now time.Duration) {
+	for link := r.finished.First(); link != nil; link = r.finished.First() {
+		e := link.Value
+		if now-e.finishedAt < r.Retention && r.bytes <= r.MaxBytes {
 			return
 		}
+		link.Leave()
+		delete(r.entries, e.request.Key)
+		r.bytes -= e.size()
+		r.knownSince = max(r.knownSince, e.request.FirstSent)
+		r.persist(e.request.Key, nil)
 	}
 }
 
-// Age forgets what ended long ago, and what there is no room for. What is forgotten counts as any unknown request
-// from then on, also where repeats come to this driver only.
-func (m *Registry) Expire(now time.Duration) {
-	for at := m.finished.First(); at != nil; at = m.finished.First() {
-		e := at.Value
-		if now-e.finishedAt < m.Retention && m.bytes <= m.MaxBytes {
-			return
-		}
-		at.Leave()
-		delete(m.entries, e.key)
-		m.bytes -= entryOverhead + len(e.key) + len(e.Response)
-		m.knownSince = max(m.knownSince, e.firstSent)
-		m.persist(e.key, nil)
+func (r *Registry) persist(key string, entry []byte) {
+	if r.Persist != nil {
+		r.Persist(key, entry)
 	}
 }
 
-func (m *Registry) persist(key string, e []byte) {
-	if m.Persist != nil {
-		m.Persist(key, e)
-	}
+// Usage is what a registry holds.
+type Usage struct {
+	Entries    int
+	InProgress int
+	Bytes      int
 }
 
-// Held tells how many requests are remembered, how many of them are out, and how many bytes they take.
-func (m *Registry) Usage() (entries, out, bytes int) { return len(m.entries), m.inProgress, m.bytes }
-
-const encodingVersion = 1 // of a kept entry: form, state, mayHave, 5 free; content, firstSent, window, ended, length of the key; key, answer
-const entryHeaderSize = 8 + 4*8 + 4
-
-// bytes is the entry as it is kept.
-func (e *Entry) encode() []byte {
-	out := make([]byte, 8, entryHeaderSize+len(e.key)+len(e.Response))
-	out[0], out[1] = encodingVersion, byte(e.state)
-	if e.mayHaveRun {
-		out[2] = 1
-	}
-	if e.state == completed && e.Response == nil {
-		out[3] = 1
-	}
-	for _, n := range []uint64{e.digest, uint64(e.firstSent), uint64(e.window), uint64(e.finishedAt)} {
-		out = binary.LittleEndian.AppendUint64(out, n)
-	}
-	out = binary.LittleEndian.AppendUint32(out, uint32(len(e.key)))
-	return append(append(out, e.key...), e.Response...)
+// Usage returns what the registry holds now.
+func (r *Registry) Usage() Usage {
+	return Usage{Entries: len(r.entries), InProgress: r.inProgress, Bytes: r.bytes}
 }
 
-// Recall takes back what an earlier life kept, and tells how many entries that are. An answer is told again; of all else it may have run,
-// whatever it says, since it may have been asked again after it was kept. What is from later than now is no use: the clock went back.
-func (m *Registry) Restore(kept [][]byte, now time.Duration) int {
-	var all []*Entry
-	for _, text := range kept {
-		if e := decodeEntry(text); e != nil && e.finishedAt <= now && now-e.finishedAt < m.Retention && m.entries[e.key] == nil {
-			m.entries[e.key] = e
-			m.bytes += entryOverhead + len(e.key) + len(e.Response)
-			all = append(all, e)
+// Restore adds entries that an earlier process persisted and returns how many it could use. Responses are replayed. All other
+// requests count as ones that may have run, since they may have been sent again after they were persisted. Entries from the
+// future are ignored: the clock went back.
+func (r *Registry) Restore(encoded [][]byte, now time.Duration) int {
+	var restored []*Entry
+	for _, text := range encoded {
+		e := decodeEntry(text)
+		if e == nil || e.finishedAt > now || now-e.finishedAt >= r.Retention || r.entries[e.request.Key] != nil {
+			continue
 		}
+		r.add(e)
+		restored = append(restored, e)
 	}
-	slices.SortFunc(all, func(a, b *Entry) int { return cmp.Compare(a.finishedAt, b.finishedAt) })
-	for _, e := range all {
+	slices.SortFunc(restored, func(a, b *Entry) int { return cmp.Compare(a.finishedAt, b.finishedAt) })
+	for _, e := range restored {
 		e.link.Value = e
-		m.finished.Push(&e.link)
-	}
-	m.Expire(now)
-	return len(all)
-}
-
-// entryOf reads a kept entry; nil: it is of another form.
-func decodeEntry(kept []byte) *Entry {
-	if len(kept) < entryHeaderSize || kept[0] != encodingVersion || state(kept[1]) != completed && state(kept[1]) != unresolved {
-		return nil
-	}
-	number := func(n int) uint64 { return binary.LittleEndian.Uint64(kept[8+8*n:]) }
-	key := int(binary.LittleEndian.Uint32(kept[entryHeaderSize-4:]))
-	if key > len(kept)-entryHeaderSize {
-		return nil
-	}
-	e := &Entry{key: string(kept[entryHeaderSize : entryHeaderSize+key]), digest: number(0), firstSent: time.Duration(number(1)), window: time.Duration(number(2)),
-		finishedAt: time.Duration(number(3)), state: state(kept[1]), mayHaveRun: true}
-	if e.state == completed && kept[3] == 0 {
-		e.Response = kept[entryHeaderSize+key:]
+		r.finished.Push(&e.link)
 	}
-	return e
+	r.Expire(now)
+	return len(restored)
 }
--- a/internal/idempotency/registry_test.go
+++ b/internal/idempotency/registry_test.go
@@ -13,99 +13,103 @@
 
 const second, window = time.Second, 1200 * time.Millisecond
 
+func request(key string, digest uint64, firstSent, window time.Duration) Request {
+	return Request{Key: key, Digest: digest, FirstSent: firstSent, Window: window}
+}
+
 func newTestRegistry(sticky bool) *Registry {
-	m := New(0)
-	m.Sticky, m.Retention, m.MaxBytes, m.MaxInProgress = sticky, 10*second, 1<<20, 100
-	return m
+	r := New(0)
+	r.Sticky, r.Retention, r.MaxBytes, r.MaxInProgress = sticky, 10*second, 1<<20, 100
+	return r
 }
 
 func TestVerdictsOfRepeats(t *testing.T) {
-	m := newTestRegistry(false)
-	v, first := m.Begin("a", 1, 5*second, 5*second, window)
+	r := newTestRegistry(false)
+	v, first := r.Begin(request("a", 1, 5*second, window), 5*second)
 	if v != Run || first.Deadline >= 5*second+window {
 		t.Fatalf("the first gets %d until %v", v, first.Deadline)
 	}
-	if v, e := m.Begin("a", 1, 5*second, 5100*time.Millisecond, window); v != Join || e != first {
-		t.Errorf("while it is out a repeat gets %d", v)
+	if v, e := r.Begin(request("a", 1, 5*second, window), 5100*time.Millisecond); v != Join || e != first {
+		t.Errorf("while it is in progress a repeat gets %d", v)
 	}
-	if v, _ := m.Begin("a", 2, 5*second, 5100*time.Millisecond, window); v != KeyReused {
-		t.Errorf("another request of the same id gets %d", v)
+	if v, _ := r.Begin(request("a", 2, 5*second, window), 5100*time.Millisecond); v != KeyReused {
+		t.Errorf("another request under the same key gets %d", v)
 	}
 	first.Waiters = append(first.Waiters, 7, 8, 9)
 	first.RemoveWaiter(8)
-	if got := fmt.Sprint(m.Finish(first, Completed, []byte("x"), 6*second)); got != "[7 9]" {
-		t.Errorf("who waits: %s", got)
+	if got := fmt.Sprint(r.Finish(first, Completed, []byte("x"), 6*second)); got != "[7 9]" {
+		t.Errorf("waiters: %s", got)
 	}
 	for _, at := range []time.Duration{6, 7, 15} { // also beyond the window: nothing runs
-		if v, e := m.Begin("a", 1, 5*second, at*second, window); v != Replay || string(e.Response) != "x" {
+		if v, e := r.Begin(request("a", 1, 5*second, window), at*second); v != Replay || string(e.Response) != "x" {
 			t.Errorf("at %d s a repeat gets %d", at, v)
 		}
 	}
-	if v, _ := m.Begin("a", 1, 5*second, 17*second, window); v != TooLate {
+	if v, _ := r.Begin(request("a", 1, 5*second, window), 17*second); v != TooLate {
 		t.Errorf("once it is forgotten a repeat gets %d", v)
 	}
-	if v, _ := m.Begin("b", 1, 9*second, 5*second, window); v != FromFuture {
+	if v, _ := r.Begin(request("b", 1, 9*second, window), 5*second); v != FromFuture {
 		t.Errorf("a request from the future gets %d", v)
 	}
 }
 
 func TestUncertainRequestsRunAgainOnlyInsideTheirWindow(t *testing.T) {
 	for _, sticky := range []bool{false, true} {
-		m := newTestRegistry(sticky)
-		_, e := m.Begin("a", 1, 5*second, 5*second, window)
-		m.Finish(e, Uncertain, nil, 5500*time.Millisecond)
-		v, again := m.Begin("a", 1, 5*second, 6*second, window)
+		r := newTestRegistry(sticky)
+		_, e := r.Begin(request("a", 1, 5*second, window), 5*second)
+		r.Finish(e, Uncertain, nil, 5500*time.Millisecond)
+		v, again := r.Begin(request("a", 1, 5*second, window), 6*second)
 		if v != Run || again.Deadline >= 5*second+window {
 			t.Fatalf("sticky %t: inside the window a repeat gets %d until %v", sticky, v, again.Deadline)
 		}
-		m.Finish(again, NotRun, nil, 6100*time.Millisecond) // the first may have run nevertheless
-		if v, _ := m.Begin("a", 1, 5*second, 6300*time.Millisecond, window); v != TooLate {
+		r.Finish(again, NotRun, nil, 6100*time.Millisecond) // the first may have run nevertheless
+		if v, _ := r.Begin(request("a", 1, 5*second, window), 6300*time.Millisecond); v != TooLate {
 			t.Errorf("sticky %t: after the window a repeat gets %d", sticky, v)
 		}
 	}
 }
 
-// Where a client's repeats come here only, a first try that was long under way is told from a repeat.
+// If all repeats of a client come to this driver, it can tell a first attempt that was delayed from a repeat.
 func TestStickyClients(t *testing.T) {
 	for _, sticky := range []bool{false, true} {
-		v, e := newTestRegistry(sticky).Begin("a", 1, 5*second, 8*second, window)
+		v, e := newTestRegistry(sticky).Begin(request("a", 1, 5*second, window), 8*second)
 		if sticky && (v != Run || e.Deadline < 9*second) || !sticky && v != TooLate {
 			t.Errorf("sticky %t: an unknown request of 3 s ago gets %d", sticky, v)
 		}
 	}
-	m := New(6 * second) // started after it was first sent: it may have run before the restart
-	m.Sticky, m.Retention, m.MaxBytes, m.MaxInProgress = true, 10*second, 1<<20, 100
-	if v, _ := m.Begin("a", 1, 5*second, 8*second, window); v != TooLate {
+	r := New(6 * second) // started after it was first sent: it may have run before the restart
+	r.Sticky, r.Retention, r.MaxBytes, r.MaxInProgress = true, 10*second, 1<<20, 100
+	if v, _ := r.Begin(request("a", 1, 5*second, window), 8*second); v != TooLate {
 		t.Errorf("after a restart a request from before gets %d", v)
 	}
 }
 
 func TestRegistryIsBounded(t *testing.T) {
-	m := newTestRegistry(true)
-	m.MaxBytes, m.MaxInProgress = 10_000, 5
+	r := newTestRegistry(true)
+	r.MaxBytes, r.MaxInProgress = 10_000, 5
 	for i := range 1000 {
 		at := time.Duration(i+1) * time.Millisecond * 2
-		v, e := m.Begin(fmt.Sprint(i), 1, at, at, window)
+		v, e := r.Begin(request(fmt.Sprint(i), 1, at, window), at)
 		if v != Run {
 			t.Fatalf("request %d gets %d", i, v)
 		}
-		m.Finish(e, Completed, make([]byte, 100), at)
-		if _, out, bytes := m.Usage(); bytes > m.MaxBytes || out != 0 {
-			t.Fatalf("%d bytes are held, %d are out", bytes, out)
+		r.Finish(e, Completed, make([]byte, 100), at)
+		if u := r.Usage(); u.Bytes > r.MaxBytes || u.InProgress != 0 {
+			t.Fatalf("%d bytes are used, %d requests are in progress", u.Bytes, u.InProgress)
 		}
 	}
-	if v, _ := m.Begin("0", 1, 2*time.Millisecond, 5*second, window); v != TooLate {
-		t.Errorf("a repeat of what had to be forgotten gets %d", v)
+	if v, _ := r.Begin(request("0", 1, 2*time.Millisecond, window), 5*second); v != TooLate {
+		t.Errorf("a repeat of an expired request gets %d", v)
 	}
 	for i := range 6 {
-		if v, _ := m.Begin(fmt.Sprint("open", i), 1, 5*second, 5*second, window); (v == AtCapacity) != (i == 5) {
-			t.Errorf("request %d that is out at once gets %d", i, v)
+		if v, _ := r.Begin(request(fmt.Sprint("open", i), 1, 5*second, window), 5*second); (v == AtCapacity) != (i == 5) {
+			t.Errorf("request %d in progress at once gets %d", i, v)
 		}
 	}
 }
 
-// A group drops repeats for its window after the first run. Drivers with this memory, which restart at random, must
-// never let a request run a second time after that.
+// A group drops duplicates within a window after the first run. Drivers that restart at random must never let a request run a second
+// time after that.
 func TestNoRequestTakesEffectTwice(t *testing.T) {
 	seeded.Check(t, func(t *rapid.T) {
 		now := second
@@ -124,7 +128,6 @@
 				switch dice % 4 {
 				case 0:
 					drivers[d] = newTestRegistry(false) // killed
-					drivers[d].began = now
 					for i := range requests {
 						requests[i].open[d] = nil
 					}
@@ -144,7 +147,7 @@
 			if q.first == 0 {
 				q.first = now
 			}
-			v, e := drivers[d].Begin(key, 1, q.first.Truncate(second), now, window)
+			v, e := drivers[d].Begin(request(key, 1, q.first.Truncate(second), window), now)
 			if v != Run {
 				continue
 			}
@@ -165,66 +168,66 @@
 }
 
 func TestRequestsWithoutWindowLimitAreNeverTooLate(t *testing.T) {
-	m := newTestRegistry(false)
-	if v, _ := m.Begin("a", 1, 5*second, 500*second, 1<<20*time.Hour); v != Run {
+	r := newTestRegistry(false)
+	if v, _ := r.Begin(request("a", 1, 5*second, 1<<20*time.Hour), 500*second); v != Run {
 		t.Errorf("a harmless repeat gets %d", v)
 	}
 }
 
-// What ended is recalled by another life: an answer is told again and never run again; what may have run is bounded by its window also
-// where repeats come to one driver only, and what "did nothing" counts as that, since it may have been asked again after it was kept.
+// A later process restores finished requests: responses are replayed and never run again. What may have run is limited by its window even
+// for sticky clients, and so is what did not run, since it may have been sent again after it was persisted.
 func TestPersistedEntriesAreRestored(t *testing.T) {
-	kept := make(map[string][]byte)
-	m := newTestRegistry(true)
-	m.Persist = func(key string, e []byte) {
-		if kept[key] = e; e == nil {
-			delete(kept, key)
+	persisted := make(map[string][]byte)
+	r := newTestRegistry(true)
+	r.Persist = func(key string, e []byte) {
+		if persisted[key] = e; e == nil {
+			delete(persisted, key)
 		}
 	}
-	for key, how := range map[string]Outcome{"done": Completed, "unsure": Uncertain, "nothing": NotRun} {
-		verdict, e := m.Begin(key, 7, time.Second, time.Second, window)
+	for key, outcome := range map[string]Outcome{"done": Completed, "unsure": Uncertain, "nothing": NotRun} {
+		verdict, e := r.Begin(request(key, 7, time.Second, window), time.Second)
 		if verdict != Run {
 			t.Fatalf("%s: %v", key, verdict)
 		}
-		m.Finish(e, how, []byte("answer"), time.Second)
+		r.Finish(e, outcome, []byte("answer"), time.Second)
 	}
-	if verdict, _ := m.Begin("open", 7, time.Second, time.Second, window); verdict != Run || len(kept) != 3 {
-		t.Fatalf("%v, %d are kept", verdict, len(kept))
+	if verdict, _ := r.Begin(request("open", 7, time.Second, window), time.Second); verdict != Run || len(persisted) != 3 {
+		t.Fatalf("%v, %d are persisted", verdict, len(persisted))
 	}
-	recall := func(now time.Duration) *Registry {
+	restored := func(now time.Duration) *Registry {
 		again := newTestRegistry(true)
-		again.began, again.knownSince = now, now
-		again.Restore(slices.Collect(maps.Values(kept)), now)
+		again.knownSince = now
+		again.Restore(slices.Collect(maps.Values(persisted)), now)
 		return again
 	}
-	again := recall(1500 * time.Millisecond)
-	if verdict, e := again.Begin("done", 7, time.Second, 1800*time.Millisecond, window); verdict != Replay || string(e.Response) != "answer" {
-		t.Errorf("an answer that was kept: %v", verdict)
+	again := restored(1500 * time.Millisecond)
+	if verdict, e := again.Begin(request("done", 7, time.Second, window), 1800*time.Millisecond); verdict != Replay || string(e.Response) != "answer" {
+		t.Errorf("a persisted response: %v", verdict)
 	}
-	if verdict, _ := again.Begin("done", 8, time.Second, 1800*time.Millisecond, window); verdict != KeyReused {
-		t.Errorf("another request under its id: %v", verdict)
+	if verdict, _ := again.Begin(request("done", 8, time.Second, window), 1800*time.Millisecond); verdict != KeyReused {
+		t.Errorf("another request under its key: %v", verdict)
 	}
 	for _, key := range []string{"unsure", "nothing", "open"} {
-		if verdict, e := again.Begin(key, 7, time.Second, 1800*time.Millisecond, window); verdict != Run || e.Deadline != time.Second+window-windowMargin {
+		if verdict, e := again.Begin(request(key, 7, time.Second, window), 1800*time.Millisecond); verdict != Run || e.Deadline != time.Second+window-windowMargin {
 			t.Errorf("%s inside its window: %v", key, verdict)
 		}
-		if verdict, _ := recall(1500*time.Millisecond).Begin(key, 7, time.Second, 4*time.Second, window); verdict != TooLate {
+		if verdict, _ := restored(1500*time.Millisecond).Begin(request(key, 7, time.Second, window), 4*time.Second); verdict != TooLate {
 			t.Errorf("%s after its window: %v", key, verdict)
 		}
 	}
-	if entries, _, _ := recall(500 * time.Millisecond).Usage(); entries != 0 {
-		t.Errorf("%d entries from later than now are recalled", entries)
+	if entries := restored(500 * time.Millisecond).Usage().Entries; entries != 0 {
+		t.Errorf("%d entries from the future are restored", entries)
 	}
-	if entries, _, _ := recall(time.Hour).Usage(); entries != 0 {
-		t.Errorf("%d entries of long ago are recalled", entries)
+	if entries := restored(time.Hour).Usage().Entries; entries != 0 {
+		t.Errorf("%d expired entries are restored", entries)
 	}
-	for _, spoilt := range [][]byte{nil, {encodingVersion}, append([]byte{9}, kept["done"][1:]...), kept["done"][:entryHeaderSize]} {
-		if n := newTestRegistry(true).Restore([][]byte{spoilt}, 2*time.Second); n != 0 {
-			t.Errorf("%q is recalled", spoilt)
+	for _, corrupt := range [][]byte{nil, {encodingVersion}, append([]byte{9}, persisted["done"][1:]...), persisted["done"][:entryHeaderSize]} {
+		if n := newTestRegistry(true).Restore([][]byte{corrupt}, 2*time.Second); n != 0 {
+			t.Errorf("%q is restored", corrupt)
 		}
 	}
-	m.Expire(time.Hour)
-	if len(kept) != 0 {
-		t.Errorf("%d that were forgotten are kept", len(kept))
+	r.Expire(time.Hour)
+	if len(persisted) != 0 {
+		t.Errorf("%d expired entries are persisted", len(persisted))
 	}
 }
--- a/internal/persist/golden_test.go
+++ b/internal/persist/golden_test.go
@@ -53,7 +53,7 @@
 		}
 	}
 	run := func(key string, how idempotency.Outcome) {
-		_, e := memory.Begin(key, 11, time.Second, time.Second, 2*time.Second)
+		_, e := memory.Begin(idempotency.Request{Key: key, Digest: 11, FirstSent: time.Second, Window: 2 * time.Second}, time.Second)
 		memory.Finish(e, how, []byte("answer of "+key), 1500*ms)
 	}
 	v.SessionWrote(0xbeef, time.Hour)
@@ -157,11 +157,11 @@
 	if n := memory.Restore(repeats, 2*time.Second); n != 2 {
 		t.Fatalf("%d repeatable requests are restored, want 2", n)
 	}
-	verdict, e := memory.Begin("done", 11, time.Second, 2*time.Second, 2*time.Second)
+	verdict, e := memory.Begin(idempotency.Request{Key: "done", Digest: 11, FirstSent: time.Second, Window: 2 * time.Second}, 2*time.Second)
 	if verdict != idempotency.Replay || string(e.Response) != "answer of done" {
 		t.Errorf("a repeat of a request that was done: %v", verdict)
 	}
-	if verdict, _ := memory.Begin("unsure", 11, time.Second, 4*time.Second, 2*time.Second); verdict != idempotency.TooLate {
+	if verdict, _ := memory.Begin(idempotency.Request{Key: "unsure", Digest: 11, FirstSent: time.Second, Window: 2 * time.Second}, 4*time.Second); verdict != idempotency.TooLate {
 		t.Errorf("a late repeat of a request that may have run: %v", verdict)
 	}
 }
