--- a/internal/persist/promises.go
+++ b/internal/persist/promises.go
@@ -8,12 +8,12 @@
 	"passtack/internal/storage"
 )
 
-const promiseSize = 12 // bytes: 8 of the number, 4 of the version
+const promiseSize = 12 // bytes: 8 of the fencing token, 4 of the voter set version
 
 // PromiseChange returns the change that stores a voter's promise about the lease of that name.
 func PromiseChange(name string, p lease.Promise) storage.Change {
-	value := binary.LittleEndian.AppendUint64(make([]byte, 0, promiseSize), p.Number)
-	value = binary.LittleEndian.AppendUint32(value, p.Version)
+	value := binary.LittleEndian.AppendUint64(make([]byte, 0, promiseSize), p.FencingToken)
+	value = binary.LittleEndian.AppendUint32(value, p.VoterSetVersion)
 	return storage.Change{Name: promisePrefix + name, Value: value}
 }
 
@@ -26,8 +26,8 @@
 			return
 		}
 		promises[leaseName] = lease.Promise{
-			Number:  binary.LittleEndian.Uint64(value),
-			Version: binary.LittleEndian.Uint32(value[8:]),
+			FencingToken:    binary.LittleEndian.Uint64(value),
+			VoterSetVersion: binary.LittleEndian.Uint32(value[8:]),
 		}
 	})
 	return promises
