--- a/internal/node/configuration_test.go
+++ b/internal/node/configuration_test.go
@@ -8,14 +8,14 @@
 	"testing"
 	"time"
 
-	"passtack/internal/keep"
 	"passtack/internal/loop/sim"
 	"passtack/internal/operator"
 	"passtack/internal/pcg"
+	"passtack/internal/persist"
 	"passtack/internal/pgwire"
 	"passtack/internal/rollout"
 	"passtack/internal/rollout/server"
-	"passtack/internal/state"
+	"passtack/internal/storage"
 	"passtack/internal/terms"
 )
 
@@ -296,11 +296,11 @@
 	for _, h := range c.hosts {
 		h.Kill()
 	}
-	store, _, err := state.Open(folder, "d0", configurationFolder)
+	store, _, err := persist.Open(folder, "d0", configurationFolder)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := store.Commit([]keep.Change{{Name: inForceName, Value: append([]byte{9, 0, 0, 0, 0, 0, 0, 0}, `{"settings":{"clases":[]}}`...)}}); err != nil {
+	if err := store.Commit([]storage.Change{{Name: inForceName, Value: append([]byte{9, 0, 0, 0, 0, 0, 0, 0}, `{"settings":{"clases":[]}}`...)}}); err != nil {
 		t.Fatal(err)
 	}
 	store.Close()
--- /dev/null
+++ b/internal/persist/persist_test.go
@@ -0,0 +1,256 @@
+package persist
+
+import (
+	"errors"
+	"fmt"
+	"maps"
+	"net/netip"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+
+	"passtack/driver"
+	"passtack/internal/seeded"
+	"passtack/internal/storage"
+)
+
+const ms = time.Millisecond
+
+func open(t interface {
+	TempDir() string
+	Fatal(...any)
+}, path string) *storage.Store {
+	s, _, err := Open(path, "n0", 32<<20)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return s
+}
+
+// knowledge is what a driver knows, as a test has it.
+type knowledge struct {
+	members   map[string]driver.Known
+	sessions  map[driver.Session]time.Duration
+	endpoints map[string]string
+	requests  map[uint64]string
+}
+
+func (k knowledge) copy() knowledge {
+	return knowledge{maps.Clone(k.members), maps.Clone(k.sessions), maps.Clone(k.endpoints), maps.Clone(k.requests)}
+}
+
+// saveRound saves what has changed.
+func (k knowledge) saveRound(v *Saver, now time.Duration) []storage.Change {
+	v.BeginRound()
+	for uid, member := range k.members {
+		v.SaveMember(uid, member)
+	}
+	return v.FinishRound(now)
+}
+
+// What is learned, forgotten and learned again is restored as of the last successful commit. Failed commits and changes during a commit
+// do not affect that, and what a failed commit should have written is in the next.
+func TestSavedStateIsRestored(t *testing.T) {
+	seeded.Check(t, func(rt *rapid.T) {
+		path := t.TempDir()
+		s := open(t, path)
+		v := NewSaver(s, 32<<20)
+		known := knowledge{make(map[string]driver.Known), make(map[driver.Session]time.Duration), make(map[string]string), make(map[uint64]string)}
+		saved, rev := known.copy(), int64(0)
+		now, savedAt := time.Hour, time.Duration(0)
+		change := func() {
+			uid, who := fmt.Sprint("s-", rapid.IntRange(0, 5).Draw(rt, "member")), driver.Session(rapid.IntRange(1, 5).Draw(rt, "session"))
+			switch rapid.IntRange(0, 4).Draw(rt, "what") {
+			case 0:
+				known.members[uid] = driver.Known{Position: now, Replica: now - time.Second, Timed: now - 10*ms, Ratio: 1.5}
+			case 1:
+				delete(known.members, uid)
+			case 2:
+				known.sessions[who] = now
+				v.SessionWrote(who, now)
+			case 3:
+				entry := fmt.Sprintf(`{"uid":%q,"rev":%d}`, uid, rev)
+				rev++
+				if known.endpoints[uid] = entry; rapid.Bool().Draw(rt, "gone") {
+					delete(known.endpoints, uid)
+					v.SetEndpoint(uid, nil)
+				} else {
+					v.SetEndpoint(uid, []byte(entry))
+				}
+				v.SetListVersion(ListVersion{Revision: rev, Discovery: netip.MustParseAddrPort("127.0.0.1:1")})
+			case 4:
+				key := uint64(rapid.IntRange(0, 3).Draw(rt, "key"))
+				if known.requests[key] = fmt.Sprint("answer ", now); rapid.Bool().Draw(rt, "gone") {
+					delete(known.requests, key)
+					v.SetRequest("offices", key, nil)
+				} else {
+					v.SetRequest("offices", key, []byte(known.requests[key]))
+				}
+			}
+		}
+		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
+			now += time.Duration(rapid.IntRange(50, 2000).Draw(rt, "ms")) * ms
+			change()
+			changes := known.saveRound(v, now)
+			if changes == nil {
+				continue
+			}
+			then := known.copy()
+			if rapid.Bool().Draw(rt, "meanwhile") {
+				change()
+			}
+			if rapid.IntRange(0, 3).Draw(rt, "fate") == 0 {
+				v.Committed(errors.New("the disk is full"))
+				continue
+			}
+			err := s.Commit(changes)
+			if v.Committed(err); err != nil {
+				rt.Fatal(err)
+			}
+			saved, savedAt = then, now
+		}
+		s.Close()
+		s = open(t, path)
+		defer s.Close()
+		r := Restore(s)
+		if !maps.Equal(sessionWrites(s), saved.sessions) || r.SavedAt != savedAt || len(r.Members) != len(saved.members) {
+			rt.Fatalf("restored %+v, saved %+v at %v", r, saved, savedAt)
+		}
+		for uid, k := range saved.members { // times advance all the time and are saved at steps of minProgress
+			if got := r.Members[uid]; got.Ratio != k.Ratio || k.Position-got.Position > minProgress || got.Position > k.Position {
+				rt.Fatalf("%s: %+v, saved %+v", uid, got, k)
+			}
+		}
+		entries, answers := slices.Sorted(maps.Values(saved.endpoints)), slices.Sorted(maps.Values(saved.requests))
+		if got := sortedTexts(r.Endpoints); !slices.Equal(got, entries) {
+			rt.Fatalf("endpoints %q, saved %q", got, entries)
+		}
+		if got := sortedTexts(r.Requests["offices"]); !slices.Equal(got, answers) {
+			rt.Fatalf("requests %q, saved %q", got, answers)
+		}
+	})
+}
+
+// sessionWrites returns the latest write of each session.
+func sessionWrites(s *storage.Store) map[driver.Session]time.Duration {
+	all := make(map[driver.Session]time.Duration)
+	ForEachSessionWrite(s, func(who driver.Session, commit time.Duration) { all[who] = max(all[who], commit) })
+	return all
+}
+
+func sortedTexts(all [][]byte) (out []string) {
+	for _, text := range all {
+		out = append(out, string(text))
+	}
+	slices.Sort(out)
+	return out
+}
+
+// Writes of many sessions stay within their share of the size and the newest are kept. Expired batches are deleted, and so are batches
+// from the future after the clock went back.
+func TestSessionWritesStayWithinTheirShare(t *testing.T) {
+	s := open(t, t.TempDir())
+	defer s.Close()
+	const maxSize = 64 << 10
+	v, now := NewSaver(s, maxSize), time.Hour
+	step := func(sessions int) {
+		now += time.Second
+		for n := range sessions {
+			v.SessionWrote(driver.Session(n+1), now)
+		}
+		if changes := (knowledge{}).saveRound(v, now); changes != nil {
+			v.Committed(s.Commit(changes))
+		}
+	}
+	for range 100 {
+		step(50) // 800 bytes: twenty seconds fill a quarter of the size
+	}
+	r, bytes := Restore(s), 0
+	s.ForEach(func(name string, value []byte) { bytes += len(value) })
+	if bytes > maxSize/4+1000 || len(sessionWrites(s)) != 50 || sessionWrites(s)[7] != now || v.Dropped() == 0 {
+		t.Errorf("%d bytes, %d sessions, the latest write %v before now", bytes, r.SessionWrites, now-sessionWrites(s)[7])
+	}
+	now += sessionRetention
+	step(0)
+	if r := Restore(s); r.SessionWrites != 0 {
+		t.Errorf("%d expired sessions are kept", r.SessionWrites)
+	}
+	step(1)
+	now -= time.Hour
+	step(0)
+	if r := Restore(s); r.SessionWrites != 0 {
+		t.Error("a write from the future is kept")
+	}
+}
+
+// Sessions that an earlier version stored one by one are restored, and stored in batches from then on.
+func TestLegacySessionsAreMigrated(t *testing.T) {
+	path := t.TempDir()
+	s := open(t, path)
+	k := driver.Known{Position: time.Hour, Replica: time.Hour, Timed: time.Hour, Ratio: 1}
+	if err := s.Commit([]storage.Change{{Name: "session/a", Value: appendDuration(nil, time.Hour)}, {Name: "member/s-1", Value: encodeMember(k)},
+		{Name: "saved", Value: appendDuration(nil, time.Hour)}}); err != nil {
+		t.Fatal(err)
+	}
+	r, v := Restore(s), NewSaver(s, 1<<20)
+	if sessionWrites(s)[10] != time.Hour || r.Members["s-1"] != k || r.SavedAt != time.Hour || r.EndpointList() != nil {
+		t.Fatalf("%+v", r)
+	}
+	v.BeginRound()
+	v.KeepMember("s-1")
+	v.Committed(s.Commit(v.FinishRound(time.Hour + time.Second)))
+	var names []string
+	s.ForEach(func(name string, _ []byte) { names = append(names, strings.Split(name, "/")[0]) })
+	if again := Restore(s); sessionWrites(s)[10] != time.Hour || again.Members["s-1"] != k || !slices.Equal(names, []string{"member", "saved", "written"}) {
+		t.Errorf("%+v under %v", again, names)
+	}
+	s.Close()
+}
+
+// Prune deletes what has not changed for long and nothing else.
+func TestPrune(t *testing.T) {
+	path := t.TempDir()
+	s := open(t, path)
+	v := NewSaver(s, 1<<20)
+	now := 100 * time.Hour
+	v.SessionWrote(1, now)
+	v.BeginRound()
+	v.SaveMember("old", driver.Known{Position: now - 30*time.Hour, Replica: driver.LongAgo, Timed: now - 30*time.Hour, Ratio: 1})
+	v.SaveMember("new", driver.Known{Position: now, Replica: driver.LongAgo, Timed: now - 30*time.Hour, Ratio: 1})
+	v.Committed(s.Commit(v.FinishRound(now)))
+	if _, err := Prune(path, Owner("n0"), 24*time.Hour, now, 1<<20); !errors.Is(err, storage.ErrLocked) {
+		t.Errorf("a directory that a driver has locked: %v", err)
+	}
+	s.Close()
+	if result, err := Prune(path, Owner("n0"), 24*time.Hour, now, 1<<20); err != nil || result.SizeAfter >= result.SizeBefore {
+		t.Errorf("%+v, %v", result, err)
+	}
+	s = open(t, path)
+	defer s.Close()
+	if r := Restore(s); len(r.Members) != 1 || r.Members["new"].Position != now || r.SessionWrites != 1 {
+		t.Errorf("%+v", r)
+	}
+}
+
+// Directories of another driver and missing ones are refused; values of another form are left out.
+func TestUnusableDirectories(t *testing.T) {
+	path := t.TempDir()
+	s := open(t, path)
+	if err := s.Commit([]storage.Change{{Name: memberPrefix + "s-1", Value: []byte("short")}, {Name: legacySessionPrefix + "zz", Value: make([]byte, 8)},
+		{Name: legacySessionPrefix + "5", Value: make([]byte, 8)}, {Name: "other", Value: []byte{}}}); err != nil {
+		t.Fatal(err)
+	}
+	if r := Restore(s); len(r.Members) != 0 || r.SessionWrites != 1 {
+		t.Errorf("%+v", r)
+	}
+	s.Close()
+	if _, _, err := Open(path, "n1", 1<<20); !errors.Is(err, storage.ErrWrongOwner) {
+		t.Errorf("another driver's directory: %v", err)
+	}
+	if _, _, err := Open(path+"/none", "n0", 1<<20); err == nil {
+		t.Error("a missing directory is opened")
+	}
+}
--- a/internal/rollout/server/disk.go
+++ b/internal/rollout/server/disk.go
@@ -7,15 +7,15 @@
 	"log/slog"
 	"maps"
 
-	"passtack/internal/keep"
-	"passtack/internal/state"
+	"passtack/internal/persist"
+	"passtack/internal/storage"
 )
 
 // Folder is a machine's disk: what changes is committed by a worker, all that waits together.
 type FileStorage struct {
-	store            *keep.Store
+	store            *storage.Store
 	notify           func()
-	batches          chan []keep.Change
+	batches          chan []storage.Change
 	results          chan error
 	written          map[string]string // as the folder has it, or will
 	pendingCallbacks []func(error)
@@ -37,7 +37,7 @@
 		all[name] = text
 	}
 	for name, p := range k.Promises {
-		c := state.PromiseOf(name, p)
+		c := persist.PromiseChange(name, p)
 		all[c.Name] = c.Value
 	}
 	return all, nil
@@ -46,13 +46,13 @@
 // OpenFolder takes a machine's folder and gives what it has. Ring is called when Hear should be, on the loop.
 func OpenFileStorage(path, machine string, notify func()) (*FileStorage, PersistedState, error) {
 	var k PersistedState
-	store, found, err := state.Open(path, "control machine "+machine, maxStorageBytes)
+	store, found, err := persist.Open(path, "control machine "+machine, maxStorageBytes)
 	if err != nil {
 		return nil, k, err
 	}
-	f := &FileStorage{store: store, notify: notify, batches: make(chan []keep.Change, 1), results: make(chan error, 1), written: make(map[string]string), pendingChanges: make(map[string][]byte)}
+	f := &FileStorage{store: store, notify: notify, batches: make(chan []storage.Change, 1), results: make(chan error, 1), written: make(map[string]string), pendingChanges: make(map[string][]byte)}
 	var wrong error
-	store.Each(func(name string, value []byte) {
+	store.ForEach(func(name string, value []byte) {
 		f.written[name] = string(value)
 		var into any
 		switch name {
@@ -77,11 +77,11 @@
 		store.Close()
 		return nil, k, wrong
 	}
-	for _, lost := range found.Lost { // it may have promised what it does not know any more: it learns from the others, as with an empty folder
+	for _, lost := range found.Unreadable { // it may have promised what it does not know any more: it learns from the others, as with an empty folder
 		k.State.Joined = false
 		slog.Warn("configuration_lost", "machine", machine, "file", lost)
 	}
-	k.Promises = state.Promises(store)
+	k.Promises = persist.RestorePromises(store)
 	go func() {
 		for changes := range f.batches {
 			err := error(nil)
@@ -116,9 +116,9 @@
 	}
 	f.activeCallbacks, f.pendingCallbacks = f.pendingCallbacks, nil
 	f.activeChanges, f.pendingChanges = f.pendingChanges, make(map[string][]byte)
-	var changes []keep.Change
+	var changes []storage.Change
 	for name, value := range f.activeChanges {
-		changes = append(changes, keep.Change{Name: name, Value: value})
+		changes = append(changes, storage.Change{Name: name, Value: value})
 	}
 	f.batches <- changes
 }
