--- a/internal/rollout/roster.go
+++ b/internal/rollout/roster.go
@@ -1,63 +1,70 @@
 package rollout
 
 import (
+	"cmp"
 	"maps"
 	"slices"
 	"time"
 )
 
-// Standing is what a driver has told of itself with its latest call.
+// DriverReport is what a driver reports of itself with each poll.
 type DriverReport struct {
 	Driver          string
-	Version         uint64   // in force; 0: what its own file says
-	RejectedVersion uint64   // a newer one that it cannot take, 0: none
-	RejectReason    string   // of that
-	NeedsRestart    []string // settings of the version in force that wait for a restart of the driver
+	Version         uint64   // in force; 0: the driver's own file
+	RejectedVersion uint64   // a newer version that the driver cannot use; 0: none
+	RejectReason    string   // why not
+	NeedsRestart    []string // settings of Version that take effect only after a restart
 }
 
-// Listed is a driver as one machine knows it.
+// DriverStatus is a driver as one machine knows it.
 type DriverStatus struct {
 	DriverReport
-	VersionSince time.Duration // when it was first heard with that version in force, or refused
-	LastSeen     time.Duration
+	VersionSince time.Duration // when Version and RejectedVersion were first reported together
+	LastSeen     time.Duration // when the latest report came
 }
 
-// Roster is what a machine knows of the drivers that have asked it.
+// Roster holds the latest report of each driver that polls a machine.
 type Roster struct{ drivers map[string]*DriverStatus }
 
 const (
 	maxDrivers      = 4096
-	maxReasonBytes  = 512           // bytes
+	maxReasonBytes  = 512
 	maxNeedsRestart = 32            // settings
-	driverExpiry    = 6 * time.Hour // after which a silent driver is gone
+	driverExpiry    = 6 * time.Hour // after the last report
 )
 
-// NewRoster makes an empty one.
+// NewRoster returns an empty roster.
 func NewRoster() *Roster { return &Roster{make(map[string]*DriverStatus)} }
 
-// Tell notes what a driver says. Where too many are known, who was silent for longest goes.
-func (r *Roster) Report(s DriverReport, now time.Duration) {
-	s.RejectReason = s.RejectReason[:min(len(s.RejectReason), maxReasonBytes)]
-	s.NeedsRestart = s.NeedsRestart[:min(len(s.NeedsRestart), maxNeedsRestart)]
-	l := r.drivers[s.Driver]
-	if l == nil {
+// Report stores a driver's report. With maxDrivers known, a new one evicts the driver that was silent for longest.
+func (r *Roster) Report(report DriverReport, now time.Duration) {
+	report.RejectReason = report.RejectReason[:min(len(report.RejectReason), maxReasonBytes)]
+	report.NeedsRestart = report.NeedsRestart[:min(len(report.NeedsRestart), maxNeedsRestart)]
+	status := r.drivers[report.Driver]
+	if status == nil {
 		if len(r.drivers) >= maxDrivers {
-			first := slices.MinFunc(slices.Collect(maps.Values(r.drivers)), func(a, b *DriverStatus) int { return int(a.LastSeen - b.LastSeen) })
-			delete(r.drivers, first.Driver)
+			r.evictOldest()
 		}
-		l = &DriverStatus{VersionSince: now}
-		r.drivers[s.Driver] = l
-	} else if l.Version != s.Version || l.RejectedVersion != s.RejectedVersion {
-		l.VersionSince = now
+		status = &DriverStatus{VersionSince: now}
+		r.drivers[report.Driver] = status
+	} else if status.Version != report.Version || status.RejectedVersion != report.RejectedVersion {
+		status.VersionSince = now
 	}
-	l.DriverReport, l.LastSeen = s, now
+	status.DriverReport, status.LastSeen = report, now
 }
 
-// All are those that were heard not too long ago, by name.
+func (r *Roster) evictOldest() {
+	oldest := slices.MinFunc(slices.Collect(maps.Values(r.drivers)), func(a, b *DriverStatus) int {
+		return cmp.Compare(a.LastSeen, b.LastSeen)
+	})
+	delete(r.drivers, oldest.Driver)
+}
+
+// All returns the drivers by name, and removes those that have expired.
 func (r *Roster) All(now time.Duration) (all []DriverStatus) {
 	for _, name := range slices.Sorted(maps.Keys(r.drivers)) {
-		if l := r.drivers[name]; now-l.LastSeen < driverExpiry {
-			all = append(all, *l)
+		if status := r.drivers[name]; now-status.LastSeen < driverExpiry {
+			all = append(all, *status)
 		} else {
 			delete(r.drivers, name)
 		}
