--- a/internal/rollout/server/golden_test.go
+++ b/internal/rollout/server/golden_test.go
@@ -42,18 +42,18 @@
 	goldenEntry = rollout.Entry{Version: 4, Ballot: rollout.Ballot{Number: 9, Node: 1<<63 + 5}, Text: "{\"settings\":{\"x\":\"<é\\n>\"}}",
 		Recent: []rollout.Publication{{ID: 1<<64 - 1, Version: 3}, {ID: 7, Version: 4}}}
 	goldenCommitted = rollout.Entry{Version: 3, Ballot: rollout.Ballot{Number: 8, Node: 2}, Text: "{}"}
-	goldenState     = PersistedState{Promises: map[string]lease.Promise{"configuration": {Number: 1 << 60, Version: 1}},
+	goldenState     = PersistedState{Promises: map[string]lease.Promise{"configuration": {FencingToken: 1 << 60, VoterSetVersion: 1}},
 		State: rollout.State{Joined: true, Floor: 7, Promised: rollout.Ballot{Number: 1<<60 + 1, Node: 3}, Accepted: goldenEntry, Committed: goldenCommitted}}
 )
 
 func TestGoldenStorage(t *testing.T) {
-	source, path, rung := filepath.Join("testdata", "machine"), t.TempDir(), make(chan bool, 1)
+	source, path, notified := filepath.Join("testdata", "machine"), t.TempDir(), make(chan bool, 1)
 	if *update {
-		f, _, err := OpenFileStorage(path, "c0", func() { rung <- true })
+		f, _, err := OpenFileStorage(path, "c0", func() { notified <- true })
 		if err != nil {
 			t.Fatal(err)
 		}
-		persistAll(t, f, rung, goldenState)
+		persistAll(t, f, notified, goldenState)
 		f.Close()
 		if err := os.CopyFS(source, os.DirFS(path)); err != nil {
 			t.Fatal(err)
