--- a/internal/rollout/client/golden_test.go
+++ b/internal/rollout/client/golden_test.go
@@ -17,7 +17,7 @@
 
 var update = flag.Bool("update", false, "rewrite golden files")
 
-// driver is the host of a client: it takes over each version that it is offered but the third.
+// driver is the host of a client: it takes over each offered version but the third.
 type driver struct {
 	report  rollout.DriverReport
 	client  *Client
@@ -89,7 +89,7 @@
 	if !bytes.Equal(m.requests.Bytes(), want) {
 		t.Errorf("requests are\n%s\nwant\n%s", m.requests.Bytes(), want)
 	}
-	if got := fmt.Sprint(d.offered); got != `[2: {} 3: {"settings":{}}]` || d.counts["configuration_failures"] != 1 || d.counts["configuration_calls"] != 4 {
+	if got := fmt.Sprint(d.offered); got != `[2: {} 3: {"settings":{}}]` || d.counts["configuration_poll_failures"] != 1 || d.counts["configuration_polls"] != 4 {
 		t.Errorf("offered %s, counted %v", got, d.counts)
 	}
 }
