--- a/internal/rollout/server/server_test.go
+++ b/internal/rollout/server/server_test.go
@@ -16,7 +16,7 @@
 
 const epoch = 1767225600 * time.Second
 
-// fleet is three machines in simulated time, and somebody who speaks with them.
+// testFleet is three machines in simulated time, and a client host.
 type testFleet struct {
 	t          *testing.T
 	world      *sim.World
@@ -30,7 +30,7 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(n + 1)}), 7400)
 }
 
-// memory is a disk that takes a few milliseconds.
+// memoryStorage is a Storage that takes a few milliseconds.
 type memoryStorage struct {
 	world     *sim.World
 	host      *sim.Host
@@ -81,7 +81,7 @@
 	f.clientHost.Serve(f.clientLoop, func() {})
 	f.run(4 * time.Second)
 	if f.writer() < 0 {
-		t.Fatal("no machine writes")
+		t.Fatal("no machine is the writer")
 	}
 	return f
 }
@@ -97,7 +97,7 @@
 	return -1
 }
 
-// call is one connection and what came back on it.
+// testConnection is a connection of the client host and what it received.
 type testConnection struct {
 	stream   *loop.Stream
 	received []byte
@@ -128,7 +128,7 @@
 	return fmt.Sprintf("%s %s HTTP/1.1\r\nHost: x\r\n%sContent-Length: %d\r\n\r\n%s", verb, path, fields, len(body), body)
 }
 
-// answer reads the first one.
+// answer parses the first answer.
 func (c *testConnection) answer(t *testing.T) httpwire.Reply {
 	t.Helper()
 	r, fault := httpwire.NextReply(c.received, false, false, httpwire.Limits{Head: 2000, Fields: 20, Body: 1 << 20})
@@ -148,13 +148,13 @@
 
 const validText = `{"settings":{"caps":{"most_tries":4}}}`
 
-// A watch is held back, ends with the time it gave where nothing is new, and is answered at the moment in which something is, at each machine.
+// A watch waits, ends with the time it gave if nothing is new, and is answered as soon as there is a new version, on each machine.
 func TestWatchesReceiveNewVersions(t *testing.T) {
 	f := newFleet(t)
 	idle := f.send(0, watch("d0", 0, 500))
 	f.run(400 * time.Millisecond)
 	if len(idle.received) > 0 {
-		t.Errorf("it was not held back: %q", idle.received)
+		t.Errorf("the watch was answered at once: %q", idle.received)
 	}
 	if f.run(200 * time.Millisecond); idle.answer(t).Status != 204 {
 		t.Errorf("answered %q", idle.received)
@@ -191,7 +191,7 @@
 	}
 }
 
-// A machine that hears nobody says that it is not sure, and a publisher elsewhere is told who writes.
+// A machine without contact to its peers answers that it is stale, and a publisher at another machine is told the writer.
 func TestStaleMachineAnswersUnavailable(t *testing.T) {
 	f := newFleet(t)
 	w := f.writer()
@@ -221,7 +221,7 @@
 	}
 }
 
-// What is wrong is refused with one line that names it, costs its own connection only, and changes nothing.
+// Invalid input is rejected with one line that names it, closes only its own connection, and changes nothing.
 func TestInvalidInputClosesOnlyItsConnection(t *testing.T) {
 	f := newFleet(t)
 	w := f.writer()
@@ -257,17 +257,17 @@
 			t.Errorf("%s: %d %s", name, r.Status, r.Body)
 		}
 		if !call.closed && c.status != 409 {
-			t.Errorf("%s: the connection goes on", name)
+			t.Errorf("%s: the connection stays open", name)
 		}
 	}
 	half := f.send(w, "POST /publish HTTP/1.1\r\nContent-Length: 100\r\n\r\n{")
 	silent := f.send(w, "")
 	f.run(idleTimeout + 300*time.Millisecond)
 	if !half.closed || !silent.closed {
-		t.Errorf("who sends half a request is let go: %v, who is silent: %v", half.closed, silent.closed)
+		t.Errorf("connection closed with half a request: %v, without one: %v", half.closed, silent.closed)
 	}
 	if v := f.machines[w].Machine().Committed().Version; v != 0 {
-		t.Errorf("version %d counts", v)
+		t.Errorf("version %d is committed", v)
 	}
 	p := f.send(f.writer(), publish(7, 0, validText))
 	f.run(300 * time.Millisecond)
@@ -276,7 +276,7 @@
 	}
 }
 
-// A version that a driver had, or refused, is above all that machines know which have lost their folders: its number is not used for another text.
+// Machines that have lost their storage do not reuse the number of a version that a driver has or has rejected.
 func TestRejectedVersionNumbersAreNotReused(t *testing.T) {
 	f := newFleet(t)
 	c := f.send((f.writer()+1)%3, request("POST", "/watch", "", `{"fleet":"test","driver":"d0","from":8,"refused":9,"why":"no","hold_ms":2000}`))
@@ -287,11 +287,11 @@
 		t.Fatalf("%d %s", r.Status, r.Body)
 	}
 	if r := c.answer(t); r.Status != 200 || r.Fields.Text(VersionField) != "10" {
-		t.Errorf("the driver hears %q", c.received)
+		t.Errorf("the driver receives %q", c.received)
 	}
 }
 
-// A disk that does not take what a machine promises keeps that machine from voting, and one such of three is borne.
+// A machine whose storage fails does not vote. One such machine of three does not prevent publications.
 func TestFailingStorage(t *testing.T) {
 	f := newFleet(t)
 	w := f.writer()
@@ -305,7 +305,7 @@
 	p = f.send(w, publish(8, 1, validText))
 	f.run(time.Second)
 	if len(p.received) > 0 && p.answer(t).Status == 200 {
-		t.Error("published with one disk of three")
+		t.Error("published with the storage of one machine of three")
 	}
 	for n := range 3 {
 		f.machines[n].storage.(*memoryStorage).fails = false
--- a/internal/rollout/server/disk_test.go
+++ b/internal/rollout/server/storage_test.go
@@ -11,8 +11,8 @@
 	"passtack/internal/rollout"
 )
 
-// waits gives what a folder rings for.
-func persistAll(t *testing.T, f *FileStorage, rung chan bool, all ...PersistedState) {
+// persistAll persists all states and waits until they are in storage.
+func persistAll(t *testing.T, f *FileStorage, notified chan bool, all ...PersistedState) {
 	t.Helper()
 	left := len(all)
 	for _, k := range all {
@@ -23,16 +23,16 @@
 		})
 	}
 	for left > 0 {
-		<-rung
+		<-notified
 		f.HandleResults()
 	}
 }
 
 func TestFileStorageRoundTrip(t *testing.T) {
 	path := t.TempDir()
-	rung := make(chan bool, 100)
+	notified := make(chan bool, 100)
 	open := func() (*FileStorage, PersistedState) {
-		f, k, err := OpenFileStorage(path, "c0", func() { rung <- true })
+		f, k, err := OpenFileStorage(path, "c0", func() { notified <- true })
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -40,41 +40,41 @@
 	}
 	f, k := open()
 	if k.State.Joined || k.State.Accepted.Version != 0 {
-		t.Fatalf("an empty folder has %+v", k)
+		t.Fatalf("an empty directory has %+v", k)
 	}
 	last := PersistedState{Promises: map[string]lease.Promise{"configuration": {FencingToken: 1 << 60, VoterSetVersion: 1}}, State: rollout.State{Joined: true, Floor: 7, Promised: rollout.Ballot{Number: 1<<60 + 1, Node: 1<<63 + 5},
 		Accepted:  rollout.Entry{Version: 4, Ballot: rollout.Ballot{Number: 9, Node: 3}, Text: strings.Repeat("é", 100), Recent: []rollout.Publication{{ID: 1<<64 - 1, Version: 3}}},
 		Committed: rollout.Entry{Version: 3, Text: "{}"}}}
 	first := last
 	first.State.Accepted.Version, first.State.Floor = 2, 1
-	persistAll(t, f, rung, first, last, last)
+	persistAll(t, f, notified, first, last, last)
 	f.Close()
 	f, k = open()
 	if !reflect.DeepEqual(k, last) {
-		t.Errorf("kept %+v, found %+v", last, k)
+		t.Errorf("persisted %+v, found %+v", last, k)
 	}
 	if _, _, err := OpenFileStorage(path, "c0", func() {}); err == nil {
-		t.Error("two processes have one folder")
+		t.Error("a directory is opened twice")
 	}
 	f.Close()
 	if _, _, err := OpenFileStorage(path, "c1", func() {}); err == nil {
-		t.Error("it is taken for another machine's")
+		t.Error("the directory of another machine is opened")
 	}
 	if _, _, err := OpenFileStorage(filepath.Join(path, "none"), "c0", func() {}); err == nil {
-		t.Error("a folder that is not there")
+		t.Error("a missing directory is opened")
 	}
 }
 
-// A machine whose folder is spoilt learns from the others before it votes: it may have promised what it no longer knows.
+// A machine with a corrupt file must join again before it votes: it may have forgotten a promise.
 func TestCorruptStorageRevokesVote(t *testing.T) {
 	path := t.TempDir()
-	rung := make(chan bool, 100)
-	f, _, err := OpenFileStorage(path, "c0", func() { rung <- true })
+	notified := make(chan bool, 100)
+	f, _, err := OpenFileStorage(path, "c0", func() { notified <- true })
 	if err != nil {
 		t.Fatal(err)
 	}
-	persistAll(t, f, rung, PersistedState{State: rollout.State{Joined: true}}, PersistedState{State: rollout.State{Joined: true, Floor: 3}})
-	persistAll(t, f, rung, PersistedState{State: rollout.State{Joined: true, Floor: 5}})
+	persistAll(t, f, notified, PersistedState{State: rollout.State{Joined: true}}, PersistedState{State: rollout.State{Joined: true, Floor: 3}})
+	persistAll(t, f, notified, PersistedState{State: rollout.State{Joined: true, Floor: 5}})
 	f.Close()
 	files, err := filepath.Glob(filepath.Join(path, "log-*"))
 	if err != nil || len(files) == 0 {
