--- a/internal/node/doors.go
+++ b/internal/node/doors.go
@@ -145,7 +145,7 @@
 		restart = append(restart, "leases")
 	} else if n.leases != nil && !reflect.DeepEqual(n.config.Leases, wants.Leases) {
 		n.config.Leases = wants.Leases
-		n.leases.change(wants.Leases)
+		n.leases.changeVoters(wants.Leases)
 	}
 	if (wants.View == nil) != (n.config.View == nil) || wants.View != nil && *wants.View != *n.config.View {
 		restart = append(restart, "view")
--- a/internal/node/drains.go
+++ b/internal/node/drains.go
@@ -61,7 +61,7 @@
 		text := fleet.AppendDrains(nil, all[from:])
 		tell := func() {
 			for _, at := range d.view.seen.Some(toSome) {
-				d.view.write(at, peers.Drain, text)
+				d.view.send(at, peers.Drain, text)
 			}
 		}
 		tell()
--- a/internal/node/golden_leases_test.go
+++ b/internal/node/golden_leases_test.go
@@ -68,7 +68,7 @@
 		t.Fatal(err)
 	}
 	n := &Node{loop: l, list: new(list.Discovery)}
-	of := &leases{talk: &talk{node: n}}
+	of := &leaseService{messenger: &messenger{node: n}}
 	s := &summary{leases: of, puts: 5, refused: 1, failed: 2}
 	status := LeasesStatus{Name: "n0", Version: 2, Voters: []string{"n0", "n1", "n2"}, Former: []string{"n0", "n1", "n3"}, SilentMS: 10,
 		Leases: []LeaseStatus{
--- a/internal/node/leases.go
+++ b/internal/node/leases.go
@@ -16,8 +16,8 @@
 )
 
 // leases is the driver's part in the leases of its fleet, where the operator's file says so.
-type leases struct {
-	*talk
+type leaseService struct {
+	*messenger
 	wants  *operator.Leases
 	me     lease.Holder
 	voter  *lease.Voter
@@ -52,13 +52,13 @@
 )
 
 // takePart begins.
-func (n *Node) takePart() error {
+func (n *Node) startLeases() error {
 	w := n.config.Leases
 	if w == nil {
 		return nil
 	}
 	now := n.loop.Now()
-	l := &leases{talk: n.talk, wants: w, me: lease.Holder{Node: lease.Node(n.talk.me), Incarnation: n.talk.life}}
+	l := &leaseService{messenger: n.messenger, wants: w, me: lease.Holder{Node: lease.Node(n.messenger.self), Incarnation: n.messenger.incarnation}}
 	kept := make(map[string]lease.Promise)
 	if w.Folder != "" {
 		store, found, err := n.openFolder(w.Folder, leaseFolder)
@@ -88,7 +88,7 @@
 const leaseFolder = 1 << 20 // bytes that promises may take
 
 // newTask makes what the holder does.
-func (l *leases) newTask(i int, t operator.Task) task {
+func (l *leaseService) newTask(i int, t operator.Task) task {
 	if t.Name == operator.WatchDiscovery {
 		return newWatcher(l, i)
 	}
@@ -96,21 +96,21 @@
 }
 
 // clock is the time of this moment: a promise or a guard that went by the turn's would take a turn that stood still for a short one.
-func (l *leases) clock() time.Duration { return l.node.loop.Clock() }
+func (l *leaseService) clock() time.Duration { return l.node.loop.Clock() }
 
 // held is the guard of a task.
-func (l *leases) held(i int) (number uint64, ok bool) { return l.askers[i].Held(l.clock()) }
+func (l *leaseService) held(i int) (number uint64, ok bool) { return l.askers[i].Held(l.clock()) }
 
 // greet lets voters tell where they are, and others learn where this driver is.
-func (l *leases) greet() {
+func (l *leaseService) greet() {
 	n := l.node
 	missing := slices.ContainsFunc(l.wants.Set().All(), func(v lease.Node) bool {
-		_, known := l.book.Address(uint64(v))
+		_, known := l.addresses.Address(uint64(v))
 		return v != l.me.Node && !known
 	})
 	if missing || l.voter.IsVoter() && l.voter.SilentFor(l.clock()) > 0 { // a voter that has just started may not be the only one of its name
 		n.Count("lease_greetings")
-		l.write(driver.EveryPeer, peers.Hello, nil)
+		l.send(driver.EveryPeer, peers.Hello, nil)
 		l.greets = min(max(2*l.greets, greeting), mostGreeting)
 	} else {
 		l.greets = greeting
@@ -118,11 +118,11 @@
 	n.loop.At(n.loop.Now()+l.greets, l.greet)
 }
 
-func (l *leases) read(letter peers.Message) {
+func (l *leaseService) read(letter peers.Message) {
 	from := lease.Node(letter.From)
 	switch letter.Kind {
 	case peers.Hello:
-		if _, known := l.book.Address(uint64(from)); known && l.voter.IsVoter() && len(letter.Body) == 0 {
+		if _, known := l.addresses.Address(uint64(from)); known && l.voter.IsVoter() && len(letter.Body) == 0 {
 			l.say(from, peers.Hello, []byte{1}) // an answer, which is not answered
 		}
 	case peers.Lease:
@@ -140,7 +140,7 @@
 }
 
 // hear takes what is said about a lease.
-func (l *leases) hear(from lease.Node, m lease.Message) {
+func (l *leaseService) hear(from lease.Node, m lease.Message) {
 	if m.Op == lease.Request || m.Op == lease.Release {
 		l.voter.Receive(from, m, l.clock())
 		return
@@ -152,24 +152,24 @@
 }
 
 // say sends to one driver, to this one too.
-func (l *leases) say(to lease.Node, kind peers.Kind, body []byte) {
+func (l *leaseService) say(to lease.Node, kind peers.Kind, body []byte) {
 	if to == l.me.Node {
 		letter := peers.Message{Kind: kind, From: uint64(l.me.Node), Incarnation: l.me.Incarnation, Body: body}
 		l.node.loop.Later(func() { l.read(letter) })
 		return
 	}
-	if at, known := l.book.Address(uint64(to)); known {
-		l.write(at, kind, body)
+	if at, known := l.addresses.Address(uint64(to)); known {
+		l.send(at, kind, body)
 	}
 }
 
 // Send is the voter's and the askers' way to others.
-func (l *leases) Send(to lease.Node, m lease.Message) {
+func (l *leaseService) Send(to lease.Node, m lease.Message) {
 	l.say(to, peers.Lease, lease.AppendMessage(nil, m))
 }
 
 // Keep brings promises to the disk, all that wait together.
-func (l *leases) Persist(name string, p lease.Promise, done func(error)) {
+func (l *leaseService) Persist(name string, p lease.Promise, done func(error)) {
 	if l.store == nil {
 		done(nil)
 		return
@@ -178,7 +178,7 @@
 	l.commit()
 }
 
-func (l *leases) commit() {
+func (l *leaseService) commit() {
 	if l.out > 0 || len(l.waiting) == 0 {
 		return
 	}
@@ -206,24 +206,24 @@
 }
 
 // Gained and Lost are told by the askers.
-func (l *leases) Acquired(name string, number uint64) {
+func (l *leaseService) Acquired(name string, number uint64) {
 	l.node.Count("leases_gained")
 	slog.Info("lease_gained", "lease", name, "number", number)
 	l.tasks[l.place(name)].gained(number)
 }
 
-func (l *leases) Lost(name string, number uint64) {
+func (l *leaseService) Lost(name string, number uint64) {
 	l.node.Count("leases_lost")
 	slog.Info("lease_lost", "lease", name, "number", number)
 	l.tasks[l.place(name)].lost()
 }
 
-func (l *leases) place(name string) int {
+func (l *leaseService) place(name string) int {
 	return slices.IndexFunc(l.wants.Tasks, func(t operator.Task) bool { return t.Name == name })
 }
 
 // plan wakes the askers when it is time.
-func (l *leases) plan() {
+func (l *leaseService) plan() {
 	loop := l.node.loop
 	loop.Forget(l.due)
 	l.due = nil
@@ -238,7 +238,7 @@
 	}
 }
 
-func (l *leases) wake() {
+func (l *leaseService) wake() {
 	l.due = nil
 	for _, a := range l.askers {
 		a.Wake(l.clock(), uint64(l.clock()/time.Millisecond))
@@ -247,7 +247,7 @@
 }
 
 // change takes over another set of voters.
-func (l *leases) change(w *operator.Leases) {
+func (l *leaseService) changeVoters(w *operator.Leases) {
 	l.wants = w
 	l.voter.ChangeVoters(w.Set())
 	for _, a := range l.askers {
@@ -258,7 +258,7 @@
 }
 
 // leave hands over what this driver holds.
-func (l *leases) leave() {
+func (l *leaseService) resign() {
 	for _, a := range l.askers {
 		a.Resign(l.clock())
 	}
@@ -298,7 +298,7 @@
 }
 
 // status tells how leases stand. Names are known of voters and of this driver only; others are told by number.
-func (l *leases) status() LeasesStatus {
+func (l *leaseService) status() LeasesStatus {
 	now := l.clock()
 	name := func(node lease.Node) string {
 		for _, v := range slices.Concat(l.wants.Voters, l.wants.Former, []string{l.node.site.Name}) {
--- a/internal/node/talk.go
+++ b/internal/node/messenger.go
@@ -12,17 +12,17 @@
 )
 
 // talk is what a driver needs to speak with the others of its fleet, whatever it is about.
-type talk struct {
-	node  *Node
-	fleet uint64
-	me    uint64 // its name, as a number
-	life  uint64
-	book  *peers.AddressBook
-	quiet time.Duration // until when a name used twice is not logged
+type messenger struct {
+	node        *Node
+	fleet       uint64
+	self        uint64 // its name, as a number
+	incarnation uint64
+	addresses   *peers.AddressBook
+	quiet       time.Duration // until when a name used twice is not logged
 }
 
 // listen begins to talk, where the operator's file has anything to talk of.
-func (n *Node) listen() error {
+func (n *Node) startMessaging() error {
 	fleet := ""
 	if n.config.Leases != nil {
 		fleet = n.config.Leases.Fleet
@@ -34,21 +34,21 @@
 	if n.peers == nil {
 		return errors.New("leases, view: the platform gives no peer_listen, so that drivers cannot talk")
 	}
-	n.talk = &talk{node: n, fleet: xxh3.HashString(fleet), me: xxh3.HashString(n.site.Name), life: uint64(n.loop.Clock()), book: peers.NewAddressBook()}
-	if err := n.takePart(); err != nil {
+	n.messenger = &messenger{node: n, fleet: xxh3.HashString(fleet), self: xxh3.HashString(n.site.Name), incarnation: uint64(n.loop.Clock()), addresses: peers.NewAddressBook()}
+	if err := n.startLeases(); err != nil {
 		return err
 	}
 	n.viewFleet()
 	return nil
 }
 
-func (t *talk) write(to driver.Peer, kind peers.Kind, body []byte) {
+func (t *messenger) send(to driver.Peer, kind peers.Kind, body []byte) {
 	t.node.Count("letters_sent")
-	t.node.Tell(to, peers.Message{Kind: kind, From: t.me, Incarnation: t.life, Body: body}.Encode(t.fleet))
+	t.node.Tell(to, peers.Message{Kind: kind, From: t.self, Incarnation: t.incarnation, Body: body}.Encode(t.fleet))
 }
 
 // take reads a text of another driver; false: it is no letter.
-func (t *talk) take(from driver.Peer, text []byte) bool {
+func (t *messenger) receive(from driver.Peer, text []byte) bool {
 	n := t.node
 	letter, err := peers.ParseMessage(text, t.fleet)
 	switch err {
@@ -61,8 +61,8 @@
 	}
 	n.Count("letters_taken")
 	now := n.loop.Clock()
-	if letter.From == t.me {
-		if letter.Incarnation != t.life {
+	if letter.From == t.self {
+		if letter.Incarnation != t.incarnation {
 			t.twice(n.site.Name)
 			if n.leases != nil {
 				n.leases.voter.Silence(now)
@@ -70,7 +70,7 @@
 		}
 		return true
 	}
-	if t.book.Record(from, letter, now) {
+	if t.addresses.Record(from, letter, now) {
 		t.twice("another")
 	}
 	switch {
@@ -85,7 +85,7 @@
 }
 
 // twice tells of two drivers of one name.
-func (t *talk) twice(name string) {
+func (t *messenger) twice(name string) {
 	t.node.Count("names_twice")
 	if now := t.node.loop.Now(); now >= t.quiet {
 		t.quiet = now + quietFor
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -59,10 +59,10 @@
 	pools              [driver.Forms]*member.Pool
 	connectLimiter     comeback.Opens
 	recovery           *comeback.Return
-	talk               *talk          // nil: it does not talk with others
+	messenger          *messenger     // nil: it does not talk with others
 	view               *view          // nil: it has none of its fleet
 	listKind           driver.Listing // how the list is that is being told
-	leases             *leases        // nil: it has no part in any
+	leases             *leaseService  // nil: it has no part in any
 	configuration      *configuration // nil: no control machine is asked
 	learned            *learned       // nil: nothing is kept
 	background         background
@@ -139,7 +139,7 @@
 	if site.PeerListen.IsValid() {
 		take := func(from driver.Peer, text []byte) {
 			n.Count("peer_texts_taken")
-			if n.talk == nil || !n.talk.take(from, text) {
+			if n.messenger == nil || !n.messenger.receive(from, text) {
 				n.module.Told(from, text)
 			}
 		}
@@ -156,7 +156,7 @@
 		return nil, n.fault
 	}
 	n.recall()
-	if err := n.listen(); err != nil {
+	if err := n.startMessaging(); err != nil {
 		return nil, err
 	}
 	if len(site.InitialList) > 0 {
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -30,7 +30,7 @@
 	n.shutdown = &gracefulShutdown{plan: shutdown.New(n.loop.Before(), heard, n.site.maxDeadline()), startedAt: heard}
 	slog.Info("leaving", "rpcs", n.rpcs.Count(), "clients", n.openClients(), "sent_at_most_ms_ago", (heard - n.loop.Before()).Milliseconds())
 	if n.leases != nil {
-		n.leases.leave()
+		n.leases.resign()
 	}
 	if n.view != nil {
 		n.view.seen.Leave(n.loop.Clock())
--- a/internal/node/tasks.go
+++ b/internal/node/tasks.go
@@ -25,7 +25,7 @@
 // one than theirs. What is told is no list: each driver hears what members do from discovery itself. While the holder is silent, or has
 // heard nothing from discovery, all watch by themselves.
 type watcher struct {
-	leases *leases
+	leases *leaseService
 	number int // among the tasks
 	holds  bool
 	told   int64    // revision told last
@@ -41,7 +41,7 @@
 	distrusts = list.Longest           // after which a driver that rests asks by itself: the holder may be wrong or know less
 )
 
-func newWatcher(l *leases, i int) *watcher { return &watcher{leases: l, number: i} }
+func newWatcher(l *leaseService, i int) *watcher { return &watcher{leases: l, number: i} }
 
 func (w *watcher) gained(uint64) {
 	w.holds = true
@@ -68,7 +68,7 @@
 	if rev := n.list.Rev(); n.list.Fresh() && (rev != w.told || now-w.asked >= words) {
 		w.told, w.asked = rev, now
 		n.Count("revisions_told")
-		l.write(driver.EveryPeer, peers.Revision, binary.LittleEndian.AppendUint64(nil, uint64(rev)))
+		l.send(driver.EveryPeer, peers.Revision, binary.LittleEndian.AppendUint64(nil, uint64(rev)))
 	}
 	n.loop.Forget(w.due) // who lost the lease and has it again goes on once
 	w.due = n.loop.At(now+noticing, w.say)
@@ -108,7 +108,7 @@
 // summary is the task of collecting what the drivers of a fleet say of themselves, and bringing it to a place of the operator's by HTTP.
 // That place refuses with 409 what comes under a lower number than it has seen.
 type summary struct {
-	leases                *leases
+	leases                *leaseService
 	number                int
 	every                 time.Duration
 	at                    netip.AddrPort
@@ -132,7 +132,7 @@
 
 const mostPut = 16 << 10
 
-func newSummary(l *leases, i int, t operator.Task) *summary {
+func newSummary(l *leaseService, i int, t operator.Task) *summary {
 	return &summary{leases: l, number: i, every: t.Every, at: t.To, path: t.Path, digests: make(map[lease.Node]digest)}
 }
 
@@ -158,7 +158,7 @@
 	s.put()
 	clear(s.digests)
 	if _, ok := s.leases.held(s.number); ok {
-		s.leases.write(driver.EveryPeer, peers.CollectDigests, nil)
+		s.leases.send(driver.EveryPeer, peers.CollectDigests, nil)
 	}
 	n.loop.Forget(s.next)
 	s.next = n.loop.At(n.loop.Now()+s.every, s.collect)
--- a/internal/node/view.go
+++ b/internal/node/view.go
@@ -12,7 +12,7 @@
 
 // view is the driver's view of its fleet, where the operator's file wants one.
 type view struct {
-	*talk
+	*messenger
 	seen   *fleet.View
 	due    loop.Due
 	told   map[fleet.Status]int // lines of late, by status
@@ -35,11 +35,11 @@
 	if w == nil {
 		return
 	}
-	v := &view{talk: n.talk, told: make(map[fleet.Status]int), at: n.loop.Now()}
+	v := &view{messenger: n.messenger, told: make(map[fleet.Status]int), at: n.loop.Now()}
 	n.view = v
 	v.parts = fleet.NewParts(w.Every)
 	v.drains = &drains{view: v, known: fleet.NewDrains(), places: make(map[uint64]listedAs)}
-	v.seen = fleet.New(v, n.site.Name, fleet.Terms{Every: w.Every, Life: n.talk.life}, n.site.Seed+101, n.loop.Now())
+	v.seen = fleet.New(v, n.site.Name, fleet.Terms{Every: w.Every, Life: n.messenger.incarnation}, n.site.Seed+101, n.loop.Now())
 	v.say()
 	v.plan()
 }
@@ -47,7 +47,7 @@
 // Peers counts the addresses that the platform gives.
 func (v *view) Peers() int { return len(v.node.site.Peers) }
 
-func (v *view) Send(to driver.Peer, text []byte) { v.write(to, peers.Membership, text) }
+func (v *view) Send(to driver.Peer, text []byte) { v.send(to, peers.Membership, text) }
 
 // Changed logs what has changed, few lines however many changes there are.
 func (v *view) Changed(e fleet.Entry, why string) {
