--- a/internal/chores/chores.go
+++ b/internal/background/scheduler.go
@@ -1,7 +1,7 @@
 // Package chores decides which background work of a driver runs when. RPCs go first: while the loop's turns come late all
 // work yields, but for what would miss its deadline, which then gets one slice at a time, seldom. It does nothing itself:
 // whoever hosts it asks for what may run, runs a slice of it on the loop or hands it to a worker, and tells what that took.
-package chores
+package background
 
 import (
 	"slices"
@@ -9,77 +9,77 @@
 )
 
 // Spending is what work takes: time of the loop or of a worker, bytes written, operations of the disk or the network.
-type Spending struct {
+type Usage struct {
 	Time       time.Duration
 	Bytes      int
 	Operations int
 }
 
 // Chore is work that comes again and again, or when it is asked for. All but the name may be left out.
-type Chore struct {
-	Name     string
-	Priority int           // the higher goes first
-	Period   time.Duration // from the end of one run to when the next is due; 0: only when it is asked for
-	Deadline time.Duration // after it was due: then it no longer yields to RPCs
-	Budget   Spending      // a second; what is 0 is not bounded
-	After    []string      // which have to end once more between when it was due and its start
-	Least    time.Duration // wait after a failure, which doubles with each more
-	Most     time.Duration // up to this
+type Job struct {
+	Name       string
+	Priority   int           // the higher goes first
+	Period     time.Duration // from the end of one run to when the next is due; 0: only when it is asked for
+	Deadline   time.Duration // after it was due: then it no longer yields to RPCs
+	Budget     Usage         // a second; what is 0 is not bounded
+	After      []string      // which have to end once more between when it was due and its start
+	MinBackoff time.Duration // wait after a failure, which doubles with each more
+	MaxBackoff time.Duration // up to this
 }
 
 // End is how a slice ended.
-type End uint8
+type Outcome uint8
 
 const (
-	Goes   End = iota // there is more to do on the loop
-	Away              // a worker has it; Ran is called again once it is back
-	Done              // the run is over
-	Failed            // the run is over and has come to nothing
+	More     Outcome = iota // there is more to do on the loop
+	OnWorker                // a worker has it; Ran is called again once it is back
+	Done                    // the run is over
+	Failed                  // the run is over and has come to nothing
 )
 
 // Why tells what keeps a chore that is due from running.
-type Why uint8
+type BlockedReason uint8
 
 const (
-	Nothing Why = iota // it may run, or it runs
-	NotDue             // its time has not come
-	Yields             // the loop is late: RPCs go first
-	Spent              // its budget is used up for now
-	Depends            // what it comes after has not ended yet
-	Workers            // all workers are busy
-	Outdone            // others of its priority or of a higher one go first
-	Stopped            // it was cancelled
+	NotBlocked      BlockedReason = iota // it may run, or it runs
+	NotDue                               // its time has not come
+	LoopLate                             // the loop is late: RPCs go first
+	BudgetExhausted                      // its budget is used up for now
+	Dependency                           // what it comes after has not ended yet
+	WorkersBusy                          // all workers are busy
+	Outranked                            // others of its priority or of a higher one go first
+	JobCancelled                         // it was cancelled
 )
 
 var whys = [...]string{"", "not due", "yields", "budget", "dependency", "workers", "others first", "cancelled"}
 
-func (w Why) String() string { return whys[w] }
+func (w BlockedReason) String() string { return whys[w] }
 
 // Report is what became of one chore so far.
-type Report struct {
-	Name         string
-	State        string // idle, waits, runs, away or cancelled
-	Why          string // it waits
-	Since        time.Duration
-	Runs, Failed int
-	Skipped      int    // runs that came due while one was waiting or under way
-	Cause        string // of the latest one skipped
-	Late         int    // runs that began after their deadline
-	Slices       int
-	Spent        Spending      // over all
-	Longest      time.Duration // slice on the loop
-	Slowest      time.Duration // part of a worker
+type RunReport struct {
+	Name              string
+	State             string // idle, waits, runs, away or cancelled
+	BlockedBy         string // it waits
+	Since             time.Duration
+	Runs, Failed      int
+	Skipped           int    // runs that came due while one was waiting or under way
+	SkipReason        string // of the latest one skipped
+	StartedLate       int    // runs that began after their deadline
+	Slices            int
+	Used              Usage         // over all
+	LongestSlice      time.Duration // slice on the loop
+	LongestWorkerPart time.Duration // part of a worker
 }
 
 const (
 	// Lateness of the loop from which work yields: two ticks of the module.
-	late = 10 * time.Millisecond
+	lateThreshold = 10 * time.Millisecond
 	// Recovers is for how long after a late turn work goes on yielding.
-	recovers = 50 * time.Millisecond
+	lateCooldown = 50 * time.Millisecond
 	// Pressed is between two slices of what has passed its deadline while the loop is late.
-	pressed = 100 * time.Millisecond
+	overdueSlicePause = 100 * time.Millisecond
 	// Saved is how much of its budget a second a chore may save up.
-	saved = time.Second
+	maxSavedBudget = time.Second
 )
 
 type state uint8
@@ -94,8 +94,8 @@
 
 var states = [...]string{"idle", "waits", "runs", "away", "cancelled"}
 
-type chore struct {
-	Chore
+type scheduledJob struct {
+	Job
 	state    state
 	due      time.Duration // when it is, or was, due
 	next     time.Duration // when the run after this one comes due while it is still waiting
@@ -108,14 +108,14 @@
 	filled   time.Duration
 	asked    bool // while it ran
 	stop     bool // cancelled while away
-	report   Report
+	report   RunReport
 }
 
 // Plan is all background work of one driver.
-type Plan struct {
+type Scheduler struct {
 	workers int
 	busy    int
-	all     []*chore
+	jobs    []*scheduledJob
 	lateAt  time.Duration // when the loop was late last
 	pressAt time.Duration // when a slice went on though the loop was late
 }
@@ -124,18 +124,20 @@
 const longAgo = time.Duration(-1 << 62)
 
 // New makes a plan for so many workers.
-func New(workers int) *Plan { return &Plan{workers: workers, lateAt: longAgo, pressAt: longAgo} }
+func New(workers int) *Scheduler {
+	return &Scheduler{workers: workers, lateAt: longAgo, pressAt: longAgo}
+}
 
 // Add takes in a chore, due for the first time after a period, and gives its number.
-func (p *Plan) Add(c Chore, now time.Duration) int {
-	k := &chore{Chore: c, since: now, ended: longAgo, left: c.Budget.bounds(), filled: now, due: now + c.Period, report: Report{Name: c.Name}}
-	p.all = append(p.all, k)
-	return len(p.all) - 1
+func (p *Scheduler) Add(c Job, now time.Duration) int {
+	k := &scheduledJob{Job: c, since: now, ended: longAgo, left: c.Budget.bounds(), filled: now, due: now + c.Period, report: RunReport{Name: c.Name}}
+	p.jobs = append(p.jobs, k)
+	return len(p.jobs) - 1
 }
 
 // Ask makes a chore due now. One that runs comes due again at its end.
-func (p *Plan) Ask(n int, now time.Duration) {
-	k := p.all[n]
+func (p *Scheduler) Trigger(n int, now time.Duration) {
+	k := p.jobs[n]
 	switch k.state {
 	case idle:
 		k.due = min(k.due, now)
@@ -149,8 +151,8 @@
 }
 
 // Cancel takes a chore out. True: it is away, and comes to nothing when it is back.
-func (p *Plan) Cancel(n int, now time.Duration) (under bool) {
-	k := p.all[n]
+func (p *Scheduler) Cancel(n int, now time.Duration) (under bool) {
+	k := p.jobs[n]
 	if k.state == away {
 		k.stop = true
 		return true
@@ -160,31 +162,31 @@
 }
 
 // Late tells how much later than it was due the loop came to something.
-func (p *Plan) Late(by, now time.Duration) {
-	if by >= late {
+func (p *Scheduler) ReportLateness(by, now time.Duration) {
+	if by >= lateThreshold {
 		p.lateAt = now
 	}
 }
 
 // yields tells whether RPCs need the loop now.
-func (p *Plan) yields(now time.Duration) bool { return now-p.lateAt < recovers }
+func (p *Scheduler) yields(now time.Duration) bool { return now-p.lateAt < lateCooldown }
 
 // Next gives the chore that is to run a slice now, if any may.
-func (p *Plan) Next(now time.Duration) (n int, ok bool) {
+func (p *Scheduler) Next(now time.Duration) (n int, ok bool) {
 	best := -1
-	for i, k := range p.all {
+	for i, k := range p.jobs {
 		p.wake(k, now)
-		if p.keeps(k, now) != Nothing {
+		if p.keeps(k, now) != NotBlocked {
 			continue
 		}
-		if best < 0 || before(k, p.all[best]) {
+		if best < 0 || before(k, p.jobs[best]) {
 			best = i
 		}
 	}
 	if best < 0 {
 		return 0, false
 	}
-	k := p.all[best]
+	k := p.jobs[best]
 	if p.yields(now) {
 		p.pressAt = now
 	}
@@ -192,14 +194,14 @@
 		k.state, k.since = runs, now
 		k.report.Runs++
 		if k.Deadline > 0 && now > k.due+k.Deadline {
-			k.report.Late++
+			k.report.StartedLate++
 		}
 	}
 	return best, true
 }
 
 // before tells which of two that may run goes first.
-func before(a, b *chore) bool {
+func before(a, b *scheduledJob) bool {
 	if a.Priority != b.Priority {
 		return a.Priority > b.Priority
 	}
@@ -207,31 +209,31 @@
 }
 
 // wake lets an idle chore wait once it is due, and counts the runs that a waiting one has missed.
-func (p *Plan) wake(k *chore, now time.Duration) {
+func (p *Scheduler) wake(k *scheduledJob, now time.Duration) {
 	if k.state == idle && k.Period > 0 && now >= k.due {
 		p.begin(k, k.due)
 		k.next = k.due + k.Period
 	}
 	for (k.state == waits || k.state == away || k.state == runs) && k.Period > 0 && k.next > 0 && now >= k.next {
 		k.report.Skipped++
-		k.report.Cause = p.keeps(k, now).String()
+		k.report.SkipReason = p.keeps(k, now).String()
 		if k.state != waits {
-			k.report.Cause = "the run before"
+			k.report.SkipReason = "the run before"
 		}
 		k.next += k.Period
 	}
 }
 
 // begin lets a chore wait for its turn. Who rested has no claim on that time.
-func (p *Plan) begin(k *chore, since time.Duration) {
+func (p *Scheduler) begin(k *scheduledJob, since time.Duration) {
 	k.state, k.since, k.next = waits, since, 0
 	k.weight = max(k.weight, p.level(k))
 }
 
 // level is the least that any other active chore of its priority has taken.
-func (p *Plan) level(k *chore) time.Duration {
+func (p *Scheduler) level(k *scheduledJob) time.Duration {
 	least := time.Duration(-1)
-	for _, o := range p.all {
+	for _, o := range p.jobs {
 		if o != k && o.Priority == k.Priority && (o.state == waits || o.state == runs) && (least < 0 || o.weight < least) {
 			least = o.weight
 		}
@@ -240,36 +242,36 @@
 }
 
 // keeps tells what keeps a chore from running a slice now.
-func (p *Plan) keeps(k *chore, now time.Duration) Why {
+func (p *Scheduler) keeps(k *scheduledJob, now time.Duration) BlockedReason {
 	switch k.state {
 	case idle:
 		return NotDue
 	case cancelled:
-		return Stopped
+		return JobCancelled
 	case away:
-		return Workers
+		return WorkersBusy
 	}
 	if k.state == waits && now < k.due {
 		return NotDue
 	}
 	if k.fill(now); !k.affords() {
-		return Spent
+		return BudgetExhausted
 	}
 	if k.state == waits && slices.ContainsFunc(k.After, func(name string) bool { return !p.endedSince(name, k.due) }) {
-		return Depends
+		return Dependency
 	}
 	if p.busy >= p.workers {
-		return Workers
+		return WorkersBusy
 	}
-	if p.yields(now) && (k.Deadline == 0 || now < k.due+k.Deadline || now-p.pressAt < pressed) {
-		return Yields
+	if p.yields(now) && (k.Deadline == 0 || now < k.due+k.Deadline || now-p.pressAt < overdueSlicePause) {
+		return LoopLate
 	}
-	return Nothing
+	return NotBlocked
 }
 
 // endedSince tells whether a chore has ended a run since then. Names that nobody has are waited for by nobody.
-func (p *Plan) endedSince(name string, since time.Duration) bool {
-	for _, k := range p.all {
+func (p *Scheduler) endedSince(name string, since time.Duration) bool {
+	for _, k := range p.jobs {
 		if k.Name == name && k.state != cancelled {
 			return k.ended >= since
 		}
@@ -278,22 +280,22 @@
 }
 
 // bounds are the parts of a spending; 0 in a budget bounds nothing.
-func (s Spending) bounds() [3]float64 {
+func (s Usage) bounds() [3]float64 {
 	return [3]float64{float64(s.Time), float64(s.Bytes), float64(s.Operations)}
 }
 
 // fill lets the budget grow again, up to what may be saved.
-func (k *chore) fill(now time.Duration) {
+func (k *scheduledJob) fill(now time.Duration) {
 	grown := float64(now-k.filled) / float64(time.Second)
 	k.filled = now
 	for i, most := range k.Budget.bounds() {
-		k.left[i] = min(k.left[i]+grown*most, most*saved.Seconds())
+		k.left[i] = min(k.left[i]+grown*most, most*maxSavedBudget.Seconds())
 	}
 }
 
 // affords tells whether something is left of each bound: what a slice takes is known only afterwards, so that it may go
 // under and is waited for then.
-func (k *chore) affords() bool {
+func (k *scheduledJob) affords() bool {
 	for i, most := range k.Budget.bounds() {
 		if most > 0 && k.left[i] <= 0 {
 			return false
@@ -303,10 +305,10 @@
 }
 
 // Ran tells how a slice, or a worker's part, has ended and what it took.
-func (p *Plan) Ran(n int, took Spending, how End, now time.Duration) {
-	k := p.all[n]
+func (p *Scheduler) SliceEnded(n int, took Usage, how Outcome, now time.Duration) {
+	k := p.jobs[n]
 	if k.spend(took); k.state == away {
-		k.report.Slowest = max(k.report.Slowest, took.Time)
+		k.report.LongestWorkerPart = max(k.report.LongestWorkerPart, took.Time)
 		p.busy--
 		if k.stop {
 			k.state, k.since = cancelled, now
@@ -315,7 +317,7 @@
 		k.state, k.since = runs, now
 	}
 	switch how {
-	case Away:
+	case OnWorker:
 		k.state, k.since = away, now
 		p.busy++
 	case Done:
@@ -324,8 +326,8 @@
 	case Failed:
 		k.report.Failed++
 		wait := k.Period
-		if k.Least > 0 {
-			wait = max(wait, min(k.Least<<min(k.failures, 20), max(k.Most, k.Least)))
+		if k.MinBackoff > 0 {
+			wait = max(wait, min(k.MinBackoff<<min(k.failures, 20), max(k.MaxBackoff, k.MinBackoff)))
 		}
 		k.failures++
 		p.rest(k, wait, now)
@@ -333,18 +335,18 @@
 }
 
 // rest ends a run; the next is due after the wait, or as soon as it was asked for meanwhile.
-func (p *Plan) rest(k *chore, wait, now time.Duration) {
+func (p *Scheduler) rest(k *scheduledJob, wait, now time.Duration) {
 	k.state, k.since, k.due, k.next = idle, now, now+wait, 0
 	if k.asked && k.failures == 0 {
 		k.due = now
 	}
-	if k.asked || k.Period == 0 && k.failures > 0 && k.Least > 0 {
+	if k.asked || k.Period == 0 && k.failures > 0 && k.MinBackoff > 0 {
 		k.state = waits
 	}
 	k.asked = false
 }
 
-func (k *chore) spend(took Spending) {
+func (k *scheduledJob) spend(took Usage) {
 	onLoop := took
 	if k.state == away { // a worker's time is not the loop's
 		onLoop.Time = 0
@@ -355,50 +357,50 @@
 	}
 	r := &k.report
 	r.Slices++
-	r.Spent.Time, r.Spent.Bytes, r.Spent.Operations = r.Spent.Time+took.Time, r.Spent.Bytes+took.Bytes, r.Spent.Operations+took.Operations
+	r.Used.Time, r.Used.Bytes, r.Used.Operations = r.Used.Time+took.Time, r.Used.Bytes+took.Bytes, r.Used.Operations+took.Operations
 	if k.state != away {
-		r.Longest = max(r.Longest, took.Time)
+		r.LongestSlice = max(r.LongestSlice, took.Time)
 	}
 }
 
 // Wakes tells when to ask for the next slice at the latest.
-func (p *Plan) Wakes(now time.Duration) (at time.Duration, ok bool) {
+func (p *Scheduler) NextWake(now time.Duration) (at time.Duration, ok bool) {
 	first := func(t time.Duration) {
 		if !ok || t < at {
 			at, ok = t, true
 		}
 	}
-	for _, k := range p.all {
+	for _, k := range p.jobs {
 		switch p.keeps(k, now) {
-		case Nothing:
+		case NotBlocked:
 			first(now)
 		case NotDue:
 			if k.Period > 0 || k.state == waits {
 				first(max(k.due, now))
 			}
-		case Yields, Spent, Depends:
-			first(now + late)
-		case Workers: // whoever brings something back asks again
+		case LoopLate, BudgetExhausted, Dependency:
+			first(now + lateThreshold)
+		case WorkersBusy: // whoever brings something back asks again
 		}
 	}
 	return at, ok
 }
 
 // Busy tells how many workers have something.
-func (p *Plan) Busy() int { return p.busy }
+func (p *Scheduler) BusyWorkers() int { return p.busy }
 
 // Reports tells what became of all chores.
-func (p *Plan) Reports(now time.Duration) (all []Report) {
-	for _, k := range p.all {
+func (p *Scheduler) Reports(now time.Duration) (all []RunReport) {
+	for _, k := range p.jobs {
 		p.wake(k, now)
 		r := k.report
 		r.State, r.Since = states[k.state], k.since
 		if k.state == waits {
 			why := p.keeps(k, now)
-			if why == Nothing {
-				why = Outdone
+			if why == NotBlocked {
+				why = Outranked
 			}
-			r.Why = why.String()
+			r.BlockedBy = why.String()
 		}
 		all = append(all, r)
 	}
--- a/internal/node/chores.go
+++ b/internal/node/chores.go
@@ -3,17 +3,17 @@
 import (
 	"time"
 
-	"passtack/internal/chores"
+	"passtack/internal/background"
 	"passtack/internal/control"
 	"passtack/internal/loop"
 )
 
 // duty is what a chore does on the loop in one slice.
-type duty func() (chores.Spending, chores.End)
+type duty func() (background.Usage, background.Outcome)
 
-// background is the driver's work beside RPCs. What decides when it runs is the plan.
-type background struct {
-	plan   *chores.Plan
+// backgroundJobs is the driver's work beside RPCs. What decides when it runs is the plan.
+type backgroundJobs struct {
+	plan   *background.Scheduler
 	duties []duty
 	due    loop.Due
 	at     time.Duration // of that
@@ -66,9 +66,9 @@
 		return s
 	}
 	for _, r := range n.background.plan.Reports(now) {
-		s.Chores = append(s.Chores, ChoreStatus{Name: r.Name, State: r.State, Why: r.Why, Skipped: r.Cause, ForMS: (now - r.Since).Milliseconds(),
-			Runs: r.Runs, Failed: r.Failed, Late: r.Late, Skips: r.Skipped, Slices: r.Slices, Bytes: r.Spent.Bytes, Operations: r.Spent.Operations,
-			SpentMS: r.Spent.Time.Seconds() * 1000, LongestMS: r.Longest.Seconds() * 1000, SlowestMS: r.Slowest.Seconds() * 1000})
+		s.Chores = append(s.Chores, ChoreStatus{Name: r.Name, State: r.State, Why: r.BlockedBy, Skipped: r.SkipReason, ForMS: (now - r.Since).Milliseconds(),
+			Runs: r.Runs, Failed: r.Failed, Late: r.StartedLate, Skips: r.Skipped, Slices: r.Slices, Bytes: r.Used.Bytes, Operations: r.Used.Operations,
+			SpentMS: r.Used.Time.Seconds() * 1000, LongestMS: r.LongestSlice.Seconds() * 1000, SlowestMS: r.LongestWorkerPart.Seconds() * 1000})
 	}
 	return s
 }
@@ -81,10 +81,10 @@
 )
 
 // chore takes in work, which runs from now on.
-func (n *Node) chore(c chores.Chore, act duty) int {
+func (n *Node) chore(c background.Job, act duty) int {
 	b := &n.background
 	if b.plan == nil {
-		b.plan = chores.New(workers)
+		b.plan = background.New(workers)
 	}
 	b.duties = append(b.duties, act)
 	number := b.plan.Add(c, n.loop.Now())
@@ -94,14 +94,14 @@
 
 // askFor lets a chore run as soon as it may.
 func (n *Node) askFor(number int) {
-	n.background.plan.Ask(number, n.loop.Now())
+	n.background.plan.Trigger(number, n.loop.Now())
 	n.plan()
 }
 
 // plan lets the next slice come when it is time.
 func (n *Node) plan() {
 	b := &n.background
-	at, any := b.plan.Wakes(n.loop.Now())
+	at, any := b.plan.NextWake(n.loop.Now())
 	if !any || b.due != nil && b.at <= at {
 		return
 	}
@@ -113,7 +113,7 @@
 // slice runs what may run, for a moment.
 func (n *Node) slice() {
 	b, now := &n.background, n.loop.Now()
-	b.plan.Late(now-b.at, now)
+	b.plan.ReportLateness(now-b.at, now)
 	b.due = nil
 	for began := n.loop.Clock(); n.loop.Clock()-began < aTurn; {
 		number, any := b.plan.Next(now)
@@ -123,7 +123,7 @@
 		from := n.loop.Clock()
 		took, how := b.duties[number]()
 		took.Time += n.loop.Clock() - from
-		if b.plan.Ran(number, took, how, now); how == chores.Goes && n.simulated {
+		if b.plan.SliceEnded(number, took, how, now); how == background.More && n.simulated {
 			break // there no time passes in a turn
 		}
 	}
@@ -131,12 +131,12 @@
 }
 
 // returned tells that what a chore gave to a worker is back.
-func (n *Node) returned(number int, took chores.Spending, err error) {
-	how := chores.Done
+func (n *Node) returned(number int, took background.Usage, err error) {
+	how := background.Done
 	if err != nil {
-		how = chores.Failed
+		how = background.Failed
 	}
-	n.background.plan.Ran(number, took, how, n.loop.Now())
+	n.background.plan.SliceEnded(number, took, how, n.loop.Now())
 	n.plan()
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -65,7 +65,7 @@
 	leases             *leases        // nil: it has no part in any
 	configuration      *configuration // nil: no control machine is asked
 	learned            *learned       // nil: nothing is kept
-	background         background
+	background         backgroundJobs
 	simulated          bool // no time passes in a turn, and there are no workers
 	list               *list.Discovery
 	peers              *peers.Peers
@@ -604,7 +604,7 @@
 	n.module.Wake()
 	if now >= n.recoveryCheckAt {
 		if p := n.background.plan; p != nil {
-			p.Late(late, now)
+			p.ReportLateness(late, now)
 		}
 		n.checkRecovery()
 	}
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -8,7 +8,7 @@
 	"github.com/zeebo/xxh3"
 
 	"passtack/driver"
-	"passtack/internal/chores"
+	"passtack/internal/background"
 	odatafront "passtack/internal/front/odata"
 	"passtack/internal/persist"
 	"passtack/internal/storage"
@@ -65,9 +65,9 @@
 	}
 	n.module.Usual(r.UsualLatencies...)
 	n.list.Keep = n.keepList
-	k.saving = n.chore(chores.Chore{Name: "save", Priority: 1, Period: t.Every, Deadline: 5 * time.Second, Budget: chores.Spending{Time: savingPart}, Least: t.Every, Most: mostBackOff}, n.save)
-	k.compacting = n.chore(chores.Chore{Name: "compact", Least: time.Second, Most: mostBackOff}, n.compact)
-	k.aging = n.chore(chores.Chore{Name: "forget-repeats", Period: time.Second}, n.forgetRepeats)
+	k.saving = n.chore(background.Job{Name: "save", Priority: 1, Period: t.Every, Deadline: 5 * time.Second, Budget: background.Usage{Time: savingPart}, MinBackoff: t.Every, MaxBackoff: mostBackOff}, n.save)
+	k.compacting = n.chore(background.Job{Name: "compact", MinBackoff: time.Second, MaxBackoff: mostBackOff}, n.compact)
+	k.aging = n.chore(background.Job{Name: "forget-repeats", Period: time.Second}, n.forgetRepeats)
 }
 
 // openFolder opens the folder, where the loop turns already or a disk that stalls would hold the start up.
@@ -154,13 +154,13 @@
 }
 
 // forgetRepeats lets go of answers to repeats that nobody may ask for any more.
-func (n *Node) forgetRepeats() (chores.Spending, chores.End) {
+func (n *Node) forgetRepeats() (background.Usage, background.Outcome) {
 	for _, d := range n.listeners {
 		if f, ok := d.front.(*odatafront.Front); ok {
 			f.Repeats().Expire(n.loop.Now())
 		}
 	}
-	return chores.Spending{}, chores.Done
+	return background.Usage{}, background.Done
 }
 
 // recallMember gives the module what was saved of a member that is listed for the first time.
@@ -205,14 +205,14 @@
 }
 
 // save looks at what has changed, and lets it be written.
-func (n *Node) save() (chores.Spending, chores.End) {
+func (n *Node) save() (background.Usage, background.Outcome) {
 	if !n.look(membersATime) {
-		return chores.Spending{}, chores.Goes
+		return background.Usage{}, background.More
 	}
 	k := n.learned
 	changes := k.saver.FinishRound(n.loop.Now())
 	if changes == nil {
-		return chores.Spending{}, chores.Done
+		return background.Usage{}, background.Done
 	}
 	bytes := 0
 	for _, c := range changes {
@@ -226,16 +226,16 @@
 	}, func(err error, took time.Duration) {
 		k.saver.Committed(err)
 		n.saved(err)
-		n.returned(k.saving, chores.Spending{Time: took, Bytes: bytes, Operations: 1}, err)
+		n.returned(k.saving, background.Usage{Time: took, Bytes: bytes, Operations: 1}, err)
 		if worth {
 			n.askFor(k.compacting)
 		}
 	})
-	return chores.Spending{}, chores.Away
+	return background.Usage{}, background.OnWorker
 }
 
 // compact lets a snapshot take the place of a long log.
-func (n *Node) compact() (chores.Spending, chores.End) {
+func (n *Node) compact() (background.Usage, background.Outcome) {
 	k := n.learned
 	size := 0
 	n.carry(func() error {
@@ -244,9 +244,9 @@
 		return err
 	}, func(err error, took time.Duration) {
 		n.saved(err)
-		n.returned(k.compacting, chores.Spending{Time: took, Bytes: size, Operations: 1}, err)
+		n.returned(k.compacting, background.Usage{Time: took, Bytes: size, Operations: 1}, err)
 	})
-	return chores.Spending{}, chores.Away
+	return background.Usage{}, background.OnWorker
 }
 
 func (n *Node) saved(err error) {
