--- /dev/null
+++ b/internal/background/budget.go
@@ -0,0 +1,51 @@
+package background
+
+import "time"
+
+// maxSavedBudget is for how long a job may save its unused budget.
+const maxSavedBudget = time.Second
+
+// resources are the parts of a Usage: nanoseconds, bytes, operations.
+type resources [3]float64
+
+func (u Usage) resources() resources {
+	return resources{float64(u.Time), float64(u.Bytes), float64(u.Operations)}
+}
+
+// budget is a token bucket for each resource. What a slice takes is only known afterwards: a bucket may fall below 0, and the job
+// then waits until it is above again.
+type budget struct {
+	perSecond resources // 0: unlimited
+	left      resources
+	filledAt  time.Duration
+}
+
+func newBudget(perSecond Usage, now time.Duration) budget {
+	r := perSecond.resources()
+	return budget{perSecond: r, left: r, filledAt: now}
+}
+
+// refill adds what has accrued since the last call.
+func (b *budget) refill(now time.Duration) {
+	seconds := float64(now-b.filledAt) / float64(time.Second)
+	b.filledAt = now
+	for i, rate := range b.perSecond {
+		b.left[i] = min(b.left[i]+seconds*rate, rate*maxSavedBudget.Seconds())
+	}
+}
+
+// exhausted reports whether a limited resource is used up.
+func (b *budget) exhausted() bool {
+	for i, rate := range b.perSecond {
+		if rate > 0 && b.left[i] <= 0 {
+			return true
+		}
+	}
+	return false
+}
+
+func (b *budget) spend(used Usage) {
+	for i, amount := range used.resources() {
+		b.left[i] -= amount
+	}
+}
--- a/internal/node/chores.go
+++ b/internal/node/chores.go
@@ -81,7 +81,7 @@
 )
 
 // chore takes in work, which runs from now on.
-func (n *Node) chore(c background.Job, act duty) int {
+func (n *Node) chore(c background.Job, act duty) background.JobID {
 	b := &n.background
 	if b.plan == nil {
 		b.plan = background.New(workers)
@@ -93,7 +93,7 @@
 }
 
 // askFor lets a chore run as soon as it may.
-func (n *Node) askFor(number int) {
+func (n *Node) askFor(number background.JobID) {
 	n.background.plan.Trigger(number, n.loop.Now())
 	n.plan()
 }
@@ -131,7 +131,7 @@
 }
 
 // returned tells that what a chore gave to a worker is back.
-func (n *Node) returned(number int, took background.Usage, err error) {
+func (n *Node) returned(number background.JobID, took background.Usage, err error) {
 	how := background.Done
 	if err != nil {
 		how = background.Failed
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -26,7 +26,7 @@
 	entries                   map[string]bool     // of the list, that are kept
 	quiet                     time.Duration       // until when failures are not logged
 	recalling                 bool                // what the module is told is kept already
-	saving, compacting, aging int                 // chores
+	saving, compacting, aging background.JobID
 }
 
 const (
