--- a/cmd/passtack/state_test.go
+++ b/cmd/passtack/state_test.go
@@ -61,3 +61,26 @@
 		t.Errorf("verify after all that is old was pruned: %s", out)
 	}
 }
+
+// What the commands print of a directory that an earlier version wrote is read by scripts and stays as it was.
+func TestOutputOfStateCommandsIsUnchanged(t *testing.T) {
+	const directory = "../../internal/persist/testdata/folder"
+	for _, c := range []struct {
+		golden string
+		args   []string
+	}{
+		{"state-show.txt", []string{"state", "show", directory}},
+		{"state-show.json", []string{"state", "show", "--json", directory}},
+		{"state-verify.txt", []string{"state", "verify", directory}},
+		{"state-export-members.csv", []string{"state", "export", directory}},
+		{"state-export-sessions.csv", []string{"state", "export", "--of", "sessions", directory}},
+	} {
+		want, err := os.ReadFile(filepath.Join("testdata", c.golden))
+		if err != nil {
+			t.Fatal(err)
+		}
+		if out, ok := passtack(t, c.args...); !ok || out != string(want) {
+			t.Errorf("%v prints\n%s\nwant\n%s", c.args, out, want)
+		}
+	}
+}
