--- a/cmd/passtack/lives_test.go
+++ b/cmd/passtack/lives_test.go
@@ -242,7 +242,7 @@
 		t.Fatalf("the create: %d %s %s\n%s", status, body, result, first.log)
 	}
 	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(20 * time.Millisecond) {
-		if f, _, _, err := lookAt(folder); err == nil && len(f.Requests["offices"]) == 1 {
+		if f, err := readSavedState(folder); err == nil && len(f.Requests["offices"]) == 1 {
 			break
 		}
 		if time.Now().After(deadline) {
--- a/cmd/passtack/main.go
+++ b/cmd/passtack/main.go
@@ -195,11 +195,11 @@
 		Rehearse rehearse `cmd:"" help:"Play scripts of load and trouble in simulated time, and check the rules."`
 		Emulate  emulate  `cmd:"" help:"Serve a script's members and discovery on loopback addresses."`
 		State    struct {
-			Show   stateShow   `cmd:"" help:"Print what a driver keeps, also while it runs."`
-			Verify stateVerify `cmd:"" help:"Read a folder as a driver would; what cannot be read is named."`
-			Export stateExport `cmd:"" help:"Write members or sessions of a folder as CSV."`
-			Prune  statePrune  `cmd:"" help:"Take out of a folder what is old, while no driver holds it."`
-		} `cmd:"" help:"Look at the folder where a driver keeps what it has learned."`
+			Show   stateShow   `cmd:"" help:"Print what a driver has saved, also while it runs."`
+			Verify stateVerify `cmd:"" help:"Read a state directory as a driver would and name what cannot be read."`
+			Export stateExport `cmd:"" help:"Write the members or sessions of a state directory as CSV."`
+			Prune  statePrune  `cmd:"" help:"Delete old members and sessions from a state directory that no driver uses."`
+		} `cmd:"" help:"Inspect the directory where a driver saves what it has learned."`
 		Status  status         `cmd:"" help:"Ask a running driver how it is and what its background work does."`
 		Fleet   fleetViews     `cmd:"" help:"Ask running drivers how they see their fleet, and where their views differ."`
 		Control controlMachine `cmd:"" help:"Be one of the machines that keep what is published for a fleet."`
--- a/cmd/passtack/state.go
+++ b/cmd/passtack/state.go
@@ -18,135 +18,183 @@
 	"passtack/internal/storage"
 )
 
-// stateShow prints what a driver keeps in its folder.
-type stateShow struct {
-	Folder string `arg:"" help:"The folder, as the operator's file names it." type:"existingdir"`
-	JSON   bool   `help:"As JSON."`
+// savedState is what a driver's state directory holds.
+type savedState struct {
+	*persist.LearnedState
+	sessionWrites map[driver.Session]time.Duration // the latest of each session
+	owner         uint64
+	report        storage.RecoveryReport
 }
 
-func (c *stateShow) Run() error {
-	r, _, found, err := lookAt(c.Folder)
+// readSavedState reads a state directory without locking it, so that its driver may run.
+func readSavedState(path string) (*savedState, error) {
+	directory, err := storage.OpenDirectory(path)
 	if err != nil {
-		return err
+		return nil, err
 	}
-	if c.JSON {
-		out := json.NewEncoder(os.Stdout)
-		out.SetIndent("", " ")
-		return out.Encode(map[string]any{"saved": r.SavedAt, "members": r.Members, "sessions": r.writes, "list": json.RawMessage(r.EndpointList()),
-			"repeats": counts(r.Requests), "lost": found.Unreadable})
-	}
-	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(w, "saved\t%s\n", when(r.SavedAt))
-	fmt.Fprintf(w, "member\tposition\treplica\tlatencies seen\tagainst the usual\n")
-	for _, uid := range slices.Sorted(maps.Keys(r.Members)) {
-		k := r.Members[uid]
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%.2f\n", uid, when(k.Position), when(k.Replica), when(k.Timed), k.Ratio)
-	}
-	fmt.Fprintf(w, "sessions\t%d\n", len(r.writes))
-	fmt.Fprintf(w, "list\trevision %d, %d entries\n", r.ListVersion.Revision, len(r.Endpoints))
-	for _, front := range slices.Sorted(maps.Keys(r.Requests)) {
-		fmt.Fprintf(w, "repeats of %s\t%d\n", front, len(r.Requests[front]))
+	store, report, err := storage.OpenReadOnly(directory)
+	if err != nil {
+		return nil, err
 	}
-	return w.Flush()
-}
-
-func counts(repeats map[string][][]byte) map[string]int {
-	all := make(map[string]int)
-	for front, entries := range repeats {
-		all[front] = len(entries)
+	s := &savedState{
+		LearnedState:  persist.Restore(store),
+		sessionWrites: make(map[driver.Session]time.Duration),
+		owner:         store.Owner(),
+		report:        report,
 	}
-	return all
+	persist.ForEachSessionWrite(store, func(session driver.Session, writtenAt time.Duration) {
+		s.sessionWrites[session] = max(s.sessionWrites[session], writtenAt)
+	})
+	return s, nil
 }
 
-// when is a time of a driver, which counts from the start of Unix time.
-func when(t time.Duration) string {
+// formatTime formats a driver's time, which counts from the start of Unix time.
+func formatTime(t time.Duration) string {
 	if t <= 0 {
 		return "never"
 	}
 	return time.Unix(0, int64(t)).UTC().Format(time.RFC3339Nano)
 }
 
-// found is what a folder holds, with the latest write of each session.
-type found struct {
-	*persist.LearnedState
-	writes map[driver.Session]time.Duration
+// stateShow implements "passtack state show".
+type stateShow struct {
+	Folder string `arg:"" help:"The directory, as the operator's file names it." type:"existingdir"`
+	JSON   bool   `help:"As JSON."`
 }
 
-func lookAt(path string) (*found, uint64, storage.RecoveryReport, error) {
-	folder, err := storage.OpenDirectory(path)
+func (c *stateShow) Run() error {
+	s, err := readSavedState(c.Folder)
 	if err != nil {
-		return nil, 0, storage.RecoveryReport{}, err
+		return err
 	}
-	s, whole, err := storage.OpenReadOnly(folder)
-	if err != nil {
-		return nil, 0, whole, err
+	if c.JSON {
+		return s.printJSON()
+	}
+	return s.printTable()
+}
+
+// savedStateJSON is the answer to "passtack state show --json". Its keys are read by scripts.
+type savedStateJSON struct {
+	List     json.RawMessage                  `json:"list"`
+	Lost     []string                         `json:"lost"`
+	Members  map[string]driver.Known          `json:"members"`
+	Repeats  map[string]int                   `json:"repeats"`
+	Saved    time.Duration                    `json:"saved"`
+	Sessions map[driver.Session]time.Duration `json:"sessions"`
+}
+
+func (s *savedState) printJSON() error {
+	requests := make(map[string]int)
+	for front, entries := range s.Requests {
+		requests[front] = len(entries)
 	}
-	f := &found{persist.Restore(s), make(map[driver.Session]time.Duration)}
-	persist.ForEachSessionWrite(s, func(who driver.Session, commit time.Duration) { f.writes[who] = max(f.writes[who], commit) })
-	return f, s.Owner(), whole, nil
+	return printJSON(savedStateJSON{
+		List:     s.EndpointList(),
+		Lost:     s.report.Unreadable,
+		Members:  s.Members,
+		Repeats:  requests,
+		Saved:    s.SavedAt,
+		Sessions: s.sessionWrites,
+	})
+}
+
+func (s *savedState) printTable() error {
+	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
+	fmt.Fprintf(w, "saved\t%s\n", formatTime(s.SavedAt))
+	fmt.Fprintf(w, "member\tposition\treplica\tlatencies seen\tagainst the usual\n")
+	for _, uid := range slices.Sorted(maps.Keys(s.Members)) {
+		k := s.Members[uid]
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%.2f\n", uid, formatTime(k.Position), formatTime(k.Replica), formatTime(k.Timed), k.Ratio)
+	}
+	fmt.Fprintf(w, "sessions\t%d\n", len(s.sessionWrites))
+	fmt.Fprintf(w, "list\trevision %d, %d entries\n", s.ListVersion.Revision, len(s.Endpoints))
+	for _, front := range slices.Sorted(maps.Keys(s.Requests)) {
+		fmt.Fprintf(w, "repeats of %s\t%d\n", front, len(s.Requests[front]))
+	}
+	return w.Flush()
 }
 
-// stateVerify reads a folder as a driver would.
+// stateVerify implements "passtack state verify". It fails if a file is damaged.
 type stateVerify struct {
-	Folder string `arg:"" help:"The folder, as the operator's file names it." type:"existingdir"`
+	Folder string `arg:"" help:"The directory, as the operator's file names it." type:"existingdir"`
 }
 
 func (c *stateVerify) Run() error {
-	r, _, found, err := lookAt(c.Folder)
+	s, err := readSavedState(c.Folder)
 	if err != nil {
 		return err
 	}
-	fmt.Printf("snapshot=%d values=%d members=%d sessions=%d listed=%d saved=%s\n", found.SnapshotSequence, found.Values, len(r.Members), len(r.writes), len(r.Endpoints), when(r.SavedAt))
-	if len(found.Unreadable) > 0 {
-		return errors.New(strings.Join(found.Unreadable, "\n"))
+	fmt.Printf("snapshot=%d values=%d members=%d sessions=%d listed=%d saved=%s\n", s.report.SnapshotSequence, s.report.Values,
+		len(s.Members), len(s.sessionWrites), len(s.Endpoints), formatTime(s.SavedAt))
+	if len(s.report.Unreadable) > 0 {
+		return errors.New(strings.Join(s.report.Unreadable, "\n"))
 	}
 	return nil
 }
 
-// stateExport writes what a folder holds as CSV.
+// stateExport implements "passtack state export".
 type stateExport struct {
-	Folder string `arg:"" help:"The folder, as the operator's file names it." type:"existingdir"`
+	Folder string `arg:"" help:"The directory, as the operator's file names it." type:"existingdir"`
 	Of     string `help:"What is written: members or sessions." enum:"members,sessions" default:"members"`
 }
 
 func (c *stateExport) Run() error {
-	r, _, _, err := lookAt(c.Folder)
+	s, err := readSavedState(c.Folder)
 	if err != nil {
 		return err
 	}
-	out := csv.NewWriter(os.Stdout)
+	rows := s.memberRows()
 	if c.Of == "sessions" {
-		out.Write([]string{"session", "commit_ns"})
-		for _, who := range slices.Sorted(maps.Keys(r.writes)) {
-			out.Write([]string{strconv.FormatUint(uint64(who), 16), strconv.FormatInt(int64(r.writes[who]), 10)})
-		}
-	} else {
-		out.Write([]string{"member", "position_ns", "replica_ns", "timed_ns", "ratio"})
-		for _, uid := range slices.Sorted(maps.Keys(r.Members)) {
-			k := r.Members[uid]
-			row := []string{uid}
-			for _, t := range []time.Duration{k.Position, k.Replica, k.Timed} {
-				row = append(row, strconv.FormatInt(max(int64(t), 0), 10))
-			}
-			out.Write(append(row, strconv.FormatFloat(k.Ratio, 'g', -1, 64)))
-		}
-	}
-	out.Flush()
-	return out.Error()
-}
-
-// statePrune takes out what is old.
+		rows = s.sessionRows()
+	}
+	return csv.NewWriter(os.Stdout).WriteAll(rows)
+}
+
+func (s *savedState) memberRows() [][]string {
+	rows := [][]string{{"member", "position_ns", "replica_ns", "timed_ns", "ratio"}}
+	for _, uid := range slices.Sorted(maps.Keys(s.Members)) {
+		k := s.Members[uid]
+		rows = append(rows, []string{
+			uid,
+			formatNanoseconds(k.Position),
+			formatNanoseconds(k.Replica),
+			formatNanoseconds(k.Timed),
+			strconv.FormatFloat(k.Ratio, 'g', -1, 64),
+		})
+	}
+	return rows
+}
+
+func (s *savedState) sessionRows() [][]string {
+	rows := [][]string{{"session", "commit_ns"}}
+	for _, session := range slices.Sorted(maps.Keys(s.sessionWrites)) {
+		rows = append(rows, []string{
+			strconv.FormatUint(uint64(session), 16),
+			formatNanoseconds(s.sessionWrites[session]),
+		})
+	}
+	return rows
+}
+
+// formatNanoseconds formats a driver's time; 0 stands for never.
+func formatNanoseconds(t time.Duration) string { return strconv.FormatInt(max(int64(t), 0), 10) }
+
+// statePrune implements "passtack state prune".
 type statePrune struct {
-	Folder string        `arg:"" help:"The folder, as the operator's file names it." type:"existingdir"`
-	Older  time.Duration `help:"What has not changed for so long goes." default:"24h"`
+	Folder string        `arg:"" help:"The directory, as the operator's file names it." type:"existingdir"`
+	Older  time.Duration `help:"Members and sessions that have not changed for longer are deleted." default:"24h"`
 }
 
+// maxPrunedSize is the size in bytes up to which any directory can be pruned: no driver's limit is larger.
+const maxPrunedSize = 1 << 30
+
 func (c *statePrune) Run() error {
-	_, owner, _, err := lookAt(c.Folder)
+	s, err := readSavedState(c.Folder)
 	if err != nil {
 		return err
 	}
-	result, err := persist.Prune(c.Folder, owner, c.Older, time.Duration(time.Now().UnixNano()), 1<<30)
+	now := time.Duration(time.Now().UnixNano())
+	result, err := persist.Prune(c.Folder, s.owner, c.Older, now, maxPrunedSize)
 	if err != nil {
 		return err
 	}
