--- a/cmd/passtack/lives_test.go
+++ b/cmd/passtack/lives_test.go
@@ -381,7 +381,7 @@
 view { fleet = "f" }
 `, ask, folder), 0o600)
 	p := serveProcess(t, "--site", siteFile, "--operator", operatorFile)
-	if !strings.Contains(p.log.String(), "event=promises_unusable") {
+	if !strings.Contains(p.log.String(), `event="lease storage unusable"`) {
 		t.Errorf("it does not tell: %s", p.log)
 	}
 	if out, ok := passtack(t, "leases", ask); !ok || !strings.Contains(out, "n1: never heard") || !strings.Contains(out, "watch-discovery") {
--- a/internal/emu/play/witness.go
+++ b/internal/emu/play/witness.go
@@ -73,12 +73,12 @@
 }
 
 func (w *Witness) heard(r httpwire.Request) int {
-	var s node.Summary
+	var s node.FleetSummary
 	number, err := strconv.ParseUint(r.Fields.Text("Fencing"), 10, 64)
-	if err != nil || json.Unmarshal(r.Body, &s) != nil || s.Number != number {
+	if err != nil || json.Unmarshal(r.Body, &s) != nil || s.FencingToken != number {
 		return 400
 	}
-	a := Act{Number: number, Holder: s.Holder, Asked: s.At, Came: w.loop.Now(), Taken: number >= w.highest}
+	a := Act{Number: number, Holder: s.Holder, Asked: s.HeldAt, Came: w.loop.Now(), Taken: number >= w.highest}
 	w.Acts = append(w.Acts, a)
 	w.Drivers = max(w.Drivers, s.Drivers)
 	if !a.Taken {
--- a/internal/emu/rig/rig.go
+++ b/internal/emu/rig/rig.go
@@ -401,11 +401,11 @@
 	if strings.Contains(s.line, "level=ERROR") {
 		f.fail("driver %s: %s", d.name, s.line)
 	}
-	if event == "name_twice" {
+	if event == "duplicate driver name" {
 		f.note(d, "%s %s", event, field(s.line, "driver"))
 	}
-	if strings.HasPrefix(event, "lease_") && f.began > 0 {
-		f.note(d, "%s %s under %s", event, field(s.line, "lease"), field(s.line, "number"))
+	if (event == "lease acquired" || event == "lease lost") && f.began > 0 {
+		f.note(d, "%s %s under %s", event, field(s.line, "lease"), field(s.line, "fencing_token"))
 	}
 	if strings.HasPrefix(event, "state_") && f.began > 0 {
 		f.note(d, "%s members=%s lost=%s%s", event, field(s.line, "members"), field(s.line, "lost"), field(s.line, "cause"))
@@ -429,9 +429,15 @@
 	}
 }
 
-// field gives a value of a line of the log.
+// field returns a value of a line of the log, unquoted.
 func field(line, name string) string {
 	_, rest, _ := strings.Cut(" "+line, " "+name+"=")
+	if strings.HasPrefix(rest, `"`) {
+		if quoted, err := strconv.QuotedPrefix(rest); err == nil {
+			value, _ := strconv.Unquote(quoted)
+			return value
+		}
+	}
 	value, _, _ := strings.Cut(rest, " ")
 	return strings.Trim(value, `"`)
 }
--- a/internal/emu/rig/views_test.go
+++ b/internal/emu/rig/views_test.go
@@ -234,7 +234,7 @@
 	}
 	told := 0
 	for _, m := range r.Course.Moments {
-		if strings.HasPrefix(m.What, "name_twice") {
+		if strings.HasPrefix(m.What, "duplicate driver name") {
 			told++
 		}
 	}
--- a/internal/lab/capacity/leases.go
+++ b/internal/lab/capacity/leases.go
@@ -32,7 +32,7 @@
 // holders are the drivers that hold the lease: one, or none.
 func (f *hollow) holders() (all []int) {
 	for i, n := range f.nodes {
-		if n != nil && n.Counted("leases_gained") > n.Counted("leases_lost") {
+		if n != nil && n.Counted("leases_acquired") > n.Counted("leases_lost") {
 			all = append(all, i)
 		}
 	}
--- a/internal/node/drains.go
+++ b/internal/node/drains.go
@@ -74,7 +74,7 @@
 	n := d.view.node
 	all, ok := fleet.ReadDrains(text)
 	if !ok {
-		n.Count("letters_strange")
+		n.Count("peer_messages_rejected")
 		return
 	}
 	var on []fleet.Drain
--- a/internal/node/golden_leases_test.go
+++ b/internal/node/golden_leases_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"encoding/binary"
 	"encoding/json"
 	"errors"
 	"maps"
@@ -42,22 +41,23 @@
 // TestGoldenTaskDatagrams checks the bytes of the datagrams that tasks of lease holders send.
 func TestGoldenTaskDatagrams(t *testing.T) {
 	const fleet, revision = 0x1122334455667788, 987_654_321
-	own := digest{RPCs: 1000, OK: 900, PushedBack: 50, Held: 7, Revision: revision, Ready: 95}
-	var body bytes.Buffer
-	binary.Write(&body, binary.LittleEndian, own)
-	encoded := peers.Message{Kind: peers.Digest, From: 5, Incarnation: 6, Body: body.Bytes()}.Encode(fleet)
-	letter, err := peers.ParseMessage(checkGolden(t, "digest.datagram", encoded), fleet)
-	if err != nil || letter.Kind != peers.Digest {
-		t.Fatalf("a digest is decoded as %+v, %v", letter, err)
+	own := digest{RPCs: 1000, OK: 900, Rejected: 50, InFlight: 7, Revision: revision, ReadyPercent: 95}
+	encoded := peers.Message{Kind: peers.Digest, From: 5, Incarnation: 6, Body: own.encode()}.Encode(fleet)
+	message, err := peers.ParseMessage(checkGolden(t, "digest.datagram", encoded), fleet)
+	if err != nil || message.Kind != peers.Digest {
+		t.Fatalf("a digest is decoded as %+v, %v", message, err)
 	}
-	s := &summary{holds: true, digests: make(map[lease.Node]digest)}
-	if s.heard(5, letter); !maps.Equal(s.digests, map[lease.Node]digest{5: own}) {
+	s := &summaryTask{holding: true, digests: make(map[lease.Node]digest)}
+	if s.receive(5, message); !maps.Equal(s.digests, map[lease.Node]digest{5: own}) {
 		t.Errorf("the digest is %+v, want %+v", s.digests, own)
 	}
-	encoded = peers.Message{Kind: peers.Revision, From: 5, Incarnation: 6, Body: binary.LittleEndian.AppendUint64(nil, revision)}.Encode(fleet)
-	letter, err = peers.ParseMessage(checkGolden(t, "revision.datagram", encoded), fleet)
-	if err != nil || letter.Kind != peers.Revision || len(letter.Body) != 8 || binary.LittleEndian.Uint64(letter.Body) != revision {
-		t.Errorf("a revision is decoded as %+v, %v", letter, err)
+	encoded = peers.Message{Kind: peers.Revision, From: 5, Incarnation: 6, Body: encodeRevision(revision)}.Encode(fleet)
+	message, err = peers.ParseMessage(checkGolden(t, "revision.datagram", encoded), fleet)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got, ok := decodeRevision(message); !ok || got != revision {
+		t.Errorf("a revision is decoded as %d, %v", got, ok)
 	}
 }
 
@@ -69,14 +69,16 @@
 	}
 	n := &Node{loop: l, list: new(list.Discovery)}
 	of := &leaseService{messenger: &messenger{node: n}}
-	s := &summary{leases: of, puts: 5, refused: 1, failed: 2}
-	status := LeasesStatus{Name: "n0", Version: 2, Voters: []string{"n0", "n1", "n2"}, Former: []string{"n0", "n1", "n3"}, SilentMS: 10,
+	s := &summaryTask{leases: of, upload: &summaryUpload{node: n, accepted: 5, rejected: 1, failed: 2}}
+	status := LeasesStatus{Name: "n0", Version: 2, Voters: []string{"n0", "n1", "n2"}, Former: []string{"n0", "n1", "n3"}, SilentForMS: 10,
 		Leases: []LeaseStatus{
-			{Lease: "summary", Holder: "n0", Number: 77, ForMS: 20, LeftMS: 30, Why: map[string]string{"n1": lease.StaleToken.String()}, Heard: map[string]int64{"n2": 40}, Task: s.tell()},
-			{Lease: "watch-discovery", Task: newWatcher(of, 0).tell()},
+			{Lease: "summary", Holder: "n0", FencingToken: 77, HeldForMS: 20, RemainingMS: 30,
+				RejectionReasons: map[string]string{"n1": lease.StaleToken.String()}, LastHeardMS: map[string]int64{"n2": 40}, Task: s.status()},
+			{Lease: "watch-discovery", Task: (&discoveryWatcher{leases: of}).status()},
 		},
-		Votes: []VoteStatus{{Lease: "summary", Holder: "n0", Number: 77, LeftMS: 30, Waiting: 4}}}
-	sum := Summary{Number: 77, Holder: "n0", At: 3 * time.Second, Drivers: 3, Ready: 2, RPCs: 1000, OK: 900, PushedBack: 50, Held: 7, Oldest: 8, Newest: 9}
+		Grants: []GrantStatus{{Lease: "summary", Holder: "n0", FencingToken: 77, RemainingMS: 30, Waiting: 4}}}
+	sum := FleetSummary{FencingToken: 77, Holder: "n0", HeldAt: 3 * time.Second, Drivers: 3, ReadyDrivers: 2, RPCs: 1000, OK: 900, Rejected: 50, InFlight: 7,
+		OldestRevision: 8, NewestRevision: 9}
 	for name, want := range map[string]any{"leases-status.json": status, "summary.json": sum} {
 		encoded, err := json.Marshal(want)
 		if err != nil {
@@ -90,8 +92,8 @@
 			t.Errorf("%s is decoded as %+v", name, got.Elem())
 		}
 	}
-	s.latest = l.Now()
-	if got, err := json.Marshal(s.tell()); err != nil || string(got) != `{"failed":2,"latest_ms":0,"put":5,"refused":1}` {
+	s.upload.latest = l.Now()
+	if got, err := json.Marshal(s.status()); err != nil || string(got) != `{"failed":2,"latest_ms":0,"put":5,"refused":1}` {
 		t.Errorf("the status of a summary is %s, %v", got, err)
 	}
 }
@@ -105,7 +107,7 @@
 		if err := errors.Join(os.RemoveAll(golden), os.Mkdir(golden, 0o755)); err != nil {
 			t.Fatal(err)
 		}
-		store, _, err := state.Open(golden, name, leaseFolder)
+		store, _, err := state.Open(golden, name, maxPromiseStorage)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -120,7 +122,7 @@
 	if err := os.CopyFS(folder, os.DirFS(golden)); err != nil {
 		t.Fatal(err)
 	}
-	store, found, err := state.Open(folder, name, leaseFolder)
+	store, found, err := state.Open(folder, name, maxPromiseStorage)
 	if err != nil || len(found.Lost) > 0 {
 		t.Fatalf("%v, lost %v", err, found.Lost)
 	}
--- /dev/null
+++ b/internal/node/lease_promises.go
@@ -0,0 +1,93 @@
+package node
+
+import (
+	"log/slog"
+	"slices"
+	"time"
+
+	"passtack/internal/keep"
+	"passtack/internal/lease"
+	"passtack/internal/state"
+)
+
+const maxPromiseStorage = 1 << 20 // bytes
+
+// promiseStorage stores a voter's promises. Promises that come while others are being written go into one commit.
+type promiseStorage struct {
+	node           *Node
+	directory      string
+	store          *keep.Store
+	pending        []pendingPromise // not stored yet, oldest first
+	writing        int              // of pending, the first ones
+	afterCommit    func()
+	failureWarning logLimiter
+}
+
+type pendingPromise struct {
+	lease   string
+	promise lease.Promise
+	done    func(error)
+}
+
+// openPromises opens the storage and reads the promises in it. Without a directory, or where the storage cannot be used, it returns nil:
+// the voter may do without, since it grants nothing after a start until all earlier grants have expired. AfterCommit is called behind each
+// commit.
+func (n *Node) openPromises(directory string, afterCommit func()) (*promiseStorage, map[string]lease.Promise) {
+	if directory == "" {
+		return nil, nil
+	}
+	store, found, err := n.openFolder(directory, maxPromiseStorage)
+	if err != nil {
+		slog.Warn("lease storage unusable", "folder", directory, "cause", err)
+		n.Count("lease_storage_unusable")
+	}
+	for _, file := range found.Lost {
+		slog.Warn("lease storage lost a file", "file", file)
+	}
+	if store == nil {
+		return nil, nil
+	}
+	return &promiseStorage{node: n, directory: directory, store: store, afterCommit: afterCommit}, state.Promises(store)
+}
+
+// persist stores a promise and calls done, in a later iteration of the loop.
+func (s *promiseStorage) persist(name string, p lease.Promise, done func(error)) {
+	s.pending = append(s.pending, pendingPromise{name, p, done})
+	s.commit()
+}
+
+// commit writes all that is pending, unless a commit is running; that one is followed by another.
+func (s *promiseStorage) commit() {
+	if s.writing > 0 || len(s.pending) == 0 {
+		return
+	}
+	s.writing = len(s.pending)
+	var changes []keep.Change
+	for _, p := range s.pending {
+		changes = append(changes, state.PromiseOf(p.lease, p.promise))
+	}
+	s.node.carry(func() error { return s.store.Commit(changes) }, func(err error, _ time.Duration) { s.committed(err) })
+}
+
+func (s *promiseStorage) committed(err error) {
+	done := s.pending[:s.writing]
+	s.pending, s.writing = slices.Clone(s.pending[s.writing:]), 0
+	if err != nil {
+		s.node.Count("lease_promises_not_stored")
+		if s.failureWarning.allow(s.node.loop.Now()) {
+			slog.Warn("lease promises not stored", "folder", s.directory, "cause", err)
+		}
+	}
+	for _, p := range done {
+		p.done(err)
+	}
+	s.commit()
+	s.afterCommit()
+}
+
+// close releases the directory for another process. The receiver may be nil.
+func (s *promiseStorage) close() {
+	if s != nil {
+		s.store.Close()
+	}
+}
--- /dev/null
+++ b/internal/node/log_limiter.go
@@ -0,0 +1,14 @@
+package node
+
+import "time"
+
+// logLimiter lets one log line pass in quietFor. The zero value lets the first one pass.
+type logLimiter struct{ mutedUntil time.Duration }
+
+func (l *logLimiter) allow(now time.Duration) bool {
+	if now < l.mutedUntil {
+		return false
+	}
+	l.mutedUntil = now + quietFor
+	return true
+}
--- a/internal/node/messenger.go
+++ b/internal/node/messenger.go
@@ -3,7 +3,6 @@
 import (
 	"errors"
 	"log/slog"
-	"time"
 
 	"github.com/zeebo/xxh3"
 
@@ -11,17 +10,18 @@
 	"passtack/internal/peers"
 )
 
-// talk is what a driver needs to speak with the others of its fleet, whatever it is about.
+// messenger exchanges messages with the other drivers of the fleet. It passes what it receives to the fleet's membership, to the gossip
+// about draining members and to leases.
 type messenger struct {
-	node        *Node
-	fleet       uint64
-	self        uint64 // its name, as a number
-	incarnation uint64
-	addresses   *peers.AddressBook
-	quiet       time.Duration // until when a name used twice is not logged
+	node                 *Node
+	fleet                uint64 // xxh3 of the fleet's name
+	self                 uint64 // xxh3 of this driver's name
+	incarnation          uint64 // of this process
+	addresses            *peers.AddressBook
+	duplicateNameWarning logLimiter
 }
 
-// listen begins to talk, where the operator's file has anything to talk of.
+// startMessaging starts the messenger and what uses it, where the operator's file asks for leases or membership.
 func (n *Node) startMessaging() error {
 	fleet := ""
 	if n.config.Leases != nil {
@@ -32,63 +32,67 @@
 		return nil
 	}
 	if n.peers == nil {
-		return errors.New("leases, view: the platform gives no peer_listen, so that drivers cannot talk")
+		return errors.New("leases, view: the platform gives no peer_listen, so that drivers cannot exchange messages")
 	}
-	n.messenger = &messenger{node: n, fleet: xxh3.HashString(fleet), self: xxh3.HashString(n.site.Name), incarnation: uint64(n.loop.Clock()), addresses: peers.NewAddressBook()}
-	if err := n.startLeases(); err != nil {
-		return err
+	n.messenger = &messenger{
+		node: n, fleet: xxh3.HashString(fleet), self: xxh3.HashString(n.site.Name), incarnation: uint64(n.loop.Clock()),
+		addresses: peers.NewAddressBook(),
 	}
+	n.startLeases()
 	n.viewFleet()
 	return nil
 }
 
-func (t *messenger) send(to driver.Peer, kind peers.Kind, body []byte) {
-	t.node.Count("letters_sent")
-	t.node.Tell(to, peers.Message{Kind: kind, From: t.self, Incarnation: t.incarnation, Body: body}.Encode(t.fleet))
+// send sends a message to one driver, or to all where the receiver is driver.EveryPeer.
+func (m *messenger) send(to driver.Peer, kind peers.Kind, body []byte) {
+	m.node.Count("peer_messages_sent")
+	m.node.Tell(to, peers.Message{Kind: kind, From: m.self, Incarnation: m.incarnation, Body: body}.Encode(m.fleet))
 }
 
-// take reads a text of another driver; false: it is no letter.
-func (t *messenger) receive(from driver.Peer, text []byte) bool {
-	n := t.node
-	letter, err := peers.ParseMessage(text, t.fleet)
-	switch err {
-	case nil:
-	case peers.ErrNoMessage:
+// receive takes a datagram of another driver. It reports false where that is no message of a messenger; the datagram is for the decision
+// module then.
+func (m *messenger) receive(from driver.Peer, datagram []byte) bool {
+	n := m.node
+	message, err := peers.ParseMessage(datagram, m.fleet)
+	switch {
+	case errors.Is(err, peers.ErrNoMessage):
 		return false
-	default:
-		n.Count(map[error]string{peers.ErrUnknownVersion: "letters_other_version", peers.ErrChecksum: "letters_strange"}[err])
+	case errors.Is(err, peers.ErrUnknownVersion):
+		n.Count("peer_messages_unknown_version")
+		return true
+	case err != nil:
+		n.Count("peer_messages_rejected")
 		return true
 	}
-	n.Count("letters_taken")
+	n.Count("peer_messages_received")
 	now := n.loop.Clock()
-	if letter.From == t.self {
-		if letter.Incarnation != t.incarnation {
-			t.twice(n.site.Name)
+	if message.From == m.self {
+		if message.Incarnation != m.incarnation {
+			m.warnDuplicateName(n.site.Name)
 			if n.leases != nil {
 				n.leases.voter.Silence(now)
 			}
 		}
 		return true
 	}
-	if t.addresses.Record(from, letter, now) {
-		t.twice("another")
+	if m.addresses.Record(from, message, now) {
+		m.warnDuplicateName("another")
 	}
 	switch {
-	case letter.Kind == peers.Membership && n.view != nil:
-		n.view.take(from, letter.Body)
-	case letter.Kind == peers.Drain && n.view != nil:
-		n.view.drains.heard(letter.Body)
+	case message.Kind == peers.Membership && n.view != nil:
+		n.view.take(from, message.Body)
+	case message.Kind == peers.Drain && n.view != nil:
+		n.view.drains.heard(message.Body)
 	case n.leases != nil:
-		n.leases.read(letter)
+		n.leases.handleMessage(message)
 	}
 	return true
 }
 
-// twice tells of two drivers of one name.
-func (t *messenger) twice(name string) {
-	t.node.Count("names_twice")
-	if now := t.node.loop.Now(); now >= t.quiet {
-		t.quiet = now + quietFor
-		slog.Warn("name_twice", "driver", name)
+// warnDuplicateName warns that two processes use one driver name.
+func (m *messenger) warnDuplicateName(name string) {
+	m.node.Count("duplicate_names")
+	if m.duplicateNameWarning.allow(m.node.loop.Now()) {
+		slog.Warn("duplicate driver name", "driver", name)
 	}
 }
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -267,8 +267,8 @@
 	if n.learned != nil {
 		n.learned.store.Close()
 	}
-	if n.leases != nil && n.leases.store != nil {
-		n.leases.store.Close()
+	if n.leases != nil {
+		n.leases.promises.close()
 	}
 	if n.configuration != nil && n.configuration.store != nil {
 		n.configuration.store.Close()
--- /dev/null
+++ b/internal/node/summary_upload.go
@@ -0,0 +1,130 @@
+package node
+
+import (
+	"errors"
+	"log/slog"
+	"net/netip"
+	"strconv"
+	"time"
+
+	"passtack/internal/httpwire"
+	"passtack/internal/loop"
+)
+
+const (
+	maxUploadBuffer = 16 << 10 // bytes
+
+	statusMultipleChoices = 300 // HTTP; lower ones are successes
+	statusConflict        = 409
+)
+
+// errUploadTimeout ends an upload whose answer does not come.
+var errUploadTimeout = errors.New("no answer in time")
+
+// summaryUpload brings summaries to one address by HTTP, one at a time over a connection that stays open. It implements the loop's handler
+// of a stream. An upload that failed is not repeated: the next summary is newer.
+type summaryUpload struct {
+	node    *Node
+	address netip.AddrPort
+	path    string
+	timeout time.Duration
+
+	stream   *loop.Stream // nil: not connected
+	inFlight bool
+	timer    loop.Due // of the timeout
+
+	accepted, rejected, failed int           // uploads
+	latest                     time.Duration // when one was last accepted
+}
+
+// prepare connects where that is needed. It reports false while another upload is running, and where it cannot connect.
+func (u *summaryUpload) prepare() bool {
+	if u.inFlight {
+		return false
+	}
+	if u.stream != nil {
+		return true
+	}
+	var err error
+	if u.stream, err = u.node.loop.Dial(u.address, u, maxUploadBuffer); err != nil {
+		u.failed++
+		return false
+	}
+	return true
+}
+
+// put sends a summary, after prepare.
+func (u *summaryUpload) put(fencingToken uint64, body []byte) {
+	head := append([]byte("PUT "), u.path...)
+	head = append(head, " HTTP/1.1\r\n"...)
+	head = httpwire.AppendField(head, "Host", u.address.String())
+	head = httpwire.AppendField(head, "Content-Type", "application/json")
+	head = httpwire.AppendField(head, "Fencing", strconv.FormatUint(fencingToken, 10))
+	u.inFlight = true
+	u.stream.Send(httpwire.AppendLength(head, len(body)), body)
+	l := u.node.loop
+	u.timer = l.At(l.Now()+u.timeout, func() { u.fail(errUploadTimeout) })
+}
+
+// Opened implements the stream's handler.
+func (u *summaryUpload) Opened() {}
+
+// Panicked implements the stream's handler.
+func (u *summaryUpload) Panicked(cause error) { u.fail(cause) }
+
+// Input implements the stream's handler: it takes an answer off and returns its length, 0 while it is incomplete.
+func (u *summaryUpload) Input(in []byte) int {
+	status, _, size, last, err := httpwire.Answer(in, false)
+	if err != nil {
+		u.fail(err)
+		return 0
+	}
+	if size == 0 {
+		return 0
+	}
+	n := u.node
+	n.loop.Forget(u.timer)
+	u.inFlight = false
+	switch {
+	case status < statusMultipleChoices:
+		u.accepted++
+		u.latest = n.loop.Now()
+		n.Count("summaries_put")
+	case status == statusConflict: // the server has seen a higher fencing token
+		u.rejected++
+		n.Count("summaries_rejected")
+	default:
+		u.failed++
+		n.Count("summaries_failed")
+	}
+	if last {
+		u.disconnect()
+	}
+	return size
+}
+
+// Closed implements the stream's handler.
+func (u *summaryUpload) Closed(cause error) {
+	u.stream = nil
+	if u.inFlight {
+		u.fail(cause)
+	}
+}
+
+// fail gives the running upload up.
+func (u *summaryUpload) fail(cause error) {
+	u.failed++
+	u.node.Count("summaries_failed")
+	slog.Debug("summary upload failed", "to", u.address, "cause", cause)
+	u.disconnect()
+}
+
+// disconnect ends the connection, and forgets an upload that is running.
+func (u *summaryUpload) disconnect() {
+	u.node.loop.Forget(u.timer)
+	u.inFlight = false
+	if u.stream != nil {
+		u.stream.Close()
+		u.stream = nil
+	}
+}
