--- a/internal/node/lease_promises.go
+++ b/internal/node/lease_promises.go
@@ -5,9 +5,9 @@
 	"slices"
 	"time"
 
-	"passtack/internal/keep"
 	"passtack/internal/lease"
-	"passtack/internal/state"
+	"passtack/internal/persist"
+	"passtack/internal/storage"
 )
 
 const maxPromiseStorage = 1 << 20 // bytes
@@ -16,7 +16,7 @@
 type promiseStorage struct {
 	node           *Node
 	directory      string
-	store          *keep.Store
+	store          *storage.Store
 	pending        []pendingPromise // not stored yet, oldest first
 	writing        int              // of pending, the first ones
 	afterCommit    func()
@@ -41,13 +41,13 @@
 		slog.Warn("lease storage unusable", "folder", directory, "cause", err)
 		n.Count("lease_storage_unusable")
 	}
-	for _, file := range found.Lost {
+	for _, file := range found.Unreadable {
 		slog.Warn("lease storage lost a file", "file", file)
 	}
 	if store == nil {
 		return nil, nil
 	}
-	return &promiseStorage{node: n, directory: directory, store: store, afterCommit: afterCommit}, state.Promises(store)
+	return &promiseStorage{node: n, directory: directory, store: store, afterCommit: afterCommit}, persist.RestorePromises(store)
 }
 
 // persist stores a promise and calls done, in a later iteration of the loop.
@@ -62,9 +62,9 @@
 		return
 	}
 	s.writing = len(s.pending)
-	var changes []keep.Change
+	var changes []storage.Change
 	for _, p := range s.pending {
-		changes = append(changes, state.PromiseOf(p.lease, p.promise))
+		changes = append(changes, persist.PromiseChange(p.lease, p.promise))
 	}
 	s.node.carry(func() error { return s.store.Commit(changes) }, func(err error, _ time.Duration) { s.committed(err) })
 }
--- a/internal/rollout/roster.go
+++ b/internal/rollout/roster.go
@@ -1,63 +1,70 @@
 package rollout
 
 import (
+	"cmp"
 	"maps"
 	"slices"
 	"time"
 )
 
-// Standing is what a driver has told of itself with its latest call.
-type Standing struct {
-	Driver  string
-	Version uint64   // in force; 0: what its own file says
-	Refused uint64   // a newer one that it cannot take, 0: none
-	Why     string   // of that
-	Restart []string // settings of the version in force that wait for a restart of the driver
+// DriverReport is what a driver reports of itself with each poll.
+type DriverReport struct {
+	Driver          string
+	Version         uint64   // in force; 0: the driver's own file
+	RejectedVersion uint64   // a newer version that the driver cannot use; 0: none
+	RejectReason    string   // why not
+	NeedsRestart    []string // settings of Version that take effect only after a restart
 }
 
-// Listed is a driver as one machine knows it.
-type Listed struct {
-	Standing
-	Since time.Duration // when it was first heard with that version in force, or refused
-	Heard time.Duration
+// DriverStatus is a driver as one machine knows it.
+type DriverStatus struct {
+	DriverReport
+	VersionSince time.Duration // when Version and RejectedVersion were first reported together
+	LastSeen     time.Duration // when the latest report came
 }
 
-// Roster is what a machine knows of the drivers that have asked it.
-type Roster struct{ drivers map[string]*Listed }
+// Roster holds the latest report of each driver that polls a machine.
+type Roster struct{ drivers map[string]*DriverStatus }
 
 const (
-	mostDrivers = 4096
-	mostWhy     = 512           // bytes
-	mostRestart = 32            // settings
-	forgotten   = 6 * time.Hour // after which a silent driver is gone
+	maxDrivers      = 4096
+	maxReasonBytes  = 512
+	maxNeedsRestart = 32            // settings
+	driverExpiry    = 6 * time.Hour // after the last report
 )
 
-// NewRoster makes an empty one.
-func NewRoster() *Roster { return &Roster{make(map[string]*Listed)} }
+// NewRoster returns an empty roster.
+func NewRoster() *Roster { return &Roster{make(map[string]*DriverStatus)} }
 
-// Tell notes what a driver says. Where too many are known, who was silent for longest goes.
-func (r *Roster) Tell(s Standing, now time.Duration) {
-	s.Why = s.Why[:min(len(s.Why), mostWhy)]
-	s.Restart = s.Restart[:min(len(s.Restart), mostRestart)]
-	l := r.drivers[s.Driver]
-	if l == nil {
-		if len(r.drivers) >= mostDrivers {
-			first := slices.MinFunc(slices.Collect(maps.Values(r.drivers)), func(a, b *Listed) int { return int(a.Heard - b.Heard) })
-			delete(r.drivers, first.Driver)
+// Report stores a driver's report. With maxDrivers known, a new one evicts the driver that was silent for longest.
+func (r *Roster) Report(report DriverReport, now time.Duration) {
+	report.RejectReason = report.RejectReason[:min(len(report.RejectReason), maxReasonBytes)]
+	report.NeedsRestart = report.NeedsRestart[:min(len(report.NeedsRestart), maxNeedsRestart)]
+	status := r.drivers[report.Driver]
+	if status == nil {
+		if len(r.drivers) >= maxDrivers {
+			r.evictOldest()
 		}
-		l = &Listed{Since: now}
-		r.drivers[s.Driver] = l
-	} else if l.Version != s.Version || l.Refused != s.Refused {
-		l.Since = now
+		status = &DriverStatus{VersionSince: now}
+		r.drivers[report.Driver] = status
+	} else if status.Version != report.Version || status.RejectedVersion != report.RejectedVersion {
+		status.VersionSince = now
 	}
-	l.Standing, l.Heard = s, now
+	status.DriverReport, status.LastSeen = report, now
 }
 
-// All are those that were heard not too long ago, by name.
-func (r *Roster) All(now time.Duration) (all []Listed) {
+func (r *Roster) evictOldest() {
+	oldest := slices.MinFunc(slices.Collect(maps.Values(r.drivers)), func(a, b *DriverStatus) int {
+		return cmp.Compare(a.LastSeen, b.LastSeen)
+	})
+	delete(r.drivers, oldest.Driver)
+}
+
+// All returns the drivers by name, and removes those that have expired.
+func (r *Roster) All(now time.Duration) (all []DriverStatus) {
 	for _, name := range slices.Sorted(maps.Keys(r.drivers)) {
-		if l := r.drivers[name]; now-l.Heard < forgotten {
-			all = append(all, *l)
+		if status := r.drivers[name]; now-status.LastSeen < driverExpiry {
+			all = append(all, *status)
 		} else {
 			delete(r.drivers, name)
 		}
