--- a/cmd/passtack/lives_test.go
+++ b/cmd/passtack/lives_test.go
@@ -251,8 +251,8 @@
 	}
 	first.kill()
 	second := serveProcess(t, "--site", siteFile, "--operator", operatorFile)
-	if !strings.Contains(second.log.String(), "event=repeats_recalled front=offices requests=1") {
-		t.Errorf("nothing is recalled: %s", second.log)
+	if !strings.Contains(second.log.String(), `event="idempotent requests restored" front=offices requests=1`) {
+		t.Errorf("nothing is restored: %s", second.log)
 	}
 	if again, told, result := create("5d9f0e2a", sent); again != status || told != body || result != "accepted" {
 		t.Errorf("the repeat: %d %s %s, the first was %d %s", again, told, result, status, body)
@@ -310,7 +310,7 @@
 	os.WriteFile(operatorFile, fmt.Appendf(nil, "state {\n folder = %q\n every = \"100ms\"\n}\ncontrol { listen = %q }\n", folder, ask), 0o600)
 	p := serveProcess(t, "--site", siteFile, "--operator", operatorFile)
 	if !strings.Contains(p.log.String(), "members=10000 sessions=100000") {
-		t.Errorf("recalled: %s", p.log.String()[:min(2000, len(p.log.String()))])
+		t.Errorf("restored: %s", p.log.String()[:min(2000, len(p.log.String()))])
 	}
 	most := 0
 	for range 60 { // it saves meanwhile
@@ -329,8 +329,8 @@
 		most = max(most, memory(t, p.command.Process.Pid))
 	}
 	longest := 0.0
-	for _, c := range s.Chores {
-		longest = max(longest, c.LongestMS)
+	for _, c := range s.Jobs {
+		longest = max(longest, c.LongestSliceMS)
 		if c.Name == "save" {
 			t.Logf("save: %+v", c)
 		}
--- a/cmd/passtack/status.go
+++ b/cmd/passtack/status.go
@@ -29,17 +29,17 @@
 		return printJSON(s)
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(w, "driver\t%s\ncomeback\t%s\nready\t%.2f\n\n", s.Name, s.Comeback, s.Ready)
-	if len(s.Chores) > 0 {
+	fmt.Fprintf(w, "driver\t%s\ncomeback\t%s\nready\t%.2f\n\n", s.Name, s.RecoveryStage, s.Ready)
+	if len(s.Jobs) > 0 {
 		fmt.Fprintln(w, "chore\tstate\tfor\truns\tfailed\tlate\tskipped\tspent\tlongest slice\tslowest write\tbytes\twhy")
 	}
-	for _, k := range s.Chores {
-		why := k.Why
-		if why == "" && k.Skips > 0 {
-			why = "skipped for " + k.Skipped
+	for _, k := range s.Jobs {
+		why := k.BlockedBy
+		if why == "" && k.SkippedRuns > 0 {
+			why = "skipped for " + k.SkipReason
 		}
-		fmt.Fprintf(w, "%s\t%s\t%.1fs\t%d\t%d\t%d\t%d\t%.1fms\t%.2fms\t%.1fms\t%d\t%s\n", k.Name, k.State, float64(k.ForMS)/1000, k.Runs, k.Failed, k.Late, k.Skips,
-			k.SpentMS, k.LongestMS, k.SlowestMS, k.Bytes, why)
+		fmt.Fprintf(w, "%s\t%s\t%.1fs\t%d\t%d\t%d\t%d\t%.1fms\t%.2fms\t%.1fms\t%d\t%s\n", k.Name, k.State, float64(k.ForMS)/1000, k.Runs, k.Failed, k.StartedLate, k.SkippedRuns,
+			k.UsedMS, k.LongestSliceMS, k.LongestWorkerMS, k.Bytes, why)
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.Counters)) {
 		fmt.Fprintf(w, "%s\t%d\n", name, s.Counters[name])
--- a/internal/emu/play/rehearse.go
+++ b/internal/emu/play/rehearse.go
@@ -295,7 +295,7 @@
 			}
 			st.clients.Died(n)
 			st.hosts[n].Kill()
-			st.nodes[n].LetGo()
+			st.nodes[n].CloseStores()
 			st.world.At(back, func() {
 				err := error(nil)
 				if st.folders != nil {
--- a/internal/emu/rig/rig.go
+++ b/internal/emu/rig/rig.go
@@ -407,7 +407,7 @@
 	if (event == "lease acquired" || event == "lease lost") && f.began > 0 {
 		f.note(d, "%s %s under %s", event, field(s.line, "lease"), field(s.line, "fencing_token"))
 	}
-	if strings.HasPrefix(event, "state_") && f.began > 0 {
+	if strings.HasPrefix(event, "learned state ") && f.began > 0 {
 		f.note(d, "%s members=%s lost=%s%s", event, field(s.line, "members"), field(s.line, "lost"), field(s.line, "cause"))
 	}
 	if strings.HasPrefix(event, "configuration") && f.began > 0 {
--- a/internal/emu/rig/rig_test.go
+++ b/internal/emu/rig/rig_test.go
@@ -320,19 +320,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	recalled, lost := 0, 0
+	restored, lost := 0, 0
 	for _, m := range r.Course.Moments {
 		switch {
-		case strings.HasPrefix(m.What, "state_recalled members=3"):
-			recalled++
-		case strings.HasPrefix(m.What, "state_lost"):
+		case strings.HasPrefix(m.What, "learned state restored members=3"):
+			restored++
+		case strings.HasPrefix(m.What, "learned state damaged"):
 			lost++ // the end of a log, which the one before the last commit stands for
-		case strings.HasPrefix(m.What, "state_"):
+		case strings.HasPrefix(m.What, "learned state "):
 			t.Errorf("%v %s: %s", m.At, m.Who, m.What)
 		}
 	}
-	if recalled < times-2 || lost > times/2 || len(r.Broken) > 0 {
-		t.Errorf("%d of %d starts recalled their members, %d lost the end of a log; %v", recalled, times, lost, r.Broken)
+	if restored < times-2 || lost > times/2 || len(r.Broken) > 0 {
+		t.Errorf("%d of %d starts restored their members, %d lost the end of a log; %v", restored, times, lost, r.Broken)
 	}
 }
 
@@ -364,7 +364,7 @@
 	stalled, r := latency("stalled")
 	failures := 0
 	for _, m := range r.Course.Moments {
-		if strings.HasPrefix(m.What, "state_not_saved") {
+		if strings.HasPrefix(m.What, "learned state not saved") {
 			failures++
 		}
 	}
--- a/internal/lab/capacity/hollow.go
+++ b/internal/lab/capacity/hollow.go
@@ -182,7 +182,7 @@
 // kill ends a driver at once.
 func (f *hollow) kill(i int) {
 	f.hosts[i].Kill()
-	f.nodes[i].LetGo()
+	f.nodes[i].CloseStores()
 	f.nodes[i] = nil
 }
 
--- a/internal/node/configuration.go
+++ b/internal/node/configuration.go
@@ -91,15 +91,13 @@
 	if w.Folder == "" {
 		return
 	}
-	store, found, err := n.openFolder(w.Folder, configurationFolder)
-	if err != nil {
-		slog.Warn("configuration_folder_unusable", "folder", w.Folder, "cause", err)
-		n.Count("configuration_folder_unusable")
+	store, _ := n.openFolder(folder{
+		path: w.Folder, maxSize: configurationFolder,
+		unusable: "configuration_folder_unusable", damaged: "configuration_lost", counter: "configuration_folder_unusable",
+	})
+	if store == nil {
 		return
 	}
-	for _, lost := range found.Unreadable {
-		slog.Warn("configuration_lost", "file", lost)
-	}
 	c.store = store
 	store.ForEach(func(name string, value []byte) {
 		if name != inForceName || len(value) < 8 {
@@ -133,7 +131,7 @@
 func (c *configuration) VersionOffered(version uint64, text []byte) {
 	n, base := c.node, c.base
 	var next *prepared
-	n.carry(func() (err error) {
+	n.workers.run(func() (err error) {
 		next, err = base.prepare(version, text)
 		return err
 	}, func(err error, _ time.Duration) {
@@ -170,7 +168,7 @@
 		}
 	}
 	value := append(binary.LittleEndian.AppendUint64(nil, next.version), next.text...)
-	n.carry(func() error { return c.store.Commit([]storage.Change{{Name: inForceName, Value: value}}) }, func(err error, _ time.Duration) {
+	n.workers.run(func() error { return c.store.Commit([]storage.Change{{Name: inForceName, Value: value}}) }, func(err error, _ time.Duration) {
 		if err != nil {
 			n.Count("configuration_not_kept")
 			if now := n.loop.Now(); now >= c.quiet {
--- a/internal/node/configuration_golden_test.go
+++ b/internal/node/configuration_golden_test.go
@@ -26,7 +26,7 @@
 	p, c, _ := configured(t, written, "")
 	c.publish(renamed)
 	p.drivers[0].host.Kill()
-	p.drivers[0].node.LetGo()
+	p.drivers[0].node.CloseStores()
 	if *update {
 		if err := os.CopyFS(source, os.DirFS(written)); err != nil {
 			t.Fatal(err)
@@ -45,5 +45,5 @@
 	if n.Configuration().Version != 1 || n.Terms()["caps.attempts"] != "3" || n.Terms()["methods.0.name"] != "buy" || n.loop.Most() != 300-3 {
 		t.Errorf("restored %+v, %v", n.Configuration(), n.Terms())
 	}
-	n.LetGo()
+	n.CloseStores()
 }
--- a/internal/node/configuration_test.go
+++ b/internal/node/configuration_test.go
@@ -103,7 +103,7 @@
 	start := func() *Node {
 		if d.node != nil {
 			d.host.Kill()
-			d.node.LetGo()
+			d.node.CloseStores()
 			d.host.Start()
 		}
 		site := &Site{Name: "d0", Listen: d.at, Discovery: netip.MustParseAddrPort("10.0.9.1:8500"), Seed: p.chance2(), Descriptors: 256, Memory: 64 << 20,
@@ -282,7 +282,7 @@
 		if s := n.configuration.status(); s.SilentMS < 2500 || n.Counted("configuration_failures") == 0 {
 			t.Errorf("%+v", s)
 		}
-		n.LetGo()
+		n.CloseStores()
 	}
 }
 
@@ -292,7 +292,7 @@
 	p, c, start := configured(t, folder, "")
 	c.publish(`{"settings":{"caps":{"max_retry_after_us":7000}}}`)
 	p.drivers[0].host.Kill()
-	p.drivers[0].node.LetGo()
+	p.drivers[0].node.CloseStores()
 	for _, h := range c.hosts {
 		h.Kill()
 	}
@@ -313,7 +313,7 @@
 	if looks() != "ok" {
 		t.Errorf("an RPC hears %q", looks())
 	}
-	n.LetGo()
+	n.CloseStores()
 }
 
 // wrongIn tells what is wrong with how a driver goes by what was published: it has something in force that cannot be served, or goes by other
--- a/internal/node/doors.go
+++ b/internal/node/doors.go
@@ -66,7 +66,7 @@
 			return err
 		}
 		d.front, d.connections = offices, offices.Connections()
-		n.recallRepeats(f.Name, offices)
+		n.learned.restoreRequests(f.Name, offices.Repeats())
 	}
 	return nil
 }
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -153,7 +153,7 @@
 	if !n.loop.Stopped() || n.fault != nil {
 		t.Errorf("stopped: %t, fault: %v", n.loop.Stopped(), n.fault)
 	}
-	n.saveRest()
+	n.learned.saveRemaining()
 }
 
 func checkKeys(t *testing.T, n *Node) {
--- a/internal/node/state_test.go
+++ b/internal/node/learned_test.go
@@ -9,8 +9,8 @@
 	"passtack/internal/storage"
 )
 
-// What a driver learned is in its folder once it has ended, and its next life has it; meanwhile no other may use the folder.
-func TestWhatWasLearnedOutlastsTheDriver(t *testing.T) {
+// What a driver has learned is in its folder once it has ended, and restored by its next process. No other driver may use the folder meanwhile.
+func TestLearnedStateSurvivesARestart(t *testing.T) {
 	folder := t.TempDir()
 	m := startMember(t, leader)
 	next := func() *Node {
@@ -19,32 +19,32 @@
 		})
 	}
 	first := next()
-	if first.learned == nil || first.learned.recalled.SavedAt != 0 {
+	if first.learned == nil || first.learned.restored.SavedAt != 0 {
 		t.Fatalf("an empty folder gives %+v", first.learned)
 	}
-	if second := next(); second.learned != nil || second.counters["state_unusable"] != 1 {
-		t.Error("two drivers hold one folder")
+	if other := next(); other.learned != nil || other.counters["state_unusable"] != 1 {
+		t.Error("two drivers use one folder")
 	}
 	d := run(t, first)
 	if a := dial(t, d.at).ask(t, statement("x1", "order", 1900, 0)); !strings.HasPrefix(a, "ok") {
 		t.Fatalf("it is answered by %s", a)
 	}
 	d.stop()
-	look, err := storage.OpenDirectory(folder)
+	directory, err := storage.OpenDirectory(folder)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, report, err := storage.OpenReadOnly(look)
+	s, report, err := storage.OpenReadOnly(directory)
 	if err != nil || s.Owner() != persist.Owner("n0") || len(report.Unreadable) > 0 {
 		t.Fatalf("%+v, %v", report, err)
 	}
 	k := persist.Restore(s).Members["s-0"]
 	if k.Position == 0 || k.Timed == 0 {
-		t.Errorf("kept of the member: %+v", k)
+		t.Errorf("saved of the member: %+v", k)
 	}
-	again := next()
-	if again.learned == nil || again.learned.recalled.SavedAt == 0 || len(again.learned.recalled.Members) != 0 {
-		t.Errorf("the next life recalls %+v", again.learned)
+	second := next()
+	if second.learned == nil || second.learned.restored.SavedAt == 0 || len(second.learned.restored.Members) != 0 {
+		t.Errorf("the next process restores %+v", second.learned)
 	}
-	run(t, again).stop()
+	run(t, second).stop()
 }
--- a/internal/node/lease_promises.go
+++ b/internal/node/lease_promises.go
@@ -36,14 +36,10 @@
 	if directory == "" {
 		return nil, nil
 	}
-	store, found, err := n.openFolder(directory, maxPromiseStorage)
-	if err != nil {
-		slog.Warn("lease storage unusable", "folder", directory, "cause", err)
-		n.Count("lease_storage_unusable")
-	}
-	for _, file := range found.Unreadable {
-		slog.Warn("lease storage lost a file", "file", file)
-	}
+	store, _ := n.openFolder(folder{
+		path: directory, maxSize: maxPromiseStorage,
+		unusable: "lease storage unusable", damaged: "lease storage lost a file", counter: "lease_storage_unusable",
+	})
 	if store == nil {
 		return nil, nil
 	}
@@ -66,7 +62,7 @@
 	for _, p := range s.pending {
 		changes = append(changes, persist.PromiseChange(p.lease, p.promise))
 	}
-	s.node.carry(func() error { return s.store.Commit(changes) }, func(err error, _ time.Duration) { s.committed(err) })
+	s.node.workers.run(func() error { return s.store.Commit(changes) }, func(err error, _ time.Duration) { s.committed(err) })
 }
 
 func (s *promiseStorage) committed(err error) {
--- a/internal/node/log_limiter.go
+++ b/internal/node/log_limiter.go
@@ -2,6 +2,9 @@
 
 import "time"
 
+// quietFor is the pause after a log line that a logLimiter lets pass.
+const quietFor = 5 * time.Second
+
 // logLimiter lets one log line pass in quietFor. The zero value lets the first one pass.
 type logLimiter struct{ mutedUntil time.Duration }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -64,8 +64,9 @@
 	listKind           driver.Listing // how the list is that is being told
 	leases             *leaseService  // nil: it has no part in any
 	configuration      *configuration // nil: no control machine is asked
-	learned            *learned       // nil: nothing is kept
-	background         backgroundJobs
+	learned            *learnedState  // nil: nothing is saved
+	background         *backgroundJobs
+	workers            workerPool
 	simulated          bool // no time passes in a turn, and there are no workers
 	list               *list.Discovery
 	peers              *peers.Peers
@@ -119,7 +120,7 @@
 
 func on(l *loop.Loop, site *Site, wants *operator.File, simulated bool) (n *Node, err error) {
 	n = &Node{
-		lines: new(logs.Lines), simulated: simulated,
+		lines: new(logs.Lines), simulated: simulated, background: newBackgroundJobs(l, simulated), workers: workerPool{loop: l},
 		site: site, loop: l, counters: make(map[string]int), recentLines: make(map[string]bool),
 		ids: make(map[string]driver.Member), uids: make(map[driver.Member]string),
 		config: wants, listenerOf: make(map[driver.Front]*listener), connectLimiter: comeback.NewOpens(defaultConnectTimeout),
@@ -155,7 +156,7 @@
 	if n.fault != nil {
 		return nil, n.fault
 	}
-	n.recall()
+	n.restoreLearned()
 	if err := n.startMessaging(); err != nil {
 		return nil, err
 	}
@@ -164,7 +165,7 @@
 			slog.Warn("known_list_unusable", "cause", err)
 		}
 	}
-	n.recallList()
+	n.learned.restoreList()
 	if err := n.openListeners(); err != nil {
 		return nil, err
 	}
@@ -254,10 +255,10 @@
 	n.lines.Level.Set(n.config.Level)
 	n.lines.Sample.Store(n.config.Sample)
 	n.signals.forward(n.reread)
-	defer n.work()()
+	defer n.startWorkers()()
 	slog.Info("started", "name", n.site.Name, "listen", n.site.Listen, "discovery", n.site.Discovery)
 	err := n.loop.Run(func() {
-		n.hearWorkers()
+		n.workers.processResults()
 		n.handleSignals()
 	})
 	n.logCounters()
@@ -487,7 +488,7 @@
 		m = n.lastID
 		n.ids[uid], n.uids[m] = m, uid
 		slog.Info("member_listed", "member", fmt.Sprintf("%012x", uint64(m)), "uid", uid, "endpoint", at, "group", group)
-		defer func() { n.recallMember(m, uid) }()
+		defer func() { n.learned.restoreMember(m, uid) }()
 	}
 	if at.IsValid() {
 		n.setAddress(m, group, at)
@@ -603,9 +604,7 @@
 	now, late := n.loop.Now(), n.loop.Now()-n.nextWake
 	n.module.Wake()
 	if now >= n.recoveryCheckAt {
-		if p := n.background.plan; p != nil {
-			p.ReportLateness(late, now)
-		}
+		n.background.scheduler.ReportLateness(late, now)
 		n.checkRecovery()
 	}
 	if rest := n.module.Rest(); rest > n.wakeInterval {
--- /dev/null
+++ b/internal/node/workers.go
@@ -0,0 +1,102 @@
+package node
+
+import (
+	"time"
+
+	"passtack/internal/loop"
+)
+
+const (
+	workerCount = 2 // for background jobs
+
+	// workerTimeout is how long the end of a driver waits for its workers, and for what they leave to write.
+	workerTimeout = 2 * time.Second
+)
+
+// workerPool runs on goroutines of its own what would block the event loop. The results are processed on the loop.
+type workerPool struct {
+	loop    *loop.Loop
+	tasks   chan workerTask // nil: there are no workers, and tasks run on the loop
+	results chan func()
+}
+
+type workerTask struct {
+	work func() error
+	done func(err error, took time.Duration)
+}
+
+// run lets a worker do the work. Done is called on the loop, in a later iteration.
+func (p *workerPool) run(work func() error, done func(err error, took time.Duration)) {
+	if p.tasks == nil {
+		err := work()
+		p.loop.Later(func() { done(err, 0) })
+		return
+	}
+	p.tasks <- workerTask{work, done}
+}
+
+// processResults calls the done functions of finished tasks.
+func (p *workerPool) processResults() {
+	for {
+		select {
+		case done := <-p.results:
+			done()
+		default:
+			return
+		}
+	}
+}
+
+// start starts the workers. Stop ends them, waits for them for workerTimeout at most and processes their results.
+func (p *workerPool) start(count int) (stop func()) {
+	p.tasks = make(chan workerTask, count)
+	p.results = make(chan func(), count)
+	ended := make(chan struct{}, count)
+	for range count {
+		go func() {
+			p.work()
+			ended <- struct{}{}
+		}()
+	}
+	return func() {
+		close(p.tasks)
+		awaitAll(ended, count, workerTimeout)
+		p.processResults()
+	}
+}
+
+// work is one worker. It rings the loop after each task.
+func (p *workerPool) work() {
+	for task := range p.tasks {
+		began := time.Now()
+		err := task.work()
+		took := time.Since(began)
+		p.results <- func() { task.done(err, took) }
+		p.loop.Ring()
+	}
+}
+
+// awaitAll waits for count messages, but not longer than the timeout.
+func awaitAll(ended <-chan struct{}, count int, timeout time.Duration) {
+	expired := time.After(timeout)
+	for range count {
+		select {
+		case <-ended:
+		case <-expired:
+			return
+		}
+	}
+}
+
+// startWorkers starts the workers that this driver needs. Stop ends them and saves what has been learned since the last commit.
+func (n *Node) startWorkers() (stop func()) {
+	if len(n.background.slices) == 0 && n.leases == nil && n.configuration == nil {
+		return func() {}
+	}
+	// One more for lease promises and one for configurations, so that the loop never waits for a place in the queue.
+	stopWorkers := n.workers.start(workerCount + 2)
+	return func() {
+		stopWorkers()
+		n.learned.saveRemaining()
+	}
+}
