--- a/internal/node/clock.go
+++ b/internal/node/clock.go
@@ -34,7 +34,7 @@
 	}
 	n.Count("clock_corrections")
 	slog.Warn("clock_corrected", "by_ms", change.Milliseconds(), "ahead_ms", n.clock.Offset().Milliseconds())
-	for _, p := range n.pools {
+	for _, p := range n.members.pools {
 		p.Offset(n.clock.Offset())
 	}
 	n.module.CorrectClock(change)
--- a/internal/node/configuration.go
+++ b/internal/node/configuration.go
@@ -198,7 +198,7 @@
 	c.standing = rollout.Standing{Driver: s.Name, Version: next.version, Restart: terms.Restart(s.Settings, next.terms)}
 	c.since = n.loop.Now()
 	lax := s.Settings["rules.only_draining_binds"] != running["rules.only_draining_binds"]
-	n.resumeTicks()
+	n.timer.resume()
 	s.Settings, c.memory, c.sockets = running, next.memory, next.sockets
 	c.limit()
 	n.follow()
@@ -235,26 +235,26 @@
 // follow lets all parts of the driver but the module go by the site's terms.
 func (n *Node) follow() {
 	s := n.site
-	n.maxAttempts = int(terms.New(s.Settings).Number("caps.attempts", 1))
-	n.zones = strings.Split(s.Settings["zones"], ",")
+	n.rpcs.maxAttempts = int(terms.New(s.Settings).Number("caps.attempts", 1))
+	n.members.zones = strings.Split(s.Settings["zones"], ",")
 	connect, idle := s.duration("caps.connect_timeout", defaultConnectTimeout), s.duration("caps.idle_close", defaultIdleTimeout)
-	n.connectLimiter.Within(connect)
-	for _, p := range n.pools {
+	n.members.connectLimiter.Within(connect)
+	for _, p := range n.members.pools {
 		p.Within(connect, idle)
 	}
-	names, sessions, tokened, retired := s.methods()
-	for _, d := range n.listeners {
+	methods := s.methods()
+	for _, d := range n.listeners.all {
 		switch f := d.front.(type) {
 		case *pgfront.Front:
-			asked := slices.Clone(names)
-			for i, gone := range retired {
+			asked := slices.Clone(methods.names)
+			for i, gone := range methods.retired {
 				if gone {
 					asked[i] = ""
 				}
 			}
-			f.Methods(asked, sessions, tokened)
+			f.Methods(asked, methods.inSession, methods.tokened)
 		case *odatafront.Front: // what it offers names none that is retired
-			f.Methods(names)
+			f.Methods(methods.names)
 		}
 	}
 }
--- a/internal/node/configuration_test.go
+++ b/internal/node/configuration_test.go
@@ -174,8 +174,8 @@
 	if buys() != "ok" || looks() != "ok" || pays() == "ok" || pays() == "" {
 		t.Errorf("a new method hears %q, one that stays %q, one that there is no more %q", buys(), looks(), pays())
 	}
-	if got := n.Terms(); got["caps.attempts"] != "3" || got["caps.longest_wait"] != "7000" || got["caps.cancel"] == "" || n.maxAttempts != 3 || n.loop.Most() != 300-3 {
-		t.Errorf("caps %s and %s, cancel %q, %d attempts, %d descriptors", got["caps.attempts"], got["caps.longest_wait"], got["caps.cancel"], n.maxAttempts, n.loop.Most())
+	if got := n.Terms(); got["caps.attempts"] != "3" || got["caps.longest_wait"] != "7000" || got["caps.cancel"] == "" || n.rpcs.maxAttempts != 3 || n.loop.Most() != 300-3 {
+		t.Errorf("caps %s and %s, cancel %q, %d attempts, %d descriptors", got["caps.attempts"], got["caps.longest_wait"], got["caps.cancel"], n.rpcs.maxAttempts, n.loop.Most())
 	}
 	if v := c.publish(`{}`); v != 2 || n.Configuration().Version != 2 {
 		t.Fatalf("version %d, %+v", v, n.Configuration())
@@ -260,8 +260,8 @@
 		p, c, start := configured(t, folder, "")
 		c.publish(`{"settings":{"tick_us":8000,"areas":["b","a"],"caps":{"max_retry_after_us":7000}}}`)
 		n := p.drivers[0].node
-		if got := n.Configuration(); got.Version != 1 || strings.Join(got.Restart, " ") != "tick_us areas" || n.tick != 5*time.Millisecond {
-			t.Errorf("%+v, tick %v", got, n.tick)
+		if got := n.Configuration(); got.Version != 1 || strings.Join(got.Restart, " ") != "tick_us areas" || n.rpcs.tick != 5*time.Millisecond {
+			t.Errorf("%+v, tick %v", got, n.rpcs.tick)
 		}
 		for _, h := range c.hosts {
 			h.Kill()
@@ -271,8 +271,8 @@
 		if got := n.Configuration(); got.Version != want || len(got.Restart) > 0 {
 			t.Errorf("with folder %q: %+v", folder, got)
 		}
-		if folder != "" && (n.tick != 8*time.Millisecond || n.Terms()["caps.longest_wait"] != "7000" || n.zones[0] != "b") {
-			t.Errorf("tick %v, %v, zones %v", n.tick, n.Terms()["caps.longest_wait"], n.zones)
+		if folder != "" && (n.rpcs.tick != 8*time.Millisecond || n.Terms()["caps.longest_wait"] != "7000" || n.members.zones[0] != "b") {
+			t.Errorf("tick %v, %v, zones %v", n.rpcs.tick, n.Terms()["caps.longest_wait"], n.members.zones)
 		}
 		looks := p.say("look", 600)
 		p.run(3 * time.Second)
--- /dev/null
+++ b/internal/node/counters.go
@@ -0,0 +1,52 @@
+package node
+
+import (
+	"fmt"
+	"log/slog"
+	"maps"
+	"slices"
+
+	"passtack/internal/logs"
+)
+
+// telemetry is what a driver reports about itself: its counters, and its log.
+type telemetry struct {
+	counters  counters
+	lines     *logs.Lines
+	moduleLog moduleLog
+}
+
+func newTelemetry() telemetry {
+	return telemetry{counters: make(counters), lines: new(logs.Lines), moduleLog: moduleLog{recent: make(map[string]bool)}}
+}
+
+// counters are events counted since the start of the process, by name.
+type counters map[string]int
+
+// Count adds one to a counter.
+func (n *Node) Count(name string) { n.counters[name]++ }
+
+// Counted returns the value of a counter.
+func (n *Node) Counted(name string) int { return n.counters[name] }
+
+// logCounters logs all counters and gauges as one line.
+func (n *Node) logCounters() {
+	descriptors, maxDescriptors := n.loop.Open()
+	line := []any{
+		"rpcs_held", n.rpcs.Len(),
+		"clients_open", n.listeners.openClients(),
+		"members_open", n.members.openConnections(),
+		"descriptors", descriptors,
+		"descriptors_most", maxDescriptors,
+		"dues", n.loop.Dues(),
+		"lines_lost", n.lines.Lost.Load(),
+		"lines_sampled", n.lines.Sampled.Load(),
+		"comeback", n.recovery.Stage(),
+		"ready", fmt.Sprintf("%.2f", n.recovery.Ready()),
+	}
+	line = append(line, n.listeners.gauges()...)
+	for _, name := range slices.Sorted(maps.Keys(n.counters)) {
+		line = append(line, name, n.counters[name])
+	}
+	slog.Info("counters", line...)
+}
--- a/internal/node/drains.go
+++ b/internal/node/drains.go
@@ -93,7 +93,7 @@
 		}
 		p := d.places[h.Member]
 		n.Count("drains_heard")
-		slog.Info("drain_heard", "member", n.uids[p.member])
+		slog.Info("drain_heard", "member", n.members.uids[p.member])
 		n.module.Listed(p.member, p.zone, p.group, driver.Draining, p.size, n.byOwnClock(h.Started), false)
 	}
 	if begun {
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -148,10 +148,10 @@
 	host.Serve(l, func() {})
 	world.Run(epoch + 15*time.Second) // a voter has granted something by then
 	checkKeys(t, n)
-	host.Do(n.beginShutdown)
+	host.Do(n.shutdown.begin)
 	world.Run(epoch + 25*time.Second)
-	if !n.loop.Stopped() || n.fault != nil {
-		t.Errorf("stopped: %t, fault: %v", n.loop.Stopped(), n.fault)
+	if !n.loop.Stopped() || n.host.fault != nil {
+		t.Errorf("stopped: %t, fault: %v", n.loop.Stopped(), n.host.fault)
 	}
 	n.saveRest()
 }
--- a/internal/node/gone_test.go
+++ b/internal/node/gone_test.go
@@ -317,8 +317,8 @@
 							t.Errorf("a member had it whole %v after its client had gone", at-epoch-150*ms)
 						}
 					}
-					if s.node.rpcs.Count() != 0 || s.node.pools[0].Out() != 0 || s.node.pools[0].Waiting() != 0 {
-						t.Errorf("%d RPCs are left, %d attempts out, %d waiting", s.node.rpcs.Count(), s.node.pools[0].Out(), s.node.pools[0].Waiting())
+					if s.node.rpcs.Len() != 0 || s.node.members.pools[0].Out() != 0 || s.node.members.pools[0].Waiting() != 0 {
+						t.Errorf("%d RPCs are left, %d attempts out, %d waiting", s.node.rpcs.Len(), s.node.members.pools[0].Out(), s.node.members.pools[0].Waiting())
 					}
 				})
 			}
@@ -466,12 +466,12 @@
 		})
 	})
 	s.at(450*ms, func() {
-		if clients, members := s.node.openClients(), s.node.pools[0].Open(); clients != 6 || members != 1 {
+		if clients, members := s.node.listeners.openClients(), s.node.members.pools[0].Open(); clients != 6 || members != 1 {
 			t.Errorf("%d clients and %d connections to members before", clients, members)
 		}
 	})
 	s.at(700*ms, func() {
-		if clients, members := s.node.openClients(), s.node.pools[0].Open(); clients != 4 || members != 0 {
+		if clients, members := s.node.listeners.openClients(), s.node.members.pools[0].Open(); clients != 4 || members != 0 {
 			t.Errorf("%d clients and %d connections to members are left", clients, members)
 		}
 	})
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -472,8 +472,8 @@
 			t.Errorf("%d attempts counted as %s, at least %d wanted", d.counters[outcome], outcome, count)
 		}
 	}
-	if d.counters["attempts_sent"] != d.outcomes() || d.rpcs.Count() != 0 || d.pools[0].Out() != 0 {
-		t.Errorf("%d RPCs and %d attempts are left, counted %v", d.rpcs.Count(), d.pools[0].Out(), d.counters)
+	if d.counters["attempts_sent"] != d.outcomes() || d.rpcs.Len() != 0 || d.members.pools[0].Out() != 0 {
+		t.Errorf("%d RPCs and %d attempts are left, counted %v", d.rpcs.Len(), d.members.pools[0].Out(), d.counters)
 	}
 }
 
@@ -601,8 +601,8 @@
 				t.Errorf("only %d of 240 RPCs are ok", oks)
 			}
 			taken := d.counters["rpcs_ok"] + d.counters["rpcs_pushed_back"] + d.counters["rpcs_aborted"] + d.counters["rpcs_left"]
-			if d.rpcs.Count() != 0 || d.counters["rpcs_taken"] != taken || d.counters["rpcs_overdue"] != 0 || d.counters["attempts_sent"] != d.outcomes() {
-				t.Errorf("%d RPCs are left, counted %v", d.rpcs.Count(), d.counters)
+			if d.rpcs.Len() != 0 || d.counters["rpcs_taken"] != taken || d.counters["rpcs_overdue"] != 0 || d.counters["attempts_sent"] != d.outcomes() {
+				t.Errorf("%d RPCs are left, counted %v", d.rpcs.Len(), d.counters)
 			}
 		})
 	}
@@ -711,7 +711,7 @@
 		t.Errorf("the id of an RPC that is done: %s", got)
 	}
 	d.stop()
-	if d.counters["rpcs_left"] != 1 || d.counters["rpcs_ok"] != 2 || d.rpcs.Count() != 0 {
+	if d.counters["rpcs_left"] != 1 || d.counters["rpcs_ok"] != 2 || d.rpcs.Len() != 0 {
 		t.Errorf("counted %v", d.counters)
 	}
 }
@@ -942,11 +942,11 @@
 	m := startMember(t, leader)
 	n := build(t, "", 100, listOf(1, true, target(1, 0, m.listener.Addr(), "in_service")), settings)
 	for range 3 {
-		n.Listed("s-9", netip.MustParseAddrPort("127.0.0.1:9"), "a", 0, driver.Ready, 1, 0, false)
-		n.Forget(n.lastID)
+		n.members.Listed("s-9", netip.MustParseAddrPort("127.0.0.1:9"), "a", 0, driver.Ready, 1, 0, false)
+		n.members.forget(n.members.lastID)
 	}
-	if len(n.ids) != 1 || len(n.uids) != 1 || n.lastID != 4 {
-		t.Errorf("%d and %d members are known, the last number is %d", len(n.ids), len(n.uids), n.lastID)
+	if len(n.members.ids) != 1 || len(n.members.uids) != 1 || n.members.lastID != 4 {
+		t.Errorf("%d and %d members are known, the last number is %d", len(n.members.ids), len(n.members.uids), n.members.lastID)
 	}
 	d := run(t, n)
 	c := dial(t, d.at)
@@ -1139,8 +1139,8 @@
 	}
 	time.Sleep(200 * time.Millisecond)
 	d.stop()
-	if d.counters["rpcs_taken"] != 3 || d.counters["rpcs_overdue"] != 3 || d.rpcs.Count() != 0 {
-		t.Errorf("%d RPCs are left, counted %v", d.rpcs.Count(), d.counters)
+	if d.counters["rpcs_taken"] != 3 || d.counters["rpcs_overdue"] != 3 || d.rpcs.Len() != 0 {
+		t.Errorf("%d RPCs are left, counted %v", d.rpcs.Len(), d.counters)
 	}
 }
 
--- a/internal/node/odata_test.go
+++ b/internal/node/odata_test.go
@@ -121,7 +121,7 @@
 				t.Errorf("a create is answered with %v", created.header)
 			}
 			d.stop()
-			if d.rpcs.Count() != 0 || d.counters["rpcs_overdue"] != 0 || d.counters["attempts_sent"] != d.outcomes() {
+			if d.rpcs.Len() != 0 || d.counters["rpcs_overdue"] != 0 || d.counters["attempts_sent"] != d.outcomes() {
 				t.Errorf("counted %v", d.counters)
 			}
 			for _, call := range g.seen() {
@@ -265,8 +265,8 @@
 		t.Errorf("half of a head: %d after %v", got.status, time.Since(began))
 	}
 	d.stop()
-	if d.rpcs.Count() != 0 {
-		t.Errorf("%d RPCs are left", d.rpcs.Count())
+	if d.rpcs.Len() != 0 {
+		t.Errorf("%d RPCs are left", d.rpcs.Len())
 	}
 }
 
--- a/internal/node/pipeline_test.go
+++ b/internal/node/pipeline_test.go
@@ -65,8 +65,8 @@
 			t.Errorf("a member is told that %s has %d ms left, want %d at most and hardly less", id, left[id], most)
 		}
 	}
-	if s.node.rpcs.Count() != 0 {
-		t.Errorf("%d RPCs are left", s.node.rpcs.Count())
+	if s.node.rpcs.Len() != 0 {
+		t.Errorf("%d RPCs are left", s.node.rpcs.Len())
 	}
 }
 
@@ -142,7 +142,7 @@
 		}
 	}
 	s.ask(100*ms, texts...)
-	s.at(200*ms, func() { s.driver.Do(s.node.beginShutdown) })
+	s.at(200*ms, func() { s.driver.Do(s.node.shutdown.begin) })
 	s.world.Run(epoch + 5*time.Second)
 	if !slices.Equal(s.client.heard, want) {
 		t.Errorf("heard %q, want %q", s.client.heard, want)
--- a/internal/node/promises_test.go
+++ b/internal/node/promises_test.go
@@ -237,8 +237,8 @@
 					t.Errorf("a member was sent what was refused: %+v", call)
 				}
 			}
-			if len(g.effects) < 7 || d.rpcs.Count() != 0 {
-				t.Errorf("effects %v, %d RPCs are left", g.effects, d.rpcs.Count())
+			if len(g.effects) < 7 || d.rpcs.Len() != 0 {
+				t.Errorf("effects %v, %d RPCs are left", g.effects, d.rpcs.Len())
 			}
 		})
 	}
@@ -315,7 +315,7 @@
 				t.Errorf("only %d reads behind a write", behindWrites)
 			}
 			d.stop()
-			if d.rpcs.Count() != 0 || d.counters["rpcs_overdue"] != 0 {
+			if d.rpcs.Len() != 0 || d.counters["rpcs_overdue"] != 0 {
 				t.Errorf("counted %v", d.counters)
 			}
 		})
@@ -398,8 +398,8 @@
 		t.Errorf("%d attempts before the client left, %d after", atClose-sent, now-atClose)
 	}
 	d.stop()
-	if d.rpcs.Count() != 0 {
-		t.Errorf("%d RPCs are left", d.rpcs.Count())
+	if d.rpcs.Len() != 0 {
+		t.Errorf("%d RPCs are left", d.rpcs.Len())
 	}
 }
 
--- /dev/null
+++ b/internal/node/recovery.go
@@ -0,0 +1,38 @@
+package node
+
+import (
+	"log/slog"
+	"time"
+
+	"passtack/internal/comeback"
+)
+
+// recoveryCheckInterval is the time between two checks how far a driver has recovered.
+const recoveryCheckInterval = 50 * time.Millisecond
+
+// recoveryMonitor advances the driver's recovery stage after a start or after the process was suspended.
+type recoveryMonitor struct {
+	*comeback.Return
+	node      *Node
+	nextCheck time.Duration
+}
+
+func newRecoveryMonitor(n *Node) recoveryMonitor {
+	return recoveryMonitor{Return: comeback.NewReturn(n.loop.Now()), node: n}
+}
+
+// check advances the stage, and lets listeners return connections that others need.
+func (r *recoveryMonitor) check() {
+	n := r.node
+	now := n.loop.Now()
+	r.nextCheck = now + recoveryCheckInterval
+	if r.Look(now, n.members.waitingAttempts()) {
+		stage := r.Stage()
+		if stage == comeback.Listing { // the process was suspended, and what it knows is old
+			n.Count("halts")
+			n.list.Fetch()
+		}
+		slog.Info("comeback", "stage", stage, "after_ms", r.Age(now).Milliseconds())
+	}
+	n.listeners.rebalanceConnections()
+}
--- a/internal/node/rest_test.go
+++ b/internal/node/rest_test.go
@@ -91,8 +91,8 @@
 		if called = *calls - called; called < 40*minutes/2 || woken[members] > looks+2*called {
 			t.Errorf("%d members: %d wakes in %d minutes, with %d looks and %d calls for the list", members, woken[members], minutes, looks, called)
 		}
-		if len(n.ids) != members {
-			t.Errorf("it knows %d of %d members", len(n.ids), members)
+		if len(n.members.ids) != members {
+			t.Errorf("it knows %d of %d members", len(n.members.ids), members)
 		}
 	}
 	if more := woken[1100] - woken[100]; more < -2 || more > 2 {
--- /dev/null
+++ b/internal/node/shutdown.go
@@ -0,0 +1,84 @@
+package node
+
+import (
+	"log/slog"
+	"time"
+
+	"passtack/internal/shutdown"
+)
+
+const (
+	shutdownCheckInterval = 20 * time.Millisecond  // between two checks whether a graceful shutdown is complete
+	earlyCloseIdle        = 700 * time.Millisecond // a connection that has been idle for so long is closed before its phase
+)
+
+// gracefulShutdown stops the driver by a plan in phases: listeners are closed, then connections between two requests, and at
+// last each RPC is answered.
+type gracefulShutdown struct {
+	node      *Node
+	begun     bool
+	plan      shutdown.Plan
+	startedAt time.Duration
+	phase     shutdown.Phase // that was logged last
+}
+
+// begin starts the shutdown. The signal for it may have been sent at any time since the iteration of the loop before this one.
+func (s *gracefulShutdown) begin() {
+	if s.begun {
+		return
+	}
+	n := s.node
+	now, sentAt := n.loop.Now(), n.loop.Before()
+	s.begun, s.startedAt = true, now
+	s.plan = shutdown.New(sentAt, now, n.site.maxDeadline())
+	slog.Info("leaving", "rpcs", n.rpcs.Len(), "clients", n.listeners.openClients(), "sent_at_most_ms_ago", (now - sentAt).Milliseconds())
+	if n.leases != nil {
+		n.leases.leave()
+	}
+	if n.view != nil {
+		n.view.seen.Leave(n.loop.Clock())
+	}
+	s.advance()
+}
+
+// advance does what the current phase requires until no client is left. It schedules its next call first, so that a panic
+// does not end the shutdown.
+func (s *gracefulShutdown) advance() {
+	n := s.node
+	now := n.loop.Now()
+	phase := s.plan.Phase(now)
+	next := now + shutdownCheckInterval
+	if begins, ok := s.plan.Next(now); ok {
+		next = min(next, begins)
+	}
+	n.loop.At(next, s.advance)
+	s.logPhase(phase, now)
+	if phase == shutdown.Accepting {
+		return
+	}
+	if phase == shutdown.Over {
+		n.rpcs.forceAnswers()
+	}
+	if n.listeners.closeClients(phase) == 0 {
+		n.loop.Stop()
+	}
+}
+
+func (s *gracefulShutdown) logPhase(phase shutdown.Phase, now time.Duration) {
+	if phase == s.phase {
+		return
+	}
+	s.phase = phase
+	n := s.node
+	slog.Info("shutdown", "phase", phase, "after_ms", (now - s.startedAt).Milliseconds(), "rpcs", n.rpcs.Len(),
+		"clients", n.listeners.openClients())
+}
+
+// bound limits the deadline of an RPC that has just been read to the end of a shutdown under way, and reports whether the RPC
+// may still be sent to a member.
+func (s *gracefulShutdown) bound(deadline time.Duration) (bounded time.Duration, accepts bool) {
+	if !s.begun {
+		return deadline, true
+	}
+	return s.plan.Until(deadline), s.plan.MayForward(s.node.loop.Now())
+}
--- a/internal/node/signals.go
+++ b/internal/node/signals.go
@@ -10,8 +10,8 @@
 	"passtack/internal/loop"
 )
 
-// signals hears what the system tells the driver. Each kind has a place of its own, so that none is lost behind others;
-// several of one kind in a row count as one, as they do in the system.
+// signals receives the process's signals. Each kind has a channel of its own, so that none is lost behind others; several of
+// one kind in a row count as one, as they do in the system.
 type signals struct {
 	loop             *loop.Loop
 	terminate        chan os.Signal
@@ -21,11 +21,11 @@
 	printPending     atomic.Bool
 	reloadPending    atomic.Bool
 	reloadRequests   chan Site              // whose files are to be read again
-	reloadResult     atomic.Pointer[func()] // the latest result of that
+	reloadResult     atomic.Pointer[func()] // what the loop is to do with the latest files
 }
 
-// hearSignals hears them from now on. It has to come before the first socket listens: what a client has sent to a driver
-// that the default action of a signal ends is lost.
+// watchSignals receives signals from now on. It must be called before the first socket listens: a signal's default action
+// would end the driver, and what clients have sent to it would be lost.
 func watchSignals(l *loop.Loop) *signals {
 	s := &signals{
 		loop: l, terminate: make(chan os.Signal, 1), reload: make(chan os.Signal, 1), print: make(chan os.Signal, 1),
@@ -34,12 +34,12 @@
 	signal.Notify(s.terminate, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(s.reload, syscall.SIGHUP)
 	signal.Notify(s.print, syscall.SIGUSR1)
-	signal.Ignore(syscall.SIGPIPE) // whoever reads the log may have gone
+	signal.Ignore(syscall.SIGPIPE) // the reader of the log may have exited
 	return s
 }
 
-// follow passes the signals on to the loop. Files are read one after the other, where nobody waits for them, so that the
-// latest reading is of the latest files.
+// forward passes the signals on to the loop. Files are read by one goroutine of their own, one reload after the other, so
+// that the latest result is of the latest files.
 func (s *signals) forward(read func(Site) func()) {
 	for from, to := range map[chan os.Signal]*atomic.Bool{s.terminate: &s.terminatePending, s.reload: &s.reloadPending, s.print: &s.printPending} {
 		go func() {
@@ -51,37 +51,42 @@
 	}
 	go func() {
 		for site := range s.reloadRequests {
-			act := read(site)
-			s.reloadResult.Store(&act)
+			apply := read(site)
+			s.reloadResult.Store(&apply)
 			s.loop.Ring()
 		}
 	}()
 }
 
-// hear does what signals asked for since it was called last.
+// requestReload has the files read again. A request that has not begun is replaced by this one.
+func (s *signals) requestReload(site Site) {
+	select {
+	case <-s.reloadRequests:
+	default:
+	}
+	s.reloadRequests <- site
+}
+
+// handleSignals does what signals have asked for since its last call.
 func (n *Node) handleSignals() {
 	s := n.signals
 	if s.terminatePending.Swap(false) {
-		n.beginShutdown()
+		n.shutdown.begin()
 	}
 	if s.printPending.Swap(false) {
 		n.logCounters()
 	}
 	if s.reloadPending.Swap(false) {
-		select { // one that has not begun is covered by this one
-		case <-s.reloadRequests:
-		default:
-		}
-		s.reloadRequests <- *n.site
+		s.requestReload(*n.site)
 	}
-	if act := s.reloadResult.Swap(nil); act != nil {
-		(*act)()
+	if apply := s.reloadResult.Swap(nil); apply != nil {
+		(*apply)()
 	}
 }
 
-// readAgain reads the files of the driver again, and gives what the loop is to do with them.
-func (n *Node) reread(site Site) func() {
-	fresh, err := site.reread()
-	wants, wrong := site.ReadConfig()
-	return func() { n.reload(fresh, wants, errors.Join(err, wrong)) }
+// reread reads the driver's files again and returns what the loop is to do with them. It runs outside of the loop.
+func (n *Node) reread(site Site) (apply func()) {
+	fresh, siteErr := site.reread()
+	config, configErr := site.ReadConfig()
+	return func() { n.reload(fresh, config, errors.Join(siteErr, configErr)) }
 }
--- /dev/null
+++ b/internal/node/site.go
@@ -0,0 +1,252 @@
+package node
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net/netip"
+	"os"
+	"strconv"
+	"strings"
+	"time"
+
+	"passtack/internal/operator"
+	"passtack/internal/terms"
+)
+
+// Site is what the platform tells a driver about the place where it runs: the deploy file, and the environment over it.
+type Site struct {
+	Name                      string
+	Listen, Discovery         netip.AddrPort
+	PeerListen, PeerBroadcast netip.AddrPort // for messages between drivers; invalid: there are none
+	Peers                     []netip.AddrPort
+	Seed                      uint64 // of the driver's random numbers
+	Descriptors               int    // that the driver may have open
+	Memory                    int64  // bytes
+	InitialList               []byte // the endpoint list as the platform has it, JSON
+	Settings                  map[string]string
+
+	ConfigFile string // path of the operator's file, "" if there is none
+
+	file          string
+	environment   func(string) string
+	fileDiscovery netip.AddrPort // the discovery of the file, whatever the environment says
+}
+
+// siteFile is the platform's file. Its keys are compared without regard to case.
+type siteFile struct {
+	Name, Listen, Discovery, Seed string
+	Limits                        struct {
+		MemoryMB int64 `json:"memory_mb"`
+		Sockets  int
+	}
+	PeerListen    string `json:"peer_listen"`
+	PeerBroadcast string `json:"peers_all"`
+	Peers         []string
+	InitialList   json.RawMessage `json:"known"`
+	Settings      map[string]any
+}
+
+// requiredSettings are those without which no driver can serve.
+var requiredSettings = []string{"methods.count", "methods.0.name", "family_info.needs", "tick"}
+
+// ReadSite reads the platform's file. Variables of the environment go over it.
+func ReadSite(file string, environment func(string) string) (*Site, error) {
+	var text []byte
+	err := retryOnResourceShortage(func() (err error) {
+		text, err = os.ReadFile(file)
+		return err
+	})
+	if err != nil {
+		return nil, err
+	}
+	s := &Site{file: file, environment: environment}
+	if err := s.parse(text); err != nil {
+		return nil, fmt.Errorf("%s: %w", file, err)
+	}
+	return s, nil
+}
+
+// parse takes the values of the platform's file.
+func (s *Site) parse(text []byte) error {
+	var f siteFile
+	decoder := json.NewDecoder(bytes.NewReader(text))
+	decoder.UseNumber()
+	if err := decoder.Decode(&f); err != nil {
+		return err
+	}
+	s.Name = s.override("BALANCER_NAME", f.Name)
+	s.InitialList, s.Settings = f.InitialList, terms.Nested(f.Settings)
+	s.Descriptors, s.Memory = f.Limits.Sockets, f.Limits.MemoryMB<<20
+	var err error
+	if s.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
+		return fmt.Errorf("seed %q is no number in hex", f.Seed)
+	}
+	if err := s.parseAddresses(&f); err != nil {
+		return err
+	}
+	if s.Descriptors <= 0 || s.Memory <= 0 {
+		return errors.New("limits give no sockets or no memory_mb")
+	}
+	return s.checkSettings()
+}
+
+// override returns the value of a variable of the environment, if it has one.
+func (s *Site) override(variable, value string) string {
+	if v := s.environment(variable); v != "" {
+		return v
+	}
+	return value
+}
+
+func (s *Site) parseAddresses(f *siteFile) error {
+	for _, a := range []struct {
+		to       *netip.AddrPort
+		key      string
+		text     string
+		optional bool
+	}{
+		{&s.Listen, "listen", s.override("BALANCER_LISTEN", f.Listen), false},
+		{&s.Discovery, "discovery", s.override("BALANCER_DISCOVERY", f.Discovery), false},
+		{&s.fileDiscovery, "discovery", f.Discovery, true},
+		{&s.PeerListen, "peer_listen", f.PeerListen, true},
+		{&s.PeerBroadcast, "peers_all", f.PeerBroadcast, true},
+	} {
+		if a.text == "" && a.optional {
+			continue
+		}
+		var err error
+		if *a.to, err = parseAddress(a.key, a.text); err != nil {
+			return err
+		}
+	}
+	for _, text := range f.Peers {
+		peer, err := parseAddress("peers", text)
+		if err != nil {
+			return err
+		}
+		s.Peers = append(s.Peers, peer)
+	}
+	return nil
+}
+
+func parseAddress(key, text string) (netip.AddrPort, error) {
+	address, err := netip.ParseAddrPort(text)
+	if err != nil {
+		return address, fmt.Errorf("%s %q is no address with a port: %w", key, text, err)
+	}
+	return address, nil
+}
+
+func (s *Site) checkSettings() error {
+	for _, name := range requiredSettings {
+		if s.Settings[name] == "" {
+			return fmt.Errorf("the settings give no %s", name)
+		}
+	}
+	if err := terms.New(s.Settings).Unusable(); err != nil {
+		return fmt.Errorf("settings: %w", err)
+	}
+	return nil
+}
+
+// ReadConfig reads the operator's file. Without one it returns the default.
+func (s *Site) ReadConfig() (config *operator.File, err error) {
+	if s.ConfigFile == "" {
+		return operator.None(), nil
+	}
+	err = retryOnResourceShortage(func() (err error) {
+		config, err = operator.Read(s.ConfigFile, s.Listen, methodsOf(s.Settings))
+		return err
+	})
+	return config, err
+}
+
+// ParseConfig reads the text of an operator's file. Errors name it by the name given.
+func (s *Site) ParseConfig(text []byte, name string) (*operator.File, error) {
+	return operator.Parse(text, name, s.Listen, methodsOf(s.Settings))
+}
+
+// methodsOf returns the methods of the settings, which the operator's file is checked against. Retired ones have no name.
+func methodsOf(settings map[string]string) []operator.Method {
+	t := terms.New(settings)
+	var methods []operator.Method
+	for i := range int(t.Number("methods.count", 0)) {
+		at := "methods." + strconv.Itoa(i) + "."
+		name := t.Text(at + "name")
+		if t.Yes(at + terms.Retired) {
+			name = ""
+		}
+		effect := t.Text(at + "effect")
+		methods = append(methods, operator.Method{
+			Name: name, Need: t.Item("family_info.needs", i), Idempotent: effect == "idempotent",
+			Tokened: effect == "tokened", Window: t.Span(at + "window"), Soft: t.Span(at + "soft_deadline"),
+			Limit: t.Span(at + "limit"),
+		})
+	}
+	return methods
+}
+
+// The platform's file is read so often, in such intervals, before a reload fails: it may be half written.
+const (
+	rereadAttempts = 5
+	rereadInterval = 100 * time.Millisecond
+)
+
+// reread reads the platform's file once more. A discovery that the file names is newer than what the environment says, which
+// stays as it was at the start.
+func (s *Site) reread() (fresh *Site, err error) {
+	for range rereadAttempts {
+		if fresh, err = ReadSite(s.file, s.environment); err == nil {
+			break
+		}
+		time.Sleep(rereadInterval)
+	}
+	if err == nil && fresh.fileDiscovery.IsValid() {
+		fresh.Discovery = fresh.fileDiscovery
+	}
+	return fresh, err
+}
+
+// siteMethods are the methods of the settings, each a column by its number.
+type siteMethods struct {
+	names     []string
+	inSession []bool // the method needs or writes a session's position
+	tokened   []bool // RPCs carry an idempotency key
+	retired   []bool // clients may not use it any more
+}
+
+func (s *Site) methods() siteMethods {
+	t := terms.New(s.Settings)
+	var m siteMethods
+	for i := range int(t.Number("methods.count", 0)) {
+		at := "methods." + strconv.Itoa(i)
+		need := t.Item("family_info.needs", i)
+		m.names = append(m.names, t.Text(at+".name"))
+		m.inSession = append(m.inSession, need == "session" || need == "write")
+		m.tokened = append(m.tokened, t.Text(at+".effect") == "tokened")
+		m.retired = append(m.retired, t.Yes(at+"."+terms.Retired))
+	}
+	return m
+}
+
+// maxDeadline is the longest time for which the settings let a client wait for an answer.
+func (s *Site) maxDeadline() (longest time.Duration) {
+	t := terms.New(s.Settings)
+	for i := range int(t.Number("methods.count", 0)) {
+		longest = max(longest, t.Span("methods."+strconv.Itoa(i)+".limit"))
+	}
+	return longest
+}
+
+// duration returns a duration of the settings, or the default where they have none.
+func (s *Site) duration(name string, byDefault time.Duration) time.Duration {
+	if d := terms.New(s.Settings).Span(name); d > 0 {
+		return d
+	}
+	return byDefault
+}
+
+// reportColumns are the names of the values in members' load reports.
+func (s *Site) reportColumns() []string { return strings.Split(s.Settings["report.columns"], ",") }
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -155,7 +155,7 @@
 
 // forgetRepeats lets go of answers to repeats that nobody may ask for any more.
 func (n *Node) forgetRepeats() (chores.Spending, chores.End) {
-	for _, d := range n.listeners {
+	for _, d := range n.listeners.all {
 		if f, ok := d.front.(*odatafront.Front); ok {
 			f.Repeats().Age(n.loop.Now())
 		}
@@ -188,7 +188,7 @@
 		k.begun, k.at = true, 0
 		k.saver.Begin()
 	}
-	k.at = n.module.Learned(k.at, most, func(m driver.Member, known driver.Known) { k.saver.Member(n.uids[m], known) })
+	k.at = n.module.Learned(k.at, most, func(m driver.Member, known driver.Known) { k.saver.Member(n.members.uids[m], known) })
 	if k.at > 0 {
 		return false
 	}
--- a/internal/node/tasks.go
+++ b/internal/node/tasks.go
@@ -167,7 +167,7 @@
 func (s *summary) own() digest {
 	n := s.leases.node
 	return digest{RPCs: uint32(n.counters["rpcs_taken"]), OK: uint32(n.counters["rpcs_ok"]), PushedBack: uint32(n.counters["rpcs_pushed_back"]),
-		Held: uint32(n.rpcs.Count()), Revision: uint64(n.list.Rev()), Ready: uint8(n.recovery.Ready() * 100)}
+		Held: uint32(n.rpcs.Len()), Revision: uint64(n.list.Rev()), Ready: uint8(n.recovery.Ready() * 100)}
 }
 
 func (s *summary) heard(from lease.Node, letter peers.Letter) {
--- a/internal/node/trace.go
+++ b/internal/node/trace.go
@@ -7,18 +7,23 @@
 	"passtack/driver"
 )
 
-// tracing tells whether each step of each RPC is logged.
+// tracing reports whether each step of each RPC is logged.
 func (n *Node) tracing() bool { return n.lines.Level.Level() <= slog.LevelDebug }
 
-// traceTaken logs that an RPC was taken.
-func (n *Node) traceTaken(id driver.RPC, from driver.Client, until time.Duration) {
+// millisLeft is the time to a deadline in milliseconds.
+func (n *Node) millisLeft(deadline time.Duration) int64 {
+	return (deadline - n.loop.Now()).Milliseconds()
+}
+
+// traceTaken logs that an RPC was admitted.
+func (n *Node) traceTaken(id driver.RPC, from driver.Client, deadline time.Duration) {
 	if n.tracing() {
-		slog.Debug("rpc_taken", "rpc", id, "client", from, "left_ms", (until - n.loop.Now()).Milliseconds())
+		slog.Debug("rpc_taken", "rpc", id, "client", from, "left_ms", n.millisLeft(deadline))
 	}
 }
 
-// traceAttempt logs an attempt and, where it is a retry, how the one before it ended.
-func (n *Node) traceAttempt(id driver.RPC, q *rpc, to driver.Member, until time.Duration) {
+// traceAttempt logs an attempt, and for a retry how the attempt before it ended.
+func (n *Node) traceAttempt(id driver.RPC, q *rpc, to driver.Member, deadline time.Duration) {
 	if !n.tracing() {
 		return
 	}
@@ -26,25 +31,25 @@
 	if len(q.attempts) > 0 {
 		after = outcomeNames[q.lastOutcome]
 	}
-	slog.Debug("attempt", "rpc", id, "n", len(q.attempts), "member", to, "left_ms", (until - n.loop.Now()).Milliseconds(), "after", after)
+	slog.Debug("attempt", "rpc", id, "n", len(q.attempts), "member", to, "left_ms", n.millisLeft(deadline), "after", after)
 }
 
 // traceEnded logs how an attempt ended.
-func (n *Node) traceEnded(id driver.RPC, call int, from driver.Member, how driver.Outcome, took time.Duration) {
+func (n *Node) traceEnded(id driver.RPC, attempt int, from driver.Member, how driver.Outcome, took time.Duration) {
 	if n.tracing() {
-		slog.Debug("attempt_ended", "rpc", id, "n", call, "member", from, "outcome", outcomeNames[how], "took_ms", took.Milliseconds())
+		slog.Debug("attempt_ended", "rpc", id, "n", attempt, "member", from, "outcome", outcomeNames[how], "took_ms", took.Milliseconds())
 	}
 }
 
-// traceAnswered logs the final answer of an RPC, and why the module gave it up if it did.
-func (n *Node) traceAnswered(id driver.RPC, q *rpc, how string) {
+// traceAnswered logs the final answer of an RPC and, if the module rejected or aborted it, why.
+func (n *Node) traceAnswered(id driver.RPC, q *rpc, how conclusion) {
 	if !n.tracing() {
 		return
 	}
 	reason := ""
-	if how == "pushed_back" || how == "aborted" {
+	if how == concludedPushedBack || how == concludedAborted {
 		reason = n.module.LastReason().String()
 	}
-	slog.Debug("rpc_answered", "rpc", id, "how", how, "reason", reason, "attempts", len(q.attempts), "out", q.inFlight,
-		"left_ms", (q.deadline - n.loop.Now()).Milliseconds())
+	slog.Debug("rpc_answered", "rpc", id, "how", how.String(), "reason", reason, "attempts", len(q.attempts), "out", q.inFlight,
+		"left_ms", n.millisLeft(q.deadline))
 }
--- a/internal/node/view.go
+++ b/internal/node/view.go
@@ -88,9 +88,9 @@
 	if each != v.each {
 		slog.Info("fleet_part", "connections", each, "whole", v.parts.Whole(now), "living", v.seen.Living())
 		v.each = each
-		n.connectLimiter.Limit(each)
+		n.members.connectLimiter.Limit(each)
 	}
-	for _, p := range n.pools {
+	for _, p := range n.members.pools {
 		p.Trim()
 	}
 }
