--- a/internal/emu/play/rehearse.go
+++ b/internal/emu/play/rehearse.go
@@ -11,12 +11,12 @@
 	"strings"
 	"time"
 
-	"passtack/internal/comeback"
 	"passtack/internal/emu"
 	"passtack/internal/loop"
 	"passtack/internal/loop/sim"
 	"passtack/internal/node"
 	"passtack/internal/operator"
+	"passtack/internal/recovery"
 )
 
 func logOf(x float64) float64 { return math.Log(max(x, 1e-12)) }
@@ -194,13 +194,13 @@
 var witnessPlace = netip.MustParseAddrPort("10.4.0.1:9000")
 
 // follow notes the stages in which a driver that has started again says to be.
-func (st *stage) follow(i int, l *loop.Loop, n *node.Node, last comeback.Stage) {
+func (st *stage) follow(i int, l *loop.Loop, n *node.Node, last recovery.Stage) {
 	l.At(l.Now()+looking, func() {
 		now := n.RecoveryStage()
 		if now != last {
 			st.falls.Reached(i, now.String(), st.world.Now()-epoch)
 		}
-		if now != comeback.Whole {
+		if now != recovery.Complete {
 			st.follow(i, l, n, now)
 		}
 	})
--- a/internal/lab/capacity/driver_state.go
+++ b/internal/lab/capacity/driver_state.go
@@ -10,7 +10,6 @@
 	"golang.org/x/sys/unix"
 
 	"passtack/driver"
-	"passtack/internal/comeback"
 	"passtack/internal/list"
 	"passtack/internal/loop"
 	"passtack/internal/loop/sim"
@@ -19,6 +18,7 @@
 	"passtack/internal/node"
 	"passtack/internal/operator"
 	"passtack/internal/pgwire"
+	"passtack/internal/recovery"
 	"passtack/rules"
 )
 
@@ -241,7 +241,7 @@
 	if err != nil {
 		return nil, err
 	}
-	opens := comeback.NewOpens(250 * time.Millisecond)
+	opens := recovery.NewConnectLimiter(250 * time.Millisecond)
 	p := member.New(l, new(quiet), &pgmember.Tongue{}, &opens, 250*time.Millisecond, 15*time.Second)
 	for n := range members {
 		p.Place(driver.Member(n+1), memberPlace(n))
--- a/internal/member/endings_test.go
+++ b/internal/member/endings_test.go
@@ -7,10 +7,10 @@
 	"time"
 
 	"passtack/driver"
-	"passtack/internal/comeback"
 	"passtack/internal/loop"
 	"passtack/internal/member"
 	"passtack/internal/member/odata"
+	"passtack/internal/recovery"
 )
 
 // send sends one attempt in the pool's next turn, which must be written whole by then.
@@ -143,7 +143,7 @@
 			}, func(bool) {}); err != nil {
 				t.Fatal(err)
 			}
-			opens := comeback.NewOpens(250 * ms)
+			opens := recovery.NewConnectLimiter(250 * ms)
 			p := member.New(s.loop, s.ended, &odata.Tongue{Host: "m"}, &opens, 250*ms, 15*time.Second)
 			p.Place(1, at)
 			ask := &driver.Ask{Form: driver.Requests, Verb: "GET", Path: "/Applications('1')"}
--- a/internal/member/pool.go
+++ b/internal/member/pool.go
@@ -14,8 +14,8 @@
 
 	"passtack/driver"
 	"passtack/internal/chain"
-	"passtack/internal/comeback"
 	"passtack/internal/loop"
+	"passtack/internal/recovery"
 	"passtack/internal/slots"
 )
 
@@ -120,7 +120,7 @@
 	idleFor   time.Duration // a member closes what was idle for so long
 	heard     Heard
 	offset    time.Duration // by which the members' clock is ahead of the loop's
-	opens     *comeback.Opens
+	opens     *recovery.ConnectLimiter
 	crowded   chain.Chain[*member] // some attempts wait for connections to these
 }
 
@@ -130,7 +130,7 @@
 	idle    []*conn       // newest last
 	tidy    loop.Due      // ends the oldest of them in time
 	quiet   time.Duration // until when failures are not logged
-	door    comeback.Door
+	door    recovery.MemberConnections
 	waiting chain.Chain[*call]
 	crowd   chain.Link[*member]
 }
@@ -171,7 +171,7 @@
 
 // New makes a pool. Connections must be up within connectIn and are not used once idle for idleFor. All pools of a driver
 // share how many it opens at once.
-func New(l *loop.Loop, ledger driver.Ledger, tongue Tongue, opens *comeback.Opens, connectIn, idleFor time.Duration) *Pool {
+func New(l *loop.Loop, ledger driver.Ledger, tongue Tongue, opens *recovery.ConnectLimiter, connectIn, idleFor time.Duration) *Pool {
 	return &Pool{
 		loop: l, ledger: ledger, tongue: tongue, members: make(map[driver.Member]*member), connectIn: connectIn,
 		idleFor: idleFor - idleFor/8, opens: opens,
@@ -215,7 +215,7 @@
 		return uint32(c.handle)
 	}
 	c.ask = ask.Copy()
-	if m.waiting.Count() == 0 && p.opens.May(&m.door) {
+	if m.waiting.Count() == 0 && p.opens.MayConnect(&m.door) {
 		p.connect(c, m)
 	} else {
 		p.wait(c, m)
@@ -244,7 +244,7 @@
 func (p *Pool) serve(m *member) {
 	for next := m.waiting.First(); next != nil; next = m.waiting.First() {
 		c, k := next.Value, p.newest(m)
-		if k == nil && !p.opens.May(&m.door) {
+		if k == nil && !p.opens.MayConnect(&m.door) {
 			return
 		}
 		next.Leave()
@@ -286,7 +286,7 @@
 		k.probe()
 		return
 	}
-	if p.opens.Full(&m.door) {
+	if p.opens.AtMemberLimit(&m.door) {
 		p.loop.Later(func() { p.end(c, driver.Moot, nil) })
 		return
 	}
@@ -296,7 +296,7 @@
 // Trim ends connections that rest where more are open than may be.
 func (p *Pool) Trim() {
 	for _, m := range p.members {
-		for over := p.opens.Over(&m.door); over > 0 && len(m.idle) > 0; over-- {
+		for over := p.opens.Excess(&m.door); over > 0 && len(m.idle) > 0; over-- {
 			m.idle[0].drop()
 		}
 	}
@@ -338,7 +338,7 @@
 		return
 	}
 	c.conn = k
-	p.opens.Opening(&m.door)
+	p.opens.Started(&m.door)
 	p.ledger.Count("connects")
 	if hello := p.tongue.Hello(); hello != nil {
 		k.stream.Send(hello)
@@ -360,7 +360,7 @@
 func (k *conn) welcomed() {
 	p, m := k.pool, k.member
 	k.ready = true
-	p.opens.Up(&m.door, p.loop.Now()-k.opened, p.loop.Now())
+	p.opens.Established(&m.door, p.loop.Now()-k.opened, p.loop.Now())
 	p.loop.Forget(k.due)
 	k.start()
 	p.loop.Later(p.serveAll)
@@ -383,7 +383,7 @@
 func (k *conn) gone() {
 	p, m := k.pool, k.member
 	if !k.ended && k.ready {
-		p.opens.Gone(&m.door)
+		p.opens.Closed(&m.door)
 	} else if !k.ended {
 		p.opens.Failed(&m.door, p.loop.Now()-k.opened, p.loop.Now())
 		p.loop.Later(func() { p.notLetIn(m) })
@@ -396,7 +396,7 @@
 
 // notLetIn lets one connection that did not come up speak for all that wait, where the member has let nobody in.
 func (p *Pool) notLetIn(m *member) {
-	if m.door.Shut() {
+	if m.door.None() {
 		for at := m.waiting.First(); at != nil; at = m.waiting.First() {
 			at.Leave()
 			p.fail(at.Value, Failure{NotConnected, false, errNotLetIn})
--- a/internal/member/pool_test.go
+++ b/internal/member/pool_test.go
@@ -6,12 +6,12 @@
 	"time"
 
 	"passtack/driver"
-	"passtack/internal/comeback"
 	"passtack/internal/loop"
 	"passtack/internal/loop/sim"
 	"passtack/internal/member"
 	"passtack/internal/member/pg"
 	"passtack/internal/pgwire"
+	"passtack/internal/recovery"
 )
 
 const ms = time.Millisecond
@@ -115,7 +115,7 @@
 	}
 	h, l := on("driver")
 	o := &outcomes{loop: l, ended: make(map[driver.RPC]driver.Outcome), counts: make(map[string]int)}
-	opens := comeback.NewOpens(250 * ms)
+	opens := recovery.NewConnectLimiter(250 * ms)
 	p := member.New(l, o, new(pg.Tongue), &opens, 250*ms, 15*time.Second)
 	p.Place(1, at)
 	return &scene{w, h, l, p, o, d}
--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -61,7 +61,7 @@
 	}
 	q.lastOutcome = how
 	if role == driver.Primary {
-		n.recovery.Proven(uint16(q.group))
+		n.recovery.PrimaryAnswered(uint16(q.group))
 		n.hearClock(answer.Told)
 	}
 	if position > 0 {
--- a/internal/node/configuration.go
+++ b/internal/node/configuration.go
@@ -238,7 +238,7 @@
 	n.rpcs.maxAttempts = int(terms.New(s.Settings).Number("caps.attempts", 1))
 	n.members.zones = strings.Split(s.Settings["zones"], ",")
 	connect, idle := s.duration("caps.connect_timeout", defaultConnectTimeout), s.duration("caps.idle_close", defaultIdleTimeout)
-	n.members.connectLimiter.Within(connect)
+	n.members.connectLimiter.SetTimeout(connect)
 	for _, p := range n.members.pools {
 		p.Within(connect, idle)
 	}
--- a/internal/node/leases.go
+++ b/internal/node/leases.go
@@ -164,7 +164,9 @@
 }
 
 // Send is the voter's and the askers' way to others.
-func (l *leases) Send(to lease.Node, m lease.Message) { l.say(to, peers.Lease, lease.AppendMessage(nil, m)) }
+func (l *leases) Send(to lease.Node, m lease.Message) {
+	l.say(to, peers.Lease, lease.AppendMessage(nil, m))
+}
 
 // Keep brings promises to the disk, all that wait together.
 func (l *leases) Persist(name string, p lease.Promise, done func(error)) {
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -8,10 +8,10 @@
 	"time"
 
 	"passtack/driver"
-	"passtack/internal/comeback"
 	"passtack/internal/member"
 	odatamember "passtack/internal/member/odata"
 	pgmember "passtack/internal/member/pg"
+	"passtack/internal/recovery"
 	"passtack/internal/terms"
 )
 
@@ -26,7 +26,7 @@
 type memberRegistry struct {
 	node           *Node
 	pools          [driver.Forms]*member.Pool // by the protocol of the members
-	connectLimiter comeback.Opens
+	connectLimiter recovery.ConnectLimiter
 	ids            map[string]driver.Member // by uid
 	uids           map[driver.Member]string
 	lastID         driver.Member  // the latest that was given out
@@ -36,7 +36,7 @@
 
 func newMemberRegistry(n *Node) memberRegistry {
 	return memberRegistry{
-		node: n, connectLimiter: comeback.NewOpens(defaultConnectTimeout),
+		node: n, connectLimiter: recovery.NewConnectLimiter(defaultConnectTimeout),
 		ids: make(map[string]driver.Member), uids: make(map[driver.Member]string),
 	}
 }
@@ -102,7 +102,7 @@
 func (r *memberRegistry) ListEnds(kind driver.Listing) {
 	n := r.node
 	if kind != driver.Cached && kind != driver.NoList {
-		n.recovery.Listed()
+		n.recovery.ListReceived()
 	}
 	n.timer.resume()
 	n.module.ListEnds(kind)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -10,7 +10,6 @@
 	"os"
 	"runtime/debug"
 
-	"passtack/internal/comeback"
 	"passtack/internal/control"
 	"passtack/internal/fleetclock"
 	"passtack/internal/list"
@@ -18,6 +17,7 @@
 	"passtack/internal/loop"
 	"passtack/internal/operator"
 	"passtack/internal/peers"
+	"passtack/internal/recovery"
 	"passtack/internal/terms"
 	"passtack/rules"
 )
@@ -193,7 +193,7 @@
 }
 
 // RecoveryStage reports how far the driver has recovered since its start.
-func (n *Node) RecoveryStage() comeback.Stage { return n.recovery.Stage() }
+func (n *Node) RecoveryStage() recovery.Stage { return n.recovery.Stage() }
 
 // Run serves until a signal has stopped the driver and all RPCs that it took are answered.
 func (n *Node) Run() error {
--- a/internal/node/recovery.go
+++ b/internal/node/recovery.go
@@ -4,7 +4,7 @@
 	"log/slog"
 	"time"
 
-	"passtack/internal/comeback"
+	"passtack/internal/recovery"
 )
 
 // recoveryCheckInterval is the time between two checks how far a driver has recovered.
@@ -12,13 +12,13 @@
 
 // recoveryMonitor advances the driver's recovery stage after a start or after the process was suspended.
 type recoveryMonitor struct {
-	*comeback.Return
+	*recovery.Tracker
 	node      *Node
 	nextCheck time.Duration
 }
 
 func newRecoveryMonitor(n *Node) recoveryMonitor {
-	return recoveryMonitor{Return: comeback.NewReturn(n.loop.Now()), node: n}
+	return recoveryMonitor{Tracker: recovery.NewTracker(n.loop.Now()), node: n}
 }
 
 // check advances the stage, and lets listeners return connections that others need.
@@ -26,9 +26,9 @@
 	n := r.node
 	now := n.loop.Now()
 	r.nextCheck = now + recoveryCheckInterval
-	if r.Look(now, n.members.waitingAttempts()) {
+	if r.Check(now, n.members.waitingAttempts()) {
 		stage := r.Stage()
-		if stage == comeback.Listing { // the process was suspended, and what it knows is old
+		if stage == recovery.AwaitingList { // the process was suspended, and what it knows is old
 			n.Count("halts")
 			n.list.Fetch()
 		}
--- a/internal/node/rpcs.go
+++ b/internal/node/rpcs.go
@@ -73,7 +73,7 @@
 		return t.reject(by, from, "rpcs_refused_in_stop", "shutdown")
 	}
 	l := n.listeners.byFront[by]
-	n.recovery.Asked(uint16(group))
+	n.recovery.GroupUsed(uint16(group))
 	if !l.admits() {
 		return t.reject(by, from, "rpcs_over_share", "over_share")
 	}
@@ -127,7 +127,7 @@
 	q.listener.rpcs--
 	n.Count(conclusionCounters[how])
 	n.traceAnswered(id, q, how)
-	n.recovery.Answered(how == concludedPushedBack)
+	n.recovery.RPCAnswered(how == concludedPushedBack)
 	t.removeIfDone(id, q)
 	return q
 }
--- a/internal/node/view.go
+++ b/internal/node/view.go
@@ -88,7 +88,7 @@
 	if each != v.each {
 		slog.Info("fleet_part", "connections", each, "whole", v.parts.Whole(now), "living", v.seen.Living())
 		v.each = each
-		n.members.connectLimiter.Limit(each)
+		n.members.connectLimiter.SetMemberLimit(each)
 	}
 	for _, p := range n.members.pools {
 		p.Trim()
