--- a/internal/node/host.go
+++ b/internal/node/host.go
@@ -79,7 +79,7 @@
 func (n *Node) Tell(to driver.Peer, message []byte) {
 	if n.peers != nil {
 		n.Count("peer_texts_sent")
-		n.peers.Tell(to, message)
+		n.peers.Send(to, message)
 	}
 }
 
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -26,7 +26,7 @@
 		n.configuration.reloaded(fresh, config)
 	}
 	if n.peers != nil {
-		n.peers.Place(n.site.PeerBroadcast, n.site.Peers)
+		n.peers.SetAddresses(n.site.PeerBroadcast, n.site.Peers)
 	}
 	restart = append(restart, n.applyConfig(config)...)
 	slog.Info("reloaded", "discovery", n.site.Discovery, "sockets", n.site.Descriptors, "memory_mb", n.site.Memory>>20,
