--- a/internal/node/listeners.go
+++ b/internal/node/listeners.go
@@ -168,7 +168,7 @@
 			l.front.Leave()
 			idle = 0
 		}
-		if phase == shutdown.Over {
+		if phase == shutdown.Finished {
 			l.front.Finish()
 		}
 		left += l.front.Sweep(idle) + l.rpcs
--- a/internal/node/pipeline_test.go
+++ b/internal/node/pipeline_test.go
@@ -128,8 +128,8 @@
 	}
 }
 
-// A planned stop answers a full line in order, each in its time, before the driver ends.
-func TestAPlannedStopAnswersAFullLine(t *testing.T) {
+// A graceful shutdown answers all pipelined requests in order, each in its time, before the driver ends.
+func TestGracefulShutdownAnswersAllPipelinedRequests(t *testing.T) {
 	s := newScene(t, nil, 256)
 	s.heads(250 * ms)
 	texts, want := []string{timed("head", "order", 2000)}, []string{"value of head"}
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -56,7 +56,7 @@
 	if phase == shutdown.Accepting {
 		return
 	}
-	if phase == shutdown.Over {
+	if phase == shutdown.Finished {
 		n.rpcs.forceAnswers()
 	}
 	if n.listeners.closeClients(phase) == 0 {
@@ -80,5 +80,5 @@
 	if !s.begun {
 		return deadline, true
 	}
-	return s.plan.Until(deadline), s.plan.MayForward(s.node.loop.Now())
+	return s.plan.BoundDeadline(deadline), s.plan.Forwards(s.node.loop.Now())
 }
--- a/internal/shutdown/shutdown.go
+++ b/internal/shutdown/shutdown.go
@@ -1,84 +1,90 @@
-// Package shutdown decides the course of a planned stop: how long new connections are accepted, when connections are ended
-// between requests, when requests are refused without being forwarded, and the last moment for an answer. It does no I/O;
-// all times come in as arguments.
+// Package shutdown plans a graceful shutdown: for how long new connections are accepted, when connections are closed between
+// two requests, when requests are rejected without being forwarded, and the last moment for an answer. It does no I/O and
+// reads no clock: all times are arguments.
 package shutdown
 
 import "time"
 
-// What whoever stops a driver promises, and what the driver itself may lose of it.
+// What the platform promises when it stops a driver.
 const (
-	longestCounted = 3 * time.Second        // a longer deadline gives the driver no more time
-	killAfter      = 700 * time.Millisecond // SIGKILL comes no sooner than the longest deadline and this after SIGTERM was sent
-	newcomers      = 700 * time.Millisecond // new connections may come for so long after SIGTERM
+	maxCountedDeadline = 3 * time.Second        // a request's longer deadline gives the driver no more time
+	killMargin         = 700 * time.Millisecond // SIGKILL comes no sooner than the longest deadline and this after SIGTERM was sent
+	acceptDuration     = 700 * time.Millisecond // for which new connections may come after SIGTERM
+)
 
-	holdUp   = 150 * time.Millisecond // the driver may be held up for so long between reading its clock and writing
-	delivery = 100 * time.Millisecond // a signal, a turn of the event loop and the end of a connection may take so long
-	tooShort = 100 * time.Millisecond // a request that has less time left is refused, not forwarded
+// What the driver may lose of that time itself.
+const (
+	maxStall       = 150 * time.Millisecond // between reading the clock and writing
+	deliveryMargin = 100 * time.Millisecond // for a signal, an iteration of the event loop and the end of a connection
+	minTimeLeft    = 100 * time.Millisecond // a request that has less is rejected, not forwarded
 )
 
-// Phase is a part of a planned stop. Each begins when the one before it ends.
+// Phase is a part of a graceful shutdown. Each begins when the one before it ends.
 type Phase uint8
 
 const (
-	// Accepting serves on, new connections too.
+	// Accepting serves as before, new connections too.
 	Accepting Phase = iota
-	// Serving takes no new connections and serves those that are open.
+	// Serving accepts no new connections and serves those that are open.
 	Serving
-	// Closing serves on and ends each connection that has no request under way.
+	// Closing serves on, and closes each connection that has no request in flight.
 	Closing
-	// Refusing waits for the answers of what is under way and refuses whatever else is read.
-	Refusing
-	// Over has answered all. Connections are ended without reading on.
-	Over
+	// Rejecting waits for the answers of requests in flight and rejects those that are read.
+	Rejecting
+	// Finished has answered all requests. Connections are closed without reading on.
+	Finished
 )
 
+// phaseNames are as logs have them.
 var phaseNames = [...]string{"accepting", "serving", "closing", "refusing", "over"}
 
-// String gives the phase as logs have it.
+// String returns the name of the phase, as operators see it.
 func (p Phase) String() string { return phaseNames[p] }
 
-// Plan is the course of one planned stop.
+// Plan is when each phase of one shutdown begins.
 type Plan struct {
-	begins [Over + 1]time.Duration
+	begins [Finished + 1]time.Duration
 }
 
-// New plans a stop. The signal was heard at one time and sent no earlier than at another; longest is the longest deadline of
-// any request. SIGKILL is counted from the earliest moment at which the signal can have been sent.
-func New(sent, heard, longest time.Duration) Plan {
-	longest = min(longest, longestCounted)
-	kill := sent + longest + killAfter
-	over := kill - holdUp - delivery
-	refusing := over - tooShort
-	closing := min(sent+killAfter+longest/2, refusing-tooShort)
+// New plans a shutdown whose signal was received at one time and sent at sentAt at the earliest: SIGKILL is counted from
+// there. maxDeadline is the longest deadline of a request.
+func New(sentAt, receivedAt, maxDeadline time.Duration) Plan {
+	maxDeadline = min(maxDeadline, maxCountedDeadline)
+	kill := sentAt + maxDeadline + killMargin
+	finished := kill - maxStall - deliveryMargin
+	rejecting := finished - minTimeLeft
+	closing := min(sentAt+killMargin+maxDeadline/2, rejecting-minTimeLeft)
 	return Plan{[...]time.Duration{
-		Accepting: sent,
-		Serving:   min(heard+newcomers, closing),
+		Accepting: sentAt,
+		Serving:   min(receivedAt+acceptDuration, closing),
 		Closing:   closing,
-		Refusing:  refusing,
-		Over:      over,
+		Rejecting: rejecting,
+		Finished:  finished,
 	}}
 }
 
-// Phase tells which part of the stop a time belongs to.
+// Phase returns the phase at a time.
 func (p *Plan) Phase(now time.Duration) Phase {
 	phase := Accepting
-	for phase < Over && now >= p.begins[phase+1] {
+	for phase < Finished && now >= p.begins[phase+1] {
 		phase++
 	}
 	return phase
 }
 
-// Next tells when the phase after this one begins. None comes after Over.
+// Next returns when the next phase begins. There is none after Finished.
 func (p *Plan) Next(now time.Duration) (at time.Duration, ok bool) {
 	phase := p.Phase(now)
-	if phase == Over {
+	if phase == Finished {
 		return 0, false
 	}
 	return p.begins[phase+1], true
 }
 
-// MayForward tells whether a request that is read now may still go to a member.
-func (p *Plan) MayForward(now time.Duration) bool { return p.Phase(now) < Refusing }
+// Forwards reports whether a request that is read now may still be sent to a member.
+func (p *Plan) Forwards(now time.Duration) bool { return p.Phase(now) < Rejecting }
 
-// Until bounds the time by which a request has its answer.
-func (p *Plan) Until(until time.Duration) time.Duration { return min(until, p.begins[Over]) }
+// BoundDeadline limits the deadline of a request to the end of the shutdown.
+func (p *Plan) BoundDeadline(deadline time.Duration) time.Duration {
+	return min(deadline, p.begins[Finished])
+}
