--- /dev/null
+++ b/internal/idempotency/registry_test.go
@@ -0,0 +1,233 @@
+package idempotency
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"testing"
+	"time"
+
+	"passtack/internal/seeded"
+	"pgregory.net/rapid"
+)
+
+const second, window = time.Second, 1200 * time.Millisecond
+
+func request(key string, digest uint64, firstSent, window time.Duration) Request {
+	return Request{Key: key, Digest: digest, FirstSent: firstSent, Window: window}
+}
+
+func newTestRegistry(sticky bool) *Registry {
+	r := New(0)
+	r.Sticky, r.Retention, r.MaxBytes, r.MaxInProgress = sticky, 10*second, 1<<20, 100
+	return r
+}
+
+func TestVerdictsOfRepeats(t *testing.T) {
+	r := newTestRegistry(false)
+	v, first := r.Begin(request("a", 1, 5*second, window), 5*second)
+	if v != Run || first.Deadline >= 5*second+window {
+		t.Fatalf("the first gets %d until %v", v, first.Deadline)
+	}
+	if v, e := r.Begin(request("a", 1, 5*second, window), 5100*time.Millisecond); v != Join || e != first {
+		t.Errorf("while it is in progress a repeat gets %d", v)
+	}
+	if v, _ := r.Begin(request("a", 2, 5*second, window), 5100*time.Millisecond); v != KeyReused {
+		t.Errorf("another request under the same key gets %d", v)
+	}
+	first.Waiters = append(first.Waiters, 7, 8, 9)
+	first.RemoveWaiter(8)
+	if got := fmt.Sprint(r.Finish(first, Completed, []byte("x"), 6*second)); got != "[7 9]" {
+		t.Errorf("waiters: %s", got)
+	}
+	for _, at := range []time.Duration{6, 7, 15} { // also beyond the window: nothing runs
+		if v, e := r.Begin(request("a", 1, 5*second, window), at*second); v != Replay || string(e.Response) != "x" {
+			t.Errorf("at %d s a repeat gets %d", at, v)
+		}
+	}
+	if v, _ := r.Begin(request("a", 1, 5*second, window), 17*second); v != TooLate {
+		t.Errorf("once it is forgotten a repeat gets %d", v)
+	}
+	if v, _ := r.Begin(request("b", 1, 9*second, window), 5*second); v != FromFuture {
+		t.Errorf("a request from the future gets %d", v)
+	}
+}
+
+func TestUncertainRequestsRunAgainOnlyInsideTheirWindow(t *testing.T) {
+	for _, sticky := range []bool{false, true} {
+		r := newTestRegistry(sticky)
+		_, e := r.Begin(request("a", 1, 5*second, window), 5*second)
+		r.Finish(e, Uncertain, nil, 5500*time.Millisecond)
+		v, again := r.Begin(request("a", 1, 5*second, window), 6*second)
+		if v != Run || again.Deadline >= 5*second+window {
+			t.Fatalf("sticky %t: inside the window a repeat gets %d until %v", sticky, v, again.Deadline)
+		}
+		r.Finish(again, NotRun, nil, 6100*time.Millisecond) // the first may have run nevertheless
+		if v, _ := r.Begin(request("a", 1, 5*second, window), 6300*time.Millisecond); v != TooLate {
+			t.Errorf("sticky %t: after the window a repeat gets %d", sticky, v)
+		}
+	}
+}
+
+// If all repeats of a client come to this driver, it can tell a first attempt that was delayed from a repeat.
+func TestStickyClients(t *testing.T) {
+	for _, sticky := range []bool{false, true} {
+		v, e := newTestRegistry(sticky).Begin(request("a", 1, 5*second, window), 8*second)
+		if sticky && (v != Run || e.Deadline < 9*second) || !sticky && v != TooLate {
+			t.Errorf("sticky %t: an unknown request of 3 s ago gets %d", sticky, v)
+		}
+	}
+	r := New(6 * second) // started after it was first sent: it may have run before the restart
+	r.Sticky, r.Retention, r.MaxBytes, r.MaxInProgress = true, 10*second, 1<<20, 100
+	if v, _ := r.Begin(request("a", 1, 5*second, window), 8*second); v != TooLate {
+		t.Errorf("after a restart a request from before gets %d", v)
+	}
+}
+
+func TestRegistryIsBounded(t *testing.T) {
+	r := newTestRegistry(true)
+	r.MaxBytes, r.MaxInProgress = 10_000, 5
+	for i := range 1000 {
+		at := time.Duration(i+1) * time.Millisecond * 2
+		v, e := r.Begin(request(fmt.Sprint(i), 1, at, window), at)
+		if v != Run {
+			t.Fatalf("request %d gets %d", i, v)
+		}
+		r.Finish(e, Completed, make([]byte, 100), at)
+		if u := r.Usage(); u.Bytes > r.MaxBytes || u.InProgress != 0 {
+			t.Fatalf("%d bytes are used, %d requests are in progress", u.Bytes, u.InProgress)
+		}
+	}
+	if v, _ := r.Begin(request("0", 1, 2*time.Millisecond, window), 5*second); v != TooLate {
+		t.Errorf("a repeat of an expired request gets %d", v)
+	}
+	for i := range 6 {
+		if v, _ := r.Begin(request(fmt.Sprint("open", i), 1, 5*second, window), 5*second); (v == AtCapacity) != (i == 5) {
+			t.Errorf("request %d in progress at once gets %d", i, v)
+		}
+	}
+}
+
+// A group drops duplicates within a window after the first run. Drivers that restart at random must never let a request run a second
+// time after that.
+func TestNoRequestTakesEffectTwice(t *testing.T) {
+	seeded.Check(t, func(t *rapid.T) {
+		now := second
+		type sent struct {
+			first, ran time.Duration // ran: when the group first ran it, 0: not yet
+			open       [2]*Entry
+		}
+		requests := make([]sent, 4)
+		drivers := [2]*Registry{newTestRegistry(false), newTestRegistry(false)}
+		for _, step := range rapid.SliceOfN(rapid.IntRange(0, 1<<16), 1, 200).Draw(t, "steps") {
+			now += time.Duration(step%400) * time.Millisecond
+			q, d, dice := &requests[step/400%4], step/1600%2, step/3200
+			key := fmt.Sprint(step / 400 % 4)
+			if e := q.open[d]; e != nil {
+				q.open[d] = nil
+				switch dice % 4 {
+				case 0:
+					drivers[d] = newTestRegistry(false) // killed
+					for i := range requests {
+						requests[i].open[d] = nil
+					}
+				case 1:
+					drivers[d].Finish(e, Uncertain, nil, now)
+				case 2:
+					drivers[d].Finish(e, Completed, []byte("done"), now)
+				case 3:
+					if q.ran == 0 {
+						drivers[d].Finish(e, NotRun, nil, now)
+					} else {
+						drivers[d].Finish(e, Uncertain, nil, now)
+					}
+				}
+				continue
+			}
+			if q.first == 0 {
+				q.first = now
+			}
+			v, e := drivers[d].Begin(request(key, 1, q.first.Truncate(second), window), now)
+			if v != Run {
+				continue
+			}
+			if now >= e.Deadline {
+				t.Fatalf("it may run until %v, now %v", e.Deadline, now)
+			}
+			q.open[d] = e
+			if dice%3 > 0 { // it reaches the group by then
+				if q.ran != 0 && e.Deadline > q.ran+window {
+					t.Fatalf("ran at %v, may run again until %v", q.ran, e.Deadline)
+				}
+				if q.ran == 0 {
+					q.ran = now
+				}
+			}
+		}
+	})
+}
+
+func TestRequestsWithoutWindowLimitAreNeverTooLate(t *testing.T) {
+	r := newTestRegistry(false)
+	if v, _ := r.Begin(request("a", 1, 5*second, 1<<20*time.Hour), 500*second); v != Run {
+		t.Errorf("a harmless repeat gets %d", v)
+	}
+}
+
+// A later process restores finished requests: responses are replayed and never run again. What may have run is limited by its window even
+// for sticky clients, and so is what did not run, since it may have been sent again after it was persisted.
+func TestPersistedEntriesAreRestored(t *testing.T) {
+	persisted := make(map[string][]byte)
+	r := newTestRegistry(true)
+	r.Persist = func(key string, e []byte) {
+		if persisted[key] = e; e == nil {
+			delete(persisted, key)
+		}
+	}
+	for key, outcome := range map[string]Outcome{"done": Completed, "unsure": Uncertain, "nothing": NotRun} {
+		verdict, e := r.Begin(request(key, 7, time.Second, window), time.Second)
+		if verdict != Run {
+			t.Fatalf("%s: %v", key, verdict)
+		}
+		r.Finish(e, outcome, []byte("answer"), time.Second)
+	}
+	if verdict, _ := r.Begin(request("open", 7, time.Second, window), time.Second); verdict != Run || len(persisted) != 3 {
+		t.Fatalf("%v, %d are persisted", verdict, len(persisted))
+	}
+	restored := func(now time.Duration) *Registry {
+		again := newTestRegistry(true)
+		again.knownSince = now
+		again.Restore(slices.Collect(maps.Values(persisted)), now)
+		return again
+	}
+	again := restored(1500 * time.Millisecond)
+	if verdict, e := again.Begin(request("done", 7, time.Second, window), 1800*time.Millisecond); verdict != Replay || string(e.Response) != "answer" {
+		t.Errorf("a persisted response: %v", verdict)
+	}
+	if verdict, _ := again.Begin(request("done", 8, time.Second, window), 1800*time.Millisecond); verdict != KeyReused {
+		t.Errorf("another request under its key: %v", verdict)
+	}
+	for _, key := range []string{"unsure", "nothing", "open"} {
+		if verdict, e := again.Begin(request(key, 7, time.Second, window), 1800*time.Millisecond); verdict != Run || e.Deadline != time.Second+window-windowMargin {
+			t.Errorf("%s inside its window: %v", key, verdict)
+		}
+		if verdict, _ := restored(1500*time.Millisecond).Begin(request(key, 7, time.Second, window), 4*time.Second); verdict != TooLate {
+			t.Errorf("%s after its window: %v", key, verdict)
+		}
+	}
+	if entries := restored(500 * time.Millisecond).Usage().Entries; entries != 0 {
+		t.Errorf("%d entries from the future are restored", entries)
+	}
+	if entries := restored(time.Hour).Usage().Entries; entries != 0 {
+		t.Errorf("%d expired entries are restored", entries)
+	}
+	for _, corrupt := range [][]byte{nil, {encodingVersion}, append([]byte{9}, persisted["done"][1:]...), persisted["done"][:entryHeaderSize]} {
+		if n := newTestRegistry(true).Restore([][]byte{corrupt}, 2*time.Second); n != 0 {
+			t.Errorf("%q is restored", corrupt)
+		}
+	}
+	r.Expire(time.Hour)
+	if len(persisted) != 0 {
+		t.Errorf("%d expired entries are persisted", len(persisted))
+	}
+}
--- a/internal/lab/capacity/configuration.go
+++ b/internal/lab/capacity/configuration.go
@@ -155,7 +155,7 @@
 
 func (c *controller) kill() {
 	if c.server != nil {
-		for _, what := range []string{"bytes_sent", "bytes_taken", "calls"} {
+		for _, what := range []string{"bytes_sent", "bytes_received", "calls"} {
 			c.counted[what] += c.server.Counter(what)
 		}
 	}
@@ -487,7 +487,7 @@
 func (r *rollouts) traffic() map[string]int {
 	all := make(map[string]int)
 	for _, c := range r.machines {
-		for _, what := range []string{"bytes_sent", "bytes_taken", "calls"} {
+		for _, what := range []string{"bytes_sent", "bytes_received", "calls"} {
 			n := c.counted[what]
 			if c.server != nil {
 				n += c.server.Counter(what)
--- a/internal/node/host.go
+++ b/internal/node/host.go
@@ -86,7 +86,7 @@
 // takePeerMessage passes a message of another driver to the parts that talk with other drivers, and any other one to the module.
 func (n *Node) takePeerMessage(from driver.Peer, message []byte) {
 	n.Count("peer_texts_taken")
-	if n.talk == nil || !n.talk.take(from, message) {
+	if n.messenger == nil || !n.messenger.receive(from, message) {
 		n.module.Told(from, message)
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -46,16 +46,16 @@
 	signals   *signals
 
 	clock      fleetclock.Clock // the members' clock against the loop's
-	background background
+	background backgroundJobs
 	telemetry
 	features
 }
 
 // features are the parts that a driver has only if the operator's file asks for them. Each is nil otherwise.
 type features struct {
-	talk          *talk
+	messenger     *messenger
 	view          *view
-	leases        *leases
+	leases        *leaseService
 	configuration *configuration
 	learned       *learned
 }
@@ -100,7 +100,7 @@
 	for _, step := range []func() error{
 		n.listenToPeers,
 		n.startModule,
-		n.listen,
+		n.startMessaging,
 		n.restoreEndpointList,
 		n.listeners.open,
 		n.listenForOperators,
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -74,7 +74,7 @@
 		restart = append(restart, "leases")
 	} else if n.leases != nil && !reflect.DeepEqual(inForce.Leases, config.Leases) {
 		inForce.Leases = config.Leases
-		n.leases.change(config.Leases)
+		n.leases.changeVoters(config.Leases)
 	}
 	if !equal(inForce.View, config.View) {
 		restart = append(restart, "view")
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -33,7 +33,7 @@
 	s.plan = shutdown.New(sentAt, now, n.site.maxDeadline())
 	slog.Info("leaving", "rpcs", n.rpcs.Len(), "clients", n.listeners.openClients(), "sent_at_most_ms_ago", (now - sentAt).Milliseconds())
 	if n.leases != nil {
-		n.leases.leave()
+		n.leases.resign()
 	}
 	if n.view != nil {
 		n.view.seen.Leave(n.loop.Clock())
--- a/internal/node/timer.go
+++ b/internal/node/timer.go
@@ -36,7 +36,7 @@
 	n.module.Wake()
 	if now >= n.recovery.nextCheck {
 		if p := n.background.plan; p != nil {
-			p.Late(delay, now)
+			p.ReportLateness(delay, now)
 		}
 		n.recovery.check()
 	}
--- a/internal/rollout/server/golden_test.go
+++ b/internal/rollout/server/golden_test.go
@@ -47,13 +47,13 @@
 )
 
 func TestGoldenStorage(t *testing.T) {
-	source, path, rung := filepath.Join("testdata", "machine"), t.TempDir(), make(chan bool, 1)
+	source, path, notified := filepath.Join("testdata", "machine"), t.TempDir(), make(chan bool, 1)
 	if *update {
-		f, _, err := OpenFileStorage(path, "c0", func() { rung <- true })
+		f, _, err := OpenFileStorage(path, "c0", func() { notified <- true })
 		if err != nil {
 			t.Fatal(err)
 		}
-		persistAll(t, f, rung, goldenState)
+		persistAll(t, f, notified, goldenState)
 		f.Close()
 		if err := os.CopyFS(source, os.DirFS(path)); err != nil {
 			t.Fatal(err)
--- /dev/null
+++ b/internal/rollout/server/session.go
@@ -0,0 +1,145 @@
+package server
+
+import (
+	"encoding/json"
+	"strconv"
+
+	"passtack/internal/chain"
+	"passtack/internal/httpwire"
+	"passtack/internal/loop"
+)
+
+// Header fields of requests and answers.
+const (
+	VersionField     = "Version"     // of a text; with a publication the version that it was made from
+	PublicationField = "Publication" // the ID of a publication in hex, the same for each retry
+)
+
+// session is a connection of a driver, a publisher or another machine. Its requests are handled one after the other.
+type session struct {
+	server *Server
+	stream *loop.Stream
+	timer  loop.Due // idle timeout, or the end of a long poll; nil: none
+
+	waiting      bool                 // for a newer version, or for the outcome of a publication
+	knownVersion uint64               // that the driver has or has rejected
+	watcherLink  chain.Link[*session] // in Server.watchers
+	requestID    uint64               // in Server.publishers; 0: none yet
+}
+
+// Opened implements loop.Handler.
+func (c *session) Opened() {}
+
+// Panicked implements loop.Handler.
+func (c *session) Panicked(error) { c.close() }
+
+// Closed implements loop.Handler.
+func (c *session) Closed(error) { c.detach() }
+
+// startIdleTimer closes the connection unless a complete request comes in time.
+func (c *session) startIdleTimer() {
+	l := c.server.loop
+	l.Forget(c.timer)
+	c.timer = l.At(l.Now()+idleTimeout, c.close)
+}
+
+// detach removes the session from the server.
+func (c *session) detach() {
+	c.server.loop.Forget(c.timer)
+	c.watcherLink.Leave()
+	c.server.publishers.remove(c.requestID)
+}
+
+func (c *session) close() {
+	c.detach()
+	c.stream.Close()
+}
+
+// Input implements loop.Handler. Requests behind one that waits stay in the buffer.
+func (c *session) Input(in []byte) (consumed int) {
+	for !c.waiting {
+		r, fault := httpwire.Next(in[consumed:], limits)
+		if fault != nil {
+			c.reject(fault.Status, fault.Reason)
+			return len(in)
+		}
+		if r.Size == 0 {
+			break
+		}
+		consumed += r.Size
+		c.startIdleTimer()
+		c.server.counters[counterBytesReceived] += r.Size
+		if !c.handle(r) {
+			return len(in)
+		}
+	}
+	return consumed
+}
+
+// handle handles a request. It returns false if the connection is closed.
+func (c *session) handle(r httpwire.Request) bool {
+	s := c.server
+	switch target := string(r.Verb) + " " + string(r.Target); target {
+	case "POST /machine":
+		if !s.receive(r.Body) {
+			return c.rejectInvalid(400, "no message of this fleet's machines")
+		}
+		c.respond(204, "", nil)
+	case "POST /watch":
+		return c.handleWatch(r.Body)
+	case "POST /publish":
+		return c.handlePublish(r)
+	case "GET /status":
+		body, err := json.Marshal(s.status())
+		if err != nil {
+			c.reject(500, err.Error())
+			return false
+		}
+		c.respond(200, "", body)
+	case "GET /configuration":
+		e := s.machine.Committed()
+		c.respond(200, strconv.FormatUint(e.Version, 10), []byte(e.Text))
+	default:
+		return c.rejectInvalid(404, "there is no "+target)
+	}
+	return true
+}
+
+// respond sends an answer. An empty version is left out.
+func (c *session) respond(status int, version string, body []byte) {
+	out := httpwire.AppendStatus(nil, status)
+	if version != "" {
+		out = httpwire.AppendField(out, VersionField, version)
+	}
+	if status == 204 {
+		out = append(out, "\r\n"...)
+	} else {
+		out = append(httpwire.AppendLength(out, len(body)), body...)
+	}
+	c.server.counters[counterBytesSent] += len(out)
+	c.stream.Send(out)
+}
+
+// reject answers with an error and closes the connection.
+func (c *session) reject(status int, reason string) {
+	body, _ := json.Marshal(PublishResult{Error: reason})
+	out := httpwire.AppendField(httpwire.AppendStatus(nil, status), "Connection", "close")
+	c.detach()
+	c.stream.Send(append(httpwire.AppendLength(out, len(body)), body...))
+	c.stream.CloseWhenSent()
+}
+
+// rejectInvalid counts a request that is not of this fleet and rejects it. It returns false, as handle does then.
+func (c *session) rejectInvalid(status int, reason string) bool {
+	c.server.counters[counterInvalidRequests]++
+	c.reject(status, reason)
+	return false
+}
+
+// resume continues with the requests that came while one waited.
+func (c *session) resume() {
+	c.waiting = false
+	c.watcherLink.Leave()
+	c.startIdleTimer()
+	c.server.loop.Later(c.stream.Look)
+}
