--- a/internal/node/learned_save.go
+++ b/internal/node/learned_save.go
@@ -70,10 +70,10 @@
 	}
 }
 
-// Remembered saves the latest write of a session.
-func (n *Node) Remembered(session driver.Session, writtenAt time.Duration) {
-	if n.learned != nil {
-		n.learned.saver.SessionWrote(session, writtenAt)
+// sessionWrote saves the latest write of a session.
+func (l *learnedState) sessionWrote(session driver.Session, writtenAt time.Duration) {
+	if l != nil {
+		l.saver.SessionWrote(session, writtenAt)
 	}
 }
 
@@ -85,7 +85,7 @@
 		l.saver.BeginRound()
 	}
 	r.next = n.module.Learned(r.next, membersPerSlice, func(m driver.Member, known driver.Known) {
-		l.saver.SaveMember(n.uids[m], known)
+		l.saver.SaveMember(n.members.uids[m], known)
 	})
 	if r.next > 0 {
 		return false
@@ -178,7 +178,7 @@
 
 // expireRequests is the job "forget-repeats": it lets the fronts forget idempotent requests whose retention is over.
 func (l *learnedState) expireRequests() (background.Usage, background.Outcome) {
-	for _, listener := range l.node.listeners {
+	for _, listener := range l.node.listeners.all {
 		if f, ok := listener.front.(*odatafront.Front); ok {
 			f.Repeats().Expire(l.node.loop.Now())
 		}
