--- /dev/null
+++ b/internal/node/hostile_clients_test.go
@@ -0,0 +1,162 @@
+package node
+
+import (
+	"fmt"
+	"net"
+	"runtime"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"passtack/internal/pcg"
+)
+
+// TestConnectionFloodLeavesOtherListenerItsQuota floods one listener with connections: clients of the other connect and are answered as usual.
+func TestConnectionFloodLeavesOtherListenerItsQuota(t *testing.T) {
+	for _, flooded := range []string{"odata", "pg"} {
+		t.Run(flooded, func(t *testing.T) {
+			g := startCluster(t, "pg", 2, always(fine))
+			d, at := serveOData(t, "", 120, g, "")
+			dial(t, d.at).ask(t, statement("first", "order", 5000, 0))
+			end := make(chan bool)
+			var flood sync.WaitGroup
+			g.mutex.Lock()
+			g.wait = 40 * time.Millisecond
+			g.mutex.Unlock()
+			for i := range 200 {
+				flood.Go(func() { // most send requests without end, some are silent
+					for {
+						select {
+						case <-end:
+							return
+						default:
+						}
+						if flooded == "odata" {
+							c := dialHTTP(t, at)
+							for i%8 > 0 && c.ask("GET", "Applications('x')", "").status != 0 {
+								select {
+								case <-end:
+									c.Close()
+									return
+								default:
+								}
+							}
+							time.Sleep(20 * time.Millisecond)
+							c.Close()
+						} else {
+							c := dial(t, d.at)
+							for i%8 > 0 && !strings.Contains(c.ask(t, statement(fmt.Sprintf("f%d", i), "look", 500, 0)), "closed") {
+								select {
+								case <-end:
+									c.Close()
+									return
+								default:
+								}
+							}
+							time.Sleep(20 * time.Millisecond)
+							c.Close()
+						}
+					}
+				})
+			}
+			time.Sleep(300 * time.Millisecond)
+			answered, slowest, total := 0, time.Duration(0), time.Duration(0)
+			for i := range 40 {
+				began := time.Now()
+				if flooded == "odata" {
+					if got := dial(t, d.at).ask(t, statement(fmt.Sprintf("o%d", i), "order", 2000, 0)); strings.HasPrefix(got, "ok") {
+						answered++
+					}
+				} else if got := dialHTTP(t, at).ask("POST", "Applications", fmt.Sprintf(`{"Id":"o%d"}`, i), "Deadline-Ms: 2000"); got.status == 201 {
+					answered++
+				}
+				slowest = max(slowest, time.Since(began))
+				total += time.Since(began)
+			}
+			close(end)
+			flood.Wait()
+			t.Logf("%d of 40 answered beside the flood, in %v each, the slowest in %v", answered, total/40, slowest)
+			if answered < 38 || total/40 > 100*time.Millisecond { // without quotas it takes twice as long
+				t.Errorf("%d of 40 answered, in %v each, the slowest in %v", answered, total/40, slowest)
+			}
+		})
+	}
+}
+
+// TestHostileRequestsAreRejected sends ten thousand hostile requests to the OData listener: each is answered with an error or a close, none
+// reaches a member, and the memory that they leave behind is bounded.
+func TestHostileRequestsAreRejected(t *testing.T) {
+	g := startCluster(t, "pg", 1, always(fine))
+	d, at := serveOData(t, "", 300, g, "")
+	chance := pcg.New(7)
+	head := "POST /odata/Applications HTTP/1.1\r\nHost: x\r\nContent-Type: application/json\r\n"
+	hostile := []func() string{
+		func() string {
+			noise := make([]byte, 1+chance.Below(3000))
+			for i := range noise {
+				noise[i] = byte(chance.Uint32())
+			}
+			return string(noise)
+		},
+		func() string { return head + "Content-Length: 99999999999\r\n\r\n" },
+		func() string { return head + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" },
+		func() string { return head + "Transfer-Encoding: chunked\r\n\r\nfffffff\r\n" },
+		func() string { return "GET /odata/" + strings.Repeat("a", 10000) + " HTTP/1.1\r\n" },
+		func() string { return head + strings.Repeat("X: y\r\n", 3000) },
+		func() string { return head + "Content-Length: 4\r\n\r\n{\"x\"" },
+		func() string { return head + "Content-Length: 40000\r\n\r\n" + strings.Repeat("[", 40000) },
+		func() string {
+			return "GET /odata/Applications?$filter=" + strings.Repeat("(", 3000) + " HTTP/1.1\r\nHost: x\r\n\r\n"
+		},
+		func() string {
+			return "POST /odata/$batch HTTP/1.1\r\nHost: x\r\nContent-Type: application/json\r\nContent-Length: 30000\r\n\r\n" + strings.Repeat("{\"requests\":[", 2307) + "123456789"
+		},
+	}
+	var texts []string
+	for i := range 10000 {
+		texts = append(texts, hostile[i%len(hostile)]())
+	}
+	heap := func() uint64 {
+		var m runtime.MemStats
+		runtime.GC()
+		runtime.ReadMemStats(&m)
+		return m.HeapInuse
+	}
+	before := heap()
+	var lanes sync.WaitGroup
+	for lane := range 20 {
+		lanes.Go(func() {
+			for i := lane; i < len(texts); i += 20 {
+				c, err := net.Dial("tcp", at)
+				if err != nil {
+					t.Error(err)
+					return
+				}
+				c.SetDeadline(time.Now().Add(10 * time.Second))
+				c.Write([]byte(texts[i]))
+				answer := make([]byte, 64)
+				n, _ := c.Read(answer)
+				if n > 0 && !strings.HasPrefix(string(answer[:n]), "HTTP/1.1 4") && !strings.HasPrefix(string(answer[:n]), "HTTP/1.1 5") {
+					t.Errorf("%.40q is answered by %q", texts[i], answer[:n])
+				}
+				c.Close()
+			}
+		})
+	}
+	lanes.Wait()
+	time.Sleep(300 * time.Millisecond)
+	after := heap()
+	runtime.KeepAlive(texts)
+	t.Logf("heap in use: %d KB before, %d KB after", before>>10, after>>10)
+	if after > before+16<<20 {
+		t.Errorf("heap in use grew from %d to %d KB", before>>10, after>>10)
+	}
+	if got := dialHTTP(t, at).ask("GET", "Applications('a')", ""); got.status != 200 {
+		t.Errorf("afterwards: %d %s", got.status, got.body)
+	}
+	if calls := len(g.seen()); calls != 1 {
+		t.Errorf("a member saw %d attempts", calls)
+	}
+	d.stop()
+}
