--- a/internal/node/batch_test.go
+++ b/internal/node/batch_test.go
@@ -80,7 +80,7 @@
 				t.Errorf("only %d reads behind a write", behindWrites)
 			}
 			d.stop()
-			if d.rpcs.Count() != 0 || d.counters["rpcs_overdue"] != 0 {
+			if d.rpcs.Len() != 0 || d.counters["rpcs_overdue"] != 0 {
 				t.Errorf("counted %v", d.counters)
 			}
 		})
@@ -98,8 +98,8 @@
 	checkLateBatch(t, g, c)
 	checkAbandonedBatch(t, g, at)
 	d.stop()
-	if d.rpcs.Count() != 0 {
-		t.Errorf("%d RPCs are left", d.rpcs.Count())
+	if d.rpcs.Len() != 0 {
+		t.Errorf("%d RPCs are left", d.rpcs.Len())
 	}
 }
 
--- a/internal/node/pipeline_test.go
+++ b/internal/node/pipeline_test.go
@@ -65,8 +65,8 @@
 			t.Errorf("a member is told that %s has %d ms left, want %d at most and hardly less", id, left[id], most)
 		}
 	}
-	if s.node.rpcs.Count() != 0 {
-		t.Errorf("%d RPCs are left", s.node.rpcs.Count())
+	if s.node.rpcs.Len() != 0 {
+		t.Errorf("%d RPCs are left", s.node.rpcs.Len())
 	}
 }
 
@@ -128,8 +128,8 @@
 	}
 }
 
-// A planned stop answers a full line in order, each in its time, before the driver ends.
-func TestAPlannedStopAnswersAFullLine(t *testing.T) {
+// A graceful shutdown answers all pipelined requests in order, each in its time, before the driver ends.
+func TestGracefulShutdownAnswersAllPipelinedRequests(t *testing.T) {
 	s := newScene(t, nil, 256)
 	s.heads(250 * ms)
 	texts, want := []string{timed("head", "order", 2000)}, []string{"value of head"}
@@ -142,7 +142,7 @@
 		}
 	}
 	s.ask(100*ms, texts...)
-	s.at(200*ms, func() { s.driver.Do(s.node.beginShutdown) })
+	s.at(200*ms, func() { s.driver.Do(s.node.shutdown.begin) })
 	s.world.Run(epoch + 5*time.Second)
 	if !slices.Equal(s.client.heard, want) {
 		t.Errorf("heard %q, want %q", s.client.heard, want)
--- a/internal/node/repeatable_test.go
+++ b/internal/node/repeatable_test.go
@@ -114,8 +114,8 @@
 					t.Errorf("a member was sent what was refused: %+v", call)
 				}
 			}
-			if len(g.effects) < 7 || d.rpcs.Count() != 0 {
-				t.Errorf("effects %v, %d RPCs are left", g.effects, d.rpcs.Count())
+			if len(g.effects) < 7 || d.rpcs.Len() != 0 {
+				t.Errorf("effects %v, %d RPCs are left", g.effects, d.rpcs.Len())
 			}
 		})
 	}
