--- a/internal/node/protocol_parity_test.go
+++ b/internal/node/protocol_parity_test.go
@@ -24,65 +24,12 @@
 		answers <- listOf(1, true, g.targets()...)
 		d, at := serveOData(t, startDiscovery(t, calls, answers), 200, g, "")
 		runs.Go(func() {
-			c, h := dial(t, d.at), dialHTTP(t, at)
-			var got []string
-			n := 0
-			ask := func(kind string, after time.Time) string {
-				n++
-				return asks(t, pair[0], c, h, step{key: fmt.Sprintf("k%d", n), kind: kind}, 400, after)
-			}
-			record := func(what string) { got = append(got, what) }
-			for range 10 {
-				record("calm " + ask("write", time.Time{}) + ask("read", time.Time{}) + ask("own", time.Time{}))
-			}
-			g.mutex.Lock()
-			g.members[1].lag, g.members[2].lag = 5*time.Second, 5*time.Second
-			g.mutex.Unlock()
-			before := len(g.seen())
-			for range 10 {
-				record("lag " + ask("write", time.Time{}) + ask("own", time.Now()))
-			}
-			for _, call := range g.seen()[before:] {
-				if !call.write && (call.after == 0 || call.ran && call.member != 0) {
-					t.Errorf("%s: a read behind a write asks member %d, which lags, for what is after %d", name, call.member, call.after)
-				}
-			}
-			g.mutex.Lock()
-			g.members[1].lag, g.members[2].lag = 0, 0
-			g.mutex.Unlock()
-			g.kill(0)
-			before = len(g.seen())
-			for range 5 {
-				record("no primary " + ask("write", time.Time{}))
-			}
-			for _, call := range g.seen()[before:] {
-				if call.ran {
-					t.Errorf("%s: member %d runs a write though it is no primary", name, call.member)
-				}
-			}
-			g.promote(1)
-			for ask("write", time.Time{}) != "ok" {
-				if n > 100 {
-					t.Errorf("%s: no write is ok after the takeover", name)
-					return
-				}
-			}
-			for range 10 {
-				record("taken over " + ask("write", time.Time{}) + ask("own", time.Now()))
-			}
-			answers <- listOf(2, false, target(2, 0, g.members[2].listener.Addr(), "terminating"))
-			time.Sleep(600 * time.Millisecond) // the list has arrived and the grace period is over
-			before = len(g.seen())
-			for range 20 {
-				record("drain " + ask("read", time.Time{}) + ask("own", time.Time{}))
-			}
-			for _, call := range g.seen()[before:] {
-				if call.member == 2 {
-					t.Errorf("%s: a draining member receives a new request", name)
-				}
+			r := &parityRun{t: t, name: name, clients: pair[0], cluster: g, statements: dial(t, d.at), requests: dialHTTP(t, at), lists: answers}
+			if !r.run() {
+				return
 			}
 			mutex.Lock()
-			results[name] = got
+			results[name] = r.outcomes
 			mutex.Unlock()
 		})
 	}
@@ -98,6 +45,100 @@
 	}
 }
 
+// parityRun is the same course of events with one pair of protocols.
+type parityRun struct {
+	t          *testing.T
+	name       string
+	clients    string // their protocol
+	cluster    *cluster
+	statements *client
+	requests   *httpClient
+	lists      chan<- string // answers of discovery
+
+	asked    int
+	outcomes []string
+}
+
+func (r *parityRun) ask(kind string, after time.Time) string {
+	r.asked++
+	return asks(r.t, r.clients, r.statements, r.requests, step{key: fmt.Sprintf("k%d", r.asked), kind: kind}, 400, after)
+}
+
+func (r *parityRun) record(outcome string) { r.outcomes = append(r.outcomes, outcome) }
+
+// run reports false where no primary was found after the failover.
+func (r *parityRun) run() bool {
+	for range 10 {
+		r.record("calm " + r.ask("write", time.Time{}) + r.ask("read", time.Time{}) + r.ask("own", time.Time{}))
+	}
+	r.lag()
+	r.failPrimary()
+	r.cluster.promote(1)
+	for r.ask("write", time.Time{}) != "ok" {
+		if r.asked > 100 {
+			r.t.Errorf("%s: no write is ok after the failover", r.name)
+			return false
+		}
+	}
+	for range 10 {
+		r.record("taken over " + r.ask("write", time.Time{}) + r.ask("own", time.Now()))
+	}
+	r.drain()
+	return true
+}
+
+// lag checks that a read of an own write is not answered by replicas that lag.
+func (r *parityRun) lag() {
+	g := r.cluster
+	setLag := func(lag time.Duration) {
+		g.mutex.Lock()
+		g.members[1].lag, g.members[2].lag = lag, lag
+		g.mutex.Unlock()
+	}
+	setLag(5 * time.Second)
+	before := len(g.seen())
+	for range 10 {
+		r.record("lag " + r.ask("write", time.Time{}) + r.ask("own", time.Now()))
+	}
+	for _, call := range g.seen()[before:] {
+		if !call.write && (call.after == 0 || call.ran && call.member != 0) {
+			r.t.Errorf("%s: a read behind a write asks member %d, which lags, for what is after %d", r.name, call.member, call.after)
+		}
+	}
+	setLag(0)
+}
+
+// failPrimary checks that no replica runs a write.
+func (r *parityRun) failPrimary() {
+	g := r.cluster
+	g.kill(0)
+	before := len(g.seen())
+	for range 5 {
+		r.record("no primary " + r.ask("write", time.Time{}))
+	}
+	for _, call := range g.seen()[before:] {
+		if call.ran {
+			r.t.Errorf("%s: member %d runs a write though it is no primary", r.name, call.member)
+		}
+	}
+}
+
+// drain checks that a draining member receives nothing new.
+func (r *parityRun) drain() {
+	g := r.cluster
+	r.lists <- listOf(2, false, target(2, 0, g.members[2].listener.Addr(), "terminating"))
+	time.Sleep(600 * time.Millisecond) // the list has arrived and the grace period is over
+	before := len(g.seen())
+	for range 20 {
+		r.record("drain " + r.ask("read", time.Time{}) + r.ask("own", time.Time{}))
+	}
+	for _, call := range g.seen()[before:] {
+		if call.member == 2 {
+			r.t.Errorf("%s: a draining member receives a new request", r.name)
+		}
+	}
+}
+
 // TestReadYourWritesAcrossProtocols writes over one protocol and reads over the other: the read sees the write, though replicas lag.
 func TestReadYourWritesAcrossProtocols(t *testing.T) {
 	g := startCluster(t, "pg", 3, always(fine))
--- a/internal/node/repeatable_test.go
+++ b/internal/node/repeatable_test.go
@@ -9,13 +9,16 @@
 	"time"
 )
 
+// repeatabilityHeaders are the header fields of a repeatable request that was first sent at that time.
 func repeatabilityHeaders(id string, sent time.Time) []string {
 	return []string{"Repeatability-Request-ID: " + id, "Repeatability-First-Sent: " + sent.UTC().Format(http.TimeFormat),
 		fmt.Sprintf("First-Sent-Ms: %d", sent.UnixMilli())}
 }
 
-// TestRepeatedCreatesHaveOneEffect repeats creates whose connection dropped before, during and after the write: each has one effect, and
-// the client receives the first outcome, with members of both protocols.
+func createBody(key string) string { return fmt.Sprintf(`{"Id":%q,"Status":"sent"}`, key) }
+
+// TestRepeatedCreatesHaveOneEffect repeats creates whose connection dropped before, during and after the write, that come at once, or whose
+// first attempt hung: each has one effect, with members of both protocols.
 func TestRepeatedCreatesHaveOneEffect(t *testing.T) {
 	for _, speaks := range []string{"pg", "odata"} {
 		t.Run(speaks, func(t *testing.T) {
@@ -29,80 +32,12 @@
 			g.wait = 150 * time.Millisecond
 			d, at := serveOData(t, "", 200, g, "")
 			dialHTTP(t, at).ask("POST", "Applications", `{"Id":"first"}`) // the driver learns the primary
-			create := func(key string) string { return fmt.Sprintf(`{"Id":%q,"Status":"sent"}`, key) }
-
-			for _, when := range []string{"before", "in", "after"} {
-				sent := time.Now()
-				text := request("POST", "Applications", create(when), repeatabilityHeaders("id-"+when, sent)...)
-				c := dialHTTP(t, at)
-				switch when {
-				case "before":
-					c.Write(text[:len(text)-3])
-				case "in":
-					c.Write(text)
-					time.Sleep(60 * time.Millisecond)
-				case "after":
-					c.Write(text)
-					time.Sleep(400 * time.Millisecond)
-				}
-				c.Close()
-				got := dialHTTP(t, at).ask("POST", "Applications", create(when), repeatabilityHeaders("id-"+when, sent)...)
-				if got.status != 201 || !strings.Contains(got.body, when) || got.header.Get("Repeatability-Result") != "accepted" {
-					t.Errorf("dropped %s the write, asked again: %d %v %s", when, got.status, got.header, got.body)
-				}
-				other := dialHTTP(t, at).ask("POST", "Applications", create("other"), repeatabilityHeaders("id-"+when, sent)...)
-				if other.status != 412 || other.header.Get("Repeatability-Result") != "rejected" {
-					t.Errorf("another request of the same id: %d %s", other.status, other.body)
-				}
-			}
-
-			// Ten clients at once, one of them over the other protocol.
-			sent := time.Now()
-			var clients sync.WaitGroup
-			for i := range 10 {
-				clients.Go(func() {
-					if i == 0 && speaks == "pg" {
-						got := dial(t, d.at).ask(t, "/* id=both,c=order,d=900,k=id-both,cluster=0 */ INSERT INTO items (id, doc) VALUES ('both', 'x')")
-						if !strings.HasPrefix(got, "ok") {
-							t.Errorf("the same token over the other protocol: %s", got)
-						}
-						return
-					}
-					got := dialHTTP(t, at).ask("POST", "Applications", create("both"), repeatabilityHeaders("id-both", sent)...)
-					if got.status != 201 {
-						t.Errorf("one of ten at once: %d %s", got.status, got.body)
-					}
-				})
-			}
-			clients.Wait()
-
-			// The first attempt hangs until its deadline: a repeat runs again inside the window and never after it.
+			checkDroppedCreates(t, at)
+			checkConcurrentCreates(t, d.at, at, speaks)
 			g.mutex.Lock()
 			g.wait = 10 * time.Millisecond
 			g.mutex.Unlock()
-			for _, key := range []string{"hang", "late"} {
-				pause := map[string]time.Duration{"late": 1300 * time.Millisecond}[key]
-				c := dialHTTP(t, at)
-				for i := range 30 { // so that no member is an outlier any more
-					c.ask("PATCH", "Applications('calm')", `{"Status":"x"}`, repeatabilityHeaders(fmt.Sprintf("calm-%s-%d", key, i), time.Now())...)
-				}
-				sent := time.Now()
-				if got := c.ask("POST", "Applications", create(key), append(repeatabilityHeaders("id-"+key, sent), "Deadline-Ms: 300")...); got.status != 500 {
-					t.Errorf("%s: the first hears %d %s", key, got.status, got.body)
-				}
-				time.Sleep(pause)
-				want := map[time.Duration]int{0: 201}[pause]
-				if want == 0 {
-					want = 412
-				}
-				if got := c.ask("POST", "Applications", create(key), repeatabilityHeaders("id-"+key, sent)...); got.status != want {
-					t.Errorf("%s: a repeat after %v hears %d %s", key, pause, got.status, got.body)
-				}
-			}
-			unknown := dialHTTP(t, at).ask("POST", "Applications", create("old"), repeatabilityHeaders("id-old", time.Now().Add(-5*time.Second))...)
-			if unknown.status != 412 {
-				t.Errorf("an unknown request of 5 s ago: %d %s", unknown.status, unknown.body)
-			}
+			checkRepeatWindow(t, at)
 			d.stop()
 			for token, times := range g.effects {
 				if times != 1 {
@@ -111,7 +46,7 @@
 			}
 			for _, call := range g.seen() {
 				if call.key == "old" || call.key == "other" {
-					t.Errorf("a member was sent what was refused: %+v", call)
+					t.Errorf("a member received a request that was rejected: %+v", call)
 				}
 			}
 			if len(g.effects) < 7 || d.rpcs.Len() != 0 {
@@ -121,6 +56,87 @@
 	}
 }
 
+// checkDroppedCreates drops the connection of a create and repeats it: the client receives the first outcome. Another request with the same
+// id is rejected.
+func checkDroppedCreates(t *testing.T, at string) {
+	t.Helper()
+	for _, when := range []string{"before", "in", "after"} {
+		sent := time.Now()
+		text := request("POST", "Applications", createBody(when), repeatabilityHeaders("id-"+when, sent)...)
+		c := dialHTTP(t, at)
+		switch when {
+		case "before":
+			c.Write(text[:len(text)-3])
+		case "in":
+			c.Write(text)
+			time.Sleep(60 * time.Millisecond)
+		case "after":
+			c.Write(text)
+			time.Sleep(400 * time.Millisecond)
+		}
+		c.Close()
+		got := dialHTTP(t, at).ask("POST", "Applications", createBody(when), repeatabilityHeaders("id-"+when, sent)...)
+		if got.status != 201 || !strings.Contains(got.body, when) || got.header.Get("Repeatability-Result") != "accepted" {
+			t.Errorf("dropped %s the write, repeated: %d %v %s", when, got.status, got.header, got.body)
+		}
+		other := dialHTTP(t, at).ask("POST", "Applications", createBody("other"), repeatabilityHeaders("id-"+when, sent)...)
+		if other.status != 412 || other.header.Get("Repeatability-Result") != "rejected" {
+			t.Errorf("another request of the same id: %d %s", other.status, other.body)
+		}
+	}
+}
+
+// checkConcurrentCreates lets ten clients send the same create at once, one of them over the other protocol where members speak pg.
+func checkConcurrentCreates(t *testing.T, atStatements, at, speaks string) {
+	t.Helper()
+	sent := time.Now()
+	var clients sync.WaitGroup
+	for i := range 10 {
+		clients.Go(func() {
+			if i == 0 && speaks == "pg" {
+				got := dial(t, atStatements).ask(t, "/* id=both,c=order,d=900,k=id-both,cluster=0 */ INSERT INTO items (id, doc) VALUES ('both', 'x')")
+				if !strings.HasPrefix(got, "ok") {
+					t.Errorf("the same token over the other protocol: %s", got)
+				}
+				return
+			}
+			got := dialHTTP(t, at).ask("POST", "Applications", createBody("both"), repeatabilityHeaders("id-both", sent)...)
+			if got.status != 201 {
+				t.Errorf("one of ten at once: %d %s", got.status, got.body)
+			}
+		})
+	}
+	clients.Wait()
+}
+
+// checkRepeatWindow repeats creates whose first attempt hung until its deadline: they run again inside the window and never after it.
+func checkRepeatWindow(t *testing.T, at string) {
+	t.Helper()
+	for _, repeat := range []struct {
+		key    string
+		pause  time.Duration
+		status int
+	}{{"hang", 0, 201}, {"late", 1300 * time.Millisecond, 412}} {
+		c := dialHTTP(t, at)
+		for i := range 30 { // so that no member is an outlier any more
+			c.ask("PATCH", "Applications('calm')", `{"Status":"x"}`, repeatabilityHeaders(fmt.Sprintf("calm-%s-%d", repeat.key, i), time.Now())...)
+		}
+		sent := time.Now()
+		headers := repeatabilityHeaders("id-"+repeat.key, sent)
+		if got := c.ask("POST", "Applications", createBody(repeat.key), append(headers, "Deadline-Ms: 300")...); got.status != 500 {
+			t.Errorf("%s: the first receives %d %s", repeat.key, got.status, got.body)
+		}
+		time.Sleep(repeat.pause)
+		if got := c.ask("POST", "Applications", createBody(repeat.key), repeatabilityHeaders("id-"+repeat.key, sent)...); got.status != repeat.status {
+			t.Errorf("%s: a repeat after %v receives %d %s", repeat.key, repeat.pause, got.status, got.body)
+		}
+	}
+	unknown := dialHTTP(t, at).ask("POST", "Applications", createBody("old"), repeatabilityHeaders("id-old", time.Now().Add(-5*time.Second))...)
+	if unknown.status != 412 {
+		t.Errorf("an unknown request of 5 s ago: %d %s", unknown.status, unknown.body)
+	}
+}
+
 // TestAbandonedRepeatableRequestIsNotRetried closes the client of a repeatable create during an attempt that then fails: no retry begins,
 // unless another client waits for the same request. A repeat by the client runs it anew.
 func TestAbandonedRepeatableRequestIsNotRetried(t *testing.T) {
