--- a/cmd/passtack/main.go
+++ b/cmd/passtack/main.go
@@ -201,7 +201,7 @@
 			Prune  statePrune  `cmd:"" help:"Take out of a folder what is old, while no driver holds it."`
 		} `cmd:"" help:"Look at the folder where a driver keeps what it has learned."`
 		Status  status         `cmd:"" help:"Ask a running driver how it is and what its background work does."`
-		Fleet   fleetViews     `cmd:"" help:"Ask running drivers how they see their fleet, and where their views differ."`
+		Fleet   fleetCommand   `cmd:"" help:"Ask running drivers how they see their fleet, and where their views differ."`
 		Control controlMachine `cmd:"" help:"Be one of the machines that keep what is published for a fleet."`
 		Config  struct {
 			Publish configPublish `cmd:"" help:"Make a configuration the next version, and wait until drivers have it in force."`
--- a/internal/lab/capacity/hollow.go
+++ b/internal/lab/capacity/hollow.go
@@ -12,10 +12,10 @@
 	"time"
 
 	"passtack/internal/emu/play"
-	"passtack/internal/fleet"
 	"passtack/internal/httpwire"
 	"passtack/internal/loop"
 	"passtack/internal/loop/sim"
+	"passtack/internal/membership"
 	"passtack/internal/node"
 	"passtack/internal/peers"
 )
@@ -243,12 +243,12 @@
 }
 
 // sees tells how one driver sees another.
-func (f *hollow) sees(i, o int) (fleet.Status, uint64) {
-	e, known := f.nodes[i].View().Of(fleet.NodeOf(driverName(o)))
+func (f *hollow) sees(i, o int) (membership.Status, uint64) {
+	e, known := f.nodes[i].Membership().Lookup(membership.NodeIDOf(driverName(o)))
 	if !known {
-		return fleet.Dead, 0
+		return membership.Dead, 0
 	}
-	return e.Status, e.Life
+	return e.Status, e.Incarnation
 }
 
 // settled tells whether a driver sees all who run as alive, and nobody else.
@@ -259,7 +259,7 @@
 			up++
 		}
 	}
-	return f.nodes[i].View().Living() == up
+	return f.nodes[i].Membership().ActiveCount() == up
 }
 
 // discovery tells which members there are.
--- a/internal/fleetclock/fleetclock.go
+++ b/internal/memberclock/memberclock.go
@@ -2,7 +2,7 @@
 // driver's clock is the wall clock at its start and counts real time from then on; a wall clock that was stepped before the
 // start is off by seconds or an hour for as long as the driver lives. Positions that primaries tell show it: a primary has
 // applied all that is committed, so its position is the time of the members' clock where it says so at once.
-package fleetclock
+package memberclock
 
 import "time"
 
@@ -15,7 +15,7 @@
 )
 
 // Clock is how the driver's clock stands to that of the members. Its zero value trusts the driver's own.
-type Clock struct {
+type Estimator struct {
 	offset time.Duration // of the members' clock against the driver's own
 
 	fits     bool // a position has fitted since the start or the latest change
@@ -28,11 +28,11 @@
 }
 
 // Offset is how far the members' clock is ahead of the driver's own, by what is proven.
-func (c *Clock) Offset() time.Duration { return c.offset }
+func (c *Estimator) Offset() time.Duration { return c.offset }
 
 // Doubt is how far the members' clock may be behind what Offset says. It is not proven: a primary that has nothing to do may
 // tell an old position.
-func (c *Clock) Doubt() time.Duration {
+func (c *Estimator) Uncertainty() time.Duration {
 	if c.differs && !c.fits && c.by < 0 {
 		return -c.by
 	}
@@ -41,7 +41,7 @@
 
 // Heard takes the position that a primary told, at a time of the driver's own clock. It tells by how much the offset has
 // changed, 0 for not.
-func (c *Clock) Heard(now, position time.Duration) (change time.Duration) {
+func (c *Estimator) Observe(now, position time.Duration) (change time.Duration) {
 	difference := position - now - c.offset
 	switch {
 	case difference.Abs() <= tolerance:
--- /dev/null
+++ b/internal/membership/list.go
@@ -0,0 +1,196 @@
+// Package membership keeps one driver's list of the other drivers of its fleet, by SWIM (Das, Gupta and Motivala, 2002) with refinements of Lifeguard,
+// over datagrams that may be lost. It does no I/O: it takes datagrams and times, and sends through a Host. docs/fleet.md has the protocol and what
+// it promises. The list is a hint: nothing that must hold depends on it.
+//
+// Each driver probes one other at a time, round robin in random order, and asks others to probe for it where no answer comes. A driver that does not
+// answer is suspect for a while before it is dead; only the driver itself can refute that, by a higher refutation number. Changes are piggybacked on
+// these messages. A driver that receives a checksum other than that of its own list syncs what differs (anti-entropy).
+package membership
+
+import (
+	"time"
+
+	"passtack/driver"
+	"passtack/internal/pcg"
+)
+
+// deadRetentionProbes is after how many probe intervals a driver that is dead or has left is removed from the list.
+const deadRetentionProbes = 600
+
+// Host is what a list acts through.
+type Host interface {
+	// Send sends a datagram to an address.
+	Send(to driver.Peer, datagram []byte)
+	// PeerCount is how many addresses there are. Some may be unused, one may be this driver's own.
+	PeerCount() int
+	// StatusChanged is called after each change of a driver's status, with a reason for operators.
+	StatusChanged(e Entry, reason string)
+}
+
+// Config is fixed while a list is in use.
+type Config struct {
+	ProbeInterval time.Duration
+	Incarnation   uint64 // of this driver
+}
+
+// Stats are counters since the start.
+type Stats struct {
+	Sent, Received int // messages
+	SentBytes      int
+	Malformed      int // messages received that could not be decoded
+	Pauses         int // times that this process was suspended or starved
+}
+
+// List is one driver's membership list.
+type List struct {
+	host       Host
+	config     Config
+	random     *pcg.Source
+	self       *nodeState
+	nodes      nodeTable
+	tombstones tombstones
+	broadcasts broadcastQueue
+	prober     prober
+	sync       syncSession
+	health     localHealth
+	sequence   uint32        // the latest one given to a probe or sync request
+	lastActive time.Duration // when the list was woken or received a message last
+	left       bool          // this driver has announced its shutdown
+	stats      Stats
+}
+
+// New returns a list that holds only this driver, which introduces itself at all addresses.
+func New(host Host, name string, config Config, seed uint64, now time.Duration) *List {
+	l := &List{
+		host: host, config: config, random: pcg.New(seed),
+		nodes: newNodeTable(), tombstones: make(tombstones),
+		prober:     prober{nextAt: now, relays: make(map[uint32]relayedProbe)},
+		lastActive: now,
+	}
+	self := Entry{ID: NodeIDOf(name), Name: name[:min(len(name), maxNameLength)], Incarnation: config.Incarnation}
+	l.self = &nodeState{Entry: self, statusSince: now, heardAt: now}
+	l.addNode(l.self)
+	for address := range host.PeerCount() {
+		l.send(driver.Peer(address), header{kind: kindPing}, nil)
+	}
+	return l
+}
+
+// NextWake is when Wake is to be called next. Each other call may change it.
+func (l *List) NextWake() time.Duration {
+	at := l.prober.nextAt
+	if pending := &l.prober.pending; pending.outstanding() && !pending.indirect {
+		at = min(at, l.indirectProbeAt())
+	}
+	for _, node := range l.nodes.sorted {
+		if node.Status == Suspect {
+			at = min(at, l.nextSuspicionEvent(node))
+		}
+	}
+	return at
+}
+
+// Wake does what is due.
+func (l *List) Wake(now time.Duration) {
+	l.detectPause(now)
+	l.lastActive = now
+	if l.left {
+		l.prober.nextAt = now + l.config.ProbeInterval
+		return
+	}
+	l.advanceSuspicions(now)
+	if pending := &l.prober.pending; pending.outstanding() && !pending.indirect && now >= l.indirectProbeAt() {
+		l.requestIndirectProbes()
+	}
+	if now >= l.prober.nextAt && l.finishProbe(now) {
+		l.sendProbe(now)
+	}
+}
+
+// Receive takes a datagram that came from an address.
+func (l *List) Receive(from driver.Peer, datagram []byte, now time.Duration) {
+	m, ok := decodeMessage(datagram)
+	if !ok {
+		l.stats.Malformed++
+		return
+	}
+	l.stats.Received++
+	l.detectPause(now)
+	l.lastActive = max(l.lastActive, now)
+	sender := l.merge(m.sender, fromItself, now)
+	if sender == nil {
+		return
+	}
+	if m.kind == kindAck && m.sequence == 0 && m.sender.Status == Alive && !sender.probeable() {
+		l.prober.unknownFound = true
+	}
+	sender.address, sender.reachable, sender.heardAt = from, true, now
+	for _, e := range m.entries {
+		l.merge(e, fromOther, now)
+	}
+	if l.left {
+		return
+	}
+	l.handle(from, m, sender, now)
+	if m.checksum != l.Checksum() && !l.justStarted(sender, now) {
+		l.startSync(from, now)
+	}
+}
+
+// handle does what a message asks for, once its entries are merged.
+func (l *List) handle(from driver.Peer, m message, sender *nodeState, now time.Duration) {
+	switch m.kind {
+	case kindPing:
+		l.send(from, header{kind: kindAck, sequence: m.sequence}, sender)
+	case kindAck:
+		l.receiveAck(m, now)
+	case kindPingRequest:
+		l.relayProbe(from, m, now)
+	case kindPingRequestAccepted:
+		l.receiveHelperAgreed(m)
+	case kindIndirectAck:
+		l.completeProbe(m.sequence, m.target, now)
+	case kindSyncRequest:
+		l.sendSyncPart(from, m)
+	case kindSyncPart:
+		l.receiveSyncPart(from, m, now)
+	}
+}
+
+// nextSequence returns a number that no recent probe or sync request of this driver has had. 0 is that of messages to which no answer is expected.
+func (l *List) nextSequence() uint32 {
+	l.sequence = max(l.sequence+1, 1)
+	return l.sequence
+}
+
+// UpdateSummary publishes what this driver says of itself, when that has changed by more than a little.
+func (l *List) UpdateSummary(s Summary) {
+	old := &l.self.Summary
+	if s.ReadyPercent == old.ReadyPercent && s.ListRevision == old.ListRevision && similarRates(s.RequestRate, old.RequestRate) {
+		return
+	}
+	s.Sequence = old.Sequence + 1
+	*old = s
+	l.broadcast(l.self)
+}
+
+// similarRates reports whether two rates differ by less than a quarter.
+func similarRates(a, b uint16) bool { return max(a, b)-min(a, b) <= max(a, b)/4 }
+
+// Leave announces this driver's shutdown to some others. The list takes no further part.
+func (l *List) Leave() {
+	if l.left {
+		return
+	}
+	l.left = true
+	l.self.Status = Left
+	l.broadcast(l.self)
+	const maxAnnouncements = 6
+	sent := 0
+	for _, node := range l.nodes.sorted {
+		if node != l.self && node.Status == Alive && node.reachable && sent < maxAnnouncements {
+			l.send(node.address, header{kind: kindAck}, nil)
+			sent++
+		}
+	}
+}
--- /dev/null
+++ b/internal/membership/simulation_test.go
@@ -0,0 +1,262 @@
+package membership
+
+import (
+	"fmt"
+	"slices"
+	"strconv"
+	"time"
+
+	"passtack/driver"
+	"passtack/internal/due"
+	"passtack/internal/pcg"
+)
+
+const (
+	ms            = time.Millisecond
+	probeInterval = time.Second
+)
+
+// simulation is a fleet in simulated time.
+type simulation struct {
+	random          *pcg.Source
+	now             time.Duration
+	queue           due.Queue[func()]
+	hosts           []*simHost
+	lossRate        float64
+	duplicationRate float64
+	partitioned     func(from, to int) bool // nil: no link is cut
+	record          func(from, to int, datagram []byte)
+
+	falseDeaths    int                   // times that a running driver was declared dead
+	resurrections  int                   // times that a driver that was gone was believed alive again
+	firstDetection map[int]time.Duration // by driver that died: after how long the first other one declared it dead
+}
+
+// simHost runs the list of one driver.
+type simHost struct {
+	sim         *simulation
+	number      int
+	name        string
+	list        *List
+	generation  int // counts the starts
+	up          bool
+	pausedUntil time.Duration
+	maxDelay    time.Duration // of each call, drawn by chance
+	timer       *due.Item[func()]
+	diedAt      time.Duration
+
+	sentCount, sentBytes int
+	receivedBytes        int // sent to it, also while it is down
+}
+
+func newSimulation(seed uint64, size int) *simulation {
+	sim := &simulation{random: pcg.New(seed), now: time.Hour, firstDetection: make(map[int]time.Duration)}
+	for i := range size {
+		sim.hosts = append(sim.hosts, &simHost{sim: sim, number: i, name: fmt.Sprint("d", i)})
+	}
+	return sim
+}
+
+// within draws a time before the limit.
+func (sim *simulation) within(limit time.Duration) time.Duration {
+	return time.Duration(sim.random.Float() * float64(limit))
+}
+
+func (sim *simulation) after(delay time.Duration, action func()) {
+	sim.queue.Push(sim.now+delay, action)
+}
+
+// advance runs the simulation for a time.
+func (sim *simulation) advance(duration time.Duration) {
+	end := sim.now + duration
+	for {
+		at, ok := sim.queue.First()
+		if !ok || at > end {
+			sim.now = end
+			return
+		}
+		sim.now = max(sim.now, at)
+		action, _ := sim.queue.Pop(sim.now)
+		action()
+	}
+}
+
+// startAll starts all drivers, at times drawn by chance.
+func (sim *simulation) startAll(limit time.Duration) {
+	for _, h := range sim.hosts {
+		sim.after(sim.within(limit), h.start)
+	}
+}
+
+// resetTraffic begins to count messages and bytes anew.
+func (sim *simulation) resetTraffic() {
+	for _, h := range sim.hosts {
+		h.sentCount, h.sentBytes, h.receivedBytes = 0, 0, 0
+	}
+}
+
+// worstTraffic is the highest of the drivers' rates since a time, in bytes a second sent and received.
+func (sim *simulation) worstTraffic(since time.Duration) (worst float64) {
+	for _, h := range sim.hosts {
+		worst = max(worst, float64(h.sentBytes+h.receivedBytes)/(sim.now-since).Seconds())
+	}
+	return worst
+}
+
+// disagreement is empty where the lists of all running drivers have just the running drivers, in their current incarnations, as active. Otherwise it
+// names one that differs.
+func (sim *simulation) disagreement() string {
+	for _, h := range sim.hosts {
+		if !h.up {
+			continue
+		}
+		for _, other := range sim.hosts {
+			node := h.list.nodes.get(NodeIDOf(other.name))
+			switch {
+			case other.up && (node == nil || node.Status != Alive || node.Incarnation != other.list.self.Incarnation):
+				return fmt.Sprintf("%s does not see %s as it is: %+v", h.name, other.name, node)
+			case !other.up && node != nil && node.Status < Dead:
+				return fmt.Sprintf("%s sees %s, which is gone: %+v", h.name, other.name, node)
+			}
+		}
+	}
+	return ""
+}
+
+// converge runs until all lists agree, and returns how long that took; below 0: it did not happen within the limit.
+func (sim *simulation) converge(limit time.Duration) time.Duration {
+	for start := sim.now; sim.now < start+limit; sim.advance(100 * ms) {
+		if sim.disagreement() == "" {
+			return sim.now - start
+		}
+	}
+	return -1
+}
+
+// injectFault begins a fault drawn by chance, of up to 20 seconds.
+func (sim *simulation) injectFault() {
+	h := sim.hosts[sim.random.Below(len(sim.hosts))]
+	duration := sim.within(20 * time.Second)
+	switch sim.random.Below(7) {
+	case 0:
+		h.kill()
+		sim.after(duration, h.start)
+	case 1:
+		h.kill() // for good
+	case 2:
+		h.pausedUntil = sim.now + duration
+	case 3:
+		half := sim.random.Below(1 << len(sim.hosts))
+		sim.partitioned = func(from, to int) bool { return half>>from&1 != half>>to&1 }
+		sim.after(duration, func() { sim.partitioned = nil })
+	case 4:
+		unreachable := sim.random.Below(len(sim.hosts))
+		sim.partitioned = func(from, to int) bool { return from == h.number && to == unreachable }
+		sim.after(duration, func() { sim.partitioned = nil })
+	case 5:
+		sim.lossRate, sim.duplicationRate = 0.3, 0.3
+		sim.after(duration, func() { sim.lossRate, sim.duplicationRate = 0, 0 })
+	case 6:
+		if h.up {
+			h.whenRunning(func() { h.list.Leave() })
+			sim.after(20*ms, h.kill)
+			sim.after(20*ms+duration, h.start)
+		}
+	}
+}
+
+func (h *simHost) start() {
+	if !h.up {
+		h.startAs(uint64(h.sim.now), uint64(h.sim.random.Uint32()))
+	}
+}
+
+// startAs starts the driver as a given incarnation.
+func (h *simHost) startAs(incarnation, seed uint64) {
+	h.up, h.generation = true, h.generation+1
+	h.list = New(h, h.name, Config{ProbeInterval: probeInterval, Incarnation: incarnation}, seed, h.sim.now)
+	h.schedule()
+}
+
+func (h *simHost) kill() {
+	if h.up {
+		h.up, h.diedAt = false, h.sim.now
+	}
+}
+
+// whenRunning acts once the driver is neither paused nor delayed, unless it ends before.
+func (h *simHost) whenRunning(action func()) {
+	generation := h.generation
+	var attempt func()
+	attempt = func() {
+		if !h.up || h.generation != generation {
+			return
+		}
+		if h.sim.now < h.pausedUntil {
+			h.sim.queue.Push(h.pausedUntil, attempt)
+			return
+		}
+		action()
+		h.schedule()
+	}
+	if h.maxDelay > 0 {
+		h.sim.after(h.sim.within(h.maxDelay), attempt)
+		return
+	}
+	attempt()
+}
+
+func (h *simHost) schedule() {
+	h.sim.queue.Remove(h.timer)
+	at := max(h.list.NextWake(), h.sim.now+ms)
+	h.timer = h.sim.queue.Push(at, func() { h.whenRunning(func() { h.list.Wake(h.sim.now) }) })
+}
+
+func (h *simHost) PeerCount() int { return len(h.sim.hosts) }
+
+func (h *simHost) Send(to driver.Peer, datagram []byte) {
+	sim, receiver := h.sim, h.sim.hosts[to]
+	h.sentCount++
+	h.sentBytes += len(datagram)
+	receiver.receivedBytes += len(datagram)
+	if sim.record != nil {
+		sim.record(h.number, int(to), datagram)
+	}
+	if receiver == h || sim.partitioned != nil && sim.partitioned(h.number, receiver.number) || sim.random.Float() < sim.lossRate {
+		return
+	}
+	datagram = slices.Clone(datagram)
+	for copies := 1; copies > 0; copies-- {
+		if sim.random.Float() < sim.duplicationRate {
+			copies++
+		}
+		latency := time.Duration((0.2 + sim.random.Float()) * float64(ms))
+		sim.after(latency, func() {
+			receiver.whenRunning(func() { receiver.list.Receive(driver.Peer(h.number), datagram, sim.now) })
+		})
+	}
+}
+
+func (h *simHost) StatusChanged(e Entry, _ string) {
+	sim := h.sim
+	number, _ := strconv.Atoi(e.Name[1:])
+	subject := sim.hosts[number]
+	switch {
+	case e.Status == Dead && subject.up && subject.list != nil && subject.list.self.Incarnation == e.Incarnation && sim.now >= subject.pausedUntil:
+		sim.falseDeaths++
+	case e.Status == Dead && !subject.up:
+		if _, known := sim.firstDetection[number]; !known {
+			sim.firstDetection[number] = sim.now - subject.diedAt
+		}
+	case e.Status == Alive && !subject.up && sim.now-subject.diedAt > 2*time.Minute:
+		sim.resurrections++
+	}
+}
+
+// capturingHost keeps the latest datagram in place of sending it.
+type capturingHost struct {
+	*simHost
+	datagram *[]byte
+}
+
+func (c *capturingHost) Send(_ driver.Peer, datagram []byte) { *c.datagram = datagram }
--- /dev/null
+++ b/internal/membership/sync_test.go
@@ -0,0 +1,78 @@
+package membership
+
+import (
+	"testing"
+	"time"
+)
+
+// Two lists that differ in one driver of 200 transfer it in one message each way, and a request without checksums, as of older builds, gets all.
+func TestSyncTransfersOnlyDifferences(t *testing.T) {
+	t.Parallel()
+	sim := newSimulation(12, 200)
+	sim.startAll(time.Second)
+	sim.advance(30 * time.Second)
+	if why := sim.disagreement(); why != "" {
+		t.Fatal(why)
+	}
+	behind, ahead := sim.hosts[1].list, sim.hosts[2].list
+	changed := ahead.nodes.get(NodeIDOf("d9"))
+	changed.Refutation++
+	ahead.nodes.invalidateChecksum()
+	var datagram []byte
+	behind.host = &capturingHost{simHost: sim.hosts[1], datagram: &datagram}
+	ahead.host = &capturingHost{simHost: sim.hosts[2], datagram: &datagram}
+	found := 0
+	for range 8 { // by chance two checksums are equal, one time in 256
+		behind.sync.after, behind.sync.source = 0, 2
+		behind.requestSyncPart()
+		request, ok := decodeMessage(datagram)
+		if !ok || len(request.rangeChecksums) != syncRanges || len(datagram) > MaxDatagramSize {
+			t.Fatalf("%d bytes, %+v", len(datagram), request)
+		}
+		ahead.sendSyncPart(1, request)
+		part, ok := decodeMessage(datagram)
+		if !ok || len(part.entries) > 12 || part.more && len(part.entries) < 4 {
+			t.Fatalf("%+v", part)
+		}
+		for _, e := range part.entries {
+			if e.ID == changed.ID && e.Refutation == changed.Refutation {
+				found++
+			}
+		}
+	}
+	if found < 6 {
+		t.Errorf("the difference is transferred %d times of 8", found)
+	}
+	count, request := 0, message{header: header{kind: kindSyncRequest}}
+	for more := true; more; {
+		ahead.sendSyncPart(1, request)
+		part, ok := decodeMessage(datagram)
+		if !ok || len(part.entries) == 0 {
+			t.Fatalf("%+v", part)
+		}
+		count += len(part.entries)
+		more, request.target = part.more, part.entries[len(part.entries)-1].ID
+	}
+	if count != len(sim.hosts)-1 {
+		t.Errorf("without checksums %d are transferred", count)
+	}
+}
+
+// Regions that were apart for so long that each has forgotten the other's drivers converge soon: a driver that is believed dead learns of it from the
+// first one it meets, and all accept its refutation.
+func TestRegionsMergeAfterTheDeadAreForgotten(t *testing.T) {
+	sim := newSimulation(14, 40)
+	sim.startAll(time.Second)
+	sim.advance(15 * time.Second)
+	sim.partitioned = func(from, to int) bool { return (from < 17) != (to < 17) }
+	sim.advance((deadRetentionProbes + 60) * probeInterval)
+	if known := len(sim.hosts[0].list.nodes.byID); known != 17 {
+		t.Fatalf("%d are known in its region", known)
+	}
+	sim.partitioned = nil
+	healed := sim.converge(2 * time.Minute)
+	t.Logf("converged after %v", healed)
+	if healed < 0 || healed > 25*time.Second {
+		t.Errorf("after %v: %s", healed, sim.disagreement())
+	}
+}
--- a/internal/node/chores.go
+++ b/internal/node/chores.go
@@ -33,8 +33,8 @@
 	if n.leases != nil {
 		all["leases"] = func() any { return n.leases.status() }
 	}
-	if n.view != nil {
-		all["fleet"] = func() any { return n.view.status() }
+	if n.membership != nil {
+		all["fleet"] = func() any { return n.membership.status() }
 	}
 	return all
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -17,13 +17,13 @@
 	"passtack/driver"
 	"passtack/internal/comeback"
 	"passtack/internal/control"
-	"passtack/internal/fleetclock"
 	"passtack/internal/list"
 	"passtack/internal/logs"
 	"passtack/internal/loop"
 	"passtack/internal/member"
 	odatamember "passtack/internal/member/odata"
 	pgmember "passtack/internal/member/pg"
+	"passtack/internal/memberclock"
 	"passtack/internal/operator"
 	"passtack/internal/peers"
 	"passtack/internal/share"
@@ -59,12 +59,12 @@
 	pools         [driver.Forms]*member.Pool
 	opens         comeback.Opens
 	back          *comeback.Return
-	talk          *talk          // nil: it does not talk with others
-	view          *view          // nil: it has none of its fleet
-	listing       driver.Listing // how the list is that is being told
-	leases        *leases        // nil: it has no part in any
-	configuration *configuration // nil: no control machine is asked
-	learned       *learned       // nil: nothing is kept
+	talk          *talk            // nil: it does not talk with others
+	membership    *fleetMembership // nil: it has none of its fleet
+	listing       driver.Listing   // how the list is that is being told
+	leases        *leases          // nil: it has no part in any
+	configuration *configuration   // nil: no control machine is asked
+	learned       *learned         // nil: nothing is kept
 	background    background
 	simulated     bool // no time passes in a turn, and there are no workers
 	list          *list.Discovery
@@ -83,7 +83,7 @@
 	lookAt        time.Duration // when the driver's way back is looked at next
 	partAt        time.Duration // when the fronts' shares are
 	fault         error
-	clock         fleetclock.Clock // how the members' clock stands to the loop's
+	memberClock   memberclock.Estimator // how the members' clock stands to the loop's
 	signals       *signals
 	stop          *stop // nil: no planned stop was begun
 	lines         *logs.Lines
@@ -453,10 +453,10 @@
 	q.last = how
 	if role == driver.Primary {
 		n.back.Proven(uint16(q.group))
-		n.hearClock(a.Told)
+		n.observePosition(a.Told)
 	}
 	if pos > 0 {
-		pos -= n.clock.Offset()
+		pos -= n.memberClock.Offset()
 	}
 	if how == driver.OK {
 		if q := n.answered(id, "ok"); q != nil {
@@ -493,10 +493,10 @@
 		n.place(m, group, at)
 	}
 	in := driver.Zone(max(0, slices.Index(n.zones, zone)))
-	if n.view != nil {
-		n.view.drains.listed(uid, listedAs{m, in, group, size}, state, started, n.listing != driver.Cached)
+	if n.membership != nil {
+		n.membership.drainGossip.memberListed(uid, listedMember{m, in, group, size}, state, started, n.listing != driver.Cached)
 	}
-	n.module.Listed(m, in, group, state, size, n.byOwnClock(started), primary)
+	n.module.Listed(m, in, group, state, size, n.onLocalClock(started), primary)
 }
 
 // place tells the side that speaks with the member's group where it listens.
@@ -510,8 +510,8 @@
 	}
 	n.stir()
 	n.module.ListEnds(how)
-	if n.view != nil {
-		n.view.drains.listEnds()
+	if n.membership != nil {
+		n.membership.drainGossip.listComplete()
 	}
 }
 
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -32,8 +32,8 @@
 	if n.leases != nil {
 		n.leases.leave()
 	}
-	if n.view != nil {
-		n.view.seen.Leave(n.loop.Clock())
+	if n.membership != nil {
+		n.membership.list.Leave()
 	}
 	n.followStop()
 }
--- a/internal/node/talk.go
+++ b/internal/node/talk.go
@@ -38,7 +38,7 @@
 	if err := n.takePart(); err != nil {
 		return err
 	}
-	n.viewFleet()
+	n.joinFleet()
 	return nil
 }
 
@@ -74,10 +74,10 @@
 		t.twice("another")
 	}
 	switch {
-	case letter.Kind == peers.Fleet && n.view != nil:
-		n.view.take(from, letter.Body)
-	case letter.Kind == peers.Drain && n.view != nil:
-		n.view.drains.heard(letter.Body)
+	case letter.Kind == peers.Fleet && n.membership != nil:
+		n.membership.receive(from, letter.Body)
+	case letter.Kind == peers.Drain && n.membership != nil:
+		n.membership.drainGossip.receive(letter.Body)
 	case n.leases != nil:
 		n.leases.read(letter)
 	}
