--- a/internal/memberclock/memberclock.go
+++ b/internal/memberclock/memberclock.go
@@ -1,4 +1,4 @@
-// Package fleetclock decides how far the clock that members tell positions and starts by is ahead of the driver's own. The
+// Package memberclock decides how far the clock that members tell positions and starts by is ahead of the driver's own. The
 // driver's clock is the wall clock at its start and counts real time from then on; a wall clock that was stepped before the
 // start is off by seconds or an hour for as long as the driver lives. Positions that primaries tell show it: a primary has
 // applied all that is committed, so its position is the time of the members' clock where it says so at once.
--- a/internal/node/fleet_membership.go
+++ b/internal/node/fleet_membership.go
@@ -32,7 +32,7 @@
 
 // viewFleet begins.
 func (n *Node) joinFleet() {
-	w := n.wants.View
+	w := n.config.View
 	if w == nil {
 		return
 	}
@@ -70,26 +70,26 @@
 	n, now := v.node, v.node.loop.Now()
 	load := 0.0
 	if spent := (now - v.summarizedAt).Seconds(); spent > 0 {
-		load = float64(n.counts["rpcs_taken"]-v.requestsBefore) / spent
+		load = float64(n.counters["rpcs_taken"]-v.requestsBefore) / spent
 	}
-	v.requestsBefore, v.summarizedAt = n.counts["rpcs_taken"], now
-	v.list.UpdateSummary(membership.Summary{ReadyPercent: uint8(n.back.Ready() * 100), RequestRate: uint16(min(load, 65535)), ListRevision: uint32(n.list.Rev())})
+	v.requestsBefore, v.summarizedAt = n.counters["rpcs_taken"], now
+	v.list.UpdateSummary(membership.Summary{ReadyPercent: uint8(n.recovery.Ready() * 100), RequestRate: uint16(min(load, 65535)), ListRevision: uint32(n.list.Rev())})
 	v.updateConnectionShard()
-	n.loop.At(now+min(summaryInterval, n.wants.View.Every), v.updateSummary)
+	n.loop.At(now+min(summaryInterval, n.config.View.Every), v.updateSummary)
 }
 
 // share bounds this driver's connections at each member by its part of what that takes from all.
 func (v *fleetMembership) updateConnectionShard() {
 	n, now := v.node, v.node.loop.Now()
 	v.shards.Observe(v.list.ActiveCount(), v.PeerCount(), now)
-	if n.wants.View.Connections == 0 || v.PeerCount() == 0 { // nobody tells how many drivers there may be
+	if n.config.View.Connections == 0 || v.PeerCount() == 0 { // nobody tells how many drivers there may be
 		return
 	}
-	each := v.shards.Size(n.wants.View.Connections, now)
+	each := v.shards.Size(n.config.View.Connections, now)
 	if each != v.connectionShard {
 		slog.Info("fleet_part", "connections", each, "whole", v.shards.InMajority(now), "living", v.list.ActiveCount())
 		v.connectionShard = each
-		n.opens.Limit(each)
+		n.connectLimiter.Limit(each)
 	}
 	for _, p := range n.pools {
 		p.Trim()
