--- a/internal/node/fleet_membership.go
+++ b/internal/node/fleet_membership.go
@@ -48,7 +48,7 @@
 // Peers counts the addresses that the platform gives.
 func (v *fleetMembership) PeerCount() int { return len(v.node.site.Peers) }
 
-func (v *fleetMembership) Send(to driver.Peer, text []byte) { v.write(to, peers.Fleet, text) }
+func (v *fleetMembership) Send(to driver.Peer, text []byte) { v.write(to, peers.Membership, text) }
 
 // Changed logs what has changed, few lines however many changes there are.
 func (v *fleetMembership) StatusChanged(e membership.Entry, why string) {
