--- a/cmd/passtack/lives_test.go
+++ b/cmd/passtack/lives_test.go
@@ -387,7 +387,7 @@
 	if out, ok := passtack(t, "leases", ask); !ok || !strings.Contains(out, "n1: never heard") || !strings.Contains(out, "watch-discovery") {
 		t.Errorf("leases: %s", out)
 	}
-	if out, ok := passtack(t, "fleet", ask); !ok || !strings.Contains(out, "1 of 1 views agree") {
+	if out, ok := passtack(t, "fleet", ask); !ok || !strings.Contains(out, "1 of 1 membership lists agree") {
 		t.Errorf("fleet: %s", out)
 	}
 	if out, ok := passtack(t, "fleet", "127.0.0.1:1"); ok || !strings.Contains(out, "127.0.0.1:1: ") {
--- a/internal/memberclock/memberclock.go
+++ b/internal/memberclock/memberclock.go
@@ -1,68 +1,89 @@
-// Package memberclock decides how far the clock that members tell positions and starts by is ahead of the driver's own. The
-// driver's clock is the wall clock at its start and counts real time from then on; a wall clock that was stepped before the
-// start is off by seconds or an hour for as long as the driver lives. Positions that primaries tell show it: a primary has
-// applied all that is committed, so its position is the time of the members' clock where it says so at once.
+// Package memberclock estimates the offset between the driver's clock and that of the cluster members, which report positions and starts by
+// theirs. The driver's clock is the wall clock at its start and counts real time from then on, so a wall clock that was wrong at the start is off
+// by seconds or hours for as long as the driver runs. Positions of primaries show it: a primary has applied all that is committed, so the position
+// that it reports is the current time of the members' clock.
 package memberclock
 
 import "time"
 
 const (
-	tolerance = 2 * time.Second        // a smaller difference is delay, rounding or drift
-	steady    = 200 * time.Millisecond // by which the differences of a clock that runs on may stray
-	apart     = 250 * time.Millisecond // what is told sooner after the one before counts as one with it
-	leastTold = 5                      // a difference holds once it was told so often
-	trusted   = 10 * time.Second       // in which one position that fits speaks for the clock as it is
+	// maxJitter is the largest difference that delay, rounding or drift explain.
+	maxJitter = 2 * time.Second
+	// maxSpread is how far observations of a running clock may be apart.
+	maxSpread = 200 * time.Millisecond
+	// minInterval is how long after one observation the next counts.
+	minInterval = 250 * time.Millisecond
+	// minObservations is how many observations prove a difference.
+	minObservations = 5
+	// trustDuration is for how long one position that agrees with the offset confirms it.
+	trustDuration = 10 * time.Second
 )
 
-// Clock is how the driver's clock stands to that of the members. Its zero value trusts the driver's own.
+// Estimator estimates the offset of the members' clock. Its zero value takes both clocks to be equal.
 type Estimator struct {
-	offset time.Duration // of the members' clock against the driver's own
+	offset time.Duration // of the members' clock to the driver's own
 
-	fits     bool // a position has fitted since the start or the latest change
-	fittedAt time.Duration
+	confirmed   bool // a position has agreed with the offset since the start or its latest change
+	confirmedAt time.Duration
 
-	differs bool
-	by      time.Duration // what is told beyond the offset
-	toldAt  time.Duration // of those that count
-	times   int
+	deviation deviation
 }
 
-// Offset is how far the members' clock is ahead of the driver's own, by what is proven.
-func (c *Estimator) Offset() time.Duration { return c.offset }
+// deviation is a difference from the offset that is not proven yet. Its zero value is none.
+type deviation struct {
+	present      bool
+	difference   time.Duration
+	observedAt   time.Duration // the latest observation that counts
+	observations int
+}
+
+// Offset is how far the members' clock is ahead of the driver's own, as far as that is proven.
+func (e *Estimator) Offset() time.Duration { return e.offset }
 
-// Doubt is how far the members' clock may be behind what Offset says. It is not proven: a primary that has nothing to do may
-// tell an old position.
-func (c *Estimator) Uncertainty() time.Duration {
-	if c.differs && !c.fits && c.by < 0 {
-		return -c.by
+// Uncertainty is how far the members' clock may be behind what Offset says. That is not proven: an idle primary may report an old position.
+func (e *Estimator) Uncertainty() time.Duration {
+	if e.deviation.present && !e.confirmed && e.deviation.difference < 0 {
+		return -e.deviation.difference
 	}
 	return 0
 }
 
-// Heard takes the position that a primary told, at a time of the driver's own clock. It tells by how much the offset has
-// changed, 0 for not.
-func (c *Estimator) Observe(now, position time.Duration) (change time.Duration) {
-	difference := position - now - c.offset
-	switch {
-	case difference.Abs() <= tolerance:
-		c.fits, c.fittedAt, c.differs = true, now, false
-		return 0
-	case c.fits && now-c.fittedAt < trusted:
+// Observe takes the position that a primary reported at a time of the driver's own clock. It returns the change of the offset, 0 for none.
+func (e *Estimator) Observe(now, position time.Duration) (change time.Duration) {
+	difference := position - now - e.offset
+	if difference.Abs() <= maxJitter {
+		e.confirm(now)
 		return 0
-	case !c.differs || difference > c.by+steady:
-		c.differs, c.by, c.toldAt, c.times = true, difference, now, 1
-		return 0
-	case difference < c.by-steady: // an old position: another primary tells a later one
-		return 0
-	case now-c.toldAt < apart:
+	}
+	if e.confirmed && now-e.confirmedAt < trustDuration {
 		return 0
 	}
-	c.toldAt = now
-	if c.times++; c.times < leastTold {
+	if !e.deviation.observe(now, difference) {
 		return 0
 	}
-	change = c.by
-	c.offset += change
-	c.differs, c.fits, c.fittedAt = false, true, now
+	change = e.deviation.difference
+	e.offset += change
+	e.confirm(now)
 	return change
 }
+
+func (e *Estimator) confirm(now time.Duration) {
+	e.confirmed, e.confirmedAt = true, now
+	e.deviation.present = false
+}
+
+// observe counts an observation, and reports whether the difference is proven by it.
+func (d *deviation) observe(now, difference time.Duration) bool {
+	switch {
+	case !d.present || difference > d.difference+maxSpread:
+		*d = deviation{present: true, difference: difference, observedAt: now, observations: 1}
+		return false
+	case difference < d.difference-maxSpread: // an old position: another primary has reported a later one
+		return false
+	case now-d.observedAt < minInterval:
+		return false
+	}
+	d.observedAt = now
+	d.observations++
+	return d.observations >= minObservations
+}
--- a/internal/node/drain_gossip.go
+++ b/internal/node/drain_gossip.go
@@ -8,10 +8,18 @@
 
 	"passtack/driver"
 	"passtack/internal/draingossip"
+	"passtack/internal/membership"
 	"passtack/internal/peers"
 )
 
-// listedAs is how the list has a member, to say that it drains.
+const (
+	// gossipFanout is how many other drivers a notice is sent to.
+	gossipFanout = 4
+	// gossipRepeatDelay is after how long it is sent to as many once more, as datagrams may be lost.
+	gossipRepeatDelay = 100 * time.Millisecond
+)
+
+// listedMember is a member as the endpoint list has it.
 type listedMember struct {
 	member driver.Member
 	zone   driver.Zone
@@ -19,85 +27,91 @@
 	weight float64
 }
 
-// drains are passed on between drivers that have a view of their fleet: each to some others, now and once more, as letters may be lost.
+// drainGossip notifies other drivers of members that drain, and passes their notices to the module.
 type drainGossip struct {
-	membership *fleetMembership
-	tracker    *draingossip.Tracker
-	members    map[draingossip.MemberID]listedMember
-	unsent     []draingossip.Notice // of the list that is being told
+	node    *Node
+	drivers *membership.List // that notices are sent to
+	tracker *draingossip.Tracker
+	members map[draingossip.MemberID]listedMember
+	pending []draingossip.Notice // of the endpoint list that is being read
 }
 
-const (
-	gossipFanout      = 4
-	gossipRepeatDelay = 100 * time.Millisecond
-)
+func newDrainGossip(n *Node, drivers *membership.List) *drainGossip {
+	return &drainGossip{node: n, drivers: drivers, tracker: draingossip.NewTracker(), members: make(map[draingossip.MemberID]listedMember)}
+}
 
-// listed takes what a list says of a member.
-func (d *drainGossip) memberListed(uid string, p listedMember, state driver.Standing, started time.Duration, fresh bool) {
-	number := draingossip.MemberID(xxh3.HashString(uid))
-	if state == driver.Gone {
-		delete(d.members, number)
+// memberListed takes what the endpoint list says of a member. A list that is not current may be outdated.
+func (d *drainGossip) memberListed(uid string, m listedMember, standing driver.Standing, startedAt time.Duration, current bool) {
+	id := draingossip.MemberID(xxh3.HashString(uid))
+	if standing == driver.Gone {
+		delete(d.members, id)
 	} else {
-		d.members[number] = p
+		d.members[id] = m
 	}
-	if d.tracker.UpdateFromList(number, draingossip.Member{Group: p.group, StartedAt: started, Standing: state}, fresh) {
-		d.unsent = append(d.unsent, draingossip.Notice{Member: number, StartedAt: started})
+	if d.tracker.UpdateFromList(id, draingossip.Member{Group: m.group, StartedAt: startedAt, Standing: standing}, current) {
+		d.pending = append(d.pending, draingossip.Notice{Member: id, StartedAt: startedAt})
 	}
 }
 
-// listEnds tells some others of what has begun to drain.
+// listComplete notifies other drivers of the members that have begun to drain by the endpoint list.
 func (d *drainGossip) listComplete() {
-	d.gossip(d.unsent)
-	d.unsent = nil
+	d.forward(d.pending)
+	d.pending = nil
 }
 
-func (d *drainGossip) gossip(all []draingossip.Notice) {
-	if len(all) == 0 {
+// forward sends notices to some other drivers, now and once more.
+func (d *drainGossip) forward(notices []draingossip.Notice) {
+	if len(notices) == 0 {
 		return
 	}
-	n := d.membership.node
-	n.Count("drains_passed_on")
-	for from := 0; from < len(all); from += draingossip.MaxNotices {
-		text := draingossip.Encode(all[from:])
-		tell := func() {
-			for _, at := range d.membership.list.SampleAlive(gossipFanout) {
-				d.membership.write(at, peers.Drain, text)
-			}
-		}
-		tell()
-		n.loop.At(n.loop.Now()+gossipRepeatDelay, tell)
+	d.node.Count("drain_notices_forwarded")
+	for first := 0; first < len(notices); first += draingossip.MaxNotices {
+		datagram := draingossip.Encode(notices[first:])
+		d.send(datagram)
+		d.node.loop.At(d.node.loop.Now()+gossipRepeatDelay, func() { d.send(datagram) })
 	}
 }
 
-// heard lets the module know what another driver says, as a list would.
-func (d *drainGossip) receive(text []byte) {
-	n := d.membership.node
-	all, ok := draingossip.Decode(text)
+func (d *drainGossip) send(datagram []byte) {
+	for _, address := range d.drivers.SampleAlive(gossipFanout) {
+		d.node.talk.write(address, peers.Drain, datagram)
+	}
+}
+
+// receive passes another driver's notices to the module, as an endpoint list of these members only, and forwards what is new.
+func (d *drainGossip) receive(datagram []byte) {
+	notices, ok := draingossip.Decode(datagram)
 	if !ok {
-		n.Count("letters_strange")
+		d.node.Count("letters_strange")
 		return
 	}
-	var on []draingossip.Notice
-	begun := false
-	for _, h := range all {
-		decision := d.tracker.Receive(h)
+	var forwarded []draingossip.Notice
+	var draining []draingossip.Notice
+	for _, notice := range notices {
+		decision := d.tracker.Receive(notice)
 		if decision.Forward {
-			on = append(on, h)
-		}
-		if !decision.StopRequests {
-			continue
+			forwarded = append(forwarded, notice)
 		}
-		if !begun {
-			begun = true
-			n.module.ListBegins(driver.Changes)
+		if decision.StopRequests {
+			draining = append(draining, notice)
 		}
-		p := d.members[h.Member]
-		n.Count("drains_heard")
-		slog.Info("drain_heard", "member", n.uids[p.member])
-		n.module.Listed(p.member, p.zone, p.group, driver.Draining, p.weight, n.onLocalClock(h.StartedAt), false)
 	}
-	if begun {
-		n.module.ListEnds(driver.Changes)
+	d.applyNotices(draining)
+	d.forward(forwarded)
+}
+
+// applyNotices tells the module which members drain.
+func (d *drainGossip) applyNotices(notices []draingossip.Notice) {
+	if len(notices) == 0 {
+		return
+	}
+	n := d.node
+	n.module.ListBegins(driver.Changes)
+	for _, notice := range notices {
+		m := d.members[notice.Member]
+		n.Count("drain_notices_applied")
+		slog.Info("drain notice applied", "member", n.uids[m.member])
+		n.module.Listed(m.member, m.zone, m.group, driver.Draining, m.weight, n.onLocalClock(notice.StartedAt), false)
 	}
-	d.gossip(on)
+	n.module.ListEnds(driver.Changes)
 }
--- /dev/null
+++ b/internal/node/fleet_status.go
@@ -0,0 +1,70 @@
+package node
+
+import "passtack/internal/membership"
+
+// FleetStatus is a driver's membership list, as the control endpoint shows it.
+type FleetStatus struct {
+	Name            string
+	ActiveCount     int    `json:"Living"`
+	ConnectionShard int    `json:"Part"`  // connections at one member, 0: not bounded
+	InMajority      bool   `json:"Whole"` // the shard includes what is for drivers that see a majority
+	Checksum        uint64 `json:"Sum"`   // equal lists have equal checksums
+	Pauses          int    `json:"Halts"` // times that the process was suspended or starved
+	Sent            int    // messages
+	SentBytes       int    `json:"Bytes"`
+	Received        int    `json:"Taken"`
+	Malformed       int    `json:"Unread"` // messages received that could not be decoded
+
+	Drivers []DriverStatus `json:"All"`
+}
+
+// DriverStatus is one driver as another one sees it.
+type DriverStatus struct {
+	Name         string
+	Status       string
+	Reason       string `json:"Cause"` // why its status changed last
+	Self         bool
+	Incarnation  uint64 `json:"Life"`        // of the process
+	Refutation   uint32 `json:"Incarnation"` // raised by the driver to refute that it is suspect or dead
+	StatusAgeMS  int64  `json:"ForMS"`
+	LastHeardMS  int64  `json:"HeardMS"` // how long ago
+	Ready        float64
+	RequestRate  int `json:"Load"`     // RPCs a second
+	ListRevision int `json:"Revision"` // of its endpoint list
+}
+
+func (f *fleetMembership) status() FleetStatus {
+	stats := f.list.Stats()
+	s := FleetStatus{
+		Name:            f.node.site.Name,
+		ActiveCount:     f.list.ActiveCount(),
+		ConnectionShard: f.shard.connections,
+		InMajority:      f.shard.shards.InMajority(f.node.loop.Now()),
+		Checksum:        f.list.Checksum(),
+		Pauses:          stats.Pauses,
+		Sent:            stats.Sent,
+		SentBytes:       stats.SentBytes,
+		Received:        stats.Received,
+		Malformed:       stats.Malformed,
+	}
+	for _, node := range f.list.Nodes(f.node.loop.Clock()) {
+		s.Drivers = append(s.Drivers, driverStatus(&node))
+	}
+	return s
+}
+
+func driverStatus(node *membership.NodeStatus) DriverStatus {
+	return DriverStatus{
+		Name:         node.Name,
+		Status:       node.Status.String(),
+		Reason:       node.Reason,
+		Self:         node.Self,
+		Incarnation:  node.Incarnation,
+		Refutation:   node.Refutation,
+		StatusAgeMS:  node.StatusAge.Milliseconds(),
+		LastHeardMS:  node.LastHeardAgo.Milliseconds(),
+		Ready:        float64(node.Summary.ReadyPercent) / 100,
+		RequestRate:  int(node.Summary.RequestRate),
+		ListRevision: int(node.Summary.ListRevision),
+	}
+}
--- a/internal/node/member_clock.go
+++ b/internal/node/member_clock.go
@@ -7,35 +7,36 @@
 	"passtack/driver"
 )
 
-// MembersNow is the time by the clock that members tell positions by.
+// MembersNow is the time by the clock of the members, which their positions are by.
 func (n *Node) MembersNow() time.Duration { return n.loop.Now() + n.memberClock.Offset() }
 
-// byOwnClock gives the time of the driver's own clock at which a member started, from what a list tells.
-func (n *Node) onLocalClock(started time.Duration) time.Duration {
-	if started == driver.LongAgo {
-		return started
+// onLocalClock converts the start of a member, as an endpoint list tells it, to the driver's own clock.
+func (n *Node) onLocalClock(startedAt time.Duration) time.Duration {
+	if startedAt == driver.LongAgo {
+		return startedAt
 	}
-	return started - n.memberClock.Offset()
+	return startedAt - n.memberClock.Offset()
 }
 
-// hearClock takes the position that a primary told. Where the members' clock proves to be another than the driver's, all
-// that was taken from it before is set right.
-func (n *Node) observePosition(told time.Duration) {
-	if told == 0 {
+// observePosition takes the position that a primary reported, 0 for none. Where it proves that the members' clock differs from the driver's,
+// the pools and the module correct what they know by it.
+func (n *Node) observePosition(position time.Duration) {
+	if position == 0 {
 		return
 	}
-	doubt := n.memberClock.Uncertainty()
-	change := n.memberClock.Observe(n.loop.Now(), told)
-	if n.memberClock.Uncertainty() != doubt {
+	uncertainty := n.memberClock.Uncertainty()
+	change := n.memberClock.Observe(n.loop.Now(), position)
+	if n.memberClock.Uncertainty() != uncertainty {
 		n.module.DoubtClock(n.memberClock.Uncertainty())
 	}
 	if change == 0 {
 		return
 	}
+	offset := n.memberClock.Offset()
 	n.Count("clock_corrections")
-	slog.Warn("clock_corrected", "by_ms", change.Milliseconds(), "ahead_ms", n.memberClock.Offset().Milliseconds())
+	slog.Warn("member clock offset corrected", "change_ms", change.Milliseconds(), "offset_ms", offset.Milliseconds())
 	for _, p := range n.pools {
-		p.Offset(n.memberClock.Offset())
+		p.Offset(offset)
 	}
 	n.module.CorrectClock(change)
 }
--- a/internal/node/member_clock_test.go
+++ b/internal/node/member_clock_test.go
@@ -12,8 +12,8 @@
 	"passtack/internal/pgwire"
 )
 
-// A driver that starts with a wall clock off by seconds or an hour serves sessions by the members' clock after some answers:
-// positions that its own clock takes for ones of the future, or for very old ones, are what they are.
+// A driver that starts with a wall clock off by seconds or an hour serves sessions by the members' clock after some responses:
+// positions that are in the future or very old by its own clock are taken for what they are.
 func TestWrongWallClockIsCorrectedFromMemberPositions(t *testing.T) {
 	for _, ahead := range []time.Duration{-time.Hour, -5 * time.Second, 0, 5 * time.Second, time.Hour} {
 		t.Run(ahead.String(), func(t *testing.T) {
