--- a/cmd/passtack/fleet.go
+++ b/cmd/passtack/fleet.go
@@ -21,7 +21,7 @@
 // printFleet prints the first driver's list in full, and of the others' lists what differs from it.
 func printFleet(fleets []node.FleetStatus) error {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "as seen by\tdriver\tstatus\tfor\tlast heard\tready\trequests/s\tlist\tincarnation\trefutation\treason")
+	fmt.Fprintln(w, "as seen by\tdriver\tstatus\tfor\tlast seen\tready\trequests/s\tlist\tincarnation\trefutation\treason")
 	first := make(map[string]node.DriverStatus)
 	for i, f := range fleets {
 		if i == 0 {
@@ -49,7 +49,7 @@
 }
 
 func printDriver(w io.Writer, observer string, d node.DriverStatus) {
-	fmt.Fprintf(w, "%s\t%s\t%s\t%.1fs\t%.1fs\t%.2f\t%d\t%d\t%d\t%d\t%s\n", observer, d.Name, d.Status, float64(d.StatusAgeMS)/1000, float64(d.LastHeardMS)/1000,
+	fmt.Fprintf(w, "%s\t%s\t%s\t%.1fs\t%.1fs\t%.2f\t%d\t%d\t%d\t%d\t%s\n", observer, d.Name, d.Status, float64(d.StatusAgeMS)/1000, float64(d.LastSeenMS)/1000,
 		d.Ready, d.RequestRate, d.ListRevision, d.Incarnation, d.Refutation, d.Reason)
 }
 
--- a/internal/membership/broadcast.go
+++ b/internal/membership/broadcast.go
@@ -35,7 +35,8 @@
 }
 
 // appendBroadcasts adds queued changes to a message until it is full: suspicions, refutations and departures before new drivers, of each those that
-// were sent least, of them the latest. Changes that were sent often enough leave the queue. The subject's entry is in the message already.
+// were sent least, of them the latest. Changes that were sent often enough leave the queue. The subject is left out: send has
+// dealt with it.
 func (l *List) appendBroadcasts(e *encoder, subject *nodeState) {
 	limit := l.transmitLimit()
 	queue := l.broadcasts.pending
@@ -73,13 +74,14 @@
 	}
 }
 
-// send sends a message to an address. What differs from Alive of its subject comes first, then queued changes; nil: it has no subject.
+// send sends a message to an address. If it has a subject, a driver that it is about, and that one is not alive by this list, its entry comes
+// before the queued changes.
 func (l *List) send(to driver.Peer, h header, subject *nodeState) {
-	l.sendSyncRequest(to, h, subject, nil)
+	l.sendMessage(to, h, subject, nil)
 }
 
-// sendSyncRequest is send with the checksums of all ranges.
-func (l *List) sendSyncRequest(to driver.Peer, h header, subject *nodeState, rangeChecksums []byte) {
+// sendMessage is send with range checksums, which only sync requests have.
+func (l *List) sendMessage(to driver.Peer, h header, subject *nodeState, rangeChecksums []byte) {
 	e := l.newEncoder(h, rangeChecksums)
 	if subject != nil && subject.Status != Alive {
 		e.appendEntry(&subject.Entry)
--- a/internal/membership/codec.go
+++ b/internal/membership/codec.go
@@ -10,16 +10,16 @@
 	kindAck                             // answers a ping
 	kindPingRequest                     // ping the target for me
 	kindPingRequestAccepted             // the target is being pinged
-	kindIndirectAck                     // the target has answered
+	kindIndirectAck                     // the target has answered the ping
 	kindSyncRequest                     // send me your entries after the target, of the ranges that differ
-	kindSyncPart                        // some of these entries
-	lastKind                = kindSyncPart
+	kindSyncResponse                    // some of these entries
+	lastKind                = kindSyncResponse
 )
 
 // header begins each message.
 type header struct {
 	kind     messageKind
-	more     bool   // of a sync part: entries are left
+	more     bool   // of a sync response: entries are left
 	sequence uint32 // of the probe or sync request; 0: no answer is expected
 	target   NodeID
 	checksum uint64 // of the sender's list
@@ -89,7 +89,7 @@
 }
 
 // hasRoom reports whether so many bytes fit in.
-func (e *encoder) hasRoom(size int) bool {
+func (e *encoder) fits(size int) bool {
 	return len(e.out)+size+len(e.rangeChecksums) <= MaxDatagramSize
 }
 
@@ -98,7 +98,7 @@
 
 // appendEntry adds a full entry; false: there is no room.
 func (e *encoder) appendEntry(entry *Entry) bool {
-	if !e.hasRoom(minEntrySize + len(entry.Name)) {
+	if !e.fits(minEntrySize + len(entry.Name)) {
 		return false
 	}
 	e.out = appendEntry(e.out, entry)
@@ -108,7 +108,7 @@
 
 // appendCompactEntry adds a compact entry; false: there is no room.
 func (e *encoder) appendCompactEntry(entry *Entry) bool {
-	if !e.hasRoom(compactEntrySize) {
+	if !e.fits(compactEntrySize) {
 		return false
 	}
 	e.out = appendCompactEntry(e.out, entry)
--- a/internal/membership/codec_test.go
+++ b/internal/membership/codec_test.go
@@ -23,7 +23,7 @@
 	var datagram []byte
 	list := sim.hosts[0].list
 	list.host = &capturingHost{simHost: sim.hosts[0], datagram: &datagram}
-	list.sendSyncPart(1, message{})
+	list.sendSyncResponse(1, message{})
 	m, ok := decodeMessage(datagram)
 	if !ok || len(m.entries) != 2 || m.sender.Name != "d0" || len(datagram) > MaxDatagramSize {
 		t.Fatalf("%+v, %v", m, ok)
--- a/internal/membership/list.go
+++ b/internal/membership/list.go
@@ -68,7 +68,7 @@
 		lastActive: now,
 	}
 	self := Entry{ID: NodeIDOf(name), Name: name[:min(len(name), maxNameLength)], Incarnation: config.Incarnation}
-	l.self = &nodeState{Entry: self, statusSince: now, heardAt: now}
+	l.self = &nodeState{Entry: self, statusSince: now, lastSeenAt: now}
 	l.addNode(l.self)
 	for address := range host.PeerCount() {
 		l.send(driver.Peer(address), header{kind: kindPing}, nil)
@@ -124,7 +124,7 @@
 	if m.kind == kindAck && m.sequence == 0 && m.sender.Status == Alive && !sender.probeable() {
 		l.prober.unknownFound = true
 	}
-	sender.address, sender.reachable, sender.heardAt = from, true, now
+	sender.address, sender.reachable, sender.lastSeenAt = from, true, now
 	for _, e := range m.entries {
 		l.merge(e, fromOther, now)
 	}
@@ -151,9 +151,9 @@
 	case kindIndirectAck:
 		l.completeProbe(m.sequence, m.target, now)
 	case kindSyncRequest:
-		l.sendSyncPart(from, m)
-	case kindSyncPart:
-		l.receiveSyncPart(from, m, now)
+		l.sendSyncResponse(from, m)
+	case kindSyncResponse:
+		l.receiveSyncResponse(from, m, now)
 	}
 }
 
@@ -177,7 +177,7 @@
 // similarRates reports whether two rates differ by less than a quarter.
 func similarRates(a, b uint16) bool { return max(a, b)-min(a, b) <= max(a, b)/4 }
 
-// Leave announces this driver's shutdown to some others. The list takes no further part.
+// Leave announces this driver's shutdown to some others. From then on the list only receives.
 func (l *List) Leave() {
 	if l.left {
 		return
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -64,12 +64,12 @@
 	}
 	if len(l.nodes.byID) >= maxNodes || e.Status >= Dead && from == fromOther {
 		if e.Status >= Dead { // older gossip about it is known to be stale then
-			l.tombstones.addIfRoom(e)
+			l.tombstones.addUnlessFull(e)
 		}
 		return nil
 	}
 	delete(l.tombstones, e.ID)
-	node := &nodeState{Entry: e, statusSince: now, heardAt: now, suspicion: suspicion{deadline: now + l.suspicionTimeout(0)}}
+	node := &nodeState{Entry: e, statusSince: now, lastSeenAt: now, suspicion: suspicion{deadline: now + l.suspicionTimeout(0)}}
 	if stale {
 		// It must hear that it is believed dead: others that have forgotten it accept only a higher refutation number.
 		node.Incarnation, node.Refutation = tombstone.Incarnation, tombstone.Refutation
--- a/internal/membership/nodes.go
+++ b/internal/membership/nodes.go
@@ -18,7 +18,7 @@
 	reachable   bool // address is known
 	statusSince time.Duration
 	reason      string // why its status changed last
-	heardAt     time.Duration
+	lastSeenAt  time.Duration
 	suspicion   suspicion
 
 	transmits int  // how often its latest change was sent
@@ -115,7 +115,7 @@
 }
 
 // addIfRoom remembers an entry unless there are too many.
-func (t tombstones) addIfRoom(e Entry) {
+func (t tombstones) addUnlessFull(e Entry) {
 	if len(t) < maxTombstones {
 		t[e.ID] = e
 	}
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -140,7 +140,7 @@
 func (l *List) finishProbe(now time.Duration) bool {
 	pending := l.prober.pending
 	node := l.nodes.get(pending.node)
-	if !pending.outstanding() || node == nil || node.heardAt >= pending.sentAt {
+	if !pending.outstanding() || node == nil || node.lastSeenAt >= pending.sentAt {
 		l.prober.pending = probe{}
 		return true
 	}
@@ -197,6 +197,6 @@
 	l.prober.pending = probe{}
 	l.health.improve()
 	if node := l.nodes.get(from); node != nil {
-		node.heardAt = now
+		node.lastSeenAt = now
 	}
 }
--- a/internal/membership/query.go
+++ b/internal/membership/query.go
@@ -15,7 +15,7 @@
 	Entry
 	Self           bool
 	StatusAge      time.Duration // how long it has had its status
-	LastHeardAgo   time.Duration
+	LastSeenAgo    time.Duration
 	Reason         string // why its status changed last
 	SuspectorCount int    // whose own probes failed
 }
@@ -28,7 +28,7 @@
 			Entry:          node.Entry,
 			Self:           node == l.self,
 			StatusAge:      now - node.statusSince,
-			LastHeardAgo:   now - node.heardAt,
+			LastSeenAgo:    now - node.lastSeenAt,
 			Reason:         node.reason,
 			SuspectorCount: len(node.suspicion.suspectors),
 		})
--- a/internal/membership/shards.go
+++ b/internal/membership/shards.go
@@ -18,7 +18,7 @@
 }
 
 const (
-	// guaranteedDivisor tells the guaranteed part of the capacity: a half.
+	// guaranteedDivisor: a half of the capacity is guaranteed.
 	guaranteedDivisor = 2
 	// leaseProbes is how many probe intervals a lease has.
 	leaseProbes = 30
--- a/internal/membership/sync.go
+++ b/internal/membership/sync.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// maxSyncParts is how many messages one sync fetches; the next one continues after them.
-	maxSyncParts = 4
+	// maxSyncResponses is how many messages one sync fetches; the next one continues after them.
+	maxSyncResponses = 4
 	// syncRangeBits is how many leading bits of a driver's ID tell its range.
 	syncRangeBits = 7
 	syncRanges    = 1 << syncRangeBits
@@ -24,14 +24,14 @@
 	source     driver.Peer
 	after      NodeID        // the last ID that has come; 0: the sync starts over
 	sentAt     time.Duration // of the request that is out; 0: none
-	parts      int           // that have come in this session
+	responses  int           // that have come in this session
 	finishedAt time.Duration
 }
 
 func (s *syncSession) inProgress() bool { return s.sentAt != 0 }
 
-// pause ends the session; the next one continues after the latest entry.
-func (s *syncSession) pause(now time.Duration) { s.sentAt, s.finishedAt = 0, now }
+// suspend ends the session; the next one continues after the latest entry.
+func (s *syncSession) suspend(now time.Duration) { s.sentAt, s.finishedAt = 0, now }
 
 // justStarted reports whether a driver has just started: it knows less than others and syncs itself. If all drivers synced from it, a start would
 // cost with the square of the fleet. Where clocks differ it may count as older, never for longer as just started.
@@ -46,21 +46,21 @@
 	if s.inProgress() && now-s.sentAt < l.config.ProbeInterval || now-s.finishedAt < l.config.ProbeInterval {
 		return
 	}
-	s.source, s.sentAt, s.parts = from, now, 0 // a part that was lost is requested again, from whichever driver comes next
-	l.requestSyncPart()
+	s.source, s.sentAt, s.responses = from, now, 0 // what was lost is requested again, from whichever driver comes next
+	l.sendNextSyncRequest()
 }
 
-// requestSyncPart requests what differs after the latest entry that has come. The range checksums are salted anew each time: two ranges that differ
+// sendNextSyncRequest requests what differs after the latest entry that has come. The range checksums are salted anew each time: two ranges that differ
 // may have the same checksum, but not for long.
-func (l *List) requestSyncPart() {
+func (l *List) sendNextSyncRequest() {
 	sequence := l.nextSequence()
 	h := header{kind: kindSyncRequest, sequence: sequence, target: l.sync.after}
-	l.sendSyncRequest(l.sync.source, h, nil, l.nodes.rangeChecksums(sequence))
+	l.sendMessage(l.sync.source, h, nil, l.nodes.rangeChecksums(sequence))
 }
 
-// sendSyncPart sends the entries after the requested ID, of the ranges whose checksums differ. Ranges are a Merkle tree of one level, as in Dynamo
+// sendSyncResponse sends the entries after the requested ID, of the ranges whose checksums differ. Ranges are a Merkle tree of one level, as in Dynamo
 // (DeCandia and others, 2007, section 4.7). A request without checksums, of builds that do not know them, gets all.
-func (l *List) sendSyncPart(to driver.Peer, request message) {
+func (l *List) sendSyncResponse(to driver.Peer, request message) {
 	first, found := l.nodes.position(request.target)
 	if found {
 		first++
@@ -71,7 +71,7 @@
 			equal[i] = sum == request.rangeChecksums[i]
 		}
 	}
-	e := l.newEncoder(header{kind: kindSyncPart}, nil)
+	e := l.newEncoder(header{kind: kindSyncResponse}, nil)
 	for _, node := range l.nodes.sorted[first:] {
 		if node == l.self || equal[syncRange(node.ID)] {
 			continue
@@ -84,21 +84,21 @@
 	l.transmit(to, e)
 }
 
-// receiveSyncPart requests the next part, until nothing is left.
-func (l *List) receiveSyncPart(from driver.Peer, m message, now time.Duration) {
+// receiveSyncResponse requests what follows, until nothing is left.
+func (l *List) receiveSyncResponse(from driver.Peer, m message, now time.Duration) {
 	s := &l.sync
 	if !s.inProgress() || s.source != from {
 		return
 	}
 	if len(m.entries) == 0 || !m.more {
 		s.after = 0
-		s.pause(now)
+		s.suspend(now)
 		return
 	}
 	s.after, s.sentAt = m.entries[len(m.entries)-1].ID, now
-	if s.parts++; s.parts >= maxSyncParts {
-		s.pause(now)
+	if s.responses++; s.responses >= maxSyncResponses {
+		s.suspend(now)
 		return
 	}
-	l.requestSyncPart()
+	l.sendNextSyncRequest()
 }
--- a/internal/membership/sync_test.go
+++ b/internal/membership/sync_test.go
@@ -24,17 +24,17 @@
 	found := 0
 	for range 8 { // by chance two checksums are equal, one time in 256
 		behind.sync.after, behind.sync.source = 0, 2
-		behind.requestSyncPart()
+		behind.sendNextSyncRequest()
 		request, ok := decodeMessage(datagram)
 		if !ok || len(request.rangeChecksums) != syncRanges || len(datagram) > MaxDatagramSize {
 			t.Fatalf("%d bytes, %+v", len(datagram), request)
 		}
-		ahead.sendSyncPart(1, request)
-		part, ok := decodeMessage(datagram)
-		if !ok || len(part.entries) > 12 || part.more && len(part.entries) < 4 {
-			t.Fatalf("%+v", part)
+		ahead.sendSyncResponse(1, request)
+		response, ok := decodeMessage(datagram)
+		if !ok || len(response.entries) > 12 || response.more && len(response.entries) < 4 {
+			t.Fatalf("%+v", response)
 		}
-		for _, e := range part.entries {
+		for _, e := range response.entries {
 			if e.ID == changed.ID && e.Refutation == changed.Refutation {
 				found++
 			}
@@ -45,13 +45,13 @@
 	}
 	count, request := 0, message{header: header{kind: kindSyncRequest}}
 	for more := true; more; {
-		ahead.sendSyncPart(1, request)
-		part, ok := decodeMessage(datagram)
-		if !ok || len(part.entries) == 0 {
-			t.Fatalf("%+v", part)
+		ahead.sendSyncResponse(1, request)
+		response, ok := decodeMessage(datagram)
+		if !ok || len(response.entries) == 0 {
+			t.Fatalf("%+v", response)
 		}
-		count += len(part.entries)
-		more, request.target = part.more, part.entries[len(part.entries)-1].ID
+		count += len(response.entries)
+		more, request.target = response.more, response.entries[len(response.entries)-1].ID
 	}
 	if count != len(sim.hosts)-1 {
 		t.Errorf("without checksums %d are transferred", count)
@@ -60,7 +60,7 @@
 
 // Regions that were apart for so long that each has forgotten the other's drivers converge soon: a driver that is believed dead learns of it from the
 // first one it meets, and all accept its refutation.
-func TestRegionsMergeAfterTheDeadAreForgotten(t *testing.T) {
+func TestRegionsMergeAfterTheDeadExpire(t *testing.T) {
 	sim := newSimulation(14, 40)
 	sim.startAll(time.Second)
 	sim.advance(15 * time.Second)
--- a/internal/node/fleet_golden_test.go
+++ b/internal/node/fleet_golden_test.go
@@ -15,7 +15,7 @@
 	status := FleetStatus{Name: "driver-a", ActiveCount: 2, ConnectionShard: 7, InMajority: true, Checksum: 1<<63 + 5, Pauses: 1, Sent: 200, SentBytes: 30_000, Received: 190, Malformed: 3,
 		Drivers: []DriverStatus{
 			{Name: "driver-a", Status: "alive", Self: true, Incarnation: 1_700_000_000_000_000_001, StatusAgeMS: 5000, Ready: 1, RequestRate: 120, ListRevision: 9},
-			{Name: "driver-b", Status: "suspect", Reason: "no answer to driver-a", Incarnation: 1_700_000_000_000_000_002, Refutation: 4, StatusAgeMS: 700, LastHeardMS: 1200, Ready: 0.25, RequestRate: 3, ListRevision: 8},
+			{Name: "driver-b", Status: "suspect", Reason: "no answer to driver-a", Incarnation: 1_700_000_000_000_000_002, Refutation: 4, StatusAgeMS: 700, LastSeenMS: 1200, Ready: 0.25, RequestRate: 3, ListRevision: 8},
 		}}
 	text, err := json.MarshalIndent(status, "", "  ")
 	if err != nil {
--- a/internal/node/fleet_status.go
+++ b/internal/node/fleet_status.go
@@ -27,7 +27,7 @@
 	Incarnation  uint64 `json:"Life"`        // of the process
 	Refutation   uint32 `json:"Incarnation"` // raised by the driver to refute that it is suspect or dead
 	StatusAgeMS  int64  `json:"ForMS"`
-	LastHeardMS  int64  `json:"HeardMS"` // how long ago
+	LastSeenMS   int64  `json:"HeardMS"` // how long ago
 	Ready        float64
 	RequestRate  int `json:"Load"`     // RPCs a second
 	ListRevision int `json:"Revision"` // of its endpoint list
@@ -62,7 +62,7 @@
 		Incarnation:  node.Incarnation,
 		Refutation:   node.Refutation,
 		StatusAgeMS:  node.StatusAge.Milliseconds(),
-		LastHeardMS:  node.LastHeardAgo.Milliseconds(),
+		LastSeenMS:   node.LastSeenAgo.Milliseconds(),
 		Ready:        float64(node.Summary.ReadyPercent) / 100,
 		RequestRate:  int(node.Summary.RequestRate),
 		ListRevision: int(node.Summary.ListRevision),
