--- a/cmd/passtack/lives_test.go
+++ b/cmd/passtack/lives_test.go
@@ -242,7 +242,7 @@
 		t.Fatalf("the create: %d %s %s\n%s", status, body, result, first.log)
 	}
 	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(20 * time.Millisecond) {
-		if f, _, _, err := lookAt(folder); err == nil && len(f.Requests["offices"]) == 1 {
+		if f, err := readSavedState(folder); err == nil && len(f.Requests["offices"]) == 1 {
 			break
 		}
 		if time.Now().After(deadline) {
@@ -381,7 +381,7 @@
 view { fleet = "f" }
 `, ask, folder), 0o600)
 	p := serveProcess(t, "--site", siteFile, "--operator", operatorFile)
-	if !strings.Contains(p.log.String(), "event=promises_unusable") {
+	if !strings.Contains(p.log.String(), `event="lease storage unusable"`) {
 		t.Errorf("it does not tell: %s", p.log)
 	}
 	if out, ok := passtack(t, "leases", ask); !ok || !strings.Contains(out, "n1: never heard") || !strings.Contains(out, "watch-discovery") {
--- a/internal/node/connection_shard.go
+++ b/internal/node/connection_shard.go
@@ -24,9 +24,9 @@
 	if connections := s.shards.Size(total, now); connections != s.connections {
 		slog.Info("connection shard changed", "connections", connections, "in_majority", s.shards.InMajority(now), "active_drivers", activeDrivers)
 		s.connections = connections
-		n.connectLimiter.Limit(connections)
+		n.members.connectLimiter.SetMemberLimit(connections)
 	}
-	for _, p := range n.pools {
+	for _, p := range n.members.pools {
 		p.Trim()
 	}
 }
--- a/internal/node/drain_gossip.go
+++ b/internal/node/drain_gossip.go
@@ -74,7 +74,7 @@
 
 func (d *drainGossip) send(datagram []byte) {
 	for _, address := range d.drivers.SampleAlive(gossipFanout) {
-		d.node.talk.write(address, peers.Drain, datagram)
+		d.node.messenger.send(address, peers.Drain, datagram)
 	}
 }
 
@@ -82,7 +82,7 @@
 func (d *drainGossip) receive(datagram []byte) {
 	notices, ok := draingossip.Decode(datagram)
 	if !ok {
-		d.node.Count("letters_strange")
+		d.node.Count("peer_messages_rejected")
 		return
 	}
 	var forwarded []draingossip.Notice
@@ -110,7 +110,7 @@
 	for _, notice := range notices {
 		m := d.members[notice.Member]
 		n.Count("drain_notices_applied")
-		slog.Info("drain notice applied", "member", n.uids[m.member])
+		slog.Info("drain notice applied", "member", n.members.uids[m.member])
 		n.module.Listed(m.member, m.zone, m.group, driver.Draining, m.weight, n.onLocalClock(notice.StartedAt), false)
 	}
 	n.module.ListEnds(driver.Changes)
--- a/internal/node/fleet_membership.go
+++ b/internal/node/fleet_membership.go
@@ -14,7 +14,7 @@
 // fleetMembership runs the driver's membership list, where the operator's file has a block view. It is the list's host.
 type fleetMembership struct {
 	node        *Node
-	talk        *talk
+	messenger   *messenger
 	list        *membership.List
 	wakeTimer   loop.Due
 	statusLog   driverStatusLog
@@ -33,12 +33,12 @@
 		return
 	}
 	f := &fleetMembership{
-		node: n, talk: n.talk,
+		node: n, messenger: n.messenger,
 		statusLog:   driverStatusLog{lines: make(map[membership.Status]int)},
 		requestRate: requestRate{countedAt: n.loop.Now()},
 		shard:       connectionShard{node: n, shards: membership.NewShards(config.Every)},
 	}
-	listConfig := membership.Config{ProbeInterval: config.Every, Incarnation: n.talk.life}
+	listConfig := membership.Config{ProbeInterval: config.Every, Incarnation: n.messenger.incarnation}
 	f.list = membership.New(f, n.site.Name, listConfig, n.site.Seed+101, n.loop.Now())
 	f.drainGossip = newDrainGossip(n, f.list)
 	n.membership = f
@@ -51,7 +51,7 @@
 
 // Send sends a datagram of the membership list.
 func (f *fleetMembership) Send(to driver.Peer, datagram []byte) {
-	f.talk.write(to, peers.Membership, datagram)
+	f.messenger.send(to, peers.Membership, datagram)
 }
 
 // StatusChanged counts and logs a change of another driver's status.
--- a/internal/node/member_clock.go
+++ b/internal/node/member_clock.go
@@ -35,7 +35,7 @@
 	offset := n.memberClock.Offset()
 	n.Count("clock_corrections")
 	slog.Warn("member clock offset corrected", "change_ms", change.Milliseconds(), "offset_ms", offset.Milliseconds())
-	for _, p := range n.pools {
+	for _, p := range n.members.pools {
 		p.Offset(offset)
 	}
 	n.module.CorrectClock(change)
