--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -35,8 +35,8 @@
 	if n.leases != nil {
 		n.leases.resign()
 	}
-	if n.view != nil {
-		n.view.seen.Leave(n.loop.Clock())
+	if n.membership != nil {
+		n.membership.list.Leave()
 	}
 	s.advance()
 }
