--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -92,10 +92,10 @@
 		r.poolOf(group).Place(id, address)
 	}
 	zoneNumber := driver.Zone(max(0, slices.Index(r.zones, zone)))
-	if n.view != nil {
-		n.view.drains.listed(uid, listedAs{id, zoneNumber, group, size}, state, started, r.listKind != driver.Cached)
+	if n.membership != nil {
+		n.membership.drainGossip.memberListed(uid, listedMember{id, zoneNumber, group, size}, state, started, r.listKind != driver.Cached)
 	}
-	n.module.Listed(id, zoneNumber, group, state, size, n.byOwnClock(started), primary)
+	n.module.Listed(id, zoneNumber, group, state, size, n.onLocalClock(started), primary)
 }
 
 // ListEnds completes an endpoint list, or reports that none came.
@@ -106,8 +106,8 @@
 	}
 	n.timer.resume()
 	n.module.ListEnds(kind)
-	if n.view != nil {
-		n.view.drains.listEnds()
+	if n.membership != nil {
+		n.membership.drainGossip.listComplete()
 	}
 }
 
