--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -11,10 +11,10 @@
 	"runtime/debug"
 
 	"passtack/internal/control"
-	"passtack/internal/fleetclock"
 	"passtack/internal/list"
 	"passtack/internal/logs"
 	"passtack/internal/loop"
+	"passtack/internal/memberclock"
 	"passtack/internal/operator"
 	"passtack/internal/peers"
 	"passtack/internal/recovery"
@@ -45,9 +45,9 @@
 	shutdown  gracefulShutdown
 	signals   *signals
 
-	clock      fleetclock.Clock // the members' clock against the loop's
-	background *backgroundJobs
-	workers    workerPool
+	memberClock memberclock.Estimator // the members' clock against the loop's
+	background  *backgroundJobs
+	workers     workerPool
 	telemetry
 	features
 }
@@ -55,7 +55,7 @@
 // features are the parts that a driver has only if the operator's file asks for them. Each is nil otherwise.
 type features struct {
 	messenger     *messenger
-	view          *view
+	membership    *fleetMembership
 	leases        *leaseService
 	configuration *configuration
 	learned       *learnedState
