--- a/internal/node/background.go
+++ b/internal/node/background.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	sliceBudget   = time.Millisecond // for slices in one iteration of the event loop
-	minSlicePause = time.Millisecond // between two iterations with slices
+	sliceBudget      = time.Millisecond // for slices in one iteration of the event loop
+	minSliceInterval = time.Millisecond // between two iterations with slices
 )
 
 // jobSlice runs one slice of a background job on the event loop.
@@ -61,7 +61,7 @@
 		return
 	}
 	b.loop.Forget(b.timer)
-	b.wakeAt = max(at, now+minSlicePause)
+	b.wakeAt = max(at, now+minSliceInterval)
 	b.timer = b.loop.At(b.wakeAt, b.runSlices)
 }
 
--- a/internal/node/configuration.go
+++ b/internal/node/configuration.go
@@ -91,9 +91,9 @@
 	if w.Folder == "" {
 		return
 	}
-	store, _ := n.openFolder(folder{
+	store, _ := n.openDataDirectory(dataDirectory{
 		path: w.Folder, maxSize: configurationFolder,
-		unusable: "configuration_folder_unusable", damaged: "configuration_lost", counter: "configuration_folder_unusable",
+		unusableEvent: "configuration_folder_unusable", damagedEvent: "configuration_lost", unusableCounter: "configuration_folder_unusable",
 	})
 	if store == nil {
 		return
--- a/internal/node/folders.go
+++ b/internal/node/data_directory.go
@@ -10,36 +10,36 @@
 )
 
 // folderOpenTimeout is how long a folder may take to be read before the driver starts without it.
-const folderOpenTimeout = 2 * time.Second
+const directoryOpenTimeout = 2 * time.Second
 
 var errDiskStalled = errors.New("the disk does not respond")
 
 // folder is a folder of the operator's file, and how its troubles are reported.
-type folder struct {
-	path     string
-	maxSize  int    // bytes
-	unusable string // log event
-	damaged  string // log event, for each file of which something could not be read
-	counter  string // of starts without the folder
+type dataDirectory struct {
+	path            string
+	maxSize         int    // bytes
+	unusableEvent   string // log event
+	damagedEvent    string // log event, for each file of which something could not be read
+	unusableCounter string // of starts without the folder
 }
 
 // openFolder opens a folder and reports what is wrong with it. A driver does not need its folders to serve: the store is nil if the folder
 // cannot be used.
-func (n *Node) openFolder(f folder) (*storage.Store, storage.RecoveryReport) {
+func (n *Node) openDataDirectory(f dataDirectory) (*storage.Store, storage.RecoveryReport) {
 	store, report, err := n.openStore(f)
 	if err != nil {
-		slog.Warn(f.unusable, "folder", f.path, "cause", err)
-		n.Count(f.counter)
+		slog.Warn(f.unusableEvent, "folder", f.path, "cause", err)
+		n.Count(f.unusableCounter)
 		return nil, report
 	}
 	for _, file := range report.Unreadable {
-		slog.Warn(f.damaged, "file", file)
+		slog.Warn(f.damagedEvent, "file", file)
 	}
 	return store, report
 }
 
 // openStore opens a folder. On a real disk it does so on another goroutine, since a disk that stalls would hold up the start.
-func (n *Node) openStore(f folder) (*storage.Store, storage.RecoveryReport, error) {
+func (n *Node) openStore(f dataDirectory) (*storage.Store, storage.RecoveryReport, error) {
 	if n.simulated {
 		return persist.Open(f.path, n.site.Name, f.maxSize)
 	}
@@ -56,7 +56,7 @@
 	select {
 	case r := <-opened:
 		return r.store, r.report, r.err
-	case <-time.After(folderOpenTimeout):
+	case <-time.After(directoryOpenTimeout):
 		go func() { // nobody will use the store
 			if r := <-opened; r.err == nil {
 				r.store.Close()
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -19,7 +19,7 @@
 	"passtack/internal/loop/sim"
 	"passtack/internal/odata"
 	"passtack/internal/operator"
-	"passtack/internal/share"
+	"passtack/internal/quota"
 	"passtack/internal/terms"
 )
 
@@ -71,9 +71,9 @@
 		{"front", []any{len(f.Fronts), portal.Protocol, portal.Name, second.Name, offices.Protocol, offices.Name}, []any{3, "pg", "portal", "second", "odata", "offices"}},
 		{"front.listen", []any{portal.Listen.IsValid(), second.Listen.String(), offices.Listen.String()}, []any{false, "10.0.0.1:6544", "10.0.0.1:8080"}},
 		{"front.weight", []any{portal.Share.Weight, second.Share.Weight, offices.Share.Weight}, []any{2.5, 1.0, 3.0}},
-		{"front.limits.connections", []any{portal.Share.Limits[share.Connections], offices.Share.Limits[share.Connections]}, []any{101, 201}},
-		{"front.limits.rpcs", []any{portal.Share.Limits[share.RPCs], offices.Share.Limits[share.RPCs]}, []any{102, 202}},
-		{"front.limits.memory_kb", []any{portal.Share.Limits[share.Bytes], offices.Share.Limits[share.Bytes]}, []any{103 << 10, 203 << 10}},
+		{"front.limits.connections", []any{portal.Share.Limits[quota.Connections], offices.Share.Limits[quota.Connections]}, []any{101, 201}},
+		{"front.limits.rpcs", []any{portal.Share.Limits[quota.RPCs], offices.Share.Limits[quota.RPCs]}, []any{102, 202}},
+		{"front.limits.memory_kb", []any{portal.Share.Limits[quota.Bytes], offices.Share.Limits[quota.Bytes]}, []any{103 << 10, 203 << 10}},
 		{"front.limits.target_bytes", offices.OData.HTTP.Target, 1001},
 		{"front.limits.head_bytes", offices.OData.HTTP.Head, 1002},
 		{"front.limits.fields", offices.OData.HTTP.Fields, 53},
--- a/internal/node/learned.go
+++ b/internal/node/learned.go
@@ -13,7 +13,7 @@
 )
 
 // keepUnlistedFor is how long after a start what is saved of members is kept that are not on the endpoint list.
-const keepUnlistedFor = time.Minute
+const unlistedRetention = time.Minute
 
 // learnedState saves in a folder what the driver learns and restores it at the next start. A driver without a folder has a nil
 // *learnedState, whose methods do nothing.
@@ -21,8 +21,8 @@
 	node  *Node
 	store *storage.Store
 
-	restored          *persist.LearnedState // of members: what the module has not taken over yet
-	keepUnlistedUntil time.Duration
+	restored            *persist.LearnedState // of members: what the module has not taken over yet
+	retainUnlistedUntil time.Duration
 
 	saver          *persist.Saver
 	round          memberRound
@@ -44,9 +44,9 @@
 	if config == nil {
 		return
 	}
-	store, report := n.openFolder(folder{
+	store, report := n.openDataDirectory(dataDirectory{
 		path: config.Folder, maxSize: config.Bytes,
-		unusable: "learned state unusable", damaged: "learned state damaged", counter: "state_unusable",
+		unusableEvent: "learned state unusable", damagedEvent: "learned state damaged", unusableCounter: "state_unusable",
 	})
 	if store == nil {
 		return
@@ -54,7 +54,7 @@
 	now := n.loop.Now()
 	l := &learnedState{
 		node: n, store: store,
-		restored: persist.Restore(store), keepUnlistedUntil: now + keepUnlistedFor,
+		restored: persist.Restore(store), retainUnlistedUntil: now + unlistedRetention,
 		saver: persist.NewSaver(store, config.Bytes), endpoints: savedEndpoints{uids: make(map[string]bool)},
 	}
 	persist.ForEachSessionWrite(store, n.module.RecallToken)
--- a/internal/node/learned_save.go
+++ b/internal/node/learned_save.go
@@ -92,13 +92,13 @@
 	}
 	r.begun = false
 	l.saver.SaveUsualLatencies(n.module.Usual())
-	l.keepUnlisted()
+	l.retainUnlisted()
 	return true
 }
 
 // keepUnlisted keeps what is saved of members that are not on the endpoint list, until keepUnlistedFor is over.
-func (l *learnedState) keepUnlisted() {
-	if l.node.loop.Now() >= l.keepUnlistedUntil {
+func (l *learnedState) retainUnlisted() {
+	if l.node.loop.Now() >= l.retainUnlistedUntil {
 		clear(l.restored.Members)
 		return
 	}
--- a/internal/node/lease_promises.go
+++ b/internal/node/lease_promises.go
@@ -36,9 +36,9 @@
 	if directory == "" {
 		return nil, nil
 	}
-	store, _ := n.openFolder(folder{
+	store, _ := n.openDataDirectory(dataDirectory{
 		path: directory, maxSize: maxPromiseStorage,
-		unusable: "lease storage unusable", damaged: "lease storage lost a file", counter: "lease_storage_unusable",
+		unusableEvent: "lease storage unusable", damagedEvent: "lease storage lost a file", unusableCounter: "lease_storage_unusable",
 	})
 	if store == nil {
 		return nil, nil
--- a/internal/node/listeners.go
+++ b/internal/node/listeners.go
@@ -11,7 +11,7 @@
 	pgfront "passtack/internal/front/pg"
 	"passtack/internal/loop"
 	"passtack/internal/operator"
-	"passtack/internal/share"
+	"passtack/internal/quota"
 	"passtack/internal/shutdown"
 )
 
@@ -25,7 +25,7 @@
 	node        *Node
 	all         []*listener // the platform's first
 	byFront     map[driver.Front]*listener
-	quotas      share.Shares
+	quotas      quota.Allocator
 	rebalanceAt time.Duration // of the next rebalancing
 }
 
@@ -50,7 +50,7 @@
 	methods := n.site.methods()
 	ids := make(front.Ids)
 	for _, f := range n.config.Fronts {
-		l := &listener{set: s, name: f.Name, quotaID: s.quotas.Join(f.Share)}
+		l := &listener{set: s, name: f.Name, quotaID: s.quotas.Add(f.Share)}
 		address := f.Listen
 		if !address.IsValid() {
 			address = n.site.Listen
@@ -88,20 +88,20 @@
 
 // limits bounds what the listener's connections use to its quota.
 func (l *listener) limits() loop.Door {
-	capacity := func(kind share.Kind) func(int) int {
+	capacity := func(kind quota.Resource) func(int) int {
 		return func(total int) int { return l.capacity(kind, total) }
 	}
-	return loop.Door{Descriptors: capacity(share.Connections), Bytes: capacity(share.Bytes)}
+	return loop.Door{Descriptors: capacity(quota.Connections), Bytes: capacity(quota.Bytes)}
 }
 
 // capacity returns how much of a total the listener may use now. Without a free connection it is noted as one that needs some.
-func (l *listener) capacity(kind share.Kind, total int) int {
+func (l *listener) capacity(kind quota.Resource, total int) int {
 	s := l.set
 	s.reportUsage()
-	capacity := s.quotas.Room(l.quotaID, kind, total)
+	capacity := s.quotas.Capacity(l.quotaID, kind, total)
 	if l.connections != nil {
-		if open, _ := l.connections.Held(); kind == share.Connections && open >= capacity {
-			s.quotas.Lacks(l.quotaID, kind, s.node.loop.Now())
+		if open, _ := l.connections.Held(); kind == quota.Connections && open >= capacity {
+			s.quotas.ReportShortage(l.quotaID, kind, s.node.loop.Now())
 		}
 	}
 	return capacity
@@ -109,19 +109,19 @@
 
 // admits reports whether the listener may have one more RPC in service.
 func (l *listener) admits() bool {
-	if len(l.set.all) == 1 && l.set.node.config.Fronts[0].Share.Limits[share.RPCs] == 0 {
+	if len(l.set.all) == 1 && l.set.node.config.Fronts[0].Share.Limits[quota.RPCs] == 0 {
 		return true
 	}
-	return l.rpcs < l.capacity(share.RPCs, maxRPCs)
+	return l.rpcs < l.capacity(quota.RPCs, maxRPCs)
 }
 
 // reportUsage tells the quotas what all listeners have in use.
 func (s *listenerSet) reportUsage() {
 	for _, l := range s.all {
 		connections, bytes := l.connections.Held()
-		s.quotas.Hold(l.quotaID, share.Connections, connections)
-		s.quotas.Hold(l.quotaID, share.Bytes, bytes)
-		s.quotas.Hold(l.quotaID, share.RPCs, l.rpcs)
+		s.quotas.SetUsage(l.quotaID, quota.Connections, connections)
+		s.quotas.SetUsage(l.quotaID, quota.Bytes, bytes)
+		s.quotas.SetUsage(l.quotaID, quota.RPCs, l.rpcs)
 	}
 }
 
@@ -134,7 +134,7 @@
 	s.rebalanceAt = l.Now() + rebalanceInterval
 	s.reportUsage()
 	for _, each := range s.all {
-		each.connections.Yield(s.quotas.Over(each.quotaID, share.Connections, l.Most()*5/8, l.Now()))
+		each.connections.Yield(s.quotas.Excess(each.quotaID, quota.Connections, l.Most()*5/8, l.Now()))
 	}
 }
 
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -100,7 +100,7 @@
 			continue
 		}
 		inForce[i].Share = f.Share
-		s.quotas.Change(s.all[i].quotaID, f.Share)
+		s.quotas.Update(s.all[i].quotaID, f.Share)
 		if odata, ok := s.all[i].front.(*odatafront.Front); ok {
 			inForce[i].OData = f.OData
 			odata.Offer(f.OData)
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -21,8 +21,8 @@
 	"passtack/internal/httpwire"
 	"passtack/internal/lease"
 	"passtack/internal/odata"
+	"passtack/internal/quota"
 	"passtack/internal/rollout/server"
-	"passtack/internal/share"
 )
 
 // Method is what the platform's settings say of one, as far as the file is checked against it.
@@ -39,7 +39,7 @@
 type Front struct {
 	Protocol, Name string
 	Listen         netip.AddrPort // invalid for the platform's own
-	Share          share.Terms
+	Share          quota.Config
 	OData          *OData // of that protocol
 }
 
@@ -139,7 +139,7 @@
 
 // None is what holds where no file is given.
 func None() *File {
-	return &File{Fronts: []*Front{{Protocol: "pg", Name: "platform", Share: share.Terms{Weight: 1}}}}
+	return &File{Fronts: []*Front{{Protocol: "pg", Name: "platform", Share: quota.Config{Weight: 1}}}}
 }
 
 // Read reads and checks the file. The platform listens on its own address and has its methods.
@@ -490,9 +490,9 @@
 	}
 	for _, b := range blocks {
 		in := r.content(b.Body, attributes)
-		front.Share.Limits[share.Connections] = r.count(in, "connections", 0, 1, 1<<20)
-		front.Share.Limits[share.RPCs] = r.count(in, "rpcs", 0, 1, 1<<20)
-		front.Share.Limits[share.Bytes] = r.count(in, "memory_kb", 0, 1, 1<<20) << 10
+		front.Share.Limits[quota.Connections] = r.count(in, "connections", 0, 1, 1<<20)
+		front.Share.Limits[quota.RPCs] = r.count(in, "rpcs", 0, 1, 1<<20)
+		front.Share.Limits[quota.Bytes] = r.count(in, "memory_kb", 0, 1, 1<<20) << 10
 		if o := front.OData; o != nil {
 			o.HTTP.Target = r.count(in, "target_bytes", o.HTTP.Target, 64, 64<<10)
 			o.HTTP.Head = r.count(in, "head_bytes", o.HTTP.Head, 256, 64<<10)
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -9,7 +9,7 @@
 
 	"passtack/driver"
 	"passtack/internal/odata"
-	"passtack/internal/share"
+	"passtack/internal/quota"
 )
 
 var (
@@ -41,7 +41,7 @@
 	}
 	o := f.Fronts[1]
 	s := o.OData.Model.Set("Applications")
-	if o.Share.Limits[share.RPCs] != 500 || o.OData.Repeats.Kept != 5*time.Minute || o.OData.HTTP.Body != 262144 || s.Page != 100 ||
+	if o.Share.Limits[quota.RPCs] != 500 || o.OData.Repeats.Kept != 5*time.Minute || o.OData.HTTP.Body != 262144 || s.Page != 100 ||
 		s.ETag.Name != "Version" || s.Operations[odata.Read].AfterWrite != 1 || !s.Operations[odata.Create].Tokened ||
 		s.Operations[odata.Create].Window != time.Second || s.Operations[odata.Count] != nil {
 		t.Errorf("read as %+v, %+v", o, s)
