--- a/internal/node/discovery_watcher.go
+++ b/internal/node/discovery_watcher.go
@@ -61,7 +61,7 @@
 	if revision := n.list.Rev(); n.list.Fresh() && (revision != w.announcedRevision || now-w.lastActive >= announceInterval) {
 		w.announcedRevision, w.lastActive = revision, now
 		n.Count("revisions_sent")
-		w.leases.send(driver.EveryPeer, peers.Revision, encodeRevision(revision))
+		w.leases.messenger.send(driver.EveryPeer, peers.Revision, encodeRevision(revision))
 	}
 	n.loop.Forget(w.timer) // a driver that lost the lease and acquired it again has one already
 	w.timer = n.loop.At(now+revisionPollInterval, w.announce)
--- a/internal/node/lease_golden_test.go
+++ b/internal/node/lease_golden_test.go
@@ -68,7 +68,7 @@
 		t.Fatal(err)
 	}
 	n := &Node{loop: l, list: new(list.Discovery)}
-	of := &leaseService{messenger: &messenger{node: n}}
+	of := &leaseService{node: n}
 	s := &summaryTask{leases: of, upload: &summaryUpload{node: n, accepted: 5, rejected: 1, failed: 2}}
 	status := LeasesStatus{Name: "n0", Version: 2, Voters: []string{"n0", "n1", "n2"}, Former: []string{"n0", "n1", "n3"}, SilentForMS: 10,
 		Leases: []LeaseStatus{
--- a/internal/node/lease_hello.go
+++ b/internal/node/lease_hello.go
@@ -23,12 +23,12 @@
 func (s *leaseService) sendHello() {
 	n := s.node
 	addressMissing := slices.ContainsFunc(s.config.Set().All(), func(voter lease.Node) bool {
-		_, known := s.addresses.Address(uint64(voter))
+		_, known := s.messenger.addresses.Address(uint64(voter))
 		return voter != s.holder.Node && !known
 	})
 	if addressMissing || s.voter.IsVoter() && s.voter.SilentFor(s.clock()) > 0 {
 		n.Count("lease_hellos_sent")
-		s.send(driver.EveryPeer, peers.Hello, nil)
+		s.messenger.send(driver.EveryPeer, peers.Hello, nil)
 		s.helloInterval = min(max(2*s.helloInterval, minHelloInterval), maxHelloInterval)
 	} else {
 		s.helloInterval = minHelloInterval
@@ -38,7 +38,7 @@
 
 // handleHello answers a Hello of a known driver, if this one is a voter. An answer is not answered.
 func (s *leaseService) handleHello(from lease.Node, m peers.Message) {
-	if _, known := s.addresses.Address(uint64(from)); known && s.voter.IsVoter() && len(m.Body) == 0 {
+	if _, known := s.messenger.addresses.Address(uint64(from)); known && s.voter.IsVoter() && len(m.Body) == 0 {
 		s.sendTo(from, peers.Hello, helloAnswer)
 	}
 }
--- a/internal/node/lease_service.go
+++ b/internal/node/lease_service.go
@@ -14,7 +14,8 @@
 // leaseService is the driver's part in the leases of its fleet: it votes where the operator's file names it as a voter, and is a candidate
 // for the lease of each task.
 type leaseService struct {
-	*messenger
+	node        *Node
+	messenger   *messenger
 	config      *operator.Leases
 	holder      lease.Holder // this process
 	voter       *lease.Voter
@@ -52,7 +53,7 @@
 	}
 	now := n.loop.Now()
 	s := &leaseService{
-		messenger: n.messenger, config: config,
+		node: n, messenger: n.messenger, config: config,
 		holder: lease.Holder{Node: lease.Node(n.messenger.self), Incarnation: n.messenger.incarnation},
 	}
 	var promises map[string]lease.Promise
@@ -117,8 +118,8 @@
 		s.node.loop.Later(func() { s.handleMessage(m) })
 		return
 	}
-	if address, known := s.addresses.Address(uint64(to)); known {
-		s.send(address, kind, body)
+	if address, known := s.messenger.addresses.Address(uint64(to)); known {
+		s.messenger.send(address, kind, body)
 	}
 }
 
--- a/internal/node/summary_task.go
+++ b/internal/node/summary_task.go
@@ -90,7 +90,7 @@
 	s.uploadSummary()
 	clear(s.digests)
 	if _, ok := s.candidate.Held(s.leases.clock()); ok {
-		s.leases.send(driver.EveryPeer, peers.CollectDigests, nil)
+		s.leases.messenger.send(driver.EveryPeer, peers.CollectDigests, nil)
 	}
 	l.Forget(s.timer)
 	s.timer = l.At(l.Now()+s.interval, s.collect)
