--- a/internal/background/job.go
+++ b/internal/background/job.go
@@ -33,6 +33,7 @@
 // Outcome tells how a slice of a job, or its part on a worker, ended.
 type Outcome uint8
 
+// The outcomes of a slice.
 const (
 	More     Outcome = iota // there is more to do on the event loop
 	OnWorker                // a worker does the rest; SliceEnded is called again when it returns
@@ -43,6 +44,7 @@
 // BlockedReason tells why a job that is due does not run.
 type BlockedReason uint8
 
+// The reasons why a job does not run.
 const (
 	NotBlocked      BlockedReason = iota // it may run, or it runs
 	NotDue                               // its time has not come
@@ -66,6 +68,7 @@
 	JobCancelled:    "cancelled",
 }
 
+// String returns the reason as the status answer names it.
 func (r BlockedReason) String() string { return blockedReasonNames[r] }
 
 // jobState is the state of a job in a scheduler.
@@ -88,6 +91,7 @@
 	cancelled: "cancelled",
 }
 
+// String returns the state as the status answer names it.
 func (s jobState) String() string { return jobStateNames[s] }
 
 // RunReport describes the runs of one job so far.
--- a/internal/idempotency/registry.go
+++ b/internal/idempotency/registry.go
@@ -20,6 +20,7 @@
 // Verdict is the decision on a request.
 type Verdict uint8
 
+// The verdicts on a request.
 const (
 	Run        Verdict = iota // it may run, until Entry.Deadline
 	Join                      // the first is in progress: the request gets the same response
@@ -33,6 +34,7 @@
 // Outcome tells how a request that was allowed to run ended.
 type Outcome uint8
 
+// The outcomes of a request that was allowed to run.
 const (
 	Completed Outcome = iota // it ran once and has a response
 	NotRun                   // it did not run
--- a/internal/node/data_directory.go
+++ b/internal/node/data_directory.go
@@ -9,39 +9,39 @@
 	"passtack/internal/storage"
 )
 
-// folderOpenTimeout is how long a folder may take to be read before the driver starts without it.
+// directoryOpenTimeout is how long a data directory may take to be read before the driver starts without it.
 const directoryOpenTimeout = 2 * time.Second
 
 var errDiskStalled = errors.New("the disk does not respond")
 
-// folder is a folder of the operator's file, and how its troubles are reported.
+// dataDirectory is a folder of the operator's file, and how its faults are reported.
 type dataDirectory struct {
 	path            string
 	maxSize         int    // bytes
 	unusableEvent   string // log event
 	damagedEvent    string // log event, for each file of which something could not be read
-	unusableCounter string // of starts without the folder
+	unusableCounter string // of starts without the directory
 }
 
-// openFolder opens a folder and reports what is wrong with it. A driver does not need its folders to serve: the store is nil if the folder
-// cannot be used.
-func (n *Node) openDataDirectory(f dataDirectory) (*storage.Store, storage.RecoveryReport) {
-	store, report, err := n.openStore(f)
+// openDataDirectory opens a data directory and reports what is wrong with it. A driver serves without it too: the store is nil if the
+// directory cannot be used.
+func (n *Node) openDataDirectory(d dataDirectory) (*storage.Store, storage.RecoveryReport) {
+	store, report, err := n.openStore(d)
 	if err != nil {
-		slog.Warn(f.unusableEvent, "folder", f.path, "cause", err)
-		n.Count(f.unusableCounter)
+		slog.Warn(d.unusableEvent, "folder", d.path, "cause", err)
+		n.Count(d.unusableCounter)
 		return nil, report
 	}
 	for _, file := range report.Unreadable {
-		slog.Warn(f.damagedEvent, "file", file)
+		slog.Warn(d.damagedEvent, "file", file)
 	}
 	return store, report
 }
 
-// openStore opens a folder. On a real disk it does so on another goroutine, since a disk that stalls would hold up the start.
-func (n *Node) openStore(f dataDirectory) (*storage.Store, storage.RecoveryReport, error) {
+// openStore opens a data directory. On a real disk it does so on another goroutine, since a disk that stalls would hold up the start.
+func (n *Node) openStore(d dataDirectory) (*storage.Store, storage.RecoveryReport, error) {
 	if n.simulated {
-		return persist.Open(f.path, n.site.Name, f.maxSize)
+		return persist.Open(d.path, n.site.Name, d.maxSize)
 	}
 	type result struct {
 		store  *storage.Store
@@ -50,7 +50,7 @@
 	}
 	opened := make(chan result, 1)
 	go func() {
-		store, report, err := persist.Open(f.path, n.site.Name, f.maxSize)
+		store, report, err := persist.Open(d.path, n.site.Name, d.maxSize)
 		opened <- result{store, report, err}
 	}()
 	select {
@@ -66,7 +66,7 @@
 	}
 }
 
-// CloseStores releases the folders of a driver, as the end of its process would.
+// CloseStores releases the data directories of a driver, as the end of its process would.
 func (n *Node) CloseStores() {
 	n.learned.close()
 	if n.leases != nil {
--- a/internal/quota/allocator.go
+++ b/internal/quota/allocator.go
@@ -1,104 +1,118 @@
-// Package share parts what is scarce among listeners, so that a flood on one leaves the others their part. It decides
-// only: how many of a kind each may hold now, and who should let go of some.
+// Package quota divides limited resources among listeners, so that a flood on one leaves the others their share. It only decides:
+// how much of a resource each may use now, and who should release some.
 //
-// Each listener has a part by its weight. What another does not use is lent to it, but for half of the other's part,
-// which waits there: whoever comes finds that at once, and the rest as soon as the borrower has let go.
+// Each listener has a fair share by its weight. What another does not use is lent to it, except for half of the other's share,
+// which stays reserved: a listener that becomes busy gets that half at once and the rest as soon as the borrowers have released it.
 package quota
 
 import "time"
 
-// Kind is what is parted.
+// Resource is what is divided.
 type Resource uint8
 
+// The resources of a listener.
 const (
 	Connections Resource = iota
 	Bytes                // of long messages
-	RPCs                 // under way
+	RPCs                 // in flight
 	resourceCount
 )
 
-// wanting is how long a listener that found no room counts as one that wants some.
-const shortageDuration = time.Second
+const (
+	// reservedPart is the part of its fair share, as a divisor, that is reserved for a listener that does not use it.
+	reservedPart = 2
+
+	// shortageDuration is for how long a listener that found no capacity counts as short of it.
+	shortageDuration = time.Second
+)
 
-// Terms are one listener's. A limit of 0 is none of its own.
+// Config is the configuration of one listener.
 type Config struct {
 	Weight float64
-	Limits [resourceCount]int
+	Limits [resourceCount]int // 0: none of its own
 }
 
+// listener is the state of one listener.
 type listener struct {
 	Config
-	used   [resourceCount]int
-	lacked [resourceCount]time.Duration // when it last found no room
-	lacks  [resourceCount]bool
+	used      [resourceCount]int
+	shortages [resourceCount]shortage
 }
 
-// Shares knows all listeners, numbered from 0.
+// shortage is when a listener last found no capacity.
+type shortage struct {
+	reported bool
+	at       time.Duration
+}
+
+func (s shortage) current(now time.Duration) bool { return s.reported && now-s.at < shortageDuration }
+
+// Allocator divides the resources of one driver among its listeners, which are numbered from 0.
 type Allocator struct {
 	listeners   []*listener
-	totalWeight float64 // of the weights
+	totalWeight float64
 }
 
-// Join adds a listener and gives its number.
-func (s *Allocator) Add(t Config) int {
-	s.listeners = append(s.listeners, &listener{})
-	s.Update(len(s.listeners)-1, t)
-	return len(s.listeners) - 1
+// Add adds a listener and returns its number.
+func (a *Allocator) Add(config Config) int {
+	id := len(a.listeners)
+	a.listeners = append(a.listeners, &listener{})
+	a.Update(id, config)
+	return id
 }
 
-// Change gives a listener other terms. What it holds beyond them goes as it ends.
-func (s *Allocator) Update(i int, t Config) {
-	s.listeners[i].Config = t
-	s.totalWeight = 0
-	for _, l := range s.listeners {
-		s.totalWeight += l.Weight
+// Update changes the configuration of a listener. What it uses beyond that is released as it ends.
+func (a *Allocator) Update(id int, config Config) {
+	a.listeners[id].Config = config
+	a.totalWeight = 0
+	for _, l := range a.listeners {
+		a.totalWeight += l.Weight
 	}
 }
 
-// Hold tells how many of the kind a listener holds now.
-func (s *Allocator) SetUsage(i int, k Resource, held int) { s.listeners[i].used[k] = held }
+// SetUsage sets how much of a resource a listener uses now.
+func (a *Allocator) SetUsage(id int, r Resource, used int) { a.listeners[id].used[r] = used }
 
-// Part is the listener's of so many, by its weight; nobody's is nothing.
-func (s *Allocator) FairShare(i int, k Resource, most int) int {
-	l := s.listeners[i]
-	part := int(float64(most) * l.Weight / s.totalWeight)
-	if l.Limits[k] > 0 {
-		part = min(part, l.Limits[k])
+// FairShare returns the listener's share of total by its weight, at least 1.
+func (a *Allocator) FairShare(id int, r Resource, total int) int {
+	l := a.listeners[id]
+	share := int(float64(total) * l.Weight / a.totalWeight)
+	if l.Limits[r] > 0 {
+		share = min(share, l.Limits[r])
 	}
-	return max(part, 1)
+	return max(share, 1)
 }
 
-// Room tells how many of the kind, of so many in all, a listener may hold now.
-func (s *Allocator) Capacity(i int, k Resource, most int) int {
-	room := most
-	for j, l := range s.listeners {
-		if j != i {
-			room -= max(l.used[k], s.FairShare(j, k, most)/2)
+// Capacity returns how much of a resource, of which there is total, a listener may use now.
+func (a *Allocator) Capacity(id int, r Resource, total int) int {
+	capacity := total
+	for other, l := range a.listeners {
+		if other != id {
+			capacity -= max(l.used[r], a.FairShare(other, r, total)/reservedPart)
 		}
 	}
-	if limit := s.listeners[i].Limits[k]; limit > 0 {
-		room = min(room, limit)
+	if limit := a.listeners[id].Limits[r]; limit > 0 {
+		capacity = min(capacity, limit)
 	}
-	return max(room, 0)
+	return max(capacity, 0)
 }
 
-// Lacks notes that a listener found no room.
-func (s *Allocator) ReportShortage(i int, k Resource, now time.Duration) {
-	s.listeners[i].lacked[k], s.listeners[i].lacks[k] = now, true
+// ReportShortage reports that a listener found no capacity.
+func (a *Allocator) ReportShortage(id int, r Resource, now time.Duration) {
+	a.listeners[id].shortages[r] = shortage{reported: true, at: now}
 }
 
-// Over tells how many a listener should let go of: what it borrowed, once somebody below its part found no room
-// lately.
-func (s *Allocator) Excess(i int, k Resource, most int, now time.Duration) int {
-	over := s.listeners[i].used[k] - s.FairShare(i, k, most)
-	if over <= 0 {
+// Excess returns how much a listener should release: what it uses beyond its share, as far as listeners below theirs are short of it.
+func (a *Allocator) Excess(id int, r Resource, total int, now time.Duration) int {
+	borrowed := a.listeners[id].used[r] - a.FairShare(id, r, total)
+	if borrowed <= 0 {
 		return 0
 	}
-	short := 0
-	for j, l := range s.listeners {
-		if part := s.FairShare(j, k, most); j != i && l.lacks[k] && now-l.lacked[k] < shortageDuration && l.used[k] < part {
-			short += part - l.used[k]
+	missing := 0
+	for other, l := range a.listeners {
+		if other != id && l.shortages[r].current(now) {
+			missing += max(a.FairShare(other, r, total)-l.used[r], 0)
 		}
 	}
-	return min(over, short)
+	return min(borrowed, missing)
 }
