--- a/internal/emu/rig/controls.go
+++ b/internal/emu/rig/controls.go
@@ -208,7 +208,7 @@
 			if control.Ask(at, "status", &told) != nil || told.Configuration == nil {
 				return false // it is down
 			}
-			s.Who, s.Version, s.Refused, s.Why = d.name, told.Configuration.Version, told.Configuration.Refused, told.Configuration.Why
+			s.Who, s.Version, s.Refused, s.Why = d.name, told.Configuration.Version, told.Configuration.RejectedVersion, told.Configuration.RejectReason
 			return true
 		})
 	}
--- a/internal/emu/rig/rig.go
+++ b/internal/emu/rig/rig.go
@@ -429,11 +429,16 @@
 	}
 }
 
-// field gives a value of a line of the log.
+// field returns a value of a log line, which may be quoted.
 func field(line, name string) string {
 	_, rest, _ := strings.Cut(" "+line, " "+name+"=")
+	if quoted, err := strconv.QuotedPrefix(rest); err == nil {
+		if value, err := strconv.Unquote(quoted); err == nil {
+			return value
+		}
+	}
 	value, _, _ := strings.Cut(rest, " ")
-	return strings.Trim(value, `"`)
+	return value
 }
 
 func (f *fleet) note(d *driver, format string, args ...any) {
--- a/internal/lab/capacity/configuration.go
+++ b/internal/lab/capacity/configuration.go
@@ -234,7 +234,7 @@
 		Settings struct{ Caps map[string]json.Number }
 	}
 	json.Unmarshal([]byte(r.published[s.Version]), &text)
-	if want, is := text.Settings.Caps["max_retry_after_us"].String(), n.Terms()["caps.longest_wait"]; want != is {
+	if want, is := text.Settings.Caps["max_retry_after_us"].String(), n.Settings()["caps.longest_wait"]; want != is {
 		r.breaks("driver %d says that it has version %d in force and goes by %s where that says %s", i, s.Version, is, want)
 	}
 	if r.refusable[s.Version] {
--- a/internal/node/configuration.go
+++ b/internal/node/configuration.go
@@ -1,124 +1,86 @@
 package node
 
 import (
-	"encoding/binary"
-	"fmt"
 	"log/slog"
 	"maps"
-	"runtime/debug"
-	"slices"
 	"strings"
 	"time"
 
-	odatafront "passtack/internal/front/odata"
-	pgfront "passtack/internal/front/pg"
-	"passtack/internal/keep"
 	"passtack/internal/operator"
 	"passtack/internal/rollout"
 	watch "passtack/internal/rollout/client"
 	"passtack/internal/terms"
 )
 
-// configuration is what the driver is told by control machines, where the operator's file names some.
-type configuration struct {
-	node     *Node
-	client   *watch.Client
-	base     own // what the driver's own file says
-	standing rollout.DriverReport
-	since    time.Duration // when that version came into force here
-	memory   int64         // of that version, 0: as the driver's own file has it
-	sockets  int
-	store    *keep.Store // nil: nothing is kept
-	quiet    time.Duration
-}
-
-// own is what published configurations go over.
-type own struct {
-	terms       map[string]string
-	wants       *operator.File
-	memory      int64
-	descriptors int
-}
-
-// prepared is a configuration that has been checked whole.
-type prepared struct {
-	version uint64
-	text    []byte
-	terms   map[string]string
-	wants   *operator.File
-	memory  int64 // 0: as the driver's own file has it
-	sockets int
-}
-
+// Counters of published configuration, by name.
 const (
-	configurationFolder = 4 << 20                // bytes that it may take
-	keeping             = 500 * time.Millisecond // that the disk has until a version comes into force all the same
-	inForceName         = "configuration"        // 8 bytes version, the text
+	counterVersionsApplied    = "configuration_versions_applied"
+	counterVersionsRejected   = "configuration_versions_rejected"
+	counterConfigurationStore = "configuration_store_failures"
+	counterFolderUnusable     = "configuration_folder_unusable"
 )
 
-// prepare checks a text against what the driver has of its own. It changes nothing, and may be called by a worker.
-func (o own) prepare(version uint64, text []byte) (*prepared, error) {
-	p, err := terms.ParsePublished(text)
-	if err != nil {
-		return nil, err
-	}
-	all, err := p.Over(o.terms)
-	if err != nil {
-		return nil, err
-	}
-	wants, err := o.wants.Again(methodsOf(all))
-	if err != nil {
-		return nil, fmt.Errorf("the operator's file does not go with it: %s", strings.SplitN(err.Error(), "\n", 2)[0])
-	}
-	return &prepared{version: version, text: text, terms: all, wants: wants, memory: p.MemoryMB << 20, sockets: p.Sockets}, nil
+// configuration takes over what is published for the whole fleet, where the operator's file names control machines. It implements
+// client.Host. A version goes through VersionOffered (checked by a worker), persist and apply.
+type configuration struct {
+	node         *Node
+	client       *watch.Client // nil until the driver serves
+	storage      *configurationStorage
+	local        localConfiguration
+	published    publishedLimits
+	report       rollout.DriverReport
+	inForceSince time.Duration // when that version was applied
 }
 
-// CheckPublished tells why a driver could not take over a configuration.
-func CheckPublished(site *Site, wants *operator.File, text []byte) error {
-	_, err := own{site.Settings, wants, site.Memory, site.Descriptors}.prepare(0, text)
-	return err
+// publishedLimits are the limits that the version in force sets. Zero: those of the driver's own file.
+type publishedLimits struct {
+	memoryBytes int64
+	sockets     int
 }
 
-// recallConfiguration begins with the version that the folder has, before anything is made by the settings.
-func (n *Node) recallConfiguration() {
+// restoreConfiguration begins with the stored version, before any part of the driver reads its settings.
+func (n *Node) restoreConfiguration() {
 	w := n.config.Configuration
 	if w == nil {
 		return
 	}
-	s := n.site
-	c := &configuration{node: n, base: own{s.Settings, n.config, s.Memory, s.Descriptors}, standing: rollout.DriverReport{Driver: s.Name}, since: n.loop.Now()}
+	c := &configuration{
+		node:         n,
+		local:        newLocalConfiguration(n.site, n.config),
+		report:       rollout.DriverReport{Driver: n.site.Name},
+		inForceSince: n.loop.Now(),
+	}
 	n.configuration = c
 	if w.Folder == "" {
 		return
 	}
-	store, found, err := n.openFolder(w.Folder, configurationFolder)
+	storage, err := n.openConfigurationStorage(w.Folder)
 	if err != nil {
-		slog.Warn("configuration_folder_unusable", "folder", w.Folder, "cause", err)
-		n.Count("configuration_folder_unusable")
+		slog.Warn("configuration folder unusable", "folder", w.Folder, "cause", err)
+		n.Count(counterFolderUnusable)
 		return
 	}
-	for _, lost := range found.Lost {
-		slog.Warn("configuration_lost", "file", lost)
+	c.storage = storage
+	if version, text, found := storage.read(); found {
+		c.restore(version, text)
 	}
-	c.store = store
-	store.Each(func(name string, value []byte) {
-		if name != inForceName || len(value) < 8 {
-			return
-		}
-		version, text := binary.LittleEndian.Uint64(value), value[8:]
-		p, err := c.base.prepare(version, text)
-		if err != nil {
-			c.refuse(version, err)
-			return
-		}
-		s.Settings, n.config, c.memory, c.sockets = p.terms, p.wants, p.memory, p.sockets
-		c.standing.Version = version
-		c.limit()
-		slog.Info("configuration_recalled", "version", version, "bytes", len(text))
-	})
 }
 
-// watchConfiguration begins to ask for newer versions.
+// restore puts the stored version into force, unless it does not go with the driver's own files any more.
+func (c *configuration) restore(version uint64, text []byte) {
+	stored, err := c.local.check(version, text)
+	if err != nil {
+		c.reject(version, err)
+		return
+	}
+	c.node.site.Settings, c.node.config = stored.settings, stored.operatorFile
+	c.published = stored.limits
+	c.report.Version = version
+	c.applyLimits()
+	slog.Info("configuration version restored", "version", version, "bytes", len(text))
+}
+
+// watchConfiguration begins to poll for newer versions.
 func (n *Node) watchConfiguration() {
 	if c := n.configuration; c != nil {
 		w := n.config.Configuration
@@ -126,175 +88,154 @@
 	}
 }
 
-func (c *configuration) Report() rollout.DriverReport { return c.standing }
-func (c *configuration) Count(what string)            { c.node.Count(what) }
+// Report implements client.Host.
+func (c *configuration) Report() rollout.DriverReport { return c.report }
+
+// Count implements client.Host.
+func (c *configuration) Count(counter string) { c.node.Count(counter) }
 
-// Offered checks a newer version on a worker, keeps it, and takes it over between two turns of the loop.
+// VersionOffered implements client.Host: a worker checks the version, then it is stored and applied.
 func (c *configuration) VersionOffered(version uint64, text []byte) {
-	n, base := c.node, c.base
-	var next *prepared
-	n.carry(func() (err error) {
-		next, err = base.prepare(version, text)
+	local := c.local
+	var next *checkedVersion
+	c.node.carry(func() (err error) {
+		next, err = local.check(version, text)
 		return err
 	}, func(err error, _ time.Duration) {
-		if version <= c.standing.Version {
-			return
-		}
-		if err != nil {
-			c.refuse(version, err)
+		switch {
+		case version <= c.report.Version:
+		case err != nil:
+			c.reject(version, err)
 			c.client.Settled()
-			return
+		default:
+			c.persist(next)
 		}
-		c.keep(next)
 	})
 }
 
-func (c *configuration) refuse(version uint64, cause error) {
-	c.standing.RejectedVersion, c.standing.RejectReason = version, cause.Error()
-	c.node.Count("configuration_refused")
-	slog.Warn("configuration_refused", "version", version, "cause", cause, "in_force", c.standing.Version)
+// reject records that the driver cannot use a version. The one in force stays.
+func (c *configuration) reject(version uint64, cause error) {
+	c.report.RejectedVersion, c.report.RejectReason = version, cause.Error()
+	c.node.Count(counterVersionsRejected)
+	slog.Warn("configuration version rejected", "version", version, "cause", cause, "in_force", c.report.Version)
 }
 
-// keep brings a version to the disk before it comes into force, so that a restart does not go back behind it. A disk that stalls holds it up
-// for a moment only.
-func (c *configuration) keep(next *prepared) {
-	if c.store == nil {
-		c.adopt(next)
+// persist stores a version before it is applied, so that a restart does not fall back behind it. Storage that stalls delays it by
+// storeTimeout at most.
+func (c *configuration) persist(next *checkedVersion) {
+	if c.storage == nil {
+		c.apply(next)
 		return
 	}
-	n, done := c.node, false
-	adopt := func() {
-		if !done {
-			done = true
-			c.adopt(next)
+	n, applied := c.node, false
+	applyOnce := func() {
+		if !applied {
+			applied = true
+			c.apply(next)
 		}
 	}
-	value := append(binary.LittleEndian.AppendUint64(nil, next.version), next.text...)
-	n.carry(func() error { return c.store.Commit([]keep.Change{{Name: inForceName, Value: value}}) }, func(err error, _ time.Duration) {
+	n.carry(func() error { return c.storage.write(next.version, next.text) }, func(err error, _ time.Duration) {
 		if err != nil {
-			n.Count("configuration_not_kept")
-			if now := n.loop.Now(); now >= c.quiet {
-				c.quiet = now + quietFor
-				slog.Warn("configuration_not_kept", "version", next.version, "cause", err)
-			}
+			n.Count(counterConfigurationStore)
+			c.storage.logFailure(next.version, err, n.loop.Now())
 		}
-		adopt()
+		applyOnce()
 	})
-	n.loop.At(n.loop.Now()+keeping, adopt)
+	n.loop.At(n.loop.Now()+storeTimeout, applyOnce)
 }
 
-// adopt puts a checked version into force.
-func (c *configuration) adopt(next *prepared) {
-	if next.version <= c.standing.Version {
+// apply puts a checked version into force, in one iteration of the event loop.
+func (c *configuration) apply(next *checkedVersion) {
+	if next.version <= c.report.Version {
 		return
 	}
-	n, s := c.node, c.node.site
-	running, err := terms.Running(s.Settings, next.terms)
+	n, site := c.node, c.node.site
+	running, err := terms.Running(site.Settings, next.settings)
 	if err != nil {
-		c.refuse(next.version, err)
+		c.reject(next.version, err)
 		c.client.Settled()
 		return
 	}
-	c.standing = rollout.DriverReport{Driver: s.Name, Version: next.version, NeedsRestart: terms.Restart(s.Settings, next.terms)}
-	c.since = n.loop.Now()
-	lax := s.Settings["rules.only_draining_binds"] != running["rules.only_draining_binds"]
+	const drainingRule = "rules.only_draining_binds"
+	drainingRuleChanged := site.Settings[drainingRule] != running[drainingRule]
+	c.report = rollout.DriverReport{Driver: site.Name, Version: next.version, NeedsRestart: terms.Restart(site.Settings, next.settings)}
+	c.inForceSince = n.loop.Now()
 	n.resumeTicks()
-	s.Settings, c.memory, c.sockets = running, next.memory, next.sockets
-	c.limit()
-	n.follow()
+	site.Settings, c.published = running, next.limits
+	c.applyLimits()
+	n.applySettings()
 	n.module.Change(running)
-	c.standing.NeedsRestart = append(c.standing.NeedsRestart, n.applyConfig(next.wants)...)
-	if lax { // who may be sent to is judged by lists
+	c.report.NeedsRestart = append(c.report.NeedsRestart, n.applyConfig(next.operatorFile)...)
+	if drainingRuleChanged { // it decides by the endpoint list which members may be sent to
 		n.list.Fetch()
 	}
-	n.Count("configurations")
-	slog.Info("configuration", "version", next.version, "bytes", len(next.text), "needs_restart", strings.Join(c.standing.NeedsRestart, ","))
+	n.Count(counterVersionsApplied)
+	slog.Info("configuration version applied", "version", next.version, "bytes", len(next.text), "needs_restart", strings.Join(c.report.NeedsRestart, ","))
 	c.client.Settled()
 }
 
-// limit puts what is published of limits over what the driver's own file says.
-func (c *configuration) limit() {
-	s := c.node.site
-	if s.Memory = c.base.memory; c.memory > 0 {
-		s.Memory = c.memory
+// applyLimits applies the limits of the driver's own file, or the published ones in their place.
+func (c *configuration) applyLimits() {
+	site := c.node.site
+	site.Memory, site.Descriptors = c.local.memoryBytes, c.local.descriptors
+	if c.published.memoryBytes > 0 {
+		site.Memory = c.published.memoryBytes
 	}
-	if s.Descriptors = c.base.descriptors; c.sockets > 0 {
-		s.Descriptors = c.sockets
+	if c.published.sockets > 0 {
+		site.Descriptors = c.published.sockets
 	}
-	c.node.limit()
+	c.node.applyLimits()
 }
 
-// limit lets the loop and the runtime go by the site's limits.
-func (n *Node) limit() {
-	n.loop.Limit(n.site.Descriptors, int(n.site.Memory/bufferFraction))
-	if !n.simulated {
-		debug.SetMemoryLimit(n.site.Memory * 3 / 4)
-	}
+// reloadLocal takes over what needs no restart from the driver's own files, after a reload. A version that was rejected may go with them now.
+func (c *configuration) reloadLocal(fresh *Site, file *operator.File) {
+	c.local.memoryBytes, c.local.descriptors, c.local.operatorFile = fresh.Memory, fresh.Descriptors, file
+	c.report.RejectedVersion, c.report.RejectReason = 0, ""
+	c.applyLimits()
 }
 
-// follow lets all parts of the driver but the module go by the site's terms.
-func (n *Node) follow() {
-	s := n.site
-	n.maxAttempts = int(terms.New(s.Settings).Number("caps.attempts", 1))
-	n.zones = strings.Split(s.Settings["zones"], ",")
-	connect, idle := s.duration("caps.connect_timeout", defaultConnectTimeout), s.duration("caps.idle_close", defaultIdleTimeout)
-	n.connectLimiter.Within(connect)
-	for _, p := range n.pools {
-		p.Within(connect, idle)
-	}
-	names, sessions, tokened, retired := s.methods()
-	for _, d := range n.listeners {
-		switch f := d.front.(type) {
-		case *pgfront.Front:
-			asked := slices.Clone(names)
-			for i, gone := range retired {
-				if gone {
-					asked[i] = ""
-				}
-			}
-			f.Methods(asked, sessions, tokened)
-		case *odatafront.Front: // what it offers names none that is retired
-			f.Methods(names)
-		}
+// close closes the storage.
+func (c *configuration) close() {
+	if c.storage != nil {
+		c.storage.close()
 	}
 }
 
-// reloaded takes over what the driver's own files say by now of what needs no restart; what is published goes over it. A version that was
-// refused may go with the files by now.
-func (c *configuration) reloaded(fresh *Site, wants *operator.File) {
-	c.base.memory, c.base.descriptors, c.base.wants = fresh.Memory, fresh.Descriptors, wants
-	c.standing.RejectedVersion, c.standing.RejectReason = 0, ""
-	c.limit()
-}
-
-// ConfigurationStatus is what a driver tells of the configuration that it has in force. Times are in milliseconds.
+// ConfigurationStatus is what a driver reports of the published configuration. Times are in milliseconds.
 type ConfigurationStatus struct {
-	Version  uint64 // 0: what its own file says
-	ForMS    int64  // since it came into force here
-	Machine  string // that is asked
-	SilentMS int64  // since any machine answered
-	Refused  uint64
-	Why      string
-	Restart  []string
+	Version         uint64   // in force; 0: the driver's own file
+	InForceMS       int64    `json:"ForMS"` // since Version was applied
+	Machine         string   // that is polled
+	SilentMS        int64    // since any machine has answered
+	RejectedVersion uint64   `json:"Refused"` // a newer version that the driver cannot use; 0: none
+	RejectReason    string   `json:"Why"`
+	NeedsRestart    []string `json:"Restart"` // settings that take effect only after a restart
 }
 
+// status returns nil if no control machines are polled.
 func (c *configuration) status() *ConfigurationStatus {
 	if c == nil {
 		return nil
 	}
 	machine, silent := c.client.CurrentMachine()
-	t := c.standing
-	return &ConfigurationStatus{Version: t.Version, ForMS: (c.node.loop.Now() - c.since).Milliseconds(), Machine: machine.String(), SilentMS: silent.Milliseconds(),
-		Refused: t.RejectedVersion, Why: t.RejectReason, Restart: t.NeedsRestart}
+	return &ConfigurationStatus{
+		Version:         c.report.Version,
+		InForceMS:       (c.node.loop.Now() - c.inForceSince).Milliseconds(),
+		Machine:         machine.String(),
+		SilentMS:        silent.Milliseconds(),
+		RejectedVersion: c.report.RejectedVersion,
+		RejectReason:    c.report.RejectReason,
+		NeedsRestart:    c.report.NeedsRestart,
+	}
 }
 
-// Configuration is what holds, for who looks.
+// Configuration returns what the driver reports to control machines.
 func (n *Node) Configuration() rollout.DriverReport {
 	if n.configuration == nil {
 		return rollout.DriverReport{}
 	}
-	return n.configuration.standing
+	return n.configuration.report
 }
 
-// Terms gives the settings that hold, for who compares.
-func (n *Node) Terms() map[string]string { return maps.Clone(n.site.Settings) }
+// Settings returns a copy of the settings in force.
+func (n *Node) Settings() map[string]string { return maps.Clone(n.site.Settings) }
--- /dev/null
+++ b/internal/node/configuration_check.go
@@ -0,0 +1,60 @@
+package node
+
+import (
+	"fmt"
+	"strings"
+
+	"passtack/internal/operator"
+	"passtack/internal/terms"
+)
+
+// localConfiguration is what the driver's own files say. A published version is merged over it.
+type localConfiguration struct {
+	settings     map[string]string
+	operatorFile *operator.File
+	memoryBytes  int64
+	descriptors  int
+}
+
+func newLocalConfiguration(site *Site, file *operator.File) localConfiguration {
+	return localConfiguration{settings: site.Settings, operatorFile: file, memoryBytes: site.Memory, descriptors: site.Descriptors}
+}
+
+// checkedVersion is a published version that the driver can use, merged over its own files.
+type checkedVersion struct {
+	version      uint64
+	text         []byte
+	settings     map[string]string
+	operatorFile *operator.File
+	limits       publishedLimits
+}
+
+// check checks a published text and merges it. It changes nothing, and may be called by a worker.
+func (l localConfiguration) check(version uint64, text []byte) (*checkedVersion, error) {
+	published, err := terms.ParsePublished(text)
+	if err != nil {
+		return nil, err
+	}
+	settings, err := published.Over(l.settings)
+	if err != nil {
+		return nil, err
+	}
+	file, err := l.operatorFile.Again(methodsOf(settings))
+	if err != nil {
+		firstLine, _, _ := strings.Cut(err.Error(), "\n")
+		return nil, fmt.Errorf("the operator's file does not go with it: %s", firstLine)
+	}
+	return &checkedVersion{
+		version:      version,
+		text:         text,
+		settings:     settings,
+		operatorFile: file,
+		limits:       publishedLimits{memoryBytes: published.MemoryMB << 20, sockets: published.Sockets},
+	}, nil
+}
+
+// CheckPublished returns why a driver with these files could not use a published configuration, or nil.
+func CheckPublished(site *Site, file *operator.File, text []byte) error {
+	_, err := newLocalConfiguration(site, file).check(0, text)
+	return err
+}
--- a/internal/node/configuration_golden_test.go
+++ b/internal/node/configuration_golden_test.go
@@ -11,7 +11,7 @@
 // storedConfiguration gives the records of a folder of published configuration.
 func storedConfiguration(t *testing.T, folder string) map[string]string {
 	t.Helper()
-	store, _, err := state.Open(folder, "d0", configurationFolder)
+	store, _, err := state.Open(folder, "d0", maxConfigurationBytes)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -24,7 +24,7 @@
 func TestGoldenConfigurationFolder(t *testing.T) {
 	source, written := filepath.Join("testdata", "configuration"), t.TempDir()
 	p, c, _ := configured(t, written, "")
-	c.publish(renamed)
+	c.publish(replacedMethods)
 	p.drivers[0].host.Kill()
 	p.drivers[0].node.LetGo()
 	if *update {
@@ -37,13 +37,13 @@
 		t.Fatal(err)
 	}
 	got, want := storedConfiguration(t, written), storedConfiguration(t, found)
-	if value := string([]byte{1, 0, 0, 0, 0, 0, 0, 0}) + renamed; len(got) != 1 || len(want) != 1 || want[inForceName] != value || got[inForceName] != value {
+	if value := string([]byte{1, 0, 0, 0, 0, 0, 0, 0}) + replacedMethods; len(got) != 1 || len(want) != 1 || want[configurationRecord] != value || got[configurationRecord] != value {
 		t.Errorf("written %q, the golden folder has %q", got, want)
 	}
 	p, _, _ = configured(t, found, "")
 	n := p.drivers[0].node
-	if n.Configuration().Version != 1 || n.Terms()["caps.attempts"] != "3" || n.Terms()["methods.0.name"] != "buy" || n.loop.Most() != 300-3 {
-		t.Errorf("restored %+v, %v", n.Configuration(), n.Terms())
+	if n.Configuration().Version != 1 || n.Settings()["caps.attempts"] != "3" || n.Settings()["methods.0.name"] != "buy" || n.loop.Most() != 300-3 {
+		t.Errorf("restored %+v, %v", n.Configuration(), n.Settings())
 	}
 	n.LetGo()
 }
--- /dev/null
+++ b/internal/node/configuration_storage.go
@@ -0,0 +1,59 @@
+package node
+
+import (
+	"encoding/binary"
+	"log/slog"
+	"time"
+
+	"passtack/internal/keep"
+)
+
+const (
+	maxConfigurationBytes = 4 << 20                // of the folder
+	storeTimeout          = 500 * time.Millisecond // until a version is applied though it is not stored yet
+	configurationRecord   = "configuration"        // the version in 8 bytes, little endian, then the text
+	versionBytes          = 8
+)
+
+// configurationStorage is the folder of the version in force.
+type configurationStorage struct {
+	store         *keep.Store
+	logQuietUntil time.Duration // failures are not logged until then
+}
+
+func (n *Node) openConfigurationStorage(folder string) (*configurationStorage, error) {
+	store, found, err := n.openFolder(folder, maxConfigurationBytes)
+	if err != nil {
+		return nil, err
+	}
+	for _, lost := range found.Lost {
+		slog.Warn("configuration file corrupt", "file", lost)
+	}
+	return &configurationStorage{store: store}, nil
+}
+
+// read returns the stored version, if there is one.
+func (s *configurationStorage) read() (version uint64, text []byte, found bool) {
+	s.store.Each(func(name string, value []byte) {
+		if name == configurationRecord && len(value) >= versionBytes {
+			version, text, found = binary.LittleEndian.Uint64(value), value[versionBytes:], true
+		}
+	})
+	return version, text, found
+}
+
+// write stores a version. It blocks, and is called by a worker.
+func (s *configurationStorage) write(version uint64, text []byte) error {
+	value := append(binary.LittleEndian.AppendUint64(nil, version), text...)
+	return s.store.Commit([]keep.Change{{Name: configurationRecord, Value: value}})
+}
+
+// logFailure logs a failed write, unless one was logged a moment ago.
+func (s *configurationStorage) logFailure(version uint64, cause error, now time.Duration) {
+	if now >= s.logQuietUntil {
+		s.logQuietUntil = now + quietFor
+		slog.Warn("configuration version not stored", "version", version, "cause", cause)
+	}
+}
+
+func (s *configurationStorage) close() { s.store.Close() }
--- a/internal/node/configuration_test.go
+++ b/internal/node/configuration_test.go
@@ -19,8 +19,8 @@
 	"passtack/internal/terms"
 )
 
-// controls are three control machines in a play's world.
-type controls struct {
+// controlMachines are three control machines in a simulated network.
+type controlMachines struct {
 	play    *play
 	servers []*server.Server
 	hosts   []*sim.Host
@@ -36,18 +36,18 @@
 	d.world.At(d.world.Now()+2*time.Millisecond, func() { d.host.Do(func() { then(nil) }) })
 }
 
-func controlAt(n int) netip.AddrPort {
+func controlAddress(n int) netip.AddrPort {
 	return netip.MustParseAddrPort(fmt.Sprintf("10.0.8.%d:7400", n+1))
 }
 
-func (p *play) controls() *controls {
-	c := &controls{play: p}
+func (p *play) startControlMachines() *controlMachines {
+	c := &controlMachines{play: p}
 	for n := range 3 {
 		h := p.world.Host(fmt.Sprint("control", n))
-		place := server.MachineConfig{Fleet: "shop", Name: h.Name, Listen: controlAt(n)}
+		place := server.MachineConfig{Fleet: "shop", Name: h.Name, Listen: controlAddress(n)}
 		for o := range 3 {
 			if o != n {
-				place.Peers = append(place.Peers, server.Peer{Name: fmt.Sprint("control", o), Address: controlAt(o)})
+				place.Peers = append(place.Peers, server.Peer{Name: fmt.Sprint("control", o), Address: controlAddress(o)})
 			}
 		}
 		s, err := server.New(p.loopOn(h), place, simStorage{p.world, h}, server.PersistedState{}, uint64(n+1))
@@ -59,8 +59,8 @@
 	return c
 }
 
-// publish makes a text the next version and lets a second pass.
-func (c *controls) publish(text string) uint64 {
+// publish publishes a text as the next version, and lets a second pass.
+func (c *controlMachines) publish(text string) uint64 {
 	c.number++
 	for n, s := range c.servers {
 		if s.Machine().IsWriter() {
@@ -72,28 +72,28 @@
 			return s.Machine().Committed().Version
 		}
 	}
-	c.play.t.Fatal("nobody writes")
+	c.play.t.Fatal("no machine is the writer")
 	return 0
 }
 
 func (p *play) run(lasts time.Duration) { p.world.Run(p.world.Now() + lasts) }
 
-func wantsControls(folder string) string {
-	text := fmt.Sprintf("configuration {\n  fleet = \"shop\"\n  machines = [%q, %q, %q]\n", controlAt(0), controlAt(1), controlAt(2))
+func configurationBlock(folder string) string {
+	text := fmt.Sprintf("configuration {\n  fleet = \"shop\"\n  machines = [%q, %q, %q]\n", controlAddress(0), controlAddress(1), controlAddress(2))
 	if folder != "" {
 		text += fmt.Sprintf("  folder = %q\n", folder)
 	}
 	return text + "}\n"
 }
 
-// configured is a driver that asks control machines, and three members.
-func configured(t *testing.T, folder, more string) (*play, *controls, func() *Node) {
+// configured returns a driver that polls control machines, with three members.
+func configured(t *testing.T, folder, more string) (*play, *controlMachines, func() *Node) {
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	p := &play{t: t, world: sim.New(5, epoch), chance: pcg.New(5), answers: make(map[string]string), ran: make(map[string]int)}
 	for i := range 3 {
 		p.member(i, map[bool]string{true: "leader", false: "follower"}[i == 0])
 	}
-	c := p.controls()
+	c := p.startControlMachines()
 	d := &simDriver{host: p.world.Host("d0"), at: netip.MustParseAddrPort("10.0.0.1:6543")}
 	p.drivers = append(p.drivers, d)
 	var targets []string
@@ -108,7 +108,7 @@
 		}
 		site := &Site{Name: "d0", Listen: d.at, Discovery: netip.MustParseAddrPort("10.0.9.1:8500"), Seed: p.chance2(), Descriptors: 256, Memory: 64 << 20,
 			InitialList: []byte(listOf(1, true, targets...)), Settings: terms.Nested(simSettings(t))}
-		wants, err := site.ParseConfig([]byte(wantsControls(folder)+more), "d0.hcl")
+		wants, err := site.ParseConfig([]byte(configurationBlock(folder)+more), "d0.hcl")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -122,7 +122,7 @@
 	return p, c, start
 }
 
-// say asks one RPC on a connection of its own, and gives what is heard of it.
+// say sends one RPC on a connection of its own, and returns a function for its answer.
 func (p *play) say(method string, wait int) (heard func() string) {
 	p.sent++
 	c := &simClient{play: p, loop: p.loopOn(p.world.Host(fmt.Sprint("say", p.sent))), to: p.drivers[0].at, name: "say", until: p.world.Now()}
@@ -142,14 +142,14 @@
 	return func() string { return p.answers[c.id] }
 }
 
-const renamed = `{"settings":{"classes":[
+const replacedMethods = `{"settings":{"classes":[
  {"name":"buy","effect":"unsafe","points":9,"target_us":500000,"hard_limit_us":900000},
  {"name":"look","effect":"safe","points":2,"target_us":300000,"hard_limit_us":700000}],
  "family_info":{"class_read":["update","loose"]},"caps":{"most_tries":3,"max_retry_after_us":7000}},"limits":{"sockets":300}}`
 
-// A version comes into force as a whole: methods, caps and limits; methods that there are no more are not taken any more, what is under way
-// of them is answered, and new ones are served.
-func TestAPublishedVersionComesIntoForce(t *testing.T) {
+// A version is applied as a whole: methods, caps and limits. RPCs of removed methods that are under way are answered and later ones rejected;
+// new methods are served.
+func TestPublishedVersionIsApplied(t *testing.T) {
 	p, c, _ := configured(t, "", "")
 	n := p.drivers[0].node
 	if got := n.Configuration(); got.Version != 0 || n.configuration.status().SilentMS > 2000 {
@@ -160,11 +160,11 @@
 	}
 	before := p.say("pay", 1500)
 	p.run(100 * time.Millisecond)
-	if v := c.publish(renamed); v != 1 || n.Configuration().Version != 1 {
+	if v := c.publish(replacedMethods); v != 1 || n.Configuration().Version != 1 {
 		t.Fatalf("version %d is published, %+v in force", v, n.Configuration())
 	}
 	if before() != "ok" {
-		t.Errorf("what was under way hears %q", before())
+		t.Errorf("the RPC under way is answered %q", before())
 	}
 	for _, m := range p.members {
 		m.work = 20 * time.Millisecond
@@ -172,9 +172,9 @@
 	buys, pays, looks := p.say("buy", 800), p.say("pay", 800), p.say("look", 600)
 	p.run(time.Second)
 	if buys() != "ok" || looks() != "ok" || pays() == "ok" || pays() == "" {
-		t.Errorf("a new method hears %q, one that stays %q, one that there is no more %q", buys(), looks(), pays())
+		t.Errorf("a new method is answered %q, one that stays %q, a removed one %q", buys(), looks(), pays())
 	}
-	if got := n.Terms(); got["caps.attempts"] != "3" || got["caps.longest_wait"] != "7000" || got["caps.cancel"] == "" || n.maxAttempts != 3 || n.loop.Most() != 300-3 {
+	if got := n.Settings(); got["caps.attempts"] != "3" || got["caps.longest_wait"] != "7000" || got["caps.cancel"] == "" || n.maxAttempts != 3 || n.loop.Most() != 300-3 {
 		t.Errorf("caps %s and %s, cancel %q, %d attempts, %d descriptors", got["caps.attempts"], got["caps.longest_wait"], got["caps.cancel"], n.maxAttempts, n.loop.Most())
 	}
 	if v := c.publish(`{}`); v != 2 || n.Configuration().Version != 2 {
@@ -183,12 +183,12 @@
 	pays, buys = p.say("pay", 800), p.say("buy", 800)
 	p.run(time.Second)
 	if pays() != "ok" || buys() == "ok" || n.loop.Most() != 256-3 {
-		t.Errorf("back at its own file: pay hears %q, buy %q, %d descriptors", pays(), buys(), n.loop.Most())
+		t.Errorf("with its own file again: pay is answered %q, buy %q, %d descriptors", pays(), buys(), n.loop.Most())
 	}
 }
 
-// What a driver cannot take is refused whole, with one line; what is in force stays, and the machines know.
-func TestAVersionThatCannotBeServedIsRefused(t *testing.T) {
+// A version that the driver cannot use is rejected as a whole, with one line. The one in force stays, and the machines are told.
+func TestUnusableVersionIsRejected(t *testing.T) {
 	front := `front "odata" "shop" {
   listen = "10.0.0.1:8080"
   set "Items" {
@@ -216,22 +216,22 @@
 		if got.Version >= v || got.RejectedVersion != v || !strings.HasPrefix(got.RejectReason, want) {
 			t.Errorf("%s: %+v", text, got)
 		}
-		if n.Terms()["caps.longest_wait"] != "7000" {
-			t.Error("a part of it is in force")
+		if n.Settings()["caps.longest_wait"] != "7000" {
+			t.Error("a part of the rejected version is in force")
 		}
 	}
 	looks := p.say("look", 600)
 	p.run(time.Second)
 	if looks() != "ok" {
-		t.Errorf("an RPC hears %q", looks())
+		t.Errorf("an RPC is answered %q", looks())
 	}
 	if v := c.publish(`{"settings":{"caps":{"max_retry_after_us":8000}}}`); n.Configuration().Version != v || n.Configuration().RejectedVersion != 0 {
-		t.Errorf("the next one: %+v", n.Configuration())
+		t.Errorf("the next version: %+v", n.Configuration())
 	}
 }
 
-// A version that was refused for the operator's file is taken once that file goes with it.
-func TestAMendedFileTakesWhatWasRefused(t *testing.T) {
+// A version that was rejected because of the operator's file is applied once the file has been changed and reloaded.
+func TestRejectedVersionIsAppliedAfterReload(t *testing.T) {
 	front := func(method string) string {
 		return fmt.Sprintf("front \"odata\" \"shop\" {\n  listen = \"10.0.0.1:8080\"\n  set \"Items\" {\n    key = \"Id\"\n    groups = [0]\n    property \"Id\" {}\n    operation \"read\" {\n      method = %q\n"+
 			"      statement = \"SELECT doc FROM items WHERE id = {key}\"\n    }\n  }\n}\n", method)
@@ -243,7 +243,7 @@
 		t.Fatalf("%+v", got)
 	}
 	site := *n.site
-	wants, err := operator.Parse([]byte(wantsControls("")+front("seek")), "d0.hcl", site.Listen, []operator.Method{{Name: "seek", Need: "any", Idempotent: true, Soft: time.Second, Limit: time.Second}})
+	wants, err := operator.Parse([]byte(configurationBlock("")+front("seek")), "d0.hcl", site.Listen, []operator.Method{{Name: "seek", Need: "any", Idempotent: true, Soft: time.Second, Limit: time.Second}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -254,8 +254,8 @@
 	}
 }
 
-// With a folder a driver begins with the version that was in force, also while nobody tells it; without, with its own file.
-func TestARestartGoesBackBehindNoVersion(t *testing.T) {
+// With a folder a driver restarts with the version that was in force, also without control machines; otherwise with its own file.
+func TestRestartRestoresAppliedVersion(t *testing.T) {
 	for _, folder := range []string{t.TempDir(), ""} {
 		p, c, start := configured(t, folder, "")
 		c.publish(`{"settings":{"tick_us":8000,"areas":["b","a"],"caps":{"max_retry_after_us":7000}}}`)
@@ -271,23 +271,23 @@
 		if got := n.Configuration(); got.Version != want || len(got.NeedsRestart) > 0 {
 			t.Errorf("with folder %q: %+v", folder, got)
 		}
-		if folder != "" && (n.tick != 8*time.Millisecond || n.Terms()["caps.longest_wait"] != "7000" || n.zones[0] != "b") {
-			t.Errorf("tick %v, %v, zones %v", n.tick, n.Terms()["caps.longest_wait"], n.zones)
+		if folder != "" && (n.tick != 8*time.Millisecond || n.Settings()["caps.longest_wait"] != "7000" || n.zones[0] != "b") {
+			t.Errorf("tick %v, %v, zones %v", n.tick, n.Settings()["caps.longest_wait"], n.zones)
 		}
 		looks := p.say("look", 600)
 		p.run(3 * time.Second)
 		if looks() != "ok" {
-			t.Errorf("without control machines an RPC hears %q", looks())
+			t.Errorf("without control machines an RPC is answered %q", looks())
 		}
-		if s := n.configuration.status(); s.SilentMS < 2500 || n.Counted("configuration_failures") == 0 {
+		if s := n.configuration.status(); s.SilentMS < 2500 || n.Counted("configuration_poll_failures") == 0 {
 			t.Errorf("%+v", s)
 		}
 		n.LetGo()
 	}
 }
 
-// A folder whose version cannot be used any more is no reason not to serve.
-func TestAKeptVersionThatCannotBeUsed(t *testing.T) {
+// A driver serves even if the stored version cannot be used any more.
+func TestUnusableStoredVersionIsIgnored(t *testing.T) {
 	folder := t.TempDir()
 	p, c, start := configured(t, folder, "")
 	c.publish(`{"settings":{"caps":{"max_retry_after_us":7000}}}`)
@@ -296,11 +296,11 @@
 	for _, h := range c.hosts {
 		h.Kill()
 	}
-	store, _, err := state.Open(folder, "d0", configurationFolder)
+	store, _, err := state.Open(folder, "d0", maxConfigurationBytes)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := store.Commit([]keep.Change{{Name: inForceName, Value: append([]byte{9, 0, 0, 0, 0, 0, 0, 0}, `{"settings":{"clases":[]}}`...)}}); err != nil {
+	if err := store.Commit([]keep.Change{{Name: configurationRecord, Value: append([]byte{9, 0, 0, 0, 0, 0, 0, 0}, `{"settings":{"clases":[]}}`...)}}); err != nil {
 		t.Fatal(err)
 	}
 	store.Close()
@@ -311,57 +311,56 @@
 	looks := p.say("look", 600)
 	p.run(time.Second)
 	if looks() != "ok" {
-		t.Errorf("an RPC hears %q", looks())
+		t.Errorf("an RPC is answered %q", looks())
 	}
 	n.LetGo()
 }
 
-// wrongIn tells what is wrong with how a driver goes by what was published: it has something in force that cannot be served, or goes by other
-// settings than the version says that it has.
-func wrongIn(n *Node, published map[uint64]string) string {
-	if err := terms.New(n.Terms()).Unusable(); err != nil {
-		return "in force cannot be served: " + err.Error()
+// findInconsistency returns how a driver's settings differ from the version that it reports, or why they cannot be served; "": neither.
+func findInconsistency(n *Node, published map[uint64]string) string {
+	if err := terms.New(n.Settings()).Unusable(); err != nil {
+		return "the settings in force cannot be served: " + err.Error()
 	}
 	p, err := terms.ParsePublished([]byte(published[n.Configuration().Version]))
 	if err != nil {
 		return err.Error()
 	}
-	want, err := p.Over(n.configuration.base.terms)
+	want, err := p.Over(n.configuration.local.settings)
 	if err != nil {
 		return err.Error()
 	}
 	for _, path := range []string{"caps.longest_wait", "caps.attempts", "methods.count", "family_info.needs"} {
-		if n.Terms()[path] != want[path] {
-			return fmt.Sprintf("%s is %q, and version %d says %q", path, n.Terms()[path], n.Configuration().Version, want[path])
+		if n.Settings()[path] != want[path] {
+			return fmt.Sprintf("%s is %q, and version %d says %q", path, n.Settings()[path], n.Configuration().Version, want[path])
 		}
 	}
 	return ""
 }
 
-// A driver that would apply a version before it has checked it is found by what holds then.
-func TestAppliedBeforeCheckedIsFound(t *testing.T) {
+// A driver that applies a version before it checks it is detected by findInconsistency.
+func TestApplyBeforeCheckIsDetected(t *testing.T) {
 	good, bad := `{"settings":{"caps":{"max_retry_after_us":7000}}}`, `{"settings":{"caps":{"max_retry_after_us":9000},"family_info":{"class_read":["old"]}}}`
-	for _, planted := range []bool{false, true} {
+	for _, mutated := range []bool{false, true} {
 		_, c, _ := configured(t, "", "")
 		n := c.play.drivers[0].node
 		published := map[uint64]string{c.publish(good): good}
-		if wrong := wrongIn(n, published); wrong != "" {
+		if wrong := findInconsistency(n, published); wrong != "" {
 			t.Fatal(wrong)
 		}
-		if planted { // the steps of Offered and adopt in the wrong order
-			all := n.Terms()
+		if mutated { // the steps of VersionOffered and apply in the wrong order
+			all := n.Settings()
 			all["caps.longest_wait"], all["family_info.needs"] = "9000", "old"
-			n.configuration.adopt(&prepared{version: 2, text: []byte(bad), terms: all, wants: n.config})
-			if _, err := n.configuration.base.prepare(2, []byte(bad)); err != nil {
-				n.configuration.standing.Version = 1
-				n.configuration.refuse(2, err)
+			n.configuration.apply(&checkedVersion{version: 2, text: []byte(bad), settings: all, operatorFile: n.config})
+			if _, err := n.configuration.local.check(2, []byte(bad)); err != nil {
+				n.configuration.report.Version = 1
+				n.configuration.reject(2, err)
 			}
 		} else {
 			published[c.publish(bad)] = bad
 		}
-		wrong := wrongIn(n, published)
-		if (wrong != "") != planted {
-			t.Errorf("planted %v: %q", planted, wrong)
+		wrong := findInconsistency(n, published)
+		if (wrong != "") != mutated {
+			t.Errorf("mutated %v: %q", mutated, wrong)
 		}
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -124,7 +124,7 @@
 		ids: make(map[string]driver.Member), uids: make(map[driver.Member]string),
 		config: wants, listenerOf: make(map[driver.Front]*listener), connectLimiter: comeback.NewOpens(defaultConnectTimeout),
 	}
-	n.recallConfiguration()
+	n.restoreConfiguration()
 	wants, n.tick = n.config, terms.New(site.Settings).Span("tick")
 	load := member.Load{Columns: site.reportColumns(), Word: terms.Word}
 	n.openPool(driver.Statements, &pgmember.Tongue{Load: load})
@@ -133,7 +133,7 @@
 		host = site.Name
 	}
 	n.openPool(driver.Requests, &odatamember.Tongue{Load: load, Host: host})
-	n.follow()
+	n.applySettings()
 	l.MakeRoom = n.evictIdle
 	n.list = list.New(l, n, site.Discovery)
 	if site.PeerListen.IsValid() {
@@ -278,7 +278,7 @@
 	s, restart := n.site, ""
 	settings := s.Settings
 	if n.configuration != nil {
-		settings = n.configuration.base.terms
+		settings = n.configuration.local.settings
 	}
 	for name, same := range map[string]bool{
 		"name": s.Name == fresh.Name, "listen": s.Listen == fresh.Listen,
@@ -293,9 +293,9 @@
 		n.list.Move(s.Discovery)
 	}
 	s.Descriptors, s.Memory, s.Peers, s.PeerBroadcast = fresh.Descriptors, fresh.Memory, fresh.Peers, fresh.PeerBroadcast
-	n.limit()
+	n.applyLimits()
 	if n.configuration != nil {
-		n.configuration.reloaded(fresh, wants)
+		n.configuration.reloadLocal(fresh, wants)
 	}
 	if n.peers != nil {
 		n.peers.SetAddresses(s.PeerBroadcast, s.Peers)
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -270,8 +270,8 @@
 	if n.leases != nil && n.leases.store != nil {
 		n.leases.store.Close()
 	}
-	if n.configuration != nil && n.configuration.store != nil {
-		n.configuration.store.Close()
+	if n.configuration != nil {
+		n.configuration.close()
 	}
 }
 
