--- a/internal/emu/rig/controls.go
+++ b/internal/emu/rig/controls.go
@@ -140,7 +140,7 @@
 		f.fail("control machine %s: %s", s.machine.name, s.line)
 	}
 	if event := field(s.line, "event"); f.began > 0 && event != "started" {
-		f.noteOf(s.machine.name, "%s %s%s", event, field(s.line, "version"), field(s.line, "number"))
+		f.noteOf(s.machine.name, "%s %s%s", event, field(s.line, "version"), field(s.line, "fencing_token"))
 	}
 }
 
--- a/internal/node/configuration_storage.go
+++ b/internal/node/configuration_storage.go
@@ -5,7 +5,7 @@
 	"log/slog"
 	"time"
 
-	"passtack/internal/keep"
+	"passtack/internal/storage"
 )
 
 const (
@@ -17,7 +17,7 @@
 
 // configurationStorage is the folder of the version in force.
 type configurationStorage struct {
-	store         *keep.Store
+	store         *storage.Store
 	logQuietUntil time.Duration // failures are not logged until then
 }
 
@@ -26,7 +26,7 @@
 	if err != nil {
 		return nil, err
 	}
-	for _, lost := range found.Lost {
+	for _, lost := range found.Unreadable {
 		slog.Warn("configuration file corrupt", "file", lost)
 	}
 	return &configurationStorage{store: store}, nil
@@ -34,7 +34,7 @@
 
 // read returns the stored version, if there is one.
 func (s *configurationStorage) read() (version uint64, text []byte, found bool) {
-	s.store.Each(func(name string, value []byte) {
+	s.store.ForEach(func(name string, value []byte) {
 		if name == configurationRecord && len(value) >= versionBytes {
 			version, text, found = binary.LittleEndian.Uint64(value), value[versionBytes:], true
 		}
@@ -45,7 +45,7 @@
 // write stores a version. It blocks, and is called by a worker.
 func (s *configurationStorage) write(version uint64, text []byte) error {
 	value := append(binary.LittleEndian.AppendUint64(nil, version), text...)
-	return s.store.Commit([]keep.Change{{Name: configurationRecord, Value: value}})
+	return s.store.Commit([]storage.Change{{Name: configurationRecord, Value: value}})
 }
 
 // logFailure logs a failed write, unless one was logged a moment ago.
--- a/internal/node/drains.go
+++ b/internal/node/drains.go
@@ -61,7 +61,7 @@
 		text := fleet.AppendDrains(nil, all[from:])
 		tell := func() {
 			for _, at := range d.view.seen.Some(toSome) {
-				d.view.write(at, peers.Drain, text)
+				d.view.send(at, peers.Drain, text)
 			}
 		}
 		tell()
@@ -74,7 +74,7 @@
 	n := d.view.node
 	all, ok := fleet.ReadDrains(text)
 	if !ok {
-		n.Count("letters_strange")
+		n.Count("peer_messages_rejected")
 		return
 	}
 	var on []fleet.Drain
--- a/internal/node/state_test.go
+++ b/internal/node/state_test.go
@@ -5,8 +5,8 @@
 	"strings"
 	"testing"
 
-	"passtack/internal/keep"
-	"passtack/internal/state"
+	"passtack/internal/persist"
+	"passtack/internal/storage"
 )
 
 // What a driver learned is in its folder once it has ended, and its next life has it; meanwhile no other may use the folder.
@@ -19,7 +19,7 @@
 		})
 	}
 	first := next()
-	if first.learned == nil || first.learned.recalled.Saved != 0 {
+	if first.learned == nil || first.learned.recalled.SavedAt != 0 {
 		t.Fatalf("an empty folder gives %+v", first.learned)
 	}
 	if second := next(); second.learned != nil || second.counters["state_unusable"] != 1 {
@@ -30,20 +30,20 @@
 		t.Fatalf("it is answered by %s", a)
 	}
 	d.stop()
-	look, err := keep.OpenFolder(folder)
+	look, err := storage.OpenDirectory(folder)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, owner, found, err := keep.Look(look)
-	if err != nil || owner != state.Owner("n0") || len(found.Lost) > 0 {
-		t.Fatalf("owner %x, %+v, %v", owner, found, err)
+	s, report, err := storage.OpenReadOnly(look)
+	if err != nil || s.Owner() != persist.Owner("n0") || len(report.Unreadable) > 0 {
+		t.Fatalf("%+v, %v", report, err)
 	}
-	k := state.Read(s).Members["s-0"]
+	k := persist.Restore(s).Members["s-0"]
 	if k.Position == 0 || k.Timed == 0 {
 		t.Errorf("kept of the member: %+v", k)
 	}
 	again := next()
-	if again.learned == nil || again.learned.recalled.Saved == 0 || len(again.learned.recalled.Members) != 0 {
+	if again.learned == nil || again.learned.recalled.SavedAt == 0 || len(again.learned.recalled.Members) != 0 {
 		t.Errorf("the next life recalls %+v", again.learned)
 	}
 	run(t, again).stop()
--- a/internal/rollout/server/storage.go
+++ b/internal/rollout/server/storage.go
@@ -7,8 +7,8 @@
 	"log/slog"
 	"maps"
 
-	"passtack/internal/keep"
-	"passtack/internal/state"
+	"passtack/internal/persist"
+	"passtack/internal/storage"
 )
 
 // maxStorageBytes bounds a machine's directory.
@@ -17,9 +17,9 @@
 // FileStorage is the Storage of a machine in a directory. A goroutine commits the changes, all that have collected at once. Its methods must be
 // called on the loop.
 type FileStorage struct {
-	store   *keep.Store
+	store   *storage.Store
 	notify  func() // wakes the loop up; called by the goroutine
-	batches chan []keep.Change
+	batches chan []storage.Change
 	results chan error
 
 	written          map[string]string // records as the store has them, or will have
@@ -51,7 +51,7 @@
 		records[name] = text
 	}
 	for name, promise := range p.Promises {
-		change := state.PromiseOf(name, promise)
+		change := persist.PromiseChange(name, promise)
 		records[change.Name] = change.Value
 	}
 	return records, nil
@@ -60,14 +60,14 @@
 // OpenFileStorage opens a machine's directory and reads its state. Notify is called by another goroutine when HandleResults is to be called on
 // the loop. A machine whose directory has a corrupt file must join again, as it may have forgotten a promise.
 func OpenFileStorage(path, machine string, notify func()) (*FileStorage, PersistedState, error) {
-	store, found, err := state.Open(path, "control machine "+machine, maxStorageBytes)
+	store, found, err := persist.Open(path, "control machine "+machine, maxStorageBytes)
 	if err != nil {
 		return nil, PersistedState{}, err
 	}
 	f := &FileStorage{
 		store:          store,
 		notify:         notify,
-		batches:        make(chan []keep.Change, 1),
+		batches:        make(chan []storage.Change, 1),
 		results:        make(chan error, 1),
 		written:        make(map[string]string),
 		pendingChanges: make(map[string][]byte),
@@ -77,7 +77,7 @@
 		store.Close()
 		return nil, PersistedState{}, fmt.Errorf("folder %s: %w", path, err)
 	}
-	for _, lost := range found.Lost {
+	for _, lost := range found.Unreadable {
 		persisted.State.Joined = false
 		slog.Warn("control machine found a corrupt file", "machine", machine, "file", lost)
 	}
@@ -90,7 +90,7 @@
 	var persisted PersistedState
 	var failed error
 	fields := stateFields(&persisted)
-	f.store.Each(func(name string, value []byte) {
+	f.store.ForEach(func(name string, value []byte) {
 		f.written[name] = string(value)
 		field, known := fields[name]
 		if !known {
@@ -100,7 +100,7 @@
 			failed = errors.Join(failed, fmt.Errorf("%s: %w", name, err))
 		}
 	})
-	persisted.Promises = state.Promises(f.store)
+	persisted.Promises = persist.RestorePromises(f.store)
 	return persisted, failed
 }
 
@@ -138,9 +138,9 @@
 	}
 	f.activeCallbacks, f.pendingCallbacks = f.pendingCallbacks, nil
 	f.activeChanges, f.pendingChanges = f.pendingChanges, make(map[string][]byte)
-	var changes []keep.Change
+	var changes []storage.Change
 	for name, value := range f.activeChanges {
-		changes = append(changes, keep.Change{Name: name, Value: value})
+		changes = append(changes, storage.Change{Name: name, Value: value})
 	}
 	f.batches <- changes
 }
