--- a/cmd/passtack/lives_test.go
+++ b/cmd/passtack/lives_test.go
@@ -319,7 +319,7 @@
 	}
 	var s node.Status
 	for range 300 { // and has saved once: on a busy machine its background work waits longer
-		if err := control.Ask(ask, "status", &s); err != nil {
+		if err := control.Query(ask, "status", &s); err != nil {
 			t.Fatal(err)
 		}
 		if s.Counters["state_saves"] > 0 {
--- a/cmd/passtack/status.go
+++ b/cmd/passtack/status.go
@@ -22,7 +22,7 @@
 
 func (c *status) Run() error {
 	var s node.Status
-	if err := control.Ask(c.At, "status", &s); err != nil {
+	if err := control.Query(c.At, "status", &s); err != nil {
 		return err
 	}
 	if c.JSON {
@@ -59,7 +59,7 @@
 	var silent []string
 	for _, one := range at {
 		var s T
-		if err := control.Ask(one, question, &s); err != nil {
+		if err := control.Query(one, question, &s); err != nil {
 			silent = append(silent, fmt.Sprintf("%s: %v", one, err))
 			continue
 		}
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -1,13 +1,11 @@
-// Package control answers an operator's questions about one driver: who connects to its address, which is one of this machine, sends
-// a line and gets one JSON value. Nothing can be changed by it.
+// Package control answers operators' questions about one driver, on an address of the driver's own machine. A client connects, sends a
+// question as one line, and receives one JSON value. Questions change nothing.
 package control
 
 import (
 	"bytes"
 	"encoding/json"
 	"fmt"
-	"io"
-	"net"
 	"net/netip"
 	"strings"
 	"time"
@@ -16,90 +14,77 @@
 )
 
 const (
-	longest  = 64              // bytes of a question
-	abreast  = 8               // connections at once
-	patience = 2 * time.Second // in which a question has to come
-	mostSaid = 16 << 20        // bytes of an answer that Ask takes
-	waits    = 3 * time.Second // of Ask
+	maxQuestionBytes = 64
+	maxConnections   = 8
+	questionTimeout  = 2 * time.Second // for a complete question
 )
 
-// Answers gives what is known, by question. What it is has to be good for JSON.
-type Answers map[string]func() any
+// Handlers returns the answer to each question, as a value that JSON can encode. They are called on the event loop.
+type Handlers map[string]func() any
 
-// asked is one connection.
-type asked struct {
-	loop    *loop.Loop
-	answers Answers
-	stream  *loop.Stream
-	due     loop.Due
+// connection is a client that may ask one question.
+type connection struct {
+	loop     *loop.Loop
+	handlers Handlers
+	stream   *loop.Stream
+	timer    loop.Due // closes the connection
 }
 
-// Listen answers at the address from now on.
-func Listen(l *loop.Loop, at netip.AddrPort, answers Answers) (*loop.Listener, error) {
-	door := loop.Door{Descriptors: func(int) int { return abreast }}
-	return l.Listen(at, longest, door, func(take func(loop.Handler) *loop.Stream) {
-		a := &asked{loop: l, answers: answers}
-		if a.stream = take(a); a.stream != nil {
-			a.due = l.At(l.Now()+patience, a.end)
+// Listen answers questions at the address until the listener is closed.
+func Listen(l *loop.Loop, address netip.AddrPort, handlers Handlers) (*loop.Listener, error) {
+	limiter := loop.Door{Descriptors: func(int) int { return maxConnections }}
+	return l.Listen(address, maxQuestionBytes, limiter, func(open func(loop.Handler) *loop.Stream) {
+		c := &connection{loop: l, handlers: handlers}
+		c.stream = open(c)
+		if c.stream != nil {
+			c.timer = l.At(l.Now()+questionTimeout, c.close)
 		}
 	}, func(bool) {})
 }
 
-func (a *asked) Opened()        {}
-func (a *asked) Panicked(error) { a.end() }
-func (a *asked) Closed(error)   { a.gone() }
+// Opened implements loop.Handler.
+func (c *connection) Opened() {}
 
-func (a *asked) gone() { a.loop.Forget(a.due) }
+// Panicked implements loop.Handler.
+func (c *connection) Panicked(error) { c.close() }
 
-func (a *asked) end() {
-	a.gone()
-	a.stream.Close()
+// Closed implements loop.Handler.
+func (c *connection) Closed(error) { c.stopTimer() }
+
+func (c *connection) stopTimer() { c.loop.Forget(c.timer) }
+
+func (c *connection) close() {
+	c.stopTimer()
+	c.stream.Close()
 }
 
-func (a *asked) Input(in []byte) int {
-	line, _, whole := bytes.Cut(in, []byte("\n"))
-	if !whole {
-		if len(in) >= longest {
-			a.end()
+// Input implements loop.Handler.
+func (c *connection) Input(in []byte) int {
+	line, _, complete := bytes.Cut(in, []byte("\n"))
+	if !complete {
+		if len(in) >= maxQuestionBytes {
+			c.close()
 		}
 		return 0
 	}
-	question := strings.TrimSpace(string(line))
-	var said any = map[string]string{"error": fmt.Sprintf("there is nothing to tell of %q", question)}
-	if answer := a.answers[question]; answer != nil {
-		said = answer()
-	}
-	text, err := json.Marshal(said)
-	if err != nil {
-		text = fmt.Appendf(nil, `{"error":%q}`, err)
-	}
-	a.gone()
-	a.stream.Send(append(text, '\n'))
-	a.stream.CloseWhenSent()
+	answer := c.answer(strings.TrimSpace(string(line)))
+	c.stopTimer()
+	c.stream.Send(append(answer, '\n'))
+	c.stream.CloseWhenSent()
 	return len(in)
 }
 
-// Ask asks a driver at its address, and reads what it says into a value.
-func Ask(at, question string, into any) error {
-	c, err := net.DialTimeout("tcp", at, waits)
-	if err != nil {
-		return err
-	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(waits))
-	if _, err := fmt.Fprintln(c, question); err != nil {
-		return err
+// answer returns the answer to a question, or an object with an error, as JSON.
+func (c *connection) answer(question string) []byte {
+	var value any
+	if handler := c.handlers[question]; handler != nil {
+		value = handler()
+	} else {
+		value = map[string]string{"error": fmt.Sprintf("there is nothing to tell of %q", question)}
 	}
-	text, err := io.ReadAll(io.LimitReader(c, mostSaid))
+	text, err := json.Marshal(value)
 	if err != nil {
-		return err
-	}
-	var wrong struct{ Error string }
-	if json.Unmarshal(text, &wrong) == nil && wrong.Error != "" {
-		return fmt.Errorf("%s says: %s", at, wrong.Error)
-	}
-	if err := json.Unmarshal(text, into); err != nil {
-		return fmt.Errorf("%s says what cannot be read: %w", at, err)
+		return fmt.Appendf(nil, `{"error":%q}`, err)
 	}
-	return nil
+	return text
 }
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -1,6 +1,7 @@
 package control
 
 import (
+	"errors"
 	"io"
 	"net"
 	"net/netip"
@@ -11,8 +12,8 @@
 	"passtack/internal/loop"
 )
 
-// serve answers on a free address until the test ends.
-func serve(t *testing.T, answers Answers) string {
+// serve answers questions at a free address until the test ends.
+func serve(t *testing.T, answers Handlers) string {
 	t.Helper()
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -40,28 +41,29 @@
 	return at
 }
 
-func TestQuestionsAreAnswered(t *testing.T) {
-	at := serve(t, Answers{"status": func() any { return map[string]int{"rpcs": 7} }, "broken": func() any { return func() {} }})
+func TestQuery(t *testing.T) {
+	at := serve(t, Handlers{"status": func() any { return map[string]int{"rpcs": 7} }, "broken": func() any { return func() {} }})
 	var got map[string]int
-	if err := Ask(at, "status", &got); err != nil || got["rpcs"] != 7 {
+	if err := Query(at, "status", &got); err != nil || got["rpcs"] != 7 {
 		t.Errorf("%v, %v", got, err)
 	}
-	if err := Ask(at, "weather", &got); err == nil || !strings.Contains(err.Error(), `nothing to tell of "weather"`) {
-		t.Errorf("what nobody knows: %v", err)
+	var failure *Error
+	if err := Query(at, "weather", &got); !errors.As(err, &failure) || failure.Message != `there is nothing to tell of "weather"` {
+		t.Errorf("an unknown question: %v", err)
 	}
-	if err := Ask(at, "broken", &got); err == nil {
-		t.Error("what is no JSON is told")
+	if err := Query(at, "broken", &got); err == nil {
+		t.Error("a value that JSON cannot encode is answered")
 	}
-	if err := Ask("127.0.0.1:1", "status", &got); err == nil {
-		t.Error("nobody answers")
+	if err := Query("127.0.0.1:1", "status", &got); err == nil {
+		t.Error("a query without a driver succeeds")
 	}
 }
 
-// Who says nothing, too much or half a line is let go, and keeps nobody else from asking.
-func TestThoseWhoDoNotAskAreLetGo(t *testing.T) {
-	at := serve(t, Answers{"status": func() any { return 1 }})
+// Connections that send nothing, too much or half a line are closed, and prevent no other query.
+func TestSilentConnectionsAreClosed(t *testing.T) {
+	at := serve(t, Handlers{"status": func() any { return 1 }})
 	var silent []net.Conn
-	for range abreast {
+	for range maxConnections {
 		c, err := net.Dial("tcp", at)
 		if err != nil {
 			t.Fatal(err)
@@ -70,17 +72,17 @@
 		silent = append(silent, c)
 	}
 	silent[0].Write([]byte("stat"))
-	silent[1].Write([]byte(strings.Repeat("x", 10*longest)))
-	silent[1].SetDeadline(time.Now().Add(patience / 2))
+	silent[1].Write([]byte(strings.Repeat("x", 10*maxQuestionBytes)))
+	silent[1].SetDeadline(time.Now().Add(questionTimeout / 2))
 	if _, err := io.ReadAll(silent[1]); err != nil && strings.Contains(err.Error(), "timeout") {
-		t.Error("who says too much is not let go at once")
+		t.Error("a connection that sends too much is not closed at once")
 	}
-	silent[0].SetDeadline(time.Now().Add(2 * patience))
+	silent[0].SetDeadline(time.Now().Add(2 * questionTimeout))
 	if _, err := io.ReadAll(silent[0]); err != nil && strings.Contains(err.Error(), "timeout") {
-		t.Error("who says half a line is not let go")
+		t.Error("a connection that sends half a line is not closed")
 	}
 	var got int
-	if err := Ask(at, "status", &got); err != nil || got != 1 {
-		t.Errorf("after them: %v, %v", got, err)
+	if err := Query(at, "status", &got); err != nil || got != 1 {
+		t.Errorf("afterwards: %v, %v", got, err)
 	}
 }
--- a/internal/control/wire_test.go
+++ b/internal/control/wire_test.go
@@ -9,7 +9,7 @@
 
 // The bytes that operators' scripts send and receive.
 func TestGoldenAnswers(t *testing.T) {
-	at := serve(t, Answers{"status": func() any { return map[string]int{"rpcs": 7} }, "broken": func() any { return func() {} }})
+	at := serve(t, Handlers{"status": func() any { return map[string]int{"rpcs": 7} }, "broken": func() any { return func() {} }})
 	for question, want := range map[string]string{
 		"status\n":       "{\"rpcs\":7}\n",
 		" status \r\n":   "{\"rpcs\":7}\n",
--- a/internal/emu/rig/controls.go
+++ b/internal/emu/rig/controls.go
@@ -205,7 +205,7 @@
 		at := f.places[d.number].Control.String()
 		v.ask(func(s *play.VersionSample) bool {
 			var told node.Status
-			if control.Ask(at, "status", &told) != nil || told.Configuration == nil {
+			if control.Query(at, "status", &told) != nil || told.Configuration == nil {
 				return false // it is down
 			}
 			s.Who, s.Version, s.Refused, s.Why = d.name, told.Configuration.Version, told.Configuration.RejectedVersion, told.Configuration.RejectReason
--- a/internal/emu/rig/views.go
+++ b/internal/emu/rig/views.go
@@ -36,7 +36,7 @@
 				case <-time.After(viewing):
 				}
 				var s node.FleetStatus
-				if control.Ask(at, "fleet", &s) != nil {
+				if control.Query(at, "fleet", &s) != nil {
 					continue // it is down, or stands still
 				}
 				sample := play.ViewSample{At: time.Since(v.began), Driver: d.number, Is: make(map[string]string)}
--- a/internal/lab/capacity/processes.go
+++ b/internal/lab/capacity/processes.go
@@ -99,7 +99,7 @@
 func asks(all []*process) (views []node.FleetStatus, err error) {
 	for _, p := range all {
 		var s node.FleetStatus
-		if err := control.Ask(p.control, "fleet", &s); err != nil {
+		if err := control.Query(p.control, "fleet", &s); err != nil {
 			return nil, err
 		}
 		views = append(views, s)
@@ -230,7 +230,7 @@
 				continue
 			}
 			var s node.FleetStatus
-			if control.Ask(q.control, "fleet", &s) == nil && s.Living == size-1 {
+			if control.Query(q.control, "fleet", &s) == nil && s.Living == size-1 {
 				when[q.control] = time.Since(killed).Seconds()
 			}
 		}
--- a/internal/node/chores.go
+++ b/internal/node/chores.go
@@ -28,8 +28,8 @@
 }
 
 // answers are what operators may ask.
-func (n *Node) answers() control.Answers {
-	all := control.Answers{"status": func() any { return n.status() }}
+func (n *Node) answers() control.Handlers {
+	all := control.Handlers{"status": func() any { return n.status() }}
 	if n.leases != nil {
 		all["leases"] = func() any { return n.leases.status() }
 	}
