--- /dev/null
+++ b/internal/terms/golden_test.go
@@ -0,0 +1,44 @@
+package terms
+
+import (
+	"flag"
+	"fmt"
+	"maps"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+)
+
+var update = flag.Bool("update", false, "rewrite golden files")
+
+// The platform's words, what they are renamed to, and which values a published setting may have, by the words that name them.
+func TestGoldenNames(t *testing.T) {
+	var lines strings.Builder
+	for _, word := range slices.Sorted(maps.Keys(words)) {
+		fmt.Fprintf(&lines, "%s=%s=%s\n", word, Word(word), wireOf(words[word]))
+	}
+	for _, path := range slices.Sorted(maps.Keys(kinds)) {
+		fmt.Fprintf(&lines, "%s %s:", path, kinds[path].want)
+		for _, value := range []string{"", "0", "1", "0.5", "2.5", "-1", "1e9", "Inf", "x", "a,b", "a,a", "a b", "true", "idempotent", "group", "none", "carried", "pushed"} {
+			if kinds[path].fits(value) {
+				fmt.Fprintf(&lines, " %q", value)
+			}
+		}
+		lines.WriteString("\n")
+	}
+	path := filepath.Join("testdata", "names.txt")
+	if *update {
+		if err := os.WriteFile(path, []byte(lines.String()), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if lines.String() != string(want) {
+		t.Errorf("names and values are\n%s\nwant\n%s", lines.String(), want)
+	}
+}
