--- a/internal/node/configuration.go
+++ b/internal/node/configuration.go
@@ -160,7 +160,7 @@
 	drainingRuleChanged := site.Settings[drainingRule] != running[drainingRule]
 	c.report = rollout.DriverReport{Driver: site.Name, Version: next.version, NeedsRestart: terms.Restart(site.Settings, next.settings)}
 	c.inForceSince = n.loop.Now()
-	n.resumeTicks()
+	n.timer.resume()
 	site.Settings, c.published = running, next.limits
 	c.applyLimits()
 	n.applySettings()
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -21,26 +21,26 @@
 // applySettings makes all parts of the driver but the module follow the site's settings.
 func (n *Node) applySettings() {
 	s := n.site
-	n.maxAttempts = int(terms.New(s.Settings).Number("caps.attempts", 1))
-	n.zones = strings.Split(s.Settings["zones"], ",")
+	n.rpcs.maxAttempts = int(terms.New(s.Settings).Number("caps.attempts", 1))
+	n.members.zones = strings.Split(s.Settings["zones"], ",")
 	connect, idle := s.duration("caps.connect_timeout", defaultConnectTimeout), s.duration("caps.idle_close", defaultIdleTimeout)
-	n.connectLimiter.Within(connect)
-	for _, p := range n.pools {
+	n.members.connectLimiter.SetTimeout(connect)
+	for _, p := range n.members.pools {
 		p.Within(connect, idle)
 	}
-	names, sessions, tokened, retired := s.methods()
-	served := slices.Clone(names) // a retired method is not served any more
+	methods := s.methods()
+	served := slices.Clone(methods.names) // a retired method is not served any more
 	for i := range served {
-		if retired[i] {
+		if methods.retired[i] {
 			served[i] = ""
 		}
 	}
-	for _, l := range n.listeners {
+	for _, l := range n.listeners.all {
 		switch f := l.front.(type) {
 		case *pgfront.Front:
-			f.Methods(served, sessions, tokened)
+			f.Methods(served, methods.inSession, methods.tokened)
 		case *odatafront.Front: // its operations name no retired method
-			f.Methods(names)
+			f.Methods(methods.names)
 		}
 	}
 }
