--- a/internal/lab/capacity/driver_ground.go
+++ b/internal/lab/capacity/driver_ground.go
@@ -14,7 +14,7 @@
 	"passtack/internal/loop"
 	"passtack/internal/pcg"
 	"passtack/internal/pgwire"
-	"passtack/internal/terms"
+	"passtack/internal/settings"
 )
 
 const (
@@ -24,8 +24,8 @@
 	bootedLong = 0                // boot_ms of members that have been up for long
 )
 
-// settings are those of a driver that is measured: three methods, in the parts that rehearsals ask for.
-const settings = `{"areas":["a"],"balancers":%d,"tick_us":5000,"locality":0,"registry_mode":"automatic","position":0,
+// siteSettings are those of a driver that is measured: three methods, in the parts that rehearsals ask for.
+const siteSettings = `{"areas":["a"],"balancers":%d,"tick_us":5000,"locality":0,"registry_mode":"automatic","position":0,
 "caps":{"connect_timeout_us":250000,"idle_close_us":15000000,"max_retry_after_us":1000000,"may_cancel":true,"may_probe":%t,"most_tries":8},
 "classes":[
 {"name":"look","effect":"safe","group":"all","hard_limit_us":%d,"late_worth":0.2,"points":3,"target_us":%d},
@@ -43,7 +43,7 @@
 
 // settingsText has the settings of one of so many drivers. Soft is how long its first method may take.
 func settingsText(drivers int, probes bool, soft time.Duration) string {
-	return fmt.Sprintf(settings, drivers, probes, 5*soft/2/time.Microsecond, soft/time.Microsecond)
+	return fmt.Sprintf(siteSettings, drivers, probes, 5*soft/2/time.Microsecond, soft/time.Microsecond)
 }
 
 func settingsTerms(drivers int, probes bool, soft time.Duration) map[string]string {
@@ -53,7 +53,7 @@
 	if err := decoder.Decode(&object); err != nil {
 		panic(err)
 	}
-	return terms.Nested(object)
+	return settings.Flatten(object)
 }
 
 // ground is what a measured driver stands on: members and discovery on one loop, clients on another, real or simulated.
--- a/internal/node/configuration.go
+++ b/internal/node/configuration.go
@@ -9,7 +9,7 @@
 	"passtack/internal/operator"
 	"passtack/internal/rollout"
 	watch "passtack/internal/rollout/client"
-	"passtack/internal/terms"
+	"passtack/internal/settings"
 )
 
 // Counters of published configuration, by name.
@@ -150,7 +150,7 @@
 		return
 	}
 	n, site := c.node, c.node.site
-	running, err := terms.Running(site.Settings, next.settings)
+	running, err := settings.MergeRunning(site.Settings, next.settings)
 	if err != nil {
 		c.reject(next.version, err)
 		c.client.Settled()
@@ -158,7 +158,7 @@
 	}
 	const drainingRule = "rules.only_draining_binds"
 	drainingRuleChanged := site.Settings[drainingRule] != running[drainingRule]
-	c.report = rollout.DriverReport{Driver: site.Name, Version: next.version, NeedsRestart: terms.Restart(site.Settings, next.settings)}
+	c.report = rollout.DriverReport{Driver: site.Name, Version: next.version, NeedsRestart: settings.NeedsRestart(site.Settings, next.settings)}
 	c.inForceSince = n.loop.Now()
 	n.timer.resume()
 	site.Settings, c.published = running, next.limits
--- a/internal/node/configuration_check.go
+++ b/internal/node/configuration_check.go
@@ -5,7 +5,7 @@
 	"strings"
 
 	"passtack/internal/operator"
-	"passtack/internal/terms"
+	"passtack/internal/settings"
 )
 
 // localConfiguration is what the driver's own files say. A published version is merged over it.
@@ -31,15 +31,15 @@
 
 // check checks a published text and merges it. It changes nothing, and may be called by a worker.
 func (l localConfiguration) check(version uint64, text []byte) (*checkedVersion, error) {
-	published, err := terms.ParsePublished(text)
+	published, err := settings.ParsePublished(text)
 	if err != nil {
 		return nil, err
 	}
-	settings, err := published.Over(l.settings)
+	merged, err := published.MergeOver(l.settings)
 	if err != nil {
 		return nil, err
 	}
-	file, err := l.operatorFile.Again(methodsOf(settings))
+	file, err := l.operatorFile.Again(methodsOf(merged))
 	if err != nil {
 		firstLine, _, _ := strings.Cut(err.Error(), "\n")
 		return nil, fmt.Errorf("the operator's file does not go with it: %s", firstLine)
@@ -47,7 +47,7 @@
 	return &checkedVersion{
 		version:      version,
 		text:         text,
-		settings:     settings,
+		settings:     merged,
 		operatorFile: file,
 		limits:       publishedLimits{memoryBytes: published.MemoryMB << 20, sockets: published.Sockets},
 	}, nil
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -12,7 +12,7 @@
 	odatamember "passtack/internal/member/odata"
 	pgmember "passtack/internal/member/pg"
 	"passtack/internal/recovery"
-	"passtack/internal/terms"
+	"passtack/internal/settings"
 )
 
 // Limits for connections to members, for sites whose settings have none.
@@ -44,7 +44,7 @@
 // openPools creates a pool of connections for each protocol of members.
 func (r *memberRegistry) openPools() {
 	n := r.node
-	load := member.Load{Columns: n.site.reportColumns(), Word: terms.Word}
+	load := member.Load{Columns: n.site.reportColumns(), Word: settings.ProjectName}
 	host := n.config.Host
 	if host == "" {
 		host = n.site.Name
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -18,7 +18,7 @@
 	"passtack/internal/operator"
 	"passtack/internal/peers"
 	"passtack/internal/recovery"
-	"passtack/internal/terms"
+	"passtack/internal/settings"
 	"passtack/rules"
 )
 
@@ -92,7 +92,7 @@
 func assemble(l *loop.Loop, site *Site, config *operator.File, simulated bool) (*Node, error) {
 	n := newNode(l, site, config, simulated)
 	n.restoreConfiguration()
-	n.rpcs.tick = terms.New(site.Settings).Span("tick")
+	n.rpcs.tick = settings.New(site.Settings).Duration("tick")
 	n.members.openPools()
 	n.applySettings()
 	l.MakeRoom = n.evictIdle
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -7,7 +7,7 @@
 
 	odatafront "passtack/internal/front/odata"
 	pgfront "passtack/internal/front/pg"
-	"passtack/internal/terms"
+	"passtack/internal/settings"
 )
 
 // applyLimits makes the event loop and the runtime follow the site's limits.
@@ -21,7 +21,7 @@
 // applySettings makes all parts of the driver but the module follow the site's settings.
 func (n *Node) applySettings() {
 	s := n.site
-	n.rpcs.maxAttempts = int(terms.New(s.Settings).Number("caps.attempts", 1))
+	n.rpcs.maxAttempts = int(settings.New(s.Settings).Number("caps.attempts", 1))
 	n.members.zones = strings.Split(s.Settings["zones"], ",")
 	connect, idle := s.duration("caps.connect_timeout", defaultConnectTimeout), s.duration("caps.idle_close", defaultIdleTimeout)
 	n.members.connectLimiter.SetTimeout(connect)
--- a/internal/node/site.go
+++ b/internal/node/site.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"passtack/internal/operator"
-	"passtack/internal/terms"
+	"passtack/internal/settings"
 )
 
 // Site is what the platform tells a driver about the place where it runs: the deploy file, and the environment over it.
@@ -77,7 +77,7 @@
 		return err
 	}
 	s.Name = s.override("BALANCER_NAME", f.Name)
-	s.InitialList, s.Settings = f.InitialList, terms.Nested(f.Settings)
+	s.InitialList, s.Settings = f.InitialList, settings.Flatten(f.Settings)
 	s.Descriptors, s.Memory = f.Limits.Sockets, f.Limits.MemoryMB<<20
 	var err error
 	if s.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
@@ -145,7 +145,7 @@
 			return fmt.Errorf("the settings give no %s", name)
 		}
 	}
-	if err := terms.New(s.Settings).Unusable(); err != nil {
+	if err := settings.New(s.Settings).Validate(); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
 	return nil
@@ -169,20 +169,20 @@
 }
 
 // methodsOf returns the methods of the settings, which the operator's file is checked against. Retired ones have no name.
-func methodsOf(settings map[string]string) []operator.Method {
-	t := terms.New(settings)
+func methodsOf(values map[string]string) []operator.Method {
+	t := settings.New(values)
 	var methods []operator.Method
 	for i := range int(t.Number("methods.count", 0)) {
 		at := "methods." + strconv.Itoa(i) + "."
 		name := t.Text(at + "name")
-		if t.Yes(at + terms.Retired) {
+		if t.Bool(at + settings.RetiredKey) {
 			name = ""
 		}
 		effect := t.Text(at + "effect")
 		methods = append(methods, operator.Method{
-			Name: name, Need: t.Item("family_info.needs", i), Idempotent: effect == "idempotent",
-			Tokened: effect == "tokened", Window: t.Span(at + "window"), Soft: t.Span(at + "soft_deadline"),
-			Limit: t.Span(at + "limit"),
+			Name: name, Need: t.ListItem("family_info.needs", i), Idempotent: effect == "idempotent",
+			Tokened: effect == "tokened", Window: t.Duration(at + "window"), Soft: t.Duration(at + "soft_deadline"),
+			Limit: t.Duration(at + "limit"),
 		})
 	}
 	return methods
@@ -218,31 +218,31 @@
 }
 
 func (s *Site) methods() siteMethods {
-	t := terms.New(s.Settings)
+	t := settings.New(s.Settings)
 	var m siteMethods
 	for i := range int(t.Number("methods.count", 0)) {
 		at := "methods." + strconv.Itoa(i)
-		need := t.Item("family_info.needs", i)
+		need := t.ListItem("family_info.needs", i)
 		m.names = append(m.names, t.Text(at+".name"))
 		m.inSession = append(m.inSession, need == "session" || need == "write")
 		m.tokened = append(m.tokened, t.Text(at+".effect") == "tokened")
-		m.retired = append(m.retired, t.Yes(at+"."+terms.Retired))
+		m.retired = append(m.retired, t.Bool(at+"."+settings.RetiredKey))
 	}
 	return m
 }
 
 // maxDeadline is the longest time for which the settings let a client wait for an answer.
 func (s *Site) maxDeadline() (longest time.Duration) {
-	t := terms.New(s.Settings)
+	t := settings.New(s.Settings)
 	for i := range int(t.Number("methods.count", 0)) {
-		longest = max(longest, t.Span("methods."+strconv.Itoa(i)+".limit"))
+		longest = max(longest, t.Duration("methods."+strconv.Itoa(i)+".limit"))
 	}
 	return longest
 }
 
 // duration returns a duration of the settings, or the default where they have none.
 func (s *Site) duration(name string, byDefault time.Duration) time.Duration {
-	if d := terms.New(s.Settings).Span(name); d > 0 {
+	if d := settings.New(s.Settings).Duration(name); d > 0 {
 		return d
 	}
 	return byDefault
--- a/internal/rollout/server/publish.go
+++ b/internal/rollout/server/publish.go
@@ -9,7 +9,7 @@
 
 	"passtack/internal/httpwire"
 	"passtack/internal/rollout"
-	"passtack/internal/terms"
+	"passtack/internal/settings"
 )
 
 // PublishResult is the answer to a publisher.
@@ -70,7 +70,7 @@
 		c.reject(400, "the text is no UTF-8")
 		return false
 	}
-	if _, err := terms.ParsePublished(r.Body); err != nil {
+	if _, err := settings.ParsePublished(r.Body); err != nil {
 		s.counters[counterRejectedTexts]++
 		c.reject(400, err.Error())
 		return false
--- a/internal/terms/terms.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
 // Package terms reads values out of the plain map that a driver is given at its start.
-package terms
+package settings
 
 import (
 	"strconv"
@@ -8,14 +8,14 @@
 )
 
 // Terms is what a driver is told at its start: names and values, with the numbers among them read once.
-type Terms struct {
-	text    map[string]string
+type Settings struct {
+	values  map[string]string
 	numbers map[string]float64
 }
 
-func New(text map[string]string) Terms {
-	t := Terms{text, make(map[string]float64)}
-	for name, value := range text {
+func New(values map[string]string) Settings {
+	t := Settings{values, make(map[string]float64)}
+	for name, value := range values {
 		if v, err := strconv.ParseFloat(value, 64); err == nil {
 			t.numbers[name] = v
 		}
@@ -24,28 +24,28 @@
 }
 
 // Number gives the value as a number, or otherwise where there is none.
-func (t Terms) Number(name string, otherwise float64) float64 {
+func (t Settings) Number(name string, fallback float64) float64 {
 	if v, ok := t.numbers[name]; ok {
 		return v
 	}
-	return otherwise
+	return fallback
 }
 
 // Span gives a value in microseconds as a span of time, 0 where there is none.
-func (t Terms) Span(name string) time.Duration {
+func (t Settings) Duration(name string) time.Duration {
 	return time.Duration(t.Number(name, 0)) * time.Microsecond
 }
 
 // Text gives the value as it stands.
-func (t Terms) Text(name string) string { return t.text[name] }
+func (t Settings) Text(name string) string { return t.values[name] }
 
 // Item gives one of several values parted by commas, nothing where there are not so many.
-func (t Terms) Item(name string, i int) string {
-	if items := strings.Split(t.text[name], ","); i < len(items) {
+func (t Settings) ListItem(name string, i int) string {
+	if items := strings.Split(t.values[name], ","); i < len(items) {
 		return items[i]
 	}
 	return ""
 }
 
 // Yes tells whether the value is "true".
-func (t Terms) Yes(name string) bool { return t.text[name] == "true" }
+func (t Settings) Bool(name string) bool { return t.values[name] == "true" }
--- a/internal/terms/words.go
+++ b/internal/settings/words.go
@@ -1,4 +1,4 @@
-package terms
+package settings
 
 import (
 	"encoding/json"
@@ -8,7 +8,7 @@
 )
 
 // words renames the parts of a setting's path, and its values, from the wire's words to the project's.
-var words = map[string]string{
+var projectNames = map[string]string{
 	"classes": "methods", "target_us": "soft_deadline", "hard_limit_us": "limit", "points": "utility",
 	"late_worth": "late_utility", "window_us": "window", "safe": "idempotent", "keyed": "tokened",
 	"unsafe": "non-idempotent", "cell": "group", "group": "repeats",
@@ -28,10 +28,10 @@
 }
 
 // rename leaves alone what it has no word for.
-func rename(text, separator string) string {
+func renameParts(text, separator string) string {
 	parts := strings.Split(text, separator)
 	for i, part := range parts {
-		if word, ok := words[part]; ok {
+		if word, ok := projectNames[part]; ok {
 			parts[i] = word
 		}
 	}
@@ -39,69 +39,69 @@
 }
 
 // Word gives the project's word for one of the platform's, or that one itself.
-func Word(text string) string { return rename(text, ".") }
+func ProjectName(text string) string { return renameParts(text, ".") }
 
 // Lines reads pairs of the form path=value, one a line.
-func Lines(text string) map[string]string {
+func ParseLines(text string) map[string]string {
 	pairs := make(map[string]string)
 	for line := range strings.Lines(text) {
 		name, value, found := strings.Cut(strings.TrimRight(line, "\r\n"), "=")
 		if found {
-			put(pairs, name, value)
+			putRenamed(pairs, name, value)
 		}
 	}
 	return pairs
 }
 
 // Nested reads the same pairs out of a JSON object, whose numbers are json.Number.
-func Nested(object map[string]any) map[string]string {
+func Flatten(object map[string]any) map[string]string {
 	pairs := make(map[string]string)
-	flatten(pairs, "", object)
+	flattenInto(pairs, "", object)
 	return pairs
 }
 
-var plainText = strings.NewReplacer(" ", "_", ",", "_")
+var separators = strings.NewReplacer(" ", "_", ",", "_")
 
-func flatten(pairs map[string]string, path string, value any) {
+func flattenInto(pairs map[string]string, path string, value any) {
 	switch v := value.(type) {
 	case map[string]any:
 		for name, item := range v {
-			flatten(pairs, strings.TrimPrefix(path+"."+name, "."), item)
+			flattenInto(pairs, strings.TrimPrefix(path+"."+name, "."), item)
 		}
 	case []any:
 		var texts []string
 		for i, item := range v {
 			if _, nested := item.(map[string]any); nested {
-				put(pairs, path+".count", strconv.Itoa(len(v)))
-				flatten(pairs, path+"."+strconv.Itoa(i), item)
+				putRenamed(pairs, path+".count", strconv.Itoa(len(v)))
+				flattenInto(pairs, path+"."+strconv.Itoa(i), item)
 			} else {
-				texts = append(texts, plain(item))
+				texts = append(texts, scalarText(item))
 			}
 		}
 		if len(texts) == len(v) {
-			put(pairs, path, strings.Join(texts, ","))
+			putRenamed(pairs, path, strings.Join(texts, ","))
 		}
 	default:
-		put(pairs, path, plain(v))
+		putRenamed(pairs, path, scalarText(v))
 	}
 }
 
 // put renames all but what somebody chose as a name.
-func put(pairs map[string]string, path, value string) {
-	if path = rename(path, "."); !strings.HasSuffix(path, ".name") {
-		value = rename(value, ",")
+func putRenamed(pairs map[string]string, path, value string) {
+	if path = renameParts(path, "."); !strings.HasSuffix(path, ".name") {
+		value = renameParts(value, ",")
 	}
 	pairs[path] = value
 }
 
-func plain(value any) string {
+func scalarText(value any) string {
 	switch v := value.(type) {
 	case nil:
 		return ""
 	case json.Number:
 		return v.String()
 	case string:
-		return plainText.Replace(v)
+		return separators.Replace(v)
 	}
 	return fmt.Sprint(value)
 }
--- a/rules/rules.go
+++ b/rules/rules.go
@@ -20,7 +20,7 @@
 	"passtack/internal/chain"
 	"passtack/internal/due"
 	"passtack/internal/pcg"
-	"passtack/internal/terms"
+	"passtack/internal/settings"
 )
 
 // What follows is tuned. Each value says what it stands for; none belongs to one deployment.
@@ -128,7 +128,7 @@
 type Router struct {
 	host                 driver.Host
 	chance               *pcg.Source
-	terms                terms.Terms
+	terms                settings.Settings
 	methods              []*method
 	groups               map[driver.Group]*group
 	members              map[driver.Member]*member
@@ -160,21 +160,21 @@
 const ListPause = 500 * time.Millisecond
 
 // New returns a router that acts through the host and decides by the settings.
-func New(host driver.Host, seed uint64, settings map[string]string) *Router {
+func New(host driver.Host, seed uint64, values map[string]string) *Router {
 	r := &Router{
 		host: host, chance: pcg.New(seed), probes: probeCredit, pace: 1,
 		groups: make(map[driver.Group]*group), members: make(map[driver.Member]*member),
 		rpcs: make(map[driver.RPC]*rpc), tokens: make(map[driver.Session]time.Duration),
-		columns: strings.Split(settings["report.columns"], ","),
+		columns: strings.Split(values["report.columns"], ","),
 	}
-	r.Change(settings)
-	r.zone, r.tick = driver.Zone(r.terms.Number("zone", 0)), max(r.terms.Span("tick"), 5*time.Millisecond)
-	if err := r.terms.Unusable(); err != nil {
+	r.Change(values)
+	r.zone, r.tick = driver.Zone(r.terms.Number("zone", 0)), max(r.terms.Duration("tick"), 5*time.Millisecond)
+	if err := r.terms.Validate(); err != nil {
 		host.Fault(err.Error())
 	}
 	r.woken, r.halted, r.paced = host.Now(), never, host.Now()
 	host.WakeAfter(r.tick)
-	if settings["list"] == "asked" {
+	if values["list"] == "asked" {
 		host.Watch(true)
 	}
 	return r
@@ -182,22 +182,22 @@
 
 // Change takes over other settings, but for what only a restart changes: the driver's zone, its tick, columns
 // and how it hears lists. Methods keep their number, and RPCs under way the method that they began with.
-func (r *Router) Change(settings map[string]string) {
-	r.checks, r.lax = settings["family_info.checks"] != "none", settings["rules.only_draining_binds"] == "true"
-	before, t := r.methods, terms.New(settings)
+func (r *Router) Change(values map[string]string) {
+	r.checks, r.lax = values["family_info.checks"] != "none", values["rules.only_draining_binds"] == "true"
+	before, t := r.methods, settings.New(values)
 	r.terms, r.methods, r.quota, r.room = t, nil, nil, nil
 	for i := range int(t.Number("methods.count", 0)) {
 		at := "methods." + strconv.Itoa(i) + "."
-		m := &method{usual: t.Span(at+"soft_deadline") / 4}
+		m := &method{usual: t.Duration(at+"soft_deadline") / 4}
 		if i < len(before) {
 			*m = *before[i] // with what was learned
 		}
 		m.utility, m.late = t.Number(at+"utility", 1), t.Number(at+"late_utility", 0)
-		m.idempotent, m.tokened = settings[at+"effect"] == "idempotent", settings[at+"effect"] == "tokened"
-		m.everywhere, m.zoned = settings[at+"repeats"] == "all", settings[at+"repeats"] == "zone"
-		m.window, m.soft, m.limit = t.Span(at+"window"), t.Span(at+"soft_deadline"), t.Span(at+"limit")
-		m.need = t.Item("family_info.needs", i)
-		m.bound, _ = time.ParseDuration(t.Item("family_info.bounds", i) + "us")
+		m.idempotent, m.tokened = values[at+"effect"] == "idempotent", values[at+"effect"] == "tokened"
+		m.everywhere, m.zoned = values[at+"repeats"] == "all", values[at+"repeats"] == "zone"
+		m.window, m.soft, m.limit = t.Duration(at+"window"), t.Duration(at+"soft_deadline"), t.Duration(at+"limit")
+		m.need = t.ListItem("family_info.needs", i)
+		m.bound, _ = time.ParseDuration(t.ListItem("family_info.bounds", i) + "us")
 		r.methods = append(r.methods, m)
 	}
 	for i := range int(t.Number("tenants.count", 0)) {
@@ -382,11 +382,11 @@
 	if work == 0 {
 		return 0
 	}
-	return work * math.Exp(-float64(age)/float64(max(r.terms.Span("rules.cold_window"), r.tick)))
+	return work * math.Exp(-float64(age)/float64(max(r.terms.Duration("rules.cold_window"), r.tick)))
 }
 
 func (r *Router) cold(m *member, now time.Duration) bool {
-	return m.started != never && r.age(m, now) < r.terms.Span("rules.cold_lasts")
+	return m.started != never && r.age(m, now) < r.terms.Duration("rules.cold_lasts")
 }
 
 // age is how long ago a member started, at least: starts are told by another clock.
@@ -403,12 +403,12 @@
 	if !r.cold(m, now) {
 		return true
 	}
-	window := max(r.terms.Span("rules.cold_window"), r.tick)
+	window := max(r.terms.Duration("rules.cold_window"), r.tick)
 	if g := m.group; now-g.diceAt > window {
 		g.dice, g.diceAt = r.chance.Float(), now
 	}
 	multiple, share := r.terms.Number("rules.cold_multiple", 1), r.terms.Number("rules.cold_share", 1)
-	share += (1 - share) * max(0, float64(r.age(m, now))/float64(r.terms.Span("rules.cold_lasts")))
+	share += (1 - share) * max(0, float64(r.age(m, now))/float64(r.terms.Duration("rules.cold_lasts")))
 	all, left := m.group.takers(q)
 	work, borne := q.method.usual.Seconds(), max(r.borne, r.recent(r.fresh, now-r.cameAt)/float64(len(r.all))/2)
 	asked := max(borne, (r.recent(r.came, now-r.cameAt)-work)/max(r.ready, 1)) * all / left
@@ -564,7 +564,7 @@
 	r.reason = why
 	r.callOff(q)
 	if q.method.idempotent || !q.mayHaveRun && q.out == 0 || q.method.tokened && q.method.everywhere {
-		r.host.PushBack(q.id, min(max(wait, 0), r.terms.Span("caps.longest_wait")))
+		r.host.PushBack(q.id, min(max(wait, 0), r.terms.Duration("caps.longest_wait")))
 	} else {
 		r.host.Abort(q.id)
 	}
@@ -580,7 +580,7 @@
 func (r *Router) callOff(q *rpc) {
 	q.answered, q.held = true, false
 	for i, c := range q.calls {
-		if c.open && r.terms.Yes("caps.cancel") {
+		if c.open && r.terms.Bool("caps.cancel") {
 			r.host.Cancel(q.id, i)
 		}
 	}
@@ -634,7 +634,7 @@
 	m := q.method
 	switch {
 	case how == driver.TimedOut, how == driver.Cancelled:
-		r.giveUp(q, r.terms.Span("caps.longest_wait"), NoAnswer)
+		r.giveUp(q, r.terms.Duration("caps.longest_wait"), NoAnswer)
 	case how != driver.Moot && len(q.calls) < int(r.terms.Number("caps.attempts", 1)) &&
 		(!q.mayHaveRun || m.idempotent || m.tokened):
 		if q.mayHaveRun && !m.idempotent {
@@ -858,7 +858,7 @@
 
 // idle tells that no member holds anything, and that none may be probed: what was learned only fades.
 func (r *Router) idle() bool {
-	return len(r.rpcs) == 0 && (r.probes < 1 || !r.terms.Yes("caps.probe"))
+	return len(r.rpcs) == 0 && (r.probes < 1 || !r.terms.Bool("caps.probe"))
 }
 
 // catchUp takes the latest of the looks that were left out, before what ends the rest changes anything.
@@ -875,7 +875,7 @@
 // times over. A single RPC may be slow or its answer lost: it no longer counts, and the next one must tell.
 // It also probes what was not heard of, for a part of the RPCs taken: many drivers' probes would add up.
 func (r *Router) watchOver(m *member, now time.Duration) {
-	if m.sendable && now-max(m.posAt, m.probedAt) > askAgain && r.probes >= 1 && r.terms.Yes("caps.probe") {
+	if m.sendable && now-max(m.posAt, m.probedAt) > askAgain && r.probes >= 1 && r.terms.Bool("caps.probe") {
 		r.probes--
 		m.probedAt = now
 		r.host.Probe(m.id)
