--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -62,10 +62,10 @@
 	q.lastOutcome = how
 	if role == driver.Primary {
 		n.recovery.PrimaryAnswered(uint16(q.group))
-		n.hearClock(answer.Told)
+		n.observePosition(answer.Told)
 	}
 	if position > 0 {
-		position -= n.clock.Offset()
+		position -= n.memberClock.Offset()
 	}
 	if how == driver.OK && t.conclude(id, concludedOK) != nil {
 		q.listener.front.Answer(q.client, answer)
