--- a/internal/settings/published_test.go
+++ b/internal/settings/published_test.go
@@ -48,7 +48,7 @@
 	return all
 }
 
-// What is published goes over a driver's own file: of objects key by key, of lists the whole; the rest stays.
+// A published configuration replaces the settings of a driver's own file: merged objects key by key, all others as a whole.
 func TestMergeOver(t *testing.T) {
 	if all := mergeOver(t, `{}`); !maps.Equal(all, localFile) {
 		t.Errorf("nothing changes %v", all)
@@ -62,11 +62,11 @@
 		}
 	}
 	if _, there := all["tenants"]; there {
-		t.Error("a list that was empty is still there")
+		t.Error("the empty list that was replaced is still there")
 	}
 }
 
-// Each mistake is named by its place and value, in the platform's words, before anything else.
+// The first fault is named by its place and value, with the platform's names.
 func TestInvalidPublishedTextIsRejected(t *testing.T) {
 	method := func(more string) string {
 		return `{"settings":{"classes":[{"name":"look","effect":"safe","points":1,"target_us":600000,"hard_limit_us":900000` + more + `}],"family_info":{"class_read":["loose"]}}}`
@@ -94,7 +94,7 @@
 		`{"limits":{"sockets":1}}`:                                                 `limits.sockets is 1: `,
 		method(`,"points":0`):                                                      `settings.classes.0.points is "0": a number above 0 is wanted`,
 		method(`,"effect":"often"`):                                                `settings.classes.0.effect is "often": safe, keyed or unsafe is wanted`,
-		method(`,"name":"a b"`):                                                    ``, // white space becomes _ as in the platform's file
+		method(`,"name":"a b"`):                                                    ``, // a space becomes _, as in the platform's file
 		method(`,"hard_limit_us":1`):                                               `settings.classes.0.hard_limit_us is "1": it is under target_us, "600000"`,
 		method(`,"name":""`):                                                       `settings.classes.0.name is "": a word of letters`,
 		method(`},{"name":"look","effect":"safe","target_us":1,"hard_limit_us":1`): `settings.family_info.class_read is "" for classes.1`,
@@ -111,7 +111,7 @@
 	}
 }
 
-// A driver that runs keeps the numbers of its methods; those that there are no more are marked, and what waits for a restart stays.
+// A running driver keeps the indexes of its methods. Removed ones are marked as retired, and what needs a restart stays.
 func TestMergeRunningKeepsMethodNumbers(t *testing.T) {
 	fresh := mergeOver(t, `{"settings":{"tick_us":9000,"areas":["b","a"],"caps":{"most_tries":3},
 "classes":[{"name":"new","effect":"safe","points":1,"target_us":100000,"hard_limit_us":100000},{"name":"pay","effect":"unsafe","points":9,"target_us":200000,"hard_limit_us":200000}],
@@ -131,10 +131,10 @@
 		t.Error(err)
 	}
 	if got := strings.Join(NeedsRestart(localFile, fresh), " "); got != "tick_us areas" {
-		t.Errorf("%q waits for a restart", got)
+		t.Errorf("%q needs a restart", got)
 	}
 	if got := NeedsRestart(localFile, mergeOver(t, `{"settings":{"areas":["a","b","c"],"balancers":9}}`)); len(got) > 0 {
-		t.Errorf("%q waits for a restart", got)
+		t.Errorf("%q needs a restart", got)
 	}
 	back, err := MergeRunning(running, localFile)
 	if err != nil || back["methods.0.retired"] != "" || back["methods.0.name"] != "look" || back["methods.2.retired"] != "true" || back["methods.1.effect"] != "tokened" {
@@ -153,7 +153,7 @@
 			break
 		}
 		if n > maxMethods {
-			t.Fatal("the numbers of methods grow without bound")
+			t.Fatal("the number of methods grows without bound")
 		}
 	}
 }
--- a/internal/settings/running.go
+++ b/internal/settings/running.go
@@ -3,92 +3,135 @@
 import (
 	"fmt"
 	"maps"
+	"slices"
 	"strconv"
 	"strings"
 )
 
-// Retired marks a method that a driver which runs is no longer asked for: what is under way may still be of it.
+// RetiredKey is the key of a method that is no longer served, while RPCs of it may still be under way. Its value is "true".
 const RetiredKey = "retired"
 
-// mostMethods bounds the numbers that a driver gives to methods while it runs.
+// maxMethods bounds the methods of a running driver, including retired ones.
 const maxMethods = 256
 
-// methodsOf gives the place of each method by its name, but for retired ones.
-func (t Settings) methodNames() (names []string, at map[string]int) {
-	at = make(map[string]int)
-	for i := range int(t.Number("methods.count", 0)) {
-		path := "methods." + strconv.Itoa(i) + "."
-		name := t.Text(path + "name")
-		if names = append(names, name); !t.Bool(path + RetiredKey) {
-			at[name] = i
-		}
+// NeedsRestart returns the settings, by the platform's names, whose change takes effect only after a restart of a driver that started with
+// others. All other settings take effect at once, or for what begins later.
+func NeedsRestart(started, fresh map[string]string) (names []string) {
+	for _, path := range restartPaths(started, fresh) {
+		names = append(names, platformPath(path))
 	}
-	return names, at
+	return names
 }
 
-// byMethod gives the settings of each method.
-func (t Settings) methodSettings() map[int]map[string]string {
-	all := make(map[int]map[string]string)
-	for path, value := range t.values {
-		rest, of := strings.CutPrefix(path, "methods.")
-		number, key, inner := strings.Cut(rest, ".")
-		if i, err := strconv.Atoi(number); of && inner && err == nil {
-			if all[i] == nil {
-				all[i] = make(map[string]string)
-			}
-			all[i][key] = value
+// restartPaths returns the changed paths that need a restart.
+func restartPaths(started, fresh map[string]string) (paths []string) {
+	all := maps.Clone(started)
+	maps.Copy(all, fresh)
+	for _, path := range slices.Sorted(maps.Keys(all)) {
+		top, _, _ := strings.Cut(path, ".")
+		needed := top == "tick" || top == "list" || top == "report"
+		if top == "zones" { // members keep the index of their zone
+			needed = !strings.HasPrefix(fresh[path]+",", started[path]+",")
+		}
+		if needed && fresh[path] != started[path] {
+			paths = append(paths, path)
 		}
 	}
-	return all
+	return paths
 }
 
-// Running gives fresh settings as a driver can take them over that runs by others: methods keep the numbers that they have by now, those that
-// there are no more are marked as retired, new ones come behind. What waits for a restart stays as it was.
-func MergeRunning(by, fresh map[string]string) (map[string]string, error) {
-	old, next := New(by), New(fresh)
-	names, _ := old.methodNames()
-	_, places := next.methodNames()
-	all := maps.Clone(fresh)
-	maps.DeleteFunc(all, func(path, _ string) bool { return strings.HasPrefix(path, "methods.") })
-	count := 0
-	var needs, bounds []string
-	before, after := old.methodSettings(), next.methodSettings()
-	take := func(from Settings, of map[string]string, i int, retired bool) {
-		is := "methods." + strconv.Itoa(count) + "."
-		for key, value := range of {
-			all[is+key] = value
-		}
-		if retired {
-			all[is+RetiredKey] = "true"
+// MergeRunning returns fresh settings in the form in which a driver that runs by others can take them over: methods keep their indexes, those
+// that are gone are marked as retired, and new ones are appended. What needs a restart stays as it was.
+func MergeRunning(running, fresh map[string]string) (map[string]string, error) {
+	methods := mergeMethods(New(running), New(fresh))
+	count := len(methods.needs)
+	if count > maxMethods {
+		return nil, fmt.Errorf("settings.classes: with those of before there are %d while the driver runs, %d are the most", count, maxMethods)
+	}
+	merged := maps.Clone(fresh)
+	maps.DeleteFunc(merged, func(path, _ string) bool { return strings.HasPrefix(path, "methods.") })
+	maps.Copy(merged, methods.values)
+	merged["methods.count"] = strconv.Itoa(count)
+	merged["family_info.needs"] = strings.Join(methods.needs, ",")
+	merged["family_info.bounds"] = strings.Join(methods.bounds, ",")
+	for _, path := range restartPaths(running, fresh) {
+		if value, had := running[path]; had {
+			merged[path] = value
+		} else {
+			delete(merged, path)
 		}
-		needs, bounds = append(needs, from.ListItem("family_info.needs", i)), append(bounds, from.ListItem("family_info.bounds", i))
-		count++
 	}
+	return merged, nil
+}
+
+// methodList collects the settings of methods, under new indexes.
+type methodList struct {
+	values        map[string]string
+	needs, bounds []string // by index
+}
+
+// add appends a method of some settings.
+func (l *methodList) add(from Settings, method map[string]string, index int, retired bool) {
+	path := methodPath(len(l.needs))
+	for key, value := range method {
+		l.values[path+key] = value
+	}
+	if retired {
+		l.values[path+RetiredKey] = "true"
+	}
+	l.needs = append(l.needs, from.ListItem("family_info.needs", index))
+	l.bounds = append(l.bounds, from.ListItem("family_info.bounds", index))
+}
+
+func mergeMethods(running, fresh Settings) *methodList {
+	merged := &methodList{values: make(map[string]string)}
+	before, after := running.methodSettings(), fresh.methodSettings()
+	names, _ := running.methodNames()
+	_, indexes := fresh.methodNames()
 	for i, name := range names {
-		if place, stays := places[name]; stays {
-			take(next, after[place], place, false)
-			delete(places, name)
+		if index, stays := indexes[name]; stays {
+			merged.add(fresh, after[index], index, false)
+			delete(indexes, name)
 		} else {
-			take(old, before[i], i, true)
+			merged.add(running, before[i], i, true)
 		}
 	}
-	for i := range int(next.Number("methods.count", 0)) {
-		name := next.Text("methods." + strconv.Itoa(i) + ".name")
-		if _, comes := places[name]; comes {
-			take(next, after[i], i, false)
+	for i := range fresh.methodCount() {
+		if _, added := indexes[fresh.Text(methodPath(i)+"name")]; added {
+			merged.add(fresh, after[i], i, false)
 		}
 	}
-	if count > maxMethods {
-		return nil, fmt.Errorf("settings.classes: with those of before there are %d while the driver runs, %d are the most", count, maxMethods)
+	return merged
+}
+
+// methodNames returns the names of all methods, and the indexes by name of those that are not retired.
+func (s Settings) methodNames() (names []string, indexes map[string]int) {
+	indexes = make(map[string]int)
+	for i := range s.methodCount() {
+		path := methodPath(i)
+		name := s.Text(path + "name")
+		names = append(names, name)
+		if !s.Bool(path + RetiredKey) {
+			indexes[name] = i
+		}
 	}
-	all["methods.count"] = strconv.Itoa(count)
-	all["family_info.needs"], all["family_info.bounds"] = strings.Join(needs, ","), strings.Join(bounds, ",")
-	for _, path := range restartPaths(by, fresh) {
-		if was, had := by[path]; had {
-			all[path] = was
-		} else {
-			delete(all, path)
+	return names, indexes
+}
+
+// methodSettings returns the settings of each method by its index.
+func (s Settings) methodSettings() map[int]map[string]string {
+	all := make(map[int]map[string]string)
+	for path, value := range s.values {
+		rest, ofMethods := strings.CutPrefix(path, "methods.")
+		number, key, nested := strings.Cut(rest, ".")
+		i, err := strconv.Atoi(number)
+		if !ofMethods || !nested || err != nil {
+			continue
+		}
+		if all[i] == nil {
+			all[i] = make(map[string]string)
 		}
+		all[i][key] = value
 	}
-	return all, nil
+	return all
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,4 +1,5 @@
-// Package terms reads values out of the plain map that a driver is given at its start.
+// Package settings reads the settings of a driver: from the file that it is given at its start, and from the configuration that is published
+// for its fleet. Both have the platform's names; everywhere else settings have the project's, as a flat map from path to value.
 package settings
 
 import (
@@ -7,45 +8,52 @@
 	"time"
 )
 
-// Terms is what a driver is told at its start: names and values, with the numbers among them read once.
+// Settings are a driver's settings by path, with the numbers among their values parsed once.
 type Settings struct {
 	values  map[string]string
 	numbers map[string]float64
 }
 
+// New returns the settings of a flat map, which must not change afterwards.
 func New(values map[string]string) Settings {
-	t := Settings{values, make(map[string]float64)}
-	for name, value := range values {
-		if v, err := strconv.ParseFloat(value, 64); err == nil {
-			t.numbers[name] = v
+	s := Settings{values, make(map[string]float64)}
+	for path, value := range values {
+		if number, err := strconv.ParseFloat(value, 64); err == nil {
+			s.numbers[path] = number
 		}
 	}
-	return t
+	return s
 }
 
-// Number gives the value as a number, or otherwise where there is none.
-func (t Settings) Number(name string, fallback float64) float64 {
-	if v, ok := t.numbers[name]; ok {
-		return v
+// Number returns a value as a number, or the fallback if it is none.
+func (s Settings) Number(path string, fallback float64) float64 {
+	if number, ok := s.numbers[path]; ok {
+		return number
 	}
 	return fallback
 }
 
-// Span gives a value in microseconds as a span of time, 0 where there is none.
-func (t Settings) Duration(name string) time.Duration {
-	return time.Duration(t.Number(name, 0)) * time.Microsecond
+// Duration returns a value in microseconds as a duration, or 0 if it is no number.
+func (s Settings) Duration(path string) time.Duration {
+	return time.Duration(s.Number(path, 0)) * time.Microsecond
 }
 
-// Text gives the value as it stands.
-func (t Settings) Text(name string) string { return t.values[name] }
+// Text returns a value as it is, or "" if there is none.
+func (s Settings) Text(path string) string { return s.values[path] }
 
-// Item gives one of several values parted by commas, nothing where there are not so many.
-func (t Settings) ListItem(name string, i int) string {
-	if items := strings.Split(t.values[name], ","); i < len(items) {
+// ListItem returns one item of a value with commas, or "" if there are fewer.
+func (s Settings) ListItem(path string, i int) string {
+	if items := strings.Split(s.values[path], ","); i < len(items) {
 		return items[i]
 	}
 	return ""
 }
 
-// Yes tells whether the value is "true".
-func (t Settings) Bool(name string) bool { return t.values[name] == "true" }
+// Bool reports whether a value is "true".
+func (s Settings) Bool(path string) bool { return s.values[path] == "true" }
+
+// methodCount returns the number of methods, including retired ones.
+func (s Settings) methodCount() int { return int(s.Number("methods.count", 0)) }
+
+// methodPath returns the beginning of the paths of a method.
+func methodPath(i int) string { return "methods." + strconv.Itoa(i) + "." }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// The module must be given the same by either host.
+// The simulator gives settings as lines, a driver's file as an object: the module must get the same.
 func TestLinesAndObjectsAreEquivalent(t *testing.T) {
 	const object = `{"areas":["a b"],"tick_us":5000,"tenants":[],"caps":{"may_probe":false,"peers":true,"cpu_us_per_request":0.0},
 "classes":[{"effect":"safe","target_us":600000},{"effect":"keyed","name":"update"}],
