--- a/cmd/passtack/config_test.go
+++ b/cmd/passtack/config_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// controls starts three control machines as processes, and gives their addresses.
-func controls(t *testing.T) (at []string, all []*process, again func(n int)) {
+// startControlMachines starts three control machines as processes. It returns their addresses, and a function that starts one of them again.
+func startControlMachines(t *testing.T) (at []string, all []*process, again func(n int)) {
 	t.Helper()
 	dir := t.TempDir()
 	for range 3 {
@@ -39,10 +39,10 @@
 	return at, all, again
 }
 
-// Versions are published, shown, refused by machines and by drivers, put back and outlast the machines' ends; without a majority nothing is
-// published, and the command says so.
-func TestConfigurationIsPublishedByCommand(t *testing.T) {
-	at, all, again := controls(t)
+// Versions are published, shown, rejected by machines and by drivers, replaced by older texts, and survive crashes of all machines. Without a
+// majority nothing is published, and the command says so.
+func TestConfigCommands(t *testing.T) {
+	at, all, again := startControlMachines(t)
 	machines := strings.Join(at, ",")
 	dir := t.TempDir()
 	file := func(name, text string) string {
@@ -90,7 +90,7 @@
 	if err := json.Unmarshal([]byte(config(true, "status", "--json")), &told); err != nil || told.Version != 3 || told.Drivers["n1"].Version != 3 {
 		t.Errorf("%v: %+v", err, told)
 	}
-	for _, p := range all { // all at once, by force
+	for _, p := range all { // all machines at once
 		p.command.Process.Signal(syscall.SIGKILL)
 	}
 	time.Sleep(100 * time.Millisecond)
@@ -103,13 +103,13 @@
 	says(config(true, "show"), "version 4")
 	all[2].command.Process.Signal(syscall.SIGTERM)
 	if err := <-all[2].ended; err != nil {
-		t.Errorf("told to end it ends with %v", err)
+		t.Errorf("after SIGTERM it ends with %v", err)
 	}
 	close(all[2].ended)
 }
 
-// What is to be published can be checked against a driver's own files before.
-func TestCheckOfAConfiguration(t *testing.T) {
+// A configuration can be checked against a driver's own files before it is published.
+func TestCheckConfiguration(t *testing.T) {
 	dir := t.TempDir()
 	at, text := filepath.Join(dir, "site.json"), filepath.Join(dir, "configuration.json")
 	os.WriteFile(at, []byte(site), 0o600)
