--- a/internal/membership/broadcast.go
+++ b/internal/membership/broadcast.go
@@ -10,7 +10,7 @@
 // retransmitFactor times the decimal logarithm of the fleet is how often one change is sent.
 const retransmitFactor = 4
 
-// fullEntryPenalty is more than any change is sent: full entries come after all compact ones.
+// fullEntryPenalty exceeds how often any change is sent, so that full entries rank behind all compact ones.
 const fullEntryPenalty = 1000
 
 // broadcastQueue holds the drivers whose latest change is to be sent with the next messages, the latest first.
--- a/internal/membership/codec.go
+++ b/internal/membership/codec.go
@@ -51,7 +51,7 @@
 	headerSize       = entryCountOffset + 1
 )
 
-// Offsets and sizes of an entry. A compact entry has a flag in its status and ends after the suspector: whoever gets it knows the rest.
+// Offsets and sizes of an entry. A compact entry has a flag in its status and ends after the suspector: the name and the summary have not changed.
 const (
 	idOffset           = 0
 	incarnationOffset  = idOffset + 8
@@ -93,7 +93,7 @@
 	return len(e.out)+size+len(e.rangeChecksums) <= MaxDatagramSize
 }
 
-// setMore tells the receiver that entries are left.
+// setMore marks the message: entries are left that did not fit in.
 func (e *encoder) setMore() { e.out[moreOffset] = 1 }
 
 // appendEntry adds a full entry; false: there is no room.
--- a/internal/membership/health.go
+++ b/internal/membership/health.go
@@ -9,7 +9,7 @@
 // multiplier of Lifeguard (Dadgar, Phillips and Currey, 2018).
 type localHealth struct {
 	score                    int           // 0: healthy
-	suspicionSuppressedUntil time.Duration // until then this driver suspects nobody
+	suspicionSuppressedUntil time.Duration // until then this driver does not suspect others
 }
 
 func (h *localHealth) degrade(by int) { h.score = min(h.score+by, maxHealthScore) }
@@ -21,8 +21,8 @@
 	return timeout * time.Duration(1+h.score)
 }
 
-// detectPause notices that this process was suspended or starved: its timer came late by a probe interval or more. Nobody could have
-// answered it meanwhile, so it drops the probe that is out and suspects nobody for what it missed.
+// detectPause notices that this process was suspended or starved: its timer was late by a probe interval or more. It could not
+// receive answers meanwhile, so it drops the pending probe and does not suspect others for answers that it missed.
 func (l *List) detectPause(now time.Duration) {
 	late := now - max(l.lastActive, min(l.NextWake(), now))
 	if late < l.config.ProbeInterval {
--- a/internal/membership/list_test.go
+++ b/internal/membership/list_test.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// After faults drawn by chance on fleets of some sizes the lists converge, and no driver that was gone for long returns by stale gossip.
+// After random faults on fleets of some sizes the lists converge, and no driver that was gone for long returns by stale gossip.
 func TestConvergesAfterRandomFaults(t *testing.T) {
 	var workers sync.WaitGroup
 	seeds := make(chan uint64)
@@ -147,7 +147,7 @@
 	}
 }
 
-// A driver that was paused suspects nobody for what it missed and is back soon; halves that were apart for long converge again; two fleets that never
+// A driver that was paused does not suspect others for answers that it missed and returns soon; halves that were apart for long converge again; two fleets that never
 // met do so when one address joins them.
 func TestProcessPauseAndPartitionRecovery(t *testing.T) {
 	sim := newSimulation(4, 12)
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -11,7 +11,7 @@
 	reasonNameUsedTwice    = "name used twice"
 )
 
-// origin tells whose word an entry is.
+// origin is who sent an entry.
 type origin uint8
 
 const (
@@ -33,7 +33,7 @@
 	return node
 }
 
-// mergeSelf receives what is said of this driver, and refutes what is wrong.
+// mergeSelf refutes an entry of this driver that is wrong.
 func (l *List) mergeSelf(e Entry, from origin) {
 	self := l.self
 	switch {
@@ -88,7 +88,7 @@
 	newer := e.supersedes(&node.Entry)
 	switch {
 	case from == fromItself && e.Status == Alive && node.Incarnation == e.Incarnation && node.Refutation >= e.Refutation && node.Status != Alive:
-		l.broadcast(node) // it does not know yet what is said of it; the answer tells it
+		l.broadcast(node) // it does not know yet that it is believed to be gone; the answer says so
 	case newer && e.Status == Suspect && e.sameRefutation(&node.Entry):
 		l.suspect(node, e.Suspector, now, reasonSuspectedByOther)
 	case newer && from == fromItself:
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// shuffle puts the items in an order drawn by chance.
+// shuffle puts the items in random order.
 func shuffle[T any](items []T, random *pcg.Source) {
 	for i := range items {
 		j := random.Below(i + 1)
--- a/internal/membership/query.go
+++ b/internal/membership/query.go
@@ -48,7 +48,7 @@
 // ActiveCount is how many drivers, this one included, are neither dead nor have left.
 func (l *List) ActiveCount() int { return l.nodes.activeCount() }
 
-// Checksum tells two lists apart: equal lists have equal checksums.
+// Checksum is over the active drivers: equal lists have equal checksums.
 func (l *List) Checksum() uint64 { return l.nodes.activeChecksum() }
 
 // Stats returns the counters.
--- a/internal/membership/shards.go
+++ b/internal/membership/shards.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Shards divides a capacity that all drivers share and must never exceed together, as connections at one member, and tells this driver's shard of it.
+// Shards divides a capacity that all drivers share and must never exceed together, as connections at one member, and computes this driver's shard.
 // Half of the capacity is guaranteed: an equal shard for each address that a driver may have. The other half is for the drivers that see a majority of
 // these: an equal shard for each driver seen of late. So a shard shrinks at once, and grows only once the drivers that are gone have surely given
 // theirs up. A driver that loses sight of the majority keeps its shard for one lease.
--- a/internal/membership/shards_test.go
+++ b/internal/membership/shards_test.go
@@ -44,7 +44,7 @@
 	return sum
 }
 
-// Under crashes, starts, shutdowns, partitions and losses drawn by chance the shards of all drivers together never exceed the total; without faults
+// Under random crashes, starts, shutdowns, partitions and losses the shards of all drivers together never exceed the total; without faults
 // they are nearly all of it, and the drivers that are left take over the shards of those that are gone.
 func TestShardsNeverExceedTheTotal(t *testing.T) {
 	const total = 1200
--- a/internal/membership/simulation_test.go
+++ b/internal/membership/simulation_test.go
@@ -41,7 +41,7 @@
 	generation  int // counts the starts
 	up          bool
 	pausedUntil time.Duration
-	maxDelay    time.Duration // of each call, drawn by chance
+	maxDelay    time.Duration // of each call; the delay is random
 	timer       *due.Item[func()]
 	diedAt      time.Duration
 
@@ -81,7 +81,7 @@
 	}
 }
 
-// startAll starts all drivers, at times drawn by chance.
+// startAll starts all drivers, at random times.
 func (sim *simulation) startAll(limit time.Duration) {
 	for _, h := range sim.hosts {
 		sim.after(sim.within(limit), h.start)
@@ -133,7 +133,7 @@
 	return -1
 }
 
-// injectFault begins a fault drawn by chance, of up to 20 seconds.
+// injectFault begins a random fault of up to 20 seconds.
 func (sim *simulation) injectFault() {
 	h := sim.hosts[sim.random.Below(len(sim.hosts))]
 	duration := sim.within(20 * time.Second)
--- a/internal/membership/sync.go
+++ b/internal/membership/sync.go
@@ -9,10 +9,10 @@
 const (
 	// maxSyncResponses is how many messages one sync fetches; the next one continues after them.
 	maxSyncResponses = 4
-	// syncRangeBits is how many leading bits of a driver's ID tell its range.
+	// syncRangeBits is how many leading bits of a driver's ID are the number of its range.
 	syncRangeBits = 7
 	syncRanges    = 1 << syncRangeBits
-	// startupGraceProbes is for how many probe intervals nobody syncs from a driver that has just started.
+	// startupGraceProbes is for how many probe intervals no driver syncs from one that has just started.
 	startupGraceProbes = 3
 )
 
@@ -22,9 +22,9 @@
 // syncSession is the state of the anti-entropy sync: entries are fetched from one driver at a time, in the order of IDs.
 type syncSession struct {
 	source     driver.Peer
-	after      NodeID        // the last ID that has come; 0: the sync starts over
+	after      NodeID        // the last ID received; 0: the sync starts over
 	sentAt     time.Duration // of the request that is out; 0: none
-	responses  int           // that have come in this session
+	responses  int           // received in this session
 	finishedAt time.Duration
 }
 
@@ -50,7 +50,7 @@
 	l.sendNextSyncRequest()
 }
 
-// sendNextSyncRequest requests what differs after the latest entry that has come. The range checksums are salted anew each time: two ranges that differ
+// sendNextSyncRequest requests what differs after the latest entry received. The range checksums are salted anew each time: two ranges that differ
 // may have the same checksum, but not for long.
 func (l *List) sendNextSyncRequest() {
 	sequence := l.nextSequence()
--- a/internal/node/connection_shard.go
+++ b/internal/node/connection_shard.go
@@ -18,7 +18,7 @@
 	n, now := s.node, s.node.loop.Now()
 	s.shards.Observe(activeDrivers, addresses, now)
 	total := n.config.View.Connections
-	if total == 0 || addresses == 0 { // without addresses nobody knows how many drivers there may be
+	if total == 0 || addresses == 0 { // without addresses it is unknown how many drivers there may be
 		return
 	}
 	if connections := s.shards.Size(total, now); connections != s.connections {
