--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -23,7 +23,7 @@
 	n.Count("reloads")
 	restart := n.reloadSite(fresh)
 	if n.configuration != nil {
-		n.configuration.reloaded(fresh, config)
+		n.configuration.reloadLocal(fresh, config)
 	}
 	if n.peers != nil {
 		n.peers.SetAddresses(n.site.PeerBroadcast, n.site.Peers)
@@ -38,7 +38,7 @@
 	s := n.site
 	settings := s.Settings
 	if n.configuration != nil {
-		settings = n.configuration.base.terms
+		settings = n.configuration.local.settings
 	}
 	for name, same := range map[string]bool{
 		"name":        s.Name == fresh.Name,
@@ -55,7 +55,7 @@
 		n.list.Move(s.Discovery)
 	}
 	s.Descriptors, s.Memory, s.Peers, s.PeerBroadcast = fresh.Descriptors, fresh.Memory, fresh.Peers, fresh.PeerBroadcast
-	n.limit()
+	n.applyLimits()
 	return restart
 }
 
