--- a/internal/rollout/server/election.go
+++ b/internal/rollout/server/election.go
@@ -107,12 +107,12 @@
 
 // Acquired implements lease.Host.
 func (e *election) Acquired(_ string, fencingToken uint64) {
-	slog.Info("control machine acquired the write lease", "machine", e.server.config.Name, "number", fencingToken)
+	slog.Info("control machine acquired the write lease", "machine", e.server.config.Name, "fencing_token", fencingToken)
 	e.server.machine.LeaseGained(fencingToken)
 }
 
 // Lost implements lease.Host.
 func (e *election) Lost(_ string, fencingToken uint64) {
-	slog.Info("control machine lost its write lease", "machine", e.server.config.Name, "number", fencingToken)
+	slog.Info("control machine lost its write lease", "machine", e.server.config.Name, "fencing_token", fencingToken)
 	e.server.machine.LeaseLost()
 }
