--- a/internal/emu/rig/controls.go
+++ b/internal/emu/rig/controls.go
@@ -140,7 +140,7 @@
 		f.fail("control machine %s: %s", s.machine.name, s.line)
 	}
 	if event := field(s.line, "event"); f.began > 0 && event != "started" {
-		f.noteOf(s.machine.name, "%s %s%s", event, field(s.line, "version"), field(s.line, "number"))
+		f.noteOf(s.machine.name, "%s %s%s", event, field(s.line, "version"), field(s.line, "fencing_token"))
 	}
 }
 
@@ -205,10 +205,10 @@
 		at := f.places[d.number].Control.String()
 		v.ask(func(s *play.VersionSample) bool {
 			var told node.Status
-			if control.Ask(at, "status", &told) != nil || told.Configuration == nil {
+			if control.Query(at, "status", &told) != nil || told.Configuration == nil {
 				return false // it is down
 			}
-			s.Who, s.Version, s.Refused, s.Why = d.name, told.Configuration.Version, told.Configuration.Refused, told.Configuration.Why
+			s.Who, s.Version, s.Refused, s.Why = d.name, told.Configuration.Version, told.Configuration.RejectedVersion, told.Configuration.RejectReason
 			return true
 		})
 	}
--- a/internal/node/data_directory.go
+++ b/internal/node/data_directory.go
@@ -72,7 +72,7 @@
 	if n.leases != nil {
 		n.leases.promises.close()
 	}
-	if n.configuration != nil && n.configuration.store != nil {
-		n.configuration.store.Close()
+	if n.configuration != nil {
+		n.configuration.close()
 	}
 }
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -8,8 +8,8 @@
 )
 
 // answers returns what operators may query through the control endpoint.
-func (n *Node) answers() control.Answers {
-	all := control.Answers{"status": func() any { return n.status() }}
+func (n *Node) answers() control.Handlers {
+	all := control.Handlers{"status": func() any { return n.status() }}
 	if n.leases != nil {
 		all["leases"] = func() any { return n.leases.status() }
 	}
