--- a/cmd/passtack/state_test.go
+++ b/cmd/passtack/state_test.go
@@ -12,7 +12,7 @@
 	"passtack/internal/storage"
 )
 
-// What a folder holds is shown while its driver has it, and what is spoilt in it is named.
+// A state directory is shown while its driver uses it, and damaged files are named.
 func TestStateIsShownAndVerified(t *testing.T) {
 	path := t.TempDir()
 	s, _, err := persist.Open(path, "n0", 1<<20)
@@ -40,7 +40,7 @@
 	text, _ := os.ReadFile(logs[0])
 	os.WriteFile(logs[0], text[:len(text)-1], 0o600)
 	if out, ok := passtack(t, "state", "verify", path); ok || !strings.Contains(out, filepath.Base(logs[0])) {
-		t.Errorf("verify of a torn log: %s", out)
+		t.Errorf("verify of a truncated log: %s", out)
 	}
 	if out, ok := passtack(t, "state", "show", path); !ok || !strings.Contains(out, "s-1") || !strings.Contains(out, "never") || !strings.Contains(out, "1.25") {
 		t.Errorf("show: %s", out)
--- a/internal/persist/golden_test.go
+++ b/internal/persist/golden_test.go
@@ -34,12 +34,12 @@
 
 // writeGolden writes a directory with one snapshot and two log records.
 func writeGolden(t *testing.T, path string) {
-	s := open(t, path)
+	s := openStore(t, path)
 	defer s.Close()
 	v := NewSaver(s, 32<<20)
-	memory := idempotency.New(0)
-	memory.Retention, memory.MaxBytes, memory.MaxInProgress = time.Hour, 1<<20, 10
-	memory.Persist = func(key string, e []byte) { v.SetRequest("offices", xxh3.HashString(key), e) }
+	registry := idempotency.New(0)
+	registry.Retention, registry.MaxBytes, registry.MaxInProgress = time.Hour, 1<<20, 10
+	registry.Persist = func(key string, e []byte) { v.SetRequest("offices", xxh3.HashString(key), e) }
 	commit := func(now time.Duration, members ...string) {
 		v.BeginRound()
 		for _, uid := range members {
@@ -52,9 +52,9 @@
 			t.Fatal(err)
 		}
 	}
-	run := func(key string, how idempotency.Outcome) {
-		_, e := memory.Begin(idempotency.Request{Key: key, Digest: 11, FirstSent: time.Second, Window: 2 * time.Second}, time.Second)
-		memory.Finish(e, how, []byte("answer of "+key), 1500*ms)
+	run := func(key string, outcome idempotency.Outcome) {
+		_, e := registry.Begin(idempotency.Request{Key: key, Digest: 11, FirstSent: time.Second, Window: 2 * time.Second}, time.Second)
+		registry.Finish(e, outcome, []byte("answer of "+key), 1500*ms)
 	}
 	v.SessionWrote(0xbeef, time.Hour)
 	v.SessionWrote(5, time.Hour-time.Second)
@@ -126,10 +126,10 @@
 			t.Fatal(err)
 		}
 	}
-	s := open(t, path)
+	s := openStore(t, path)
 	defer s.Close()
 	r := Restore(s)
-	repeats := r.Requests["offices"]
+	requests := r.Requests["offices"]
 	r.Requests = nil
 	want := &LearnedState{
 		SavedAt:        time.Hour + 2*time.Second,
@@ -152,16 +152,16 @@
 	if got := RestorePromises(s); !reflect.DeepEqual(got, map[string]lease.Promise{"summary": goldenPromise}) {
 		t.Errorf("promises %v", got)
 	}
-	memory := idempotency.New(0)
-	memory.Retention, memory.MaxBytes, memory.MaxInProgress = time.Hour, 1<<20, 10
-	if n := memory.Restore(repeats, 2*time.Second); n != 2 {
-		t.Fatalf("%d repeatable requests are restored, want 2", n)
+	registry := idempotency.New(0)
+	registry.Retention, registry.MaxBytes, registry.MaxInProgress = time.Hour, 1<<20, 10
+	if n := registry.Restore(requests, 2*time.Second); n != 2 {
+		t.Fatalf("%d requests are restored, want 2", n)
 	}
-	verdict, e := memory.Begin(idempotency.Request{Key: "done", Digest: 11, FirstSent: time.Second, Window: 2 * time.Second}, 2*time.Second)
+	verdict, e := registry.Begin(idempotency.Request{Key: "done", Digest: 11, FirstSent: time.Second, Window: 2 * time.Second}, 2*time.Second)
 	if verdict != idempotency.Replay || string(e.Response) != "answer of done" {
 		t.Errorf("a repeat of a request that was done: %v", verdict)
 	}
-	if verdict, _ := memory.Begin(idempotency.Request{Key: "unsure", Digest: 11, FirstSent: time.Second, Window: 2 * time.Second}, 4*time.Second); verdict != idempotency.TooLate {
+	if verdict, _ := registry.Begin(idempotency.Request{Key: "unsure", Digest: 11, FirstSent: time.Second, Window: 2 * time.Second}, 4*time.Second); verdict != idempotency.TooLate {
 		t.Errorf("a late repeat of a request that may have run: %v", verdict)
 	}
 }
--- a/internal/persist/persist_test.go
+++ b/internal/persist/persist_test.go
@@ -19,10 +19,7 @@
 
 const ms = time.Millisecond
 
-func open(t interface {
-	TempDir() string
-	Fatal(...any)
-}, path string) *storage.Store {
+func openStore(t *testing.T, path string) *storage.Store {
 	s, _, err := Open(path, "n0", 32<<20)
 	if err != nil {
 		t.Fatal(err)
@@ -56,21 +53,21 @@
 func TestSavedStateIsRestored(t *testing.T) {
 	seeded.Check(t, func(rt *rapid.T) {
 		path := t.TempDir()
-		s := open(t, path)
+		s := openStore(t, path)
 		v := NewSaver(s, 32<<20)
 		known := knowledge{make(map[string]driver.Known), make(map[driver.Session]time.Duration), make(map[string]string), make(map[uint64]string)}
 		saved, rev := known.copy(), int64(0)
 		now, savedAt := time.Hour, time.Duration(0)
 		change := func() {
-			uid, who := fmt.Sprint("s-", rapid.IntRange(0, 5).Draw(rt, "member")), driver.Session(rapid.IntRange(1, 5).Draw(rt, "session"))
+			uid, session := fmt.Sprint("s-", rapid.IntRange(0, 5).Draw(rt, "member")), driver.Session(rapid.IntRange(1, 5).Draw(rt, "session"))
 			switch rapid.IntRange(0, 4).Draw(rt, "what") {
 			case 0:
 				known.members[uid] = driver.Known{Position: now, Replica: now - time.Second, Timed: now - 10*ms, Ratio: 1.5}
 			case 1:
 				delete(known.members, uid)
 			case 2:
-				known.sessions[who] = now
-				v.SessionWrote(who, now)
+				known.sessions[session] = now
+				v.SessionWrote(session, now)
 			case 3:
 				entry := fmt.Sprintf(`{"uid":%q,"rev":%d}`, uid, rev)
 				rev++
@@ -113,7 +110,7 @@
 			saved, savedAt = then, now
 		}
 		s.Close()
-		s = open(t, path)
+		s = openStore(t, path)
 		defer s.Close()
 		r := Restore(s)
 		if !maps.Equal(sessionWrites(s), saved.sessions) || r.SavedAt != savedAt || len(r.Members) != len(saved.members) {
@@ -137,7 +134,7 @@
 // sessionWrites returns the latest write of each session.
 func sessionWrites(s *storage.Store) map[driver.Session]time.Duration {
 	all := make(map[driver.Session]time.Duration)
-	ForEachSessionWrite(s, func(who driver.Session, commit time.Duration) { all[who] = max(all[who], commit) })
+	ForEachSessionWrite(s, func(session driver.Session, writtenAt time.Duration) { all[session] = max(all[session], writtenAt) })
 	return all
 }
 
@@ -152,7 +149,7 @@
 // Writes of many sessions stay within their share of the size and the newest are kept. Expired batches are deleted, and so are batches
 // from the future after the clock went back.
 func TestSessionWritesStayWithinTheirShare(t *testing.T) {
-	s := open(t, t.TempDir())
+	s := openStore(t, t.TempDir())
 	defer s.Close()
 	const maxSize = 64 << 10
 	v, now := NewSaver(s, maxSize), time.Hour
@@ -189,7 +186,7 @@
 // Sessions that an earlier version stored one by one are restored, and stored in batches from then on.
 func TestLegacySessionsAreMigrated(t *testing.T) {
 	path := t.TempDir()
-	s := open(t, path)
+	s := openStore(t, path)
 	k := driver.Known{Position: time.Hour, Replica: time.Hour, Timed: time.Hour, Ratio: 1}
 	if err := s.Commit([]storage.Change{{Name: "session/a", Value: appendDuration(nil, time.Hour)}, {Name: "member/s-1", Value: encodeMember(k)},
 		{Name: "saved", Value: appendDuration(nil, time.Hour)}}); err != nil {
@@ -213,7 +210,7 @@
 // Prune deletes what has not changed for long and nothing else.
 func TestPrune(t *testing.T) {
 	path := t.TempDir()
-	s := open(t, path)
+	s := openStore(t, path)
 	v := NewSaver(s, 1<<20)
 	now := 100 * time.Hour
 	v.SessionWrote(1, now)
@@ -228,7 +225,7 @@
 	if result, err := Prune(path, Owner("n0"), 24*time.Hour, now, 1<<20); err != nil || result.SizeAfter >= result.SizeBefore {
 		t.Errorf("%+v, %v", result, err)
 	}
-	s = open(t, path)
+	s = openStore(t, path)
 	defer s.Close()
 	if r := Restore(s); len(r.Members) != 1 || r.Members["new"].Position != now || r.SessionWrites != 1 {
 		t.Errorf("%+v", r)
@@ -238,7 +235,7 @@
 // Directories of another driver and missing ones are refused; values of another form are left out.
 func TestUnusableDirectories(t *testing.T) {
 	path := t.TempDir()
-	s := open(t, path)
+	s := openStore(t, path)
 	if err := s.Commit([]storage.Change{{Name: memberPrefix + "s-1", Value: []byte("short")}, {Name: legacySessionPrefix + "zz", Value: make([]byte, 8)},
 		{Name: legacySessionPrefix + "5", Value: make([]byte, 8)}, {Name: "other", Value: []byte{}}}); err != nil {
 		t.Fatal(err)
