--- a/internal/rollout/server/storage_test.go
+++ b/internal/rollout/server/storage_test.go
@@ -42,9 +42,21 @@
 	if k.State.Joined || k.State.Accepted.Version != 0 {
 		t.Fatalf("an empty directory has %+v", k)
 	}
-	last := PersistedState{Promises: map[string]lease.Promise{"configuration": {FencingToken: 1 << 60, VoterSetVersion: 1}}, State: rollout.State{Joined: true, Floor: 7, Promised: rollout.Ballot{Number: 1<<60 + 1, Node: 1<<63 + 5},
-		Accepted:  rollout.Entry{Version: 4, Ballot: rollout.Ballot{Number: 9, Node: 3}, Text: strings.Repeat("é", 100), Recent: []rollout.Publication{{ID: 1<<64 - 1, Version: 3}}},
-		Committed: rollout.Entry{Version: 3, Text: "{}"}}}
+	last := PersistedState{
+		Promises: map[string]lease.Promise{"configuration": {FencingToken: 1 << 60, VoterSetVersion: 1}},
+		State: rollout.State{
+			Joined:   true,
+			Floor:    7,
+			Promised: rollout.Ballot{Number: 1<<60 + 1, Node: 1<<63 + 5},
+			Accepted: rollout.Entry{
+				Version: 4,
+				Ballot:  rollout.Ballot{Number: 9, Node: 3},
+				Text:    strings.Repeat("é", 100),
+				Recent:  []rollout.Publication{{ID: 1<<64 - 1, Version: 3}},
+			},
+			Committed: rollout.Entry{Version: 3, Text: "{}"},
+		},
+	}
 	first := last
 	first.State.Accepted.Version, first.State.Floor = 2, 1
 	persistAll(t, f, notified, first, last, last)
--- a/internal/rollout/simulation_test.go
+++ b/internal/rollout/simulation_test.go
@@ -33,6 +33,7 @@
 	versionsByClock  bool // a mutation: see publishByClock
 	publishAttempts  int
 	publishSuccesses int
+	lastWriter       *replica // after heal
 }
 
 // replica is one machine across its restarts.
@@ -98,13 +99,13 @@
 
 func (r *replica) start() {
 	r.incarnation, r.diskBusyUntil = r.sim.nextNumber(), 0
-	var others []lease.Node
+	var peers []lease.Node
 	for n := range 3 {
 		if n != r.index {
-			others = append(others, nodeOf(n))
+			peers = append(peers, nodeOf(n))
 		}
 	}
-	r.machine = New(r, nodeOf(r.index), others, r.disk)
+	r.machine = New(r, nodeOf(r.index), peers, r.disk)
 	if mutate := r.sim.mutate; mutate != nil {
 		mutate(r.machine)
 	}
@@ -282,9 +283,15 @@
 			s.pollDriver(s.random.Below(len(s.drivers)), s.random.Below(3))
 		}
 	}
-	if s.violation != "" {
-		return s
+	if s.violation == "" {
+		s.heal()
+		s.checkConvergence()
 	}
+	return s
+}
+
+// heal ends all faults, and makes one machine the writer.
+func (s *simulation) heal() {
 	s.lossRate = 0
 	clear(s.cut)
 	s.run(3 * time.Second)
@@ -295,19 +302,24 @@
 	for _, r := range s.replicas {
 		r.machine.LeaseLost()
 	}
-	r := s.replicas[s.random.Below(3)]
-	r.machine.LeaseGained(s.nextNumber())
+	s.lastWriter = s.replicas[s.random.Below(3)]
+	s.lastWriter.machine.LeaseGained(s.nextNumber())
 	s.run(2 * time.Second)
 	for d := range s.drivers {
 		s.pollDriver(d, 0)
 	}
 	s.run(time.Second)
-	before := r.machine.Committed().Version
-	s.publish(r.index, 1<<30, before)
+}
+
+// checkConvergence checks that a publication reaches all machines, and that no driver is ahead of them.
+func (s *simulation) checkConvergence() {
+	before := s.lastWriter.machine.Committed().Version
+	s.publish(s.lastWriter.index, 1<<30, before)
 	s.run(2 * time.Second)
-	for _, o := range s.replicas {
-		if e := o.machine.Committed(); e.Version <= before || e.Text != fmt.Sprint("text ", 1<<30) || !o.machine.IsFresh(s.now) {
-			s.fail("in the end machine %d has version %d, %q, fresh %v; version %d was there before", o.index, e.Version, e.Text, o.machine.IsFresh(s.now), before)
+	for _, r := range s.replicas {
+		e, fresh := r.machine.Committed(), r.machine.IsFresh(s.now)
+		if e.Version <= before || e.Text != fmt.Sprint("text ", 1<<30) || !fresh {
+			s.fail("in the end machine %d has version %d, %q, fresh %v; version %d was there before", r.index, e.Version, e.Text, fresh, before)
 		}
 	}
 	for d, v := range s.drivers {
@@ -315,7 +327,6 @@
 			s.fail("driver %d has version %d, newer than any of the machines, %d", d, v, before)
 		}
 	}
-	return s
 }
 
 // Whatever happens, no version has two texts, no publication becomes two versions, and in the end all machines have the same version.
@@ -324,17 +335,18 @@
 	if *simulationRuns > 0 {
 		seeds = *simulationRuns
 	}
-	asked, done, most := 0, 0, uint64(0)
+	attempts, published, newest := 0, 0, uint64(0)
 	for seed := range seeds {
 		s := simulate(uint64(seed)+1, nil, false)
 		if s.violation != "" {
 			t.Fatalf("seed %d: %s", seed+1, s.violation)
 		}
-		asked, done, most = asked+s.publishAttempts, done+s.publishSuccesses, max(most, slices.Max(s.drivers))
+		attempts, published = attempts+s.publishAttempts, published+s.publishSuccesses
+		newest = max(newest, slices.Max(s.drivers))
 	}
-	t.Logf("%d simulations, %d publish attempts, %d published, newest version %d", seeds, asked, done, most)
-	if done < seeds*3 {
-		t.Errorf("too few publications to tell: %d in %d simulations", done, seeds)
+	t.Logf("%d simulations, %d publish attempts, %d published, newest version %d", seeds, attempts, published, newest)
+	if published < seeds*3 {
+		t.Errorf("too few publications to tell: %d in %d simulations", published, seeds)
 	}
 }
 
