--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -5,8 +5,8 @@
 // Reasons of status changes, as operators read them.
 const (
 	reasonFirstSeen        = "new"
-	reasonReportedBySelf   = "reported by itself"
-	reasonReportedByOthers = "reported by others"
+	ReasonReportedBySelf   = "reported by itself"
+	ReasonReportedByOthers = "reported by others"
 	reasonSuspectedByOther = "suspected by others"
 	reasonNameUsedTwice    = "name used twice"
 )
@@ -92,9 +92,9 @@
 	case newer && e.Status == Suspect && e.sameRefutation(&node.Entry):
 		l.suspect(node, e.Suspector, now, reasonSuspectedByOther)
 	case newer && from == fromItself:
-		l.replaceEntry(node, e, now, reasonReportedBySelf)
+		l.replaceEntry(node, e, now, ReasonReportedBySelf)
 	case newer:
-		l.replaceEntry(node, e, now, reasonReportedByOthers)
+		l.replaceEntry(node, e, now, ReasonReportedByOthers)
 	case from == fromOther && e.Status == Suspect && node.Status == Suspect && e.sameRefutation(&node.Entry):
 		l.suspect(node, e.Suspector, now, "")
 	}
--- a/internal/node/fleet_status.go
+++ b/internal/node/fleet_status.go
@@ -57,7 +57,7 @@
 	return DriverStatus{
 		Name:         node.Name,
 		Status:       node.Status.String(),
-		Reason:       node.Reason,
+		Reason:       controlReason(node.Reason),
 		Self:         node.Self,
 		Incarnation:  node.Incarnation,
 		Refutation:   node.Refutation,
@@ -68,3 +68,14 @@
 		ListRevision: int(node.Summary.ListRevision),
 	}
 }
+
+// controlReason returns the text that the control endpoint has for a reason: scripts of operators compare it.
+func controlReason(reason string) string {
+	switch reason {
+	case membership.ReasonReportedBySelf:
+		return "says so itself"
+	case membership.ReasonReportedByOthers:
+		return "told by others"
+	}
+	return reason
+}
