--- a/internal/node/configuration_storage.go
+++ b/internal/node/configuration_storage.go
@@ -17,19 +17,20 @@
 
 // configurationStorage is the folder of the version in force.
 type configurationStorage struct {
-	store         *storage.Store
-	logQuietUntil time.Duration // failures are not logged until then
+	store          *storage.Store
+	failureWarning logLimiter
 }
 
-func (n *Node) openConfigurationStorage(folder string) (*configurationStorage, error) {
-	store, found, err := n.openFolder(folder, maxConfigurationBytes)
-	if err != nil {
-		return nil, err
-	}
-	for _, lost := range found.Unreadable {
-		slog.Warn("configuration file corrupt", "file", lost)
+// openConfigurationStorage returns nil if the folder cannot be used.
+func (n *Node) openConfigurationStorage(folder string) *configurationStorage {
+	store, _ := n.openDataDirectory(dataDirectory{
+		path: folder, maxSize: maxConfigurationBytes,
+		unusableEvent: "configuration folder unusable", damagedEvent: "configuration file corrupt", unusableCounter: counterFolderUnusable,
+	})
+	if store == nil {
+		return nil
 	}
-	return &configurationStorage{store: store}, nil
+	return &configurationStorage{store: store}
 }
 
 // read returns the stored version, if there is one.
@@ -50,8 +51,7 @@
 
 // logFailure logs a failed write, unless one was logged a moment ago.
 func (s *configurationStorage) logFailure(version uint64, cause error, now time.Duration) {
-	if now >= s.logQuietUntil {
-		s.logQuietUntil = now + quietFor
+	if s.failureWarning.allow(now) {
 		slog.Warn("configuration version not stored", "version", version, "cause", cause)
 	}
 }
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -86,7 +86,7 @@
 		id = r.lastID
 		r.ids[uid], r.uids[id] = id, uid
 		slog.Info("member_listed", "member", fmt.Sprintf("%012x", uint64(id)), "uid", uid, "endpoint", address, "group", group)
-		defer func() { n.recallMember(id, uid) }()
+		defer func() { n.learned.restoreMember(id, uid) }()
 	}
 	if address.IsValid() {
 		r.poolOf(group).Place(id, address)
