--- a/internal/node/lease_golden_test.go
+++ b/internal/node/lease_golden_test.go
@@ -69,13 +69,13 @@
 		t.Fatal(err)
 	}
 	n := &Node{loop: l, list: new(list.Discovery)}
-	of := &leaseService{node: n}
-	s := &summaryTask{leases: of, upload: &summaryUpload{node: n, accepted: 5, rejected: 1, failed: 2}}
+	service := &leaseService{node: n}
+	s := &summaryTask{leases: service, upload: &summaryUpload{node: n, accepted: 5, rejected: 1, failed: 2}}
 	status := LeasesStatus{Name: "n0", Version: 2, Voters: []string{"n0", "n1", "n2"}, Former: []string{"n0", "n1", "n3"}, SilentForMS: 10,
 		Leases: []LeaseStatus{
 			{Lease: "summary", Holder: "n0", FencingToken: 77, HeldForMS: 20, RemainingMS: 30,
 				RejectionReasons: map[string]string{"n1": lease.StaleToken.String()}, LastHeardMS: map[string]int64{"n2": 40}, Task: s.status()},
-			{Lease: "watch-discovery", Task: (&discoveryWatcher{leases: of}).status()},
+			{Lease: "watch-discovery", Task: (&discoveryWatcher{leases: service}).status()},
 		},
 		Grants: []GrantStatus{{Lease: "summary", Holder: "n0", FencingToken: 77, RemainingMS: 30, Waiting: 4}}}
 	sum := FleetSummary{FencingToken: 77, Holder: "n0", HeldAt: 3 * time.Second, Drivers: 3, ReadyDrivers: 2, RPCs: 1000, OK: 900, Rejected: 50, InFlight: 7,
--- a/internal/peers/golden_test.go
+++ b/internal/peers/golden_test.go
@@ -19,8 +19,8 @@
 func TestGoldenDatagrams(t *testing.T) {
 	const fleet = 0x1122334455667788
 	holder := lease.Holder{Node: 0x0102030405060708, Incarnation: 0x1112131415161718}
-	about := func(op lease.Op, why lease.Reason, lasts time.Duration) *lease.Message {
-		return &lease.Message{Op: op, Reason: why, Lease: "watch-discovery", VoterSetVersion: 3, Round: 41, FencingToken: 1_700_000_000_123, TTL: lasts, Holder: holder}
+	message := func(op lease.Op, reason lease.Reason, ttl time.Duration) *lease.Message {
+		return &lease.Message{Op: op, Reason: reason, Lease: "watch-discovery", VoterSetVersion: 3, Round: 41, FencingToken: 1_700_000_000_123, TTL: ttl, Holder: holder}
 	}
 	for name, c := range map[string]struct {
 		kind    peers.Kind
@@ -30,15 +30,15 @@
 		"hello":         {kind: peers.Hello},
 		"hello-answer":  {kind: peers.Hello, body: []byte{1}},
 		"collect":       {kind: peers.CollectDigests},
-		"lease-ask":     {kind: peers.Lease, message: about(lease.Request, 0, 5*time.Second)},
-		"lease-grant":   {kind: peers.Lease, message: about(lease.Grant, 0, 5*time.Second)},
-		"lease-refuse":  {kind: peers.Lease, message: about(lease.Reject, lease.HeldByAnother, 1234*time.Millisecond)},
-		"lease-lower":   {kind: peers.Lease, message: about(lease.Reject, lease.StaleToken, 0)},
-		"lease-silent":  {kind: peers.Lease, message: about(lease.Reject, lease.VoterStarting, 10*time.Second)},
-		"lease-older":   {kind: peers.Lease, message: about(lease.Reject, lease.StaleVoterSet, 10*time.Second)},
-		"lease-unkept":  {kind: peers.Lease, message: about(lease.Reject, lease.NotPersisted, 10*time.Second)},
-		"lease-release": {kind: peers.Lease, message: about(lease.Release, 0, 0)},
-		"lease-free":    {kind: peers.Lease, message: about(lease.Available, 0, 0)},
+		"lease-ask":     {kind: peers.Lease, message: message(lease.Request, 0, 5*time.Second)},
+		"lease-grant":   {kind: peers.Lease, message: message(lease.Grant, 0, 5*time.Second)},
+		"lease-refuse":  {kind: peers.Lease, message: message(lease.Reject, lease.HeldByAnother, 1234*time.Millisecond)},
+		"lease-lower":   {kind: peers.Lease, message: message(lease.Reject, lease.StaleToken, 0)},
+		"lease-silent":  {kind: peers.Lease, message: message(lease.Reject, lease.VoterStarting, 10*time.Second)},
+		"lease-older":   {kind: peers.Lease, message: message(lease.Reject, lease.StaleVoterSet, 10*time.Second)},
+		"lease-unkept":  {kind: peers.Lease, message: message(lease.Reject, lease.NotPersisted, 10*time.Second)},
+		"lease-release": {kind: peers.Lease, message: message(lease.Release, 0, 0)},
+		"lease-free":    {kind: peers.Lease, message: message(lease.Available, 0, 0)},
 	} {
 		if c.message != nil {
 			c.body = lease.AppendMessage(nil, *c.message)
