--- a/cmd/passtack/config.go
+++ b/cmd/passtack/config.go
@@ -21,8 +21,8 @@
 	"text/tabwriter"
 	"time"
 
+	"passtack/internal/config"
 	"passtack/internal/loop"
-	"passtack/internal/operator"
 	"passtack/internal/rollout"
 	"passtack/internal/rollout/server"
 )
@@ -41,7 +41,7 @@
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	signal.Ignore(syscall.SIGHUP)
-	wants, err := operator.ReadMachine(c.Operator)
+	wants, err := config.ReadMachine(c.Operator)
 	if err != nil {
 		return err
 	}
--- a/cmd/passtack/main.go
+++ b/cmd/passtack/main.go
@@ -15,11 +15,11 @@
 
 	"github.com/alecthomas/kong"
 
+	"passtack/internal/config"
 	"passtack/internal/emu/play"
 	"passtack/internal/emu/rig"
 	"passtack/internal/logs"
 	"passtack/internal/node"
-	"passtack/internal/operator"
 )
 
 // place names the file that tells a driver what it needs to know at its start.
@@ -29,7 +29,7 @@
 }
 
 // read gives both, checked.
-func (p *place) read() (*node.Site, *operator.File, error) {
+func (p *place) read() (*node.Site, *config.File, error) {
 	site, err := node.ReadSite(p.Site, os.Getenv)
 	if err != nil {
 		return nil, nil, err
@@ -74,7 +74,7 @@
 		}
 	}
 	fmt.Printf("name=%s listen=%s discovery=%s methods=%s\n", site.Name, site.Listen, site.Discovery, site.Settings["methods.count"])
-	for _, f := range wants.Fronts[1:] {
+	for _, f := range wants.Listeners[1:] {
 		sets := 0
 		if f.OData != nil {
 			sets = len(f.OData.Model.Sets)
--- a/internal/operator/operator.go
+++ b/internal/config/config.go
@@ -1,7 +1,7 @@
-// Package operator reads the operator's own file (HCL): fronts beside the platform's, what they offer and may hold,
+// Package config reads the operator's own file (HCL): fronts beside the platform's, what they offer and may hold,
 // which members speak what, and how much is logged. Everything wrong with it is told at once, each with its file, line,
 // column and value.
-package operator
+package config
 
 import (
 	"fmt"
@@ -27,119 +27,119 @@
 
 // Method is what the platform's settings say of one, as far as the file is checked against it.
 type Method struct {
-	Name        string
-	Need        string // any, bounded, session, fresh or write
-	Idempotent  bool
-	Tokened     bool
-	Window      time.Duration
-	Soft, Limit time.Duration
+	Name                      string
+	Need                      string // any, bounded, session, fresh or write
+	Idempotent                bool
+	HasToken                  bool
+	Window                    time.Duration
+	SoftDeadline, MaxDeadline time.Duration
 }
 
 // Front is one listener.
-type Front struct {
+type Listener struct {
 	Protocol, Name string
 	Listen         netip.AddrPort // invalid for the platform's own
-	Share          share.Terms
+	Quota          share.Terms
 	OData          *OData // of that protocol
 }
 
 // OData is what a front for OData offers and bounds.
 type OData struct {
-	Root    string
-	Model   *odata.Model
-	HTTP    httpwire.Limits
-	Batch   int // requests
-	Abreast int // of them at once
-	Repeats Repeats
+	Root          string
+	Model         *odata.Model
+	HTTP          httpwire.Limits
+	MaxBatch      int // requests
+	MaxConcurrent int // of them at once
+	Idempotency   IdempotencyCache
 }
 
 // Repeats bounds what is remembered of repeatable requests.
-type Repeats struct {
-	Sticky bool
-	Kept   time.Duration
-	Bytes  int
-	Open   int
+type IdempotencyCache struct {
+	Sticky     bool
+	TTL        time.Duration
+	MaxBytes   int
+	MaxPending int
 }
 
 // State is where a driver keeps what it has learned.
 type State struct {
-	Folder string
-	Every  time.Duration // between two commits
-	Bytes  int           // that it may take
+	DataDir      string
+	SaveInterval time.Duration // between two commits
+	MaxBytes     int           // that it may take
 }
 
 // Leases is this driver's part in work that one driver does for its fleet.
 type Leases struct {
-	Fleet          string // drivers of another do not talk with these
-	Version        uint32 // of the voters
-	Voters, Former []string
-	Lasts, Longest time.Duration
-	Folder         string // where a voter keeps its promises, "": nowhere
-	Tasks          []Task
+	Fleet                string // drivers of another do not talk with these
+	Version              uint32 // of the voters
+	Voters, FormerVoters []string
+	TTL, MaxTTL          time.Duration
+	DataDir              string // where a voter keeps its promises, "": nowhere
+	Tasks                []Task
 }
 
 // Task is work for the holder of a lease of that name.
 type Task struct {
-	Name  string
-	Every time.Duration
-	To    netip.AddrPort // where a summary goes
-	Path  string
+	Name     string
+	Interval time.Duration
+	Address  netip.AddrPort // where a summary goes
+	Path     string
 }
 
 // Set is who votes.
-func (l *Leases) Set() lease.VoterSet {
+func (l *Leases) VoterSet() lease.VoterSet {
 	s := lease.VoterSet{Version: l.Version}
 	for _, name := range l.Voters {
 		s.Voters = append(s.Voters, lease.NodeOf(name))
 	}
-	for _, name := range l.Former {
+	for _, name := range l.FormerVoters {
 		s.Former = append(s.Former, lease.NodeOf(name))
 	}
 	return s
 }
 
 // View is how a driver keeps one of its fleet.
-type View struct {
-	Fleet       string
-	Every       time.Duration // between two questions
-	Connections int           // that one member takes from all drivers, 0: not told
+type Membership struct {
+	Fleet             string
+	Interval          time.Duration // between two questions
+	MemberConnections int           // that one member takes from all drivers, 0: not told
 }
 
 // File is what the operator wants.
 type File struct {
-	View    *View          // nil: the driver keeps none of its fleet
-	Leases  *Leases        // nil: the driver has no part in any
-	State   *State         // nil: nothing is kept
-	Control netip.AddrPort // where operators ask about the driver; invalid: nowhere
-	Level   slog.Level
-	Sample  int64
-	Fronts  []*Front
-	Forms   map[driver.Group]driver.Form
-	Root    string // under which members that speak OData serve
-	Host    string // that they are asked for, "": their address
+	Membership *Membership    // nil: the driver keeps none of its fleet
+	Leases     *Leases        // nil: the driver has no part in any
+	State      *State         // nil: nothing is kept
+	Control    netip.AddrPort // where operators ask about the driver; invalid: nowhere
+	LogLevel   slog.Level
+	LogSample  int64
+	Listeners  []*Listener
+	Forms      map[driver.Group]driver.Form
+	MemberRoot string // under which members that speak OData serve
+	MemberHost string // that they are asked for, "": their address
 
-	Configuration *Configuration        // nil: no control machine is asked
-	Machine       *server.MachineConfig // nil: the file is no control machine's
+	Configuration  *Configuration        // nil: no control machine is asked
+	ControlMachine *server.MachineConfig // nil: the file is no control machine's
 
-	again func(methods []Method) (*File, error)
+	recheck func(methods []Method) (*File, error)
 }
 
 // Again reads the same text against other methods.
-func (f *File) Again(methods []Method) (*File, error) {
-	if f.again == nil {
+func (f *File) Recheck(methods []Method) (*File, error) {
+	if f.recheck == nil {
 		return f, nil
 	}
-	return f.again(methods)
+	return f.recheck(methods)
 }
 
 // Mistakes are all that is wrong with a file, one a line.
-type Mistakes []string
+type ValidationErrors []string
 
-func (m Mistakes) Error() string { return strings.Join(m, "\n") }
+func (m ValidationErrors) Error() string { return strings.Join(m, "\n") }
 
 // None is what holds where no file is given.
-func None() *File {
-	return &File{Fronts: []*Front{{Protocol: "pg", Name: "platform", Share: share.Terms{Weight: 1}}}}
+func Default() *File {
+	return &File{Listeners: []*Listener{{Protocol: "pg", Name: "platform", Quota: share.Terms{Weight: 1}}}}
 }
 
 // Read reads and checks the file. The platform listens on its own address and has its methods.
@@ -153,33 +153,33 @@
 
 // Parse is Read of a text.
 func Parse(text []byte, name string, listen netip.AddrPort, methods []Method) (*File, error) {
-	r := &reader{methods: methods, listens: map[netip.AddrPort]string{listen: "the platform's listener"}, text: text}
+	r := &reader{methods: methods, addresses: map[netip.AddrPort]string{listen: "the platform's listener"}, text: text}
 	parsed, diagnostics := hclsyntax.ParseConfig(text, name, hcl.InitialPos)
-	r.take(diagnostics)
+	r.addDiagnostics(diagnostics)
 	if parsed == nil || diagnostics.HasErrors() {
-		return nil, r.mistakes
+		return nil, r.errors
 	}
 	f := r.file(parsed.Body)
-	if len(r.mistakes) > 0 {
-		return nil, r.mistakes
+	if len(r.errors) > 0 {
+		return nil, r.errors
 	}
-	f.again = func(methods []Method) (*File, error) { return Parse(text, name, listen, methods) }
+	f.recheck = func(methods []Method) (*File, error) { return Parse(text, name, listen, methods) }
 	return f, nil
 }
 
 // reader collects mistakes.
 type reader struct {
-	methods  []Method
-	listens  map[netip.AddrPort]string
-	mistakes Mistakes
-	text     []byte
+	methods   []Method
+	addresses map[netip.AddrPort]string
+	errors    ValidationErrors
+	text      []byte
 }
 
-func (r *reader) wrong(at hcl.Range, format string, args ...any) {
-	r.mistakes = append(r.mistakes, fmt.Sprintf("%s:%d:%d: %s", at.Filename, at.Start.Line, at.Start.Column, fmt.Sprintf(format, args...)))
+func (r *reader) addError(at hcl.Range, format string, args ...any) {
+	r.errors = append(r.errors, fmt.Sprintf("%s:%d:%d: %s", at.Filename, at.Start.Line, at.Start.Column, fmt.Sprintf(format, args...)))
 }
 
-func (r *reader) take(diagnostics hcl.Diagnostics) {
+func (r *reader) addDiagnostics(diagnostics hcl.Diagnostics) {
 	for _, d := range diagnostics {
 		at := hcl.Range{}
 		if d.Subject != nil {
@@ -189,7 +189,7 @@
 		if at.CanSliceBytes(r.text) && at.End.Line == at.Start.Line {
 			value = fmt.Sprintf(" (%s)", at.SliceBytes(r.text))
 		}
-		r.wrong(at, "%s%s", strings.ToLower(d.Summary[:1])+d.Summary[1:], value)
+		r.addError(at, "%s%s", strings.ToLower(d.Summary[:1])+d.Summary[1:], value)
 	}
 }
 
@@ -200,7 +200,7 @@
 		schema.Attributes = append(schema.Attributes, hcl.AttributeSchema{Name: name})
 	}
 	c, diagnostics := body.Content(schema)
-	r.take(diagnostics)
+	r.addDiagnostics(diagnostics)
 	return c
 }
 
@@ -211,17 +211,17 @@
 	}
 	at = a.Expr.Range()
 	v, diagnostics := a.Expr.Value(nil)
-	if r.take(diagnostics); diagnostics.HasErrors() {
+	if r.addDiagnostics(diagnostics); diagnostics.HasErrors() {
 		return v, at, false
 	}
 	if !v.IsKnown() || v.IsNull() || !v.Type().Equals(want) {
-		r.wrong(at, "%s is no %s (%s)", name, kind, at.SliceBytes(r.text))
+		r.addError(at, "%s is no %s (%s)", name, kind, at.SliceBytes(r.text))
 		return v, at, false
 	}
 	return v, at, true
 }
 
-func (r *reader) words(c *hcl.BodyContent, name, otherwise string) (string, hcl.Range) {
+func (r *reader) textOf(c *hcl.BodyContent, name, otherwise string) (string, hcl.Range) {
 	if v, at, ok := r.value(c, name, cty.String, "text"); ok {
 		return v.AsString(), at
 	} else {
@@ -229,51 +229,51 @@
 	}
 }
 
-func (r *reader) yes(c *hcl.BodyContent, name string, otherwise bool) bool {
+func (r *reader) boolOf(c *hcl.BodyContent, name string, otherwise bool) bool {
 	if v, _, ok := r.value(c, name, cty.Bool, "true or false"); ok {
 		return v.True()
 	}
 	return otherwise
 }
 
-func (r *reader) number(c *hcl.BodyContent, name string, otherwise, least, most float64) float64 {
+func (r *reader) numberOf(c *hcl.BodyContent, name string, otherwise, least, most float64) float64 {
 	v, at, ok := r.value(c, name, cty.Number, "number")
 	if !ok {
 		return otherwise
 	}
 	n, _ := v.AsBigFloat().Float64()
 	if n < least || n > most {
-		r.wrong(at, "%s is not from %v to %v (%v)", name, least, most, n)
+		r.addError(at, "%s is not from %v to %v (%v)", name, least, most, n)
 		return otherwise
 	}
 	return n
 }
 
-func (r *reader) count(c *hcl.BodyContent, name string, otherwise, least, most int) int {
-	n := r.number(c, name, float64(otherwise), float64(least), float64(most))
+func (r *reader) intOf(c *hcl.BodyContent, name string, otherwise, least, most int) int {
+	n := r.numberOf(c, name, float64(otherwise), float64(least), float64(most))
 	if n != float64(int(n)) {
-		r.wrong(c.Attributes[name].Expr.Range(), "%s is no whole number (%v)", name, n)
+		r.addError(c.Attributes[name].Expr.Range(), "%s is no whole number (%v)", name, n)
 	}
 	return int(n)
 }
 
-func (r *reader) span(c *hcl.BodyContent, name string, otherwise, least, most time.Duration) time.Duration {
-	text, at := r.words(c, name, "")
+func (r *reader) durationOf(c *hcl.BodyContent, name string, otherwise, least, most time.Duration) time.Duration {
+	text, at := r.textOf(c, name, "")
 	if text == "" {
 		return otherwise
 	}
 	d, err := time.ParseDuration(text)
 	if err != nil || d < least || d > most {
-		r.wrong(at, "%s is no time from %v to %v (%q)", name, least, most, text)
+		r.addError(at, "%s is no time from %v to %v (%q)", name, least, most, text)
 		return otherwise
 	}
 	return d
 }
 
-var levels = map[string]slog.Level{"debug": slog.LevelDebug, "info": slog.LevelInfo, "warn": slog.LevelWarn, "error": slog.LevelError}
+var logLevels = map[string]slog.Level{"debug": slog.LevelDebug, "info": slog.LevelInfo, "warn": slog.LevelWarn, "error": slog.LevelError}
 
 func (r *reader) file(body hcl.Body) *File {
-	f := &File{Forms: make(map[driver.Group]driver.Form), Root: "/"}
+	f := &File{Forms: make(map[driver.Group]driver.Form), MemberRoot: "/"}
 	c := r.content(body, nil, hcl.BlockHeaderSchema{Type: "log"}, hcl.BlockHeaderSchema{Type: "state"},
 		hcl.BlockHeaderSchema{Type: "control"}, hcl.BlockHeaderSchema{Type: "leases"}, hcl.BlockHeaderSchema{Type: "view"},
 		hcl.BlockHeaderSchema{Type: "configuration"}, hcl.BlockHeaderSchema{Type: "control_machine", LabelNames: []string{"name"}},
@@ -283,48 +283,48 @@
 		return f
 	}
 	blocks := c.Blocks.ByType()
-	r.once(blocks["log"])
+	r.atMostOne(blocks["log"])
 	for _, b := range blocks["log"] {
 		in := r.content(b.Body, []string{"level", "sample"})
-		level, at := r.words(in, "level", "info")
+		level, at := r.textOf(in, "level", "info")
 		var ok bool
-		if f.Level, ok = levels[level]; !ok {
-			r.wrong(at, "level is none of debug, info, warn and error (%q)", level)
+		if f.LogLevel, ok = logLevels[level]; !ok {
+			r.addError(at, "level is none of debug, info, warn and error (%q)", level)
 		}
-		f.Sample = int64(r.count(in, "sample", 0, 0, 1_000_000))
+		f.LogSample = int64(r.intOf(in, "sample", 0, 0, 1_000_000))
 	}
-	r.once(blocks["state"])
+	r.atMostOne(blocks["state"])
 	for _, b := range blocks["state"] {
 		in := r.content(b.Body, []string{"folder", "every", "most_kb"})
 		if in == nil {
 			continue
 		}
-		folder, at := r.words(in, "folder", "")
+		folder, at := r.textOf(in, "folder", "")
 		if !filepath.IsAbs(folder) {
-			r.wrong(at, "folder is no path from the root (%q)", folder)
+			r.addError(at, "folder is no path from the root (%q)", folder)
 		}
-		f.State = &State{Folder: folder, Every: r.span(in, "every", time.Second, 100*time.Millisecond, time.Hour),
-			Bytes: r.count(in, "most_kb", 32<<10, 64, 1<<20) << 10}
+		f.State = &State{DataDir: folder, SaveInterval: r.durationOf(in, "every", time.Second, 100*time.Millisecond, time.Hour),
+			MaxBytes: r.intOf(in, "most_kb", 32<<10, 64, 1<<20) << 10}
 	}
-	r.once(blocks["control"])
+	r.atMostOne(blocks["control"])
 	for _, b := range blocks["control"] {
 		r.control(f, b)
 	}
-	r.once(blocks["leases"])
+	r.atMostOne(blocks["leases"])
 	for _, b := range blocks["leases"] {
 		f.Leases = r.leases(b)
 	}
-	r.once(blocks["view"])
+	r.atMostOne(blocks["view"])
 	for _, b := range blocks["view"] {
-		r.view(f, b)
+		r.membership(f, b)
 	}
-	r.once(blocks["configuration"])
+	r.atMostOne(blocks["configuration"])
 	for _, b := range blocks["configuration"] {
 		r.configuration(f, b)
 	}
-	r.once(blocks["control_machine"])
+	r.atMostOne(blocks["control_machine"])
 	for _, b := range blocks["control_machine"] {
-		r.machine(f, b)
+		r.controlMachine(f, b)
 	}
 	for _, b := range blocks["members"] {
 		r.members(f, b)
@@ -332,26 +332,26 @@
 	names := make(map[string]bool)
 	platform := false
 	for _, b := range blocks["front"] {
-		front := r.front(f, b)
+		front := r.listener(f, b)
 		if front == nil {
 			continue
 		}
 		if names[front.Name] {
-			r.wrong(b.LabelRanges[1], "two fronts have this name (%q)", front.Name)
+			r.addError(b.LabelRanges[1], "two fronts have this name (%q)", front.Name)
 		}
 		names[front.Name] = true
 		if !front.Listen.IsValid() {
 			if platform {
-				r.wrong(b.DefRange, "a second front without listen (%q): only the platform's own has none", front.Name)
+				r.addError(b.DefRange, "a second front without listen (%q): only the platform's own has none", front.Name)
 			}
 			platform = true
 		}
-		f.Fronts = append(f.Fronts, front)
+		f.Listeners = append(f.Listeners, front)
 	}
 	if !platform {
-		f.Fronts = append(None().Fronts, f.Fronts...)
+		f.Listeners = append(Default().Listeners, f.Listeners...)
 	}
-	slices.SortStableFunc(f.Fronts, func(a, b *Front) int { // the platform's first
+	slices.SortStableFunc(f.Listeners, func(a, b *Listener) int { // the platform's first
 		return map[bool]int{true: 1}[a.Listen.IsValid()] - map[bool]int{true: 1}[b.Listen.IsValid()]
 	})
 	return f
@@ -363,30 +363,30 @@
 	if c == nil {
 		return
 	}
-	text, at := r.words(c, "listen", "")
+	text, at := r.textOf(c, "listen", "")
 	address, err := netip.ParseAddrPort(text)
 	if err != nil || !address.Addr().IsLoopback() {
-		r.wrong(at, "listen is no loopback address with a port (%q)", text)
+		r.addError(at, "listen is no loopback address with a port (%q)", text)
 		return
 	}
-	r.taken(address, at, "the control address")
+	r.reserveAddress(address, at, "the control address")
 	f.Control = address
 }
 
 // taken names who listens at an address already.
-func (r *reader) taken(address netip.AddrPort, at hcl.Range, whose string) {
-	for other, whose := range r.listens {
+func (r *reader) reserveAddress(address netip.AddrPort, at hcl.Range, whose string) {
+	for other, whose := range r.addresses {
 		if other.Port() == address.Port() && other.Port() != 0 &&
 			(other.Addr() == address.Addr() || other.Addr().IsUnspecified() || address.Addr().IsUnspecified()) {
-			r.wrong(at, "listen is taken by %s (%q)", whose, address.String())
+			r.addError(at, "listen is taken by %s (%q)", whose, address.String())
 		}
 	}
-	r.listens[address] = whose
+	r.addresses[address] = whose
 }
 
-func (r *reader) once(blocks hcl.Blocks) {
+func (r *reader) atMostOne(blocks hcl.Blocks) {
 	for _, b := range blocks[min(1, len(blocks)):] {
-		r.wrong(b.DefRange, "a second block %s", b.Type)
+		r.addError(b.DefRange, "a second block %s", b.Type)
 	}
 }
 
@@ -396,15 +396,15 @@
 		return
 	}
 	if b.Labels[0] != "odata" {
-		r.wrong(b.LabelRanges[0], "members speak odata; those that no block names speak pg (%q)", b.Labels[0])
+		r.addError(b.LabelRanges[0], "members speak odata; those that no block names speak pg (%q)", b.Labels[0])
 		return
 	}
 	var at hcl.Range
-	if f.Root, at = r.words(c, "root", "/"); !strings.HasPrefix(f.Root, "/") || !strings.HasSuffix(f.Root, "/") {
-		r.wrong(at, "root neither begins nor ends with a slash (%q)", f.Root)
+	if f.MemberRoot, at = r.textOf(c, "root", "/"); !strings.HasPrefix(f.MemberRoot, "/") || !strings.HasSuffix(f.MemberRoot, "/") {
+		r.addError(at, "root neither begins nor ends with a slash (%q)", f.MemberRoot)
 	}
-	if f.Host, at = r.words(c, "host", ""); strings.ContainsAny(f.Host, " \t\r\n/") {
-		r.wrong(at, "host is no name (%q)", f.Host)
+	if f.MemberHost, at = r.textOf(c, "host", ""); strings.ContainsAny(f.MemberHost, " \t\r\n/") {
+		r.addError(at, "host is no name (%q)", f.MemberHost)
 	}
 	for _, g := range r.groups(c) {
 		f.Forms[g] = driver.Requests
@@ -414,11 +414,11 @@
 func (r *reader) groups(c *hcl.BodyContent) (groups []driver.Group) {
 	a := c.Attributes["groups"]
 	if a == nil {
-		r.wrong(c.MissingItemRange, "groups is missing")
+		r.addError(c.MissingItemRange, "groups is missing")
 		return nil
 	}
 	items, diagnostics := hcl.ExprList(a.Expr)
-	if r.take(diagnostics); diagnostics.HasErrors() {
+	if r.addDiagnostics(diagnostics); diagnostics.HasErrors() {
 		return nil
 	}
 	for _, item := range items {
@@ -428,19 +428,19 @@
 			n, _ = v.AsBigFloat().Float64()
 		}
 		if n < 0 || n > 65535 || n != float64(int(n)) {
-			r.wrong(item.Range(), "a group that cannot be (%s)", item.Range().SliceBytes(r.text))
+			r.addError(item.Range(), "a group that cannot be (%s)", item.Range().SliceBytes(r.text))
 			continue
 		}
 		groups = append(groups, driver.Group(n))
 	}
 	if len(groups) == 0 && len(items) == 0 {
-		r.wrong(a.Expr.Range(), "groups names none")
+		r.addError(a.Expr.Range(), "groups names none")
 	}
 	return groups
 }
 
-func (r *reader) front(f *File, b *hcl.Block) *Front {
-	front := &Front{Protocol: b.Labels[0], Name: b.Labels[1]}
+func (r *reader) listener(f *File, b *hcl.Block) *Listener {
+	front := &Listener{Protocol: b.Labels[0], Name: b.Labels[1]}
 	attributes, blocks := []string{"listen", "weight"}, []hcl.BlockHeaderSchema{{Type: "limits"}}
 	switch front.Protocol {
 	case "pg":
@@ -448,7 +448,7 @@
 		attributes = append(attributes, "root", "namespace")
 		blocks = append(blocks, hcl.BlockHeaderSchema{Type: "set", LabelNames: []string{"name"}}, hcl.BlockHeaderSchema{Type: "repeats"})
 	default:
-		r.wrong(b.LabelRanges[0], "fronts speak pg or odata (%q)", front.Protocol)
+		r.addError(b.LabelRanges[0], "fronts speak pg or odata (%q)", front.Protocol)
 		return nil
 	}
 	c := r.content(b.Body, attributes, blocks...)
@@ -456,10 +456,10 @@
 		return nil
 	}
 	r.listen(front, c)
-	front.Share.Weight = r.number(c, "weight", 1, 0.01, 1000)
+	front.Quota.Weight = r.numberOf(c, "weight", 1, 0.01, 1000)
 	if front.Protocol == "odata" {
 		if !front.Listen.IsValid() && c.Attributes["listen"] == nil {
-			r.wrong(b.DefRange, "listen is missing (%q)", front.Name)
+			r.addError(b.DefRange, "listen is missing (%q)", front.Name)
 		}
 		front.OData = r.odata(f, c, b)
 	}
@@ -467,39 +467,39 @@
 	return front
 }
 
-func (r *reader) listen(front *Front, c *hcl.BodyContent) {
-	text, at := r.words(c, "listen", "")
+func (r *reader) listen(front *Listener, c *hcl.BodyContent) {
+	text, at := r.textOf(c, "listen", "")
 	if text == "" {
 		return
 	}
 	address, err := netip.ParseAddrPort(text)
 	if err != nil {
-		r.wrong(at, "listen is no address with a port (%q)", text)
+		r.addError(at, "listen is no address with a port (%q)", text)
 		return
 	}
-	r.taken(address, at, fmt.Sprintf("front %q", front.Name))
+	r.reserveAddress(address, at, fmt.Sprintf("front %q", front.Name))
 	front.Listen = address
 }
 
-func (r *reader) limits(front *Front, c *hcl.BodyContent) {
+func (r *reader) limits(front *Listener, c *hcl.BodyContent) {
 	blocks := c.Blocks.OfType("limits")
-	r.once(blocks)
+	r.atMostOne(blocks)
 	attributes := []string{"connections", "rpcs", "memory_kb"}
 	if front.OData != nil {
 		attributes = append(attributes, "target_bytes", "head_bytes", "fields", "body_bytes", "batch", "abreast")
 	}
 	for _, b := range blocks {
 		in := r.content(b.Body, attributes)
-		front.Share.Limits[share.Connections] = r.count(in, "connections", 0, 1, 1<<20)
-		front.Share.Limits[share.RPCs] = r.count(in, "rpcs", 0, 1, 1<<20)
-		front.Share.Limits[share.Bytes] = r.count(in, "memory_kb", 0, 1, 1<<20) << 10
+		front.Quota.Limits[share.Connections] = r.intOf(in, "connections", 0, 1, 1<<20)
+		front.Quota.Limits[share.RPCs] = r.intOf(in, "rpcs", 0, 1, 1<<20)
+		front.Quota.Limits[share.Bytes] = r.intOf(in, "memory_kb", 0, 1, 1<<20) << 10
 		if o := front.OData; o != nil {
-			o.HTTP.Target = r.count(in, "target_bytes", o.HTTP.Target, 64, 64<<10)
-			o.HTTP.Head = r.count(in, "head_bytes", o.HTTP.Head, 256, 64<<10)
-			o.HTTP.Fields = r.count(in, "fields", o.HTTP.Fields, 4, 1000)
-			o.HTTP.Body = r.count(in, "body_bytes", o.HTTP.Body, 256, 1<<20)
-			o.Batch = r.count(in, "batch", o.Batch, 1, 1000)
-			o.Abreast = r.count(in, "abreast", o.Abreast, 1, 100)
+			o.HTTP.Target = r.intOf(in, "target_bytes", o.HTTP.Target, 64, 64<<10)
+			o.HTTP.Head = r.intOf(in, "head_bytes", o.HTTP.Head, 256, 64<<10)
+			o.HTTP.Fields = r.intOf(in, "fields", o.HTTP.Fields, 4, 1000)
+			o.HTTP.Body = r.intOf(in, "body_bytes", o.HTTP.Body, 256, 1<<20)
+			o.MaxBatch = r.intOf(in, "batch", o.MaxBatch, 1, 1000)
+			o.MaxConcurrent = r.intOf(in, "abreast", o.MaxConcurrent, 1, 100)
 		}
 	}
 }
--- a/internal/operator/operator_test.go
+++ b/internal/config/config_test.go
@@ -1,4 +1,4 @@
-package operator
+package config
 
 import (
 	"net/netip"
@@ -15,8 +15,8 @@
 var (
 	platform = netip.MustParseAddrPort("127.0.0.1:6543")
 	methods  = []Method{
-		{Name: "status-read", Need: "bounded", Idempotent: true, Soft: time.Second, Limit: 2 * time.Second},
-		{Name: "own-read", Need: "session", Idempotent: true}, {Name: "apply-write", Need: "write", Tokened: true, Window: time.Second},
+		{Name: "status-read", Need: "bounded", Idempotent: true, SoftDeadline: time.Second, MaxDeadline: 2 * time.Second},
+		{Name: "own-read", Need: "session", Idempotent: true}, {Name: "apply-write", Need: "write", HasToken: true, Window: time.Second},
 	}
 )
 
@@ -33,15 +33,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(f.Fronts) != 2 || f.Fronts[0].Name != "portal" || f.Fronts[0].Share.Weight != 2 || f.Sample != 50 {
+	if len(f.Listeners) != 2 || f.Listeners[0].Name != "portal" || f.Listeners[0].Quota.Weight != 2 || f.LogSample != 50 {
 		t.Fatalf("read as %+v", f)
 	}
-	if st := f.State; st == nil || st.Folder != "/var/lib/passtack/n0" || st.Every != time.Second || st.Bytes != 32<<20 {
+	if st := f.State; st == nil || st.DataDir != "/var/lib/passtack/n0" || st.SaveInterval != time.Second || st.MaxBytes != 32<<20 {
 		t.Errorf("state is read as %+v", st)
 	}
-	o := f.Fronts[1]
+	o := f.Listeners[1]
 	s := o.OData.Model.Set("Applications")
-	if o.Share.Limits[share.RPCs] != 500 || o.OData.Repeats.Kept != 5*time.Minute || o.OData.HTTP.Body != 262144 || s.Page != 100 ||
+	if o.Quota.Limits[share.RPCs] != 500 || o.OData.Idempotency.TTL != 5*time.Minute || o.OData.HTTP.Body != 262144 || s.Page != 100 ||
 		s.ETag.Name != "Version" || s.Operations[odata.Read].AfterWrite != 1 || !s.Operations[odata.Create].Tokened ||
 		s.Operations[odata.Create].Window != time.Second || s.Operations[odata.Count] != nil {
 		t.Errorf("read as %+v, %+v", o, s)
@@ -49,8 +49,8 @@
 }
 
 func TestWithoutAFileThePlatformHasAll(t *testing.T) {
-	f := None()
-	if len(f.Fronts) != 1 || f.Fronts[0].Listen.IsValid() || f.Forms[driver.Group(3)] != driver.Statements {
+	f := Default()
+	if len(f.Listeners) != 1 || f.Listeners[0].Listen.IsValid() || f.Forms[driver.Group(3)] != driver.Statements {
 		t.Errorf("%+v", f)
 	}
 }
@@ -107,7 +107,7 @@
 	}
 	good := string(text)
 	f, err := Parse(text, "leases.hcl", platform, methods)
-	if err != nil || len(f.Leases.Tasks) != 2 || f.Leases.Lasts != 5*time.Second || len(f.Leases.Set().All()) != 3 || f.Control.Port() != 7070 {
+	if err != nil || len(f.Leases.Tasks) != 2 || f.Leases.TTL != 5*time.Second || len(f.Leases.VoterSet().All()) != 3 || f.Control.Port() != 7070 {
 		t.Fatalf("%+v, %v", f, err)
 	}
 	for _, m := range []struct{ old, new, want string }{
@@ -165,7 +165,7 @@
 		}
 	}
 	f, err := Parse([]byte(strings.Join(kept, "")), "passtack.hcl", platform, methods)
-	if err != nil || f.Forms[1] != driver.Requests || f.Forms[0] != driver.Statements || f.Root != "/v4/" {
+	if err != nil || f.Forms[1] != driver.Requests || f.Forms[0] != driver.Statements || f.MemberRoot != "/v4/" {
 		t.Errorf("%v, %+v", err, f)
 	}
 }
--- a/internal/operator/configuration_test.go
+++ b/internal/config/configuration_test.go
@@ -1,4 +1,4 @@
-package operator
+package config
 
 import (
 	"os"
@@ -36,7 +36,7 @@
 		}
 		good := string(text)
 		f, err := Parse(text, file, platform, methods)
-		if err != nil || f.Machine == nil && f.Configuration == nil {
+		if err != nil || f.ControlMachine == nil && f.Configuration == nil {
 			t.Fatalf("%s: %v", file, err)
 		}
 		for _, m := range mistakes {
--- a/internal/emu/play/rehearse.go
+++ b/internal/emu/play/rehearse.go
@@ -11,11 +11,11 @@
 	"strings"
 	"time"
 
+	"passtack/internal/config"
 	"passtack/internal/emu"
 	"passtack/internal/loop"
 	"passtack/internal/loop/sim"
 	"passtack/internal/node"
-	"passtack/internal/operator"
 	"passtack/internal/recovery"
 )
 
@@ -164,7 +164,7 @@
 }
 
 // wants is the operator's file of a driver.
-func (st *stage) wants(i int, site *node.Site) (*operator.File, error) {
+func (st *stage) wants(i int, site *node.Site) (*config.File, error) {
 	s := st.script
 	if st.folders == nil {
 		return site.ReadConfig()
--- a/internal/front/odata/batch.go
+++ b/internal/front/odata/batch.go
@@ -26,7 +26,7 @@
 
 // batch begins a batch.
 func (f *Front) batch(w *work, q *question) {
-	parsed, err := odata.ParseBatch(q.fields.Text("content-type"), q.body, odata.BatchLimits{Items: f.offer.Batch, HTTP: f.offer.HTTP})
+	parsed, err := odata.ParseBatch(q.fields.Text("content-type"), q.body, odata.BatchLimits{Items: f.offer.MaxBatch, HTTP: f.offer.HTTP})
 	if err != nil {
 		w.finish(failure(err))
 		return
@@ -47,7 +47,7 @@
 	}
 	until := f.until(q, min(max(lasts, time.Second), mostDefault))
 	goOn := preference(q.fields, "continue-on-error")
-	if b.plan, err = plan(items, parsed.Ordered, goOn == "true", f.offer.Abreast, until); err != nil {
+	if b.plan, err = plan(items, parsed.Ordered, goOn == "true", f.offer.MaxConcurrent, until); err != nil {
 		w.finish(failure(err))
 		return
 	}
--- a/internal/front/odata/errand.go
+++ b/internal/front/odata/errand.go
@@ -250,7 +250,7 @@
 	}
 	if e.entry != nil {
 		r.fields = httpwire.AppendField(r.fields, "Repeatability-Result", "accepted")
-		for _, h := range f.memory.Finish(e.entry, how, encode(r, f.offer.Repeats.Bytes/8), f.loop.Now()) {
+		for _, h := range f.memory.Finish(e.entry, how, encode(r, f.offer.Idempotency.MaxBytes/8), f.loop.Now()) {
 			if waiter := f.errands.Get(slots.Handle(h)); waiter != nil {
 				waiter.joined = nil
 				waiter.end(how, r, position)
--- a/internal/front/odata/front.go
+++ b/internal/front/odata/front.go
@@ -9,12 +9,12 @@
 	"time"
 
 	"passtack/driver"
+	"passtack/internal/config"
 	"passtack/internal/front"
 	"passtack/internal/httpwire"
 	"passtack/internal/idempotency"
 	"passtack/internal/loop"
 	"passtack/internal/odata"
-	"passtack/internal/operator"
 	"passtack/internal/pcg"
 	"passtack/internal/slots"
 )
@@ -24,7 +24,7 @@
 	loop        *loop.Loop
 	clerk       driver.Clerk
 	connections *front.Connections
-	offer       *operator.OData
+	offer       *config.OData
 	methods     []string // by number, as statements name them
 	members     string   // the root that members serve under
 	errands     slots.Table[*errand]
@@ -36,7 +36,7 @@
 }
 
 // Listen starts to take clients in.
-func Listen(l *loop.Loop, clerk driver.Clerk, at netip.AddrPort, door loop.Door, open front.Ids, offer *operator.OData,
+func Listen(l *loop.Loop, clerk driver.Clerk, at netip.AddrPort, door loop.Door, open front.Ids, offer *config.OData,
 	methods []string, members string, seed uint64) (*Front, error) {
 	f := &Front{
 		loop: l, clerk: clerk, open: open, methods: methods, members: members, memory: idempotency.New(l.Now()), chance: pcg.New(seed),
@@ -50,16 +50,16 @@
 }
 
 // most is how many bytes one connection may bring that are not taken: a request whose body comes in small chunks.
-func most(offer *operator.OData) int { return offer.HTTP.Head + 2*offer.HTTP.Body }
+func most(offer *config.OData) int { return offer.HTTP.Head + 2*offer.HTTP.Body }
 
 // Offer changes what is offered and its limits. What is under way goes on as it began.
-func (f *Front) Offer(offer *operator.OData) {
+func (f *Front) Offer(offer *config.OData) {
 	f.offer = offer
 	if f.connections != nil {
 		f.connections.Bear(most(offer))
 	}
-	f.memory.Sticky, f.memory.Retention = offer.Repeats.Sticky, offer.Repeats.Kept
-	f.memory.MaxBytes, f.memory.MaxInProgress = offer.Repeats.Bytes, offer.Repeats.Open
+	f.memory.Sticky, f.memory.Retention = offer.Idempotency.Sticky, offer.Idempotency.TTL
+	f.memory.MaxBytes, f.memory.MaxInProgress = offer.Idempotency.MaxBytes, offer.Idempotency.MaxPending
 }
 
 // Methods changes the names of methods, by number. What is under way keeps its numbers.
--- a/internal/front/odata/judge_test.go
+++ b/internal/front/odata/judge_test.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"passtack/driver"
+	"passtack/internal/config"
 	"passtack/internal/httpwire"
-	"passtack/internal/operator"
 	"passtack/internal/pcg"
 	"passtack/internal/pgwire"
 )
@@ -25,14 +25,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f, err := operator.Parse(text, "passtack.hcl", netip.MustParseAddrPort("127.0.0.1:1"), []operator.Method{
-		{Name: "status-read", Need: "bounded", Idempotent: true, Soft: time.Second}, {Name: "own-read", Need: "session", Idempotent: true},
-		{Name: "apply-write", Need: "write", Tokened: true, Window: time.Second},
+	f, err := config.Parse(text, "passtack.hcl", netip.MustParseAddrPort("127.0.0.1:1"), []config.Method{
+		{Name: "status-read", Need: "bounded", Idempotent: true, SoftDeadline: time.Second}, {Name: "own-read", Need: "session", Idempotent: true},
+		{Name: "apply-write", Need: "write", HasToken: true, Window: time.Second},
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &Front{clerk: desk{}, offer: f.Fronts[1].OData, methods: []string{"status-read", "own-read", "apply-write"}, chance: pcg.New(1)}
+	return &Front{clerk: desk{}, offer: f.Listeners[1].OData, methods: []string{"status-read", "own-read", "apply-write"}, chance: pcg.New(1)}
 }
 
 func TestPreferencesAndForms(t *testing.T) {
--- a/internal/lab/capacity/driver_met.go
+++ b/internal/lab/capacity/driver_met.go
@@ -5,10 +5,10 @@
 	"net/netip"
 	"time"
 
+	"passtack/internal/config"
 	"passtack/internal/loop"
 	"passtack/internal/loop/sim"
 	"passtack/internal/node"
-	"passtack/internal/operator"
 )
 
 // simulatedFrom is when simulated time begins, as Unix time.
@@ -55,7 +55,7 @@
 		Name: "d0", Listen: listen, Discovery: discovery, Seed: seed, Descriptors: 1 << 16, Memory: memoryMB << 20,
 		InitialList: m.ground.listText(), Settings: settingsTerms(designDrivers, m.probes, time.Second),
 	}
-	if _, err := node.On(loops[2], site, operator.None()); err != nil {
+	if _, err := node.On(loops[2], site, config.Default()); err != nil {
 		return err
 	}
 	m.crowd = newCrowd(listen, seed, m.clients, m.members, m.rate)
--- a/internal/lab/capacity/driver_state.go
+++ b/internal/lab/capacity/driver_state.go
@@ -10,13 +10,13 @@
 	"golang.org/x/sys/unix"
 
 	"passtack/driver"
+	"passtack/internal/config"
 	"passtack/internal/list"
 	"passtack/internal/loop"
 	"passtack/internal/loop/sim"
 	"passtack/internal/member"
 	pgmember "passtack/internal/member/pg"
 	"passtack/internal/node"
-	"passtack/internal/operator"
 	"passtack/internal/pgwire"
 	"passtack/internal/recovery"
 	"passtack/rules"
@@ -191,7 +191,7 @@
 		Name: "d0", Listen: listen, Discovery: netip.MustParseAddrPort("10.2.0.1:8500"), Seed: 1, Descriptors: 1 << 15, Memory: memoryMB << 20,
 		InitialList: list, Settings: settingsTerms(designDrivers, false, soft),
 	}
-	wants := operator.None()
+	wants := config.Default()
 	if view {
 		site.PeerListen, site.PeerBroadcast = netip.MustParseAddrPort("10.3.0.1:7946"), netip.MustParseAddrPort("10.3.255.255:7946")
 		var err error
--- a/internal/node/configuration.go
+++ b/internal/node/configuration.go
@@ -10,9 +10,9 @@
 	"strings"
 	"time"
 
+	"passtack/internal/config"
 	odatafront "passtack/internal/front/odata"
 	pgfront "passtack/internal/front/pg"
-	"passtack/internal/operator"
 	"passtack/internal/rollout"
 	watch "passtack/internal/rollout/client"
 	"passtack/internal/storage"
@@ -35,7 +35,7 @@
 // own is what published configurations go over.
 type own struct {
 	terms       map[string]string
-	wants       *operator.File
+	wants       *config.File
 	memory      int64
 	descriptors int
 }
@@ -45,7 +45,7 @@
 	version uint64
 	text    []byte
 	terms   map[string]string
-	wants   *operator.File
+	wants   *config.File
 	memory  int64 // 0: as the driver's own file has it
 	sockets int
 }
@@ -66,7 +66,7 @@
 	if err != nil {
 		return nil, err
 	}
-	wants, err := o.wants.Again(methodsOf(all))
+	wants, err := o.wants.Recheck(methodsOf(all))
 	if err != nil {
 		return nil, fmt.Errorf("the operator's file does not go with it: %s", strings.SplitN(err.Error(), "\n", 2)[0])
 	}
@@ -74,7 +74,7 @@
 }
 
 // CheckPublished tells why a driver could not take over a configuration.
-func CheckPublished(site *Site, wants *operator.File, text []byte) error {
+func CheckPublished(site *Site, wants *config.File, text []byte) error {
 	_, err := own{site.Settings, wants, site.Memory, site.Descriptors}.prepare(0, text)
 	return err
 }
@@ -88,12 +88,12 @@
 	s := n.site
 	c := &configuration{node: n, base: own{s.Settings, n.config, s.Memory, s.Descriptors}, standing: rollout.DriverReport{Driver: s.Name}, since: n.loop.Now()}
 	n.configuration = c
-	if w.Folder == "" {
+	if w.DataDir == "" {
 		return
 	}
-	store, found, err := n.openFolder(w.Folder, configurationFolder)
+	store, found, err := n.openFolder(w.DataDir, configurationFolder)
 	if err != nil {
-		slog.Warn("configuration_folder_unusable", "folder", w.Folder, "cause", err)
+		slog.Warn("configuration_folder_unusable", "folder", w.DataDir, "cause", err)
 		n.Count("configuration_folder_unusable")
 		return
 	}
@@ -261,7 +261,7 @@
 
 // reloaded takes over what the driver's own files say by now of what needs no restart; what is published goes over it. A version that was
 // refused may go with the files by now.
-func (c *configuration) reloaded(fresh *Site, wants *operator.File) {
+func (c *configuration) reloaded(fresh *Site, wants *config.File) {
 	c.base.memory, c.base.descriptors, c.base.wants = fresh.Memory, fresh.Descriptors, wants
 	c.standing.RejectedVersion, c.standing.RejectReason = 0, ""
 	c.limit()
--- a/internal/node/configuration_test.go
+++ b/internal/node/configuration_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
+	"passtack/internal/config"
 	"passtack/internal/loop/sim"
-	"passtack/internal/operator"
 	"passtack/internal/pcg"
 	"passtack/internal/persist"
 	"passtack/internal/pgwire"
@@ -243,7 +243,7 @@
 		t.Fatalf("%+v", got)
 	}
 	site := *n.site
-	wants, err := operator.Parse([]byte(wantsControls("")+front("seek")), "d0.hcl", site.Listen, []operator.Method{{Name: "seek", Need: "any", Idempotent: true, Soft: time.Second, Limit: time.Second}})
+	wants, err := config.Parse([]byte(wantsControls("")+front("seek")), "d0.hcl", site.Listen, []config.Method{{Name: "seek", Need: "any", Idempotent: true, SoftDeadline: time.Second, MaxDeadline: time.Second}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -15,10 +15,10 @@
 	"time"
 
 	"passtack/driver"
+	"passtack/internal/config"
 	"passtack/internal/loop"
 	"passtack/internal/loop/sim"
 	"passtack/internal/odata"
-	"passtack/internal/operator"
 	"passtack/internal/share"
 	"passtack/internal/terms"
 )
@@ -26,7 +26,7 @@
 var update = flag.Bool("update", false, "rewrite golden files")
 
 // everyKey reads testdata/every-key.hcl for a driver whose folders are new and empty.
-func everyKey(t *testing.T, site *Site) *operator.File {
+func everyKey(t *testing.T, site *Site) *config.File {
 	t.Helper()
 	text, err := os.ReadFile("testdata/every-key.hcl")
 	if err != nil {
@@ -57,7 +57,7 @@
 // Each key of the operator's file keeps its name and meaning.
 func TestEveryKeyOfTheOperatorsFileIsRead(t *testing.T) {
 	f := everyKey(t, everyKeySite(t))
-	portal, second, offices := f.Fronts[0], f.Fronts[1], f.Fronts[2]
+	portal, second, offices := f.Listeners[0], f.Listeners[1], f.Listeners[2]
 	applications, drafts := offices.OData.Model.Set("Applications"), offices.OData.Model.Set("Drafts")
 	version, read := applications.Property("Version"), applications.Operations[odata.Read]
 	summary := f.Leases.Tasks[0]
@@ -66,26 +66,26 @@
 		key       string
 		got, want any
 	}{
-		{"log.level", f.Level, slog.LevelWarn},
-		{"log.sample", f.Sample, int64(51)},
-		{"front", []any{len(f.Fronts), portal.Protocol, portal.Name, second.Name, offices.Protocol, offices.Name}, []any{3, "pg", "portal", "second", "odata", "offices"}},
+		{"log.level", f.LogLevel, slog.LevelWarn},
+		{"log.sample", f.LogSample, int64(51)},
+		{"front", []any{len(f.Listeners), portal.Protocol, portal.Name, second.Name, offices.Protocol, offices.Name}, []any{3, "pg", "portal", "second", "odata", "offices"}},
 		{"front.listen", []any{portal.Listen.IsValid(), second.Listen.String(), offices.Listen.String()}, []any{false, "10.0.0.1:6544", "10.0.0.1:8080"}},
-		{"front.weight", []any{portal.Share.Weight, second.Share.Weight, offices.Share.Weight}, []any{2.5, 1.0, 3.0}},
-		{"front.limits.connections", []any{portal.Share.Limits[share.Connections], offices.Share.Limits[share.Connections]}, []any{101, 201}},
-		{"front.limits.rpcs", []any{portal.Share.Limits[share.RPCs], offices.Share.Limits[share.RPCs]}, []any{102, 202}},
-		{"front.limits.memory_kb", []any{portal.Share.Limits[share.Bytes], offices.Share.Limits[share.Bytes]}, []any{103 << 10, 203 << 10}},
+		{"front.weight", []any{portal.Quota.Weight, second.Quota.Weight, offices.Quota.Weight}, []any{2.5, 1.0, 3.0}},
+		{"front.limits.connections", []any{portal.Quota.Limits[share.Connections], offices.Quota.Limits[share.Connections]}, []any{101, 201}},
+		{"front.limits.rpcs", []any{portal.Quota.Limits[share.RPCs], offices.Quota.Limits[share.RPCs]}, []any{102, 202}},
+		{"front.limits.memory_kb", []any{portal.Quota.Limits[share.Bytes], offices.Quota.Limits[share.Bytes]}, []any{103 << 10, 203 << 10}},
 		{"front.limits.target_bytes", offices.OData.HTTP.Target, 1001},
 		{"front.limits.head_bytes", offices.OData.HTTP.Head, 1002},
 		{"front.limits.fields", offices.OData.HTTP.Fields, 53},
 		{"front.limits.body_bytes", offices.OData.HTTP.Body, 1004},
-		{"front.limits.batch", offices.OData.Batch, 55},
-		{"front.limits.abreast", offices.OData.Abreast, 6},
+		{"front.limits.batch", offices.OData.MaxBatch, 55},
+		{"front.limits.abreast", offices.OData.MaxConcurrent, 6},
 		{"front.root", offices.OData.Root, "/odata/"},
 		{"front.namespace", offices.OData.Model.Namespace, "Karoo.Two"},
-		{"front.repeats.kept", offices.OData.Repeats.Kept, 7 * time.Minute},
-		{"front.repeats.memory_kb", offices.OData.Repeats.Bytes, 1025 << 10},
-		{"front.repeats.open", offices.OData.Repeats.Open, 1026},
-		{"front.repeats.sticky", offices.OData.Repeats.Sticky, true},
+		{"front.repeats.kept", offices.OData.Idempotency.TTL, 7 * time.Minute},
+		{"front.repeats.memory_kb", offices.OData.Idempotency.MaxBytes, 1025 << 10},
+		{"front.repeats.open", offices.OData.Idempotency.MaxPending, 1026},
+		{"front.repeats.sticky", offices.OData.Idempotency.Sticky, true},
 		{"set", []any{len(offices.OData.Model.Sets), applications.Name, drafts.Name}, []any{2, "Applications", "Drafts"}},
 		{"set.type", []any{applications.Type, drafts.Type}, []any{"Form", "Draft"}},
 		{"set.key", applications.Key.Name, "Id"},
@@ -101,29 +101,29 @@
 		{"operation.statement", []any{read.Statement.Has("key"), applications.Operations[odata.Create].Statement.Has("body")}, []any{true, true}},
 		{"operation of members that speak odata", drafts.Operations[odata.Read].Method, driver.Method(1)},
 		{"members.groups", f.Forms, map[driver.Group]driver.Form{3: driver.Requests, 4: driver.Requests}},
-		{"members.root", f.Root, "/v4/"},
-		{"members.host", f.Host, "members.example"},
-		{"state.folder", base(f.State.Folder), "learned"},
-		{"state.every", f.State.Every, 1500 * time.Millisecond},
-		{"state.most_kb", f.State.Bytes, 4097 << 10},
+		{"members.root", f.MemberRoot, "/v4/"},
+		{"members.host", f.MemberHost, "members.example"},
+		{"state.folder", base(f.State.DataDir), "learned"},
+		{"state.every", f.State.SaveInterval, 1500 * time.Millisecond},
+		{"state.most_kb", f.State.MaxBytes, 4097 << 10},
 		{"control.listen", f.Control.String(), "127.0.0.1:7070"},
-		{"view.fleet", f.View.Fleet, "bureau"},
-		{"view.every", f.View.Every, 900 * time.Millisecond},
-		{"view.connections", f.View.Connections, 77},
+		{"view.fleet", f.Membership.Fleet, "bureau"},
+		{"view.every", f.Membership.Interval, 900 * time.Millisecond},
+		{"view.connections", f.Membership.MemberConnections, 77},
 		{"leases.fleet", f.Leases.Fleet, "bureau"},
 		{"leases.version", f.Leases.Version, uint32(3)},
 		{"leases.voters", f.Leases.Voters, []string{"n0", "n1", "n2"}},
-		{"leases.former", f.Leases.Former, []string{"n0", "n3", "n4"}},
-		{"leases.lasts", f.Leases.Lasts, 4 * time.Second},
-		{"leases.longest", f.Leases.Longest, 9 * time.Second},
-		{"leases.folder", base(f.Leases.Folder), "votes"},
+		{"leases.former", f.Leases.FormerVoters, []string{"n0", "n3", "n4"}},
+		{"leases.lasts", f.Leases.TTL, 4 * time.Second},
+		{"leases.longest", f.Leases.MaxTTL, 9 * time.Second},
+		{"leases.folder", base(f.Leases.DataDir), "votes"},
 		{"leases.task", []string{summary.Name, f.Leases.Tasks[1].Name}, []string{"summary", "watch-discovery"}},
-		{"leases.task.every", summary.Every, 2 * time.Second},
-		{"leases.task.to", summary.To.String(), "10.0.7.1:9000"},
+		{"leases.task.every", summary.Interval, 2 * time.Second},
+		{"leases.task.to", summary.Address.String(), "10.0.7.1:9000"},
 		{"leases.task.path", summary.Path, "/summaries"},
 		{"configuration.fleet", f.Configuration.Fleet, "bureau"},
 		{"configuration.machines", fmt.Sprint(f.Configuration.Machines), "[10.0.8.1:7400 10.0.8.2:7400 10.0.8.3:7400]"},
-		{"configuration.folder", base(f.Configuration.Folder), "configuration"},
+		{"configuration.folder", base(f.Configuration.DataDir), "configuration"},
 	} {
 		if !reflect.DeepEqual(c.got, c.want) {
 			t.Errorf("%s is read as %v, want %v", c.key, c.got, c.want)
@@ -214,7 +214,7 @@
 
 // The sample for a control machine keeps its keys and their meaning.
 func TestEveryKeyOfAControlMachinesFileIsRead(t *testing.T) {
-	m, err := operator.ReadMachine("../../deploy/control.hcl")
+	m, err := config.ReadMachine("../../deploy/control.hcl")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/gone_test.go
+++ b/internal/node/gone_test.go
@@ -13,9 +13,9 @@
 	"testing"
 	"time"
 
+	"passtack/internal/config"
 	"passtack/internal/loop"
 	"passtack/internal/loop/sim"
-	"passtack/internal/operator"
 	"passtack/internal/pgwire"
 	"passtack/internal/terms"
 )
@@ -169,7 +169,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	wants := operator.None()
+	wants := config.Default()
 	if wanted != "" {
 		site.ConfigFile = filepath.Join(t.TempDir(), "passtack.hcl")
 		os.WriteFile(site.ConfigFile, []byte(wanted), 0o600)
--- a/internal/node/lease_hello.go
+++ b/internal/node/lease_hello.go
@@ -22,7 +22,7 @@
 // has just started greets them as well, since another process may vote under its name.
 func (s *leaseService) sendHello() {
 	n := s.node
-	addressMissing := slices.ContainsFunc(s.config.Set().All(), func(voter lease.Node) bool {
+	addressMissing := slices.ContainsFunc(s.config.VoterSet().All(), func(voter lease.Node) bool {
 		_, known := s.addresses.Address(uint64(voter))
 		return voter != s.holder.Node && !known
 	})
--- a/internal/node/lease_service.go
+++ b/internal/node/lease_service.go
@@ -5,9 +5,9 @@
 	"slices"
 	"time"
 
+	"passtack/internal/config"
 	"passtack/internal/lease"
 	"passtack/internal/loop"
-	"passtack/internal/operator"
 	"passtack/internal/peers"
 )
 
@@ -15,7 +15,7 @@
 // for the lease of each task.
 type leaseService struct {
 	*messenger
-	config      *operator.Leases
+	config      *config.Leases
 	holder      lease.Holder // this process
 	voter       *lease.Voter
 	candidacies []candidacy
@@ -56,10 +56,10 @@
 		holder: lease.Holder{Node: lease.Node(n.messenger.self), Incarnation: n.messenger.incarnation},
 	}
 	var promises map[string]lease.Promise
-	s.promises, promises = n.openPromises(config.Folder, s.schedule)
-	s.voter = lease.NewVoter(s, s.holder.Node, config.Set(), config.Longest, promises, now)
+	s.promises, promises = n.openPromises(config.DataDir, s.schedule)
+	s.voter = lease.NewVoter(s, s.holder.Node, config.VoterSet(), config.MaxTTL, promises, now)
 	for i, t := range config.Tasks {
-		candidate := lease.NewCandidate(s, s.holder, t.Name, config.Lasts, config.Set(), n.site.Seed+uint64(i)+1)
+		candidate := lease.NewCandidate(s, s.holder, t.Name, config.TTL, config.VoterSet(), n.site.Seed+uint64(i)+1)
 		s.candidacies = append(s.candidacies, candidacy{Candidate: candidate, name: t.Name, task: s.newTask(candidate, t)})
 		candidate.Campaign(now)
 	}
@@ -68,8 +68,8 @@
 	s.schedule()
 }
 
-func (s *leaseService) newTask(candidate *lease.Candidate, t operator.Task) leaseTask {
-	if t.Name == operator.WatchDiscovery {
+func (s *leaseService) newTask(candidate *lease.Candidate, t config.Task) leaseTask {
+	if t.Name == config.WatchDiscovery {
 		return &discoveryWatcher{leases: s, candidate: candidate}
 	}
 	return newSummaryTask(s, candidate, t)
@@ -181,13 +181,13 @@
 }
 
 // changeVoters replaces the set of voters by that of a reloaded file.
-func (s *leaseService) changeVoters(config *operator.Leases) {
+func (s *leaseService) changeVoters(config *config.Leases) {
 	s.config = config
-	s.voter.ChangeVoters(config.Set())
+	s.voter.ChangeVoters(config.VoterSet())
 	for _, c := range s.candidacies {
-		c.ChangeVoters(config.Set())
+		c.ChangeVoters(config.VoterSet())
 	}
-	slog.Info("lease voters changed", "version", config.Version, "voters", len(config.Voters), "former", len(config.Former))
+	slog.Info("lease voters changed", "version", config.Version, "voters", len(config.Voters), "former", len(config.FormerVoters))
 	s.schedule()
 }
 
--- a/internal/node/lease_status.go
+++ b/internal/node/lease_status.go
@@ -43,7 +43,7 @@
 // status returns a snapshot for operators.
 func (s *leaseService) status() LeasesStatus {
 	now := s.clock()
-	status := LeasesStatus{Name: s.node.site.Name, Version: s.config.Version, Voters: s.config.Voters, Former: s.config.Former}
+	status := LeasesStatus{Name: s.node.site.Name, Version: s.config.Version, Voters: s.config.Voters, Former: s.config.FormerVoters}
 	if s.voter.IsVoter() {
 		status.SilentForMS = s.voter.SilentFor(now).Milliseconds()
 		for _, g := range s.voter.Grants(now) {
@@ -76,7 +76,7 @@
 
 // driverName returns the name of a voter or of this driver, the number of any other and "" for none.
 func (s *leaseService) driverName(node lease.Node) string {
-	for _, name := range slices.Concat(s.config.Voters, s.config.Former, []string{s.node.site.Name}) {
+	for _, name := range slices.Concat(s.config.Voters, s.config.FormerVoters, []string{s.node.site.Name}) {
 		if lease.NodeOf(name) == node {
 			return name
 		}
--- a/internal/node/listeners.go
+++ b/internal/node/listeners.go
@@ -6,11 +6,11 @@
 	"time"
 
 	"passtack/driver"
+	"passtack/internal/config"
 	"passtack/internal/front"
 	odatafront "passtack/internal/front/odata"
 	pgfront "passtack/internal/front/pg"
 	"passtack/internal/loop"
-	"passtack/internal/operator"
 	"passtack/internal/share"
 	"passtack/internal/shutdown"
 )
@@ -49,8 +49,8 @@
 	n := s.node
 	methods := n.site.methods()
 	ids := make(front.Ids)
-	for _, f := range n.config.Fronts {
-		l := &listener{set: s, name: f.Name, quotaID: s.quotas.Join(f.Share)}
+	for _, f := range n.config.Listeners {
+		l := &listener{set: s, name: f.Name, quotaID: s.quotas.Join(f.Quota)}
 		address := f.Listen
 		if !address.IsValid() {
 			address = n.site.Listen
@@ -65,7 +65,7 @@
 }
 
 // open listens for clients of one front.
-func (l *listener) open(f *operator.Front, address netip.AddrPort, ids front.Ids, methods siteMethods) error {
+func (l *listener) open(f *config.Listener, address netip.AddrPort, ids front.Ids, methods siteMethods) error {
 	n := l.set.node
 	seed := n.site.Seed + uint64(l.quotaID)
 	switch f.Protocol {
@@ -76,7 +76,7 @@
 		}
 		l.front, l.connections = pg, pg.Connections()
 	case "odata":
-		odata, err := odatafront.Listen(n.loop, &n.rpcs, address, l.limits(), ids, f.OData, methods.names, n.config.Root, seed)
+		odata, err := odatafront.Listen(n.loop, &n.rpcs, address, l.limits(), ids, f.OData, methods.names, n.config.MemberRoot, seed)
 		if err != nil {
 			return err
 		}
@@ -109,7 +109,7 @@
 
 // admits reports whether the listener may have one more RPC in service.
 func (l *listener) admits() bool {
-	if len(l.set.all) == 1 && l.set.node.config.Fronts[0].Share.Limits[share.RPCs] == 0 {
+	if len(l.set.all) == 1 && l.set.node.config.Listeners[0].Quota.Limits[share.RPCs] == 0 {
 		return true
 	}
 	return l.rpcs < l.capacity(share.RPCs, maxRPCs)
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -45,7 +45,7 @@
 func (r *memberRegistry) openPools() {
 	n := r.node
 	load := member.Load{Columns: n.site.reportColumns(), Word: terms.Word}
-	host := n.config.Host
+	host := n.config.MemberHost
 	if host == "" {
 		host = n.site.Name
 	}
--- a/internal/node/messenger.go
+++ b/internal/node/messenger.go
@@ -26,8 +26,8 @@
 	fleet := ""
 	if n.config.Leases != nil {
 		fleet = n.config.Leases.Fleet
-	} else if n.config.View != nil {
-		fleet = n.config.View.Fleet
+	} else if n.config.Membership != nil {
+		fleet = n.config.Membership.Fleet
 	} else {
 		return nil
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -10,12 +10,12 @@
 	"os"
 	"runtime/debug"
 
+	"passtack/internal/config"
 	"passtack/internal/control"
 	"passtack/internal/fleetclock"
 	"passtack/internal/list"
 	"passtack/internal/logs"
 	"passtack/internal/loop"
-	"passtack/internal/operator"
 	"passtack/internal/peers"
 	"passtack/internal/recovery"
 	"passtack/internal/terms"
@@ -28,8 +28,8 @@
 // Node is one driver. All of it runs on its event loop; workers touch none of its state.
 type Node struct {
 	site      *Site
-	config    *operator.File // in force
-	simulated bool           // time stands still within an iteration of the loop, and there are no workers
+	config    *config.File // in force
+	simulated bool         // time stands still within an iteration of the loop, and there are no workers
 
 	loop   *loop.Loop
 	module *rules.Router
@@ -61,7 +61,7 @@
 }
 
 // New opens all sockets of a driver on the system's event loop and listens for signals. Run serves.
-func New(site *Site, config *operator.File) (*Node, error) {
+func New(site *Site, cfg *config.File) (*Node, error) {
 	debug.SetMemoryLimit(runtimeMemory(site))
 	var l *loop.Loop
 	err := retryOnResourceShortage(func() (err error) {
@@ -72,7 +72,7 @@
 		return nil, fmt.Errorf("limits: %w", err)
 	}
 	signals := watchSignals(l)
-	n, err := assemble(l, site, config, false)
+	n, err := assemble(l, site, cfg, false)
 	if err != nil {
 		return nil, err
 	}
@@ -81,16 +81,16 @@
 }
 
 // On assembles a driver on an event loop of the caller's, real or simulated, which the caller runs.
-func On(l *loop.Loop, site *Site, config *operator.File) (*Node, error) {
-	return assemble(l, site, config, true)
+func On(l *loop.Loop, site *Site, cfg *config.File) (*Node, error) {
+	return assemble(l, site, cfg, true)
 }
 
 // runtimeMemory is the memory limit of the Go runtime in bytes. The rest of the site's limit is left to what the runtime does not count.
 func runtimeMemory(site *Site) int64 { return site.Memory * 3 / 4 }
 
 // assemble creates all parts of a driver and opens its sockets.
-func assemble(l *loop.Loop, site *Site, config *operator.File, simulated bool) (*Node, error) {
-	n := newNode(l, site, config, simulated)
+func assemble(l *loop.Loop, site *Site, cfg *config.File, simulated bool) (*Node, error) {
+	n := newNode(l, site, cfg, simulated)
 	n.recallConfiguration()
 	n.rpcs.tick = terms.New(site.Settings).Span("tick")
 	n.members.openPools()
@@ -118,8 +118,8 @@
 }
 
 // newNode creates the parts that need no socket, file or setting.
-func newNode(l *loop.Loop, site *Site, config *operator.File, simulated bool) *Node {
-	n := &Node{site: site, config: config, simulated: simulated, loop: l, telemetry: newTelemetry()}
+func newNode(l *loop.Loop, site *Site, cfg *config.File, simulated bool) *Node {
+	n := &Node{site: site, config: cfg, simulated: simulated, loop: l, telemetry: newTelemetry()}
 	n.host.node = n
 	n.listeners = newListenerSet(n)
 	n.rpcs.node = n
@@ -200,8 +200,8 @@
 	debug.SetMemoryLimit(runtimeMemory(n.site))
 	n.lines = logs.To(os.Stderr)
 	defer n.lines.End()
-	n.lines.Level.Set(n.config.Level)
-	n.lines.Sample.Store(n.config.Sample)
+	n.lines.Level.Set(n.config.LogLevel)
+	n.lines.Sample.Store(n.config.LogSample)
 	n.signals.forward(n.reread)
 	defer n.work()()
 	slog.Info("started", "name", n.site.Name, "listen", n.site.Listen, "discovery", n.site.Discovery)
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -7,12 +7,12 @@
 	"slices"
 	"strings"
 
+	"passtack/internal/config"
 	odatafront "passtack/internal/front/odata"
-	"passtack/internal/operator"
 )
 
 // reload applies what the files say now, as far as that needs no restart.
-func (n *Node) reload(fresh *Site, config *operator.File, err error) {
+func (n *Node) reload(fresh *Site, cfg *config.File, err error) {
 	if err != nil {
 		n.Count("reloads_failed")
 		for line := range strings.Lines(err.Error()) {
@@ -23,12 +23,12 @@
 	n.Count("reloads")
 	restart := n.reloadSite(fresh)
 	if n.configuration != nil {
-		n.configuration.reloaded(fresh, config)
+		n.configuration.reloaded(fresh, cfg)
 	}
 	if n.peers != nil {
 		n.peers.SetAddresses(n.site.PeerBroadcast, n.site.Peers)
 	}
-	restart = append(restart, n.applyConfig(config)...)
+	restart = append(restart, n.applyConfig(cfg)...)
 	slog.Info("reloaded", "discovery", n.site.Discovery, "sockets", n.site.Descriptors, "memory_mb", n.site.Memory>>20,
 		"needs_restart", strings.Join(restart, ","))
 }
@@ -60,47 +60,47 @@
 }
 
 // applyConfig applies another version of the operator's file, and returns what in it needs a restart.
-func (n *Node) applyConfig(config *operator.File) (restart []string) {
-	n.lines.Level.Set(config.Level)
-	n.lines.Sample.Store(config.Sample)
+func (n *Node) applyConfig(cfg *config.File) (restart []string) {
+	n.lines.Level.Set(cfg.LogLevel)
+	n.lines.Sample.Store(cfg.LogSample)
 	inForce := n.config
-	if !sameTopology(inForce, config) {
+	if !sameTopology(inForce, cfg) {
 		restart = append(restart, "fronts or members")
 	}
-	if !equal(inForce.State, config.State) {
+	if !equalBlocks(inForce.State, cfg.State) {
 		restart = append(restart, "state")
 	}
-	if leasesNeedRestart(inForce.Leases, config.Leases) {
+	if leasesNeedRestart(inForce.Leases, cfg.Leases) {
 		restart = append(restart, "leases")
-	} else if n.leases != nil && !reflect.DeepEqual(inForce.Leases, config.Leases) {
-		inForce.Leases = config.Leases
-		n.leases.changeVoters(config.Leases)
+	} else if n.leases != nil && !reflect.DeepEqual(inForce.Leases, cfg.Leases) {
+		inForce.Leases = cfg.Leases
+		n.leases.changeVoters(cfg.Leases)
 	}
-	if !equal(inForce.View, config.View) {
+	if !equalBlocks(inForce.Membership, cfg.Membership) {
 		restart = append(restart, "view")
 	}
-	if !reflect.DeepEqual(config.Configuration, inForce.Configuration) {
+	if !reflect.DeepEqual(cfg.Configuration, inForce.Configuration) {
 		restart = append(restart, "configuration")
 	}
-	if config.Control != inForce.Control {
+	if cfg.Control != inForce.Control {
 		restart = append(restart, "control")
 	}
-	return append(restart, n.listeners.applyConfig(config.Fronts)...)
+	return append(restart, n.listeners.applyConfig(cfg.Listeners)...)
 }
 
 // applyConfig applies what the operator's file says of listeners, and names those that need a restart.
-func (s *listenerSet) applyConfig(fronts []*operator.Front) (restart []string) {
-	inForce := s.node.config.Fronts
-	for _, f := range fronts {
-		i := slices.IndexFunc(inForce, func(o *operator.Front) bool {
+func (s *listenerSet) applyConfig(listeners []*config.Listener) (restart []string) {
+	inForce := s.node.config.Listeners
+	for _, f := range listeners {
+		i := slices.IndexFunc(inForce, func(o *config.Listener) bool {
 			return o.Name == f.Name && o.Protocol == f.Protocol && o.Listen == f.Listen
 		})
 		if i < 0 {
 			restart = append(restart, "front "+f.Name)
 			continue
 		}
-		inForce[i].Share = f.Share
-		s.quotas.Change(s.all[i].quotaID, f.Share)
+		inForce[i].Quota = f.Quota
+		s.quotas.Change(s.all[i].quotaID, f.Quota)
 		if odata, ok := s.all[i].front.(*odatafront.Front); ok {
 			inForce[i].OData = f.OData
 			odata.Offer(f.OData)
@@ -110,12 +110,12 @@
 }
 
 // sameTopology reports whether two files have as many listeners and the same members.
-func sameTopology(a, b *operator.File) bool {
-	return len(a.Fronts) == len(b.Fronts) && a.Root == b.Root && a.Host == b.Host && maps.Equal(a.Forms, b.Forms)
+func sameTopology(a, b *config.File) bool {
+	return len(a.Listeners) == len(b.Listeners) && a.MemberRoot == b.MemberRoot && a.MemberHost == b.MemberHost && maps.Equal(a.Forms, b.Forms)
 }
 
-// equal reports whether two optional blocks of a file are the same.
-func equal[T comparable](a, b *T) bool {
+// equalBlocks reports whether two optional blocks of a file are the same.
+func equalBlocks[T comparable](a, b *T) bool {
 	if a == nil || b == nil {
 		return a == b
 	}
@@ -123,12 +123,12 @@
 }
 
 // leasesNeedRestart reports whether two blocks for leases differ in more than the set of voters.
-func leasesNeedRestart(a, b *operator.Leases) bool {
+func leasesNeedRestart(a, b *config.Leases) bool {
 	if a == nil || b == nil {
 		return a != b
 	}
-	withoutVoters := func(l operator.Leases) operator.Leases {
-		l.Version, l.Voters, l.Former = 0, nil, nil
+	withoutVoters := func(l config.Leases) config.Leases {
+		l.Version, l.Voters, l.FormerVoters = 0, nil, nil
 		return l
 	}
 	return !reflect.DeepEqual(withoutVoters(*a), withoutVoters(*b))
--- a/internal/node/rest_test.go
+++ b/internal/node/rest_test.go
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
+	"passtack/internal/config"
 	"passtack/internal/loop"
 	"passtack/internal/loop/sim"
-	"passtack/internal/operator"
 	"passtack/internal/terms"
 )
 
@@ -69,7 +69,7 @@
 	}
 	driver = w.Host("d")
 	var err error
-	if n, err = On(on(driver), site, operator.None()); err != nil {
+	if n, err = On(on(driver), site, config.Default()); err != nil {
 		t.Fatal(err)
 	}
 	return w, n, driver, calls
--- a/internal/node/signals.go
+++ b/internal/node/signals.go
@@ -87,6 +87,6 @@
 // reread reads the driver's files again and returns what the loop is to do with them. It runs outside of the loop.
 func (n *Node) reread(site Site) (apply func()) {
 	fresh, siteErr := site.reread()
-	config, configErr := site.ReadConfig()
-	return func() { n.reload(fresh, config, errors.Join(siteErr, configErr)) }
+	cfg, cfgErr := site.ReadConfig()
+	return func() { n.reload(fresh, cfg, errors.Join(siteErr, cfgErr)) }
 }
--- a/internal/node/sim_test.go
+++ b/internal/node/sim_test.go
@@ -11,9 +11,9 @@
 	"testing"
 	"time"
 
+	"passtack/internal/config"
 	"passtack/internal/loop"
 	"passtack/internal/loop/sim"
-	"passtack/internal/operator"
 	"passtack/internal/pcg"
 	"passtack/internal/pgwire"
 	"passtack/internal/terms"
@@ -140,7 +140,7 @@
 		Name: d.host.Name, Listen: d.at, Discovery: netip.MustParseAddrPort("10.0.9.1:8500"), Seed: p.chance2(), Descriptors: 256, Memory: 64 << 20,
 		InitialList: []byte(listOf(1, true, targets...)), Settings: terms.Nested(simSettings(p.t)),
 	}
-	n, err := On(p.loopOn(d.host), site, operator.None())
+	n, err := On(p.loopOn(d.host), site, config.Default())
 	if err != nil {
 		p.t.Fatal(err)
 	}
@@ -262,7 +262,7 @@
 	after(6500*time.Millisecond, func() {
 		old := p.drivers[0]
 		old.host.Start()
-		n, err := On(p.loopOn(old.host), old.node.site, operator.None())
+		n, err := On(p.loopOn(old.host), old.node.site, config.Default())
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/node/site.go
+++ b/internal/node/site.go
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"passtack/internal/operator"
+	"passtack/internal/config"
 	"passtack/internal/terms"
 )
 
@@ -152,26 +152,26 @@
 }
 
 // ReadConfig reads the operator's file. Without one it returns the default.
-func (s *Site) ReadConfig() (config *operator.File, err error) {
+func (s *Site) ReadConfig() (cfg *config.File, err error) {
 	if s.ConfigFile == "" {
-		return operator.None(), nil
+		return config.Default(), nil
 	}
 	err = retryOnResourceShortage(func() (err error) {
-		config, err = operator.Read(s.ConfigFile, s.Listen, methodsOf(s.Settings))
+		cfg, err = config.Read(s.ConfigFile, s.Listen, methodsOf(s.Settings))
 		return err
 	})
-	return config, err
+	return cfg, err
 }
 
 // ParseConfig reads the text of an operator's file. Errors name it by the name given.
-func (s *Site) ParseConfig(text []byte, name string) (*operator.File, error) {
-	return operator.Parse(text, name, s.Listen, methodsOf(s.Settings))
+func (s *Site) ParseConfig(text []byte, name string) (*config.File, error) {
+	return config.Parse(text, name, s.Listen, methodsOf(s.Settings))
 }
 
 // methodsOf returns the methods of the settings, which the operator's file is checked against. Retired ones have no name.
-func methodsOf(settings map[string]string) []operator.Method {
+func methodsOf(settings map[string]string) []config.Method {
 	t := terms.New(settings)
-	var methods []operator.Method
+	var methods []config.Method
 	for i := range int(t.Number("methods.count", 0)) {
 		at := "methods." + strconv.Itoa(i) + "."
 		name := t.Text(at + "name")
@@ -179,10 +179,10 @@
 			name = ""
 		}
 		effect := t.Text(at + "effect")
-		methods = append(methods, operator.Method{
+		methods = append(methods, config.Method{
 			Name: name, Need: t.Item("family_info.needs", i), Idempotent: effect == "idempotent",
-			Tokened: effect == "tokened", Window: t.Span(at + "window"), Soft: t.Span(at + "soft_deadline"),
-			Limit: t.Span(at + "limit"),
+			HasToken: effect == "tokened", Window: t.Span(at + "window"), SoftDeadline: t.Span(at + "soft_deadline"),
+			MaxDeadline: t.Span(at + "limit"),
 		})
 	}
 	return methods
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -44,9 +44,9 @@
 	if t == nil {
 		return
 	}
-	store, found, err := n.openFolder(t.Folder, t.Bytes)
+	store, found, err := n.openFolder(t.DataDir, t.MaxBytes)
 	if err != nil {
-		slog.Warn("state_unusable", "folder", t.Folder, "cause", err)
+		slog.Warn("state_unusable", "folder", t.DataDir, "cause", err)
 		n.Count("state_unusable")
 		return
 	}
@@ -54,7 +54,7 @@
 		slog.Warn("state_lost", "file", lost)
 	}
 	now := n.loop.Now()
-	k := &learned{store: store, saver: persist.NewSaver(store, t.Bytes), recalled: persist.Restore(store), unlisted: now + unlistedFor, recalling: true, entries: make(map[string]bool)}
+	k := &learned{store: store, saver: persist.NewSaver(store, t.MaxBytes), recalled: persist.Restore(store), unlisted: now + unlistedFor, recalling: true, entries: make(map[string]bool)}
 	n.learned = k
 	r := k.recalled
 	persist.ForEachSessionWrite(store, n.module.RecallToken)
@@ -65,7 +65,7 @@
 	}
 	n.module.Usual(r.UsualLatencies...)
 	n.list.Keep = n.keepList
-	k.saving = n.chore(background.Job{Name: "save", Priority: 1, Period: t.Every, Deadline: 5 * time.Second, Budget: background.Usage{Time: savingPart}, MinBackoff: t.Every, MaxBackoff: mostBackOff}, n.save)
+	k.saving = n.chore(background.Job{Name: "save", Priority: 1, Period: t.SaveInterval, Deadline: 5 * time.Second, Budget: background.Usage{Time: savingPart}, MinBackoff: t.SaveInterval, MaxBackoff: mostBackOff}, n.save)
 	k.compacting = n.chore(background.Job{Name: "compact", MinBackoff: time.Second, MaxBackoff: mostBackOff}, n.compact)
 	k.aging = n.chore(background.Job{Name: "forget-repeats", Period: time.Second}, n.forgetRepeats)
 }
@@ -258,7 +258,7 @@
 	n.Count("state_failures")
 	if now >= n.learned.quiet {
 		n.learned.quiet = now + quietFor
-		slog.Warn("state_not_saved", "folder", n.config.State.Folder, "cause", err)
+		slog.Warn("state_not_saved", "folder", n.config.State.DataDir, "cause", err)
 	}
 }
 
@@ -289,7 +289,7 @@
 		defer close(over)
 		if changes != nil {
 			if err := k.store.Commit(changes); err != nil && !errors.Is(err, storage.ErrTooLarge) {
-				slog.Warn("state_not_saved", "folder", n.config.State.Folder, "cause", err)
+				slog.Warn("state_not_saved", "folder", n.config.State.DataDir, "cause", err)
 			}
 		}
 		n.LetGo()
--- a/internal/node/summary_task.go
+++ b/internal/node/summary_task.go
@@ -7,9 +7,9 @@
 	"time"
 
 	"passtack/driver"
+	"passtack/internal/config"
 	"passtack/internal/lease"
 	"passtack/internal/loop"
-	"passtack/internal/operator"
 	"passtack/internal/peers"
 )
 
@@ -61,10 +61,10 @@
 	Rejected int    `json:"refused"` // for a lower fencing token
 }
 
-func newSummaryTask(s *leaseService, candidate *lease.Candidate, t operator.Task) *summaryTask {
+func newSummaryTask(s *leaseService, candidate *lease.Candidate, t config.Task) *summaryTask {
 	return &summaryTask{
-		leases: s, candidate: candidate, interval: t.Every, digests: make(map[lease.Node]digest),
-		upload: &summaryUpload{node: s.node, address: t.To, path: t.Path, timeout: max(t.Every, time.Second)},
+		leases: s, candidate: candidate, interval: t.Interval, digests: make(map[lease.Node]digest),
+		upload: &summaryUpload{node: s.node, address: t.Address, path: t.Path, timeout: max(t.Interval, time.Second)},
 	}
 }
 
--- a/internal/node/view.go
+++ b/internal/node/view.go
@@ -31,15 +31,15 @@
 
 // viewFleet begins.
 func (n *Node) viewFleet() {
-	w := n.config.View
+	w := n.config.Membership
 	if w == nil {
 		return
 	}
 	v := &view{messenger: n.messenger, told: make(map[fleet.Status]int), at: n.loop.Now()}
 	n.view = v
-	v.parts = fleet.NewParts(w.Every)
+	v.parts = fleet.NewParts(w.Interval)
 	v.drains = &drains{view: v, known: fleet.NewDrains(), places: make(map[uint64]listedAs)}
-	v.seen = fleet.New(v, n.site.Name, fleet.Terms{Every: w.Every, Life: n.messenger.incarnation}, n.site.Seed+101, n.loop.Now())
+	v.seen = fleet.New(v, n.site.Name, fleet.Terms{Every: w.Interval, Life: n.messenger.incarnation}, n.site.Seed+101, n.loop.Now())
 	v.say()
 	v.plan()
 }
@@ -74,17 +74,17 @@
 	v.rpcs, v.at = n.counters["rpcs_taken"], now
 	v.seen.Say(fleet.Digest{Ready: uint8(n.recovery.Ready() * 100), Load: uint16(min(load, 65535)), Revision: uint32(n.list.Rev())})
 	v.share()
-	n.loop.At(now+min(saying, n.config.View.Every), v.say)
+	n.loop.At(now+min(saying, n.config.Membership.Interval), v.say)
 }
 
 // share bounds this driver's connections at each member by its part of what that takes from all.
 func (v *view) share() {
 	n, now := v.node, v.node.loop.Now()
 	v.parts.See(v.seen.Living(), v.Peers(), now)
-	if n.config.View.Connections == 0 || v.Peers() == 0 { // nobody tells how many drivers there may be
+	if n.config.Membership.MemberConnections == 0 || v.Peers() == 0 { // nobody tells how many drivers there may be
 		return
 	}
-	each := v.parts.Of(n.config.View.Connections, now)
+	each := v.parts.Of(n.config.Membership.MemberConnections, now)
 	if each != v.each {
 		slog.Info("fleet_part", "connections", each, "whole", v.parts.Whole(now), "living", v.seen.Living())
 		v.each = each
