--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -1,6 +1,7 @@
 package config
 
 import (
+	"errors"
 	"net/netip"
 	"os"
 	"strings"
@@ -16,7 +17,7 @@
 	platform = netip.MustParseAddrPort("127.0.0.1:6543")
 	methods  = []Method{
 		{Name: "status-read", Need: "bounded", Idempotent: true, SoftDeadline: time.Second, MaxDeadline: 2 * time.Second},
-		{Name: "own-read", Need: "session", Idempotent: true}, {Name: "apply-write", Need: "write", HasToken: true, Window: time.Second},
+		{Name: "own-read", Need: "session", Idempotent: true}, {Name: "apply-write", Need: "write", HasIdempotencyKey: true, Window: time.Second},
 	}
 )
 
@@ -48,15 +49,15 @@
 	}
 }
 
-func TestWithoutAFileThePlatformHasAll(t *testing.T) {
+func TestDefaultHasThePlatformsListener(t *testing.T) {
 	f := Default()
 	if len(f.Listeners) != 1 || f.Listeners[0].Listen.IsValid() || f.Forms[driver.Group(3)] != driver.Statements {
 		t.Errorf("%+v", f)
 	}
 }
 
-// Each mistake alone is told in one line, with its place and value.
-func TestMistakesAreNamed(t *testing.T) {
+// Each error alone is reported in one line, with its place and value.
+func TestEachErrorHasItsPlaceAndValue(t *testing.T) {
 	good := sample(t)
 	for _, m := range []struct{ old, new, want string }{
 		{"weight = 2", "wieght = 2", `:11:3: unsupported argument`},
@@ -99,8 +100,8 @@
 	}
 }
 
-// The sample of leases is read, and each mistake in it is named.
-func TestMistakesInLeasesAreNamed(t *testing.T) {
+// The sample for leases is read, and each error in it is reported.
+func TestEachErrorInLeasesIsReported(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/leases.hcl")
 	if err != nil {
 		t.Fatal(err)
@@ -138,7 +139,7 @@
 	}
 }
 
-func TestAllMistakesAreToldInOneGo(t *testing.T) {
+func TestAllErrorsAreReportedAtOnce(t *testing.T) {
 	text := strings.NewReplacer("weight = 2", "wieght = 2", `"Edm.Int64"`, `"Edm.Int65"`, "{Status}", "{Stats}", `= "5m"`, `= 5`).Replace(sample(t))
 	_, err := Parse([]byte(text), "passtack.hcl", platform, methods)
 	if lines := strings.Count(err.Error(), "\n") + 1; lines != 4 {
@@ -149,6 +150,19 @@
 	}
 }
 
+// An error can be examined without its text.
+func TestErrorsAreTyped(t *testing.T) {
+	_, err := Parse([]byte("log {\n  sample = 1.5\n}\n"), "passtack.hcl", platform, methods)
+	var all ValidationErrors
+	var one *ValidationError
+	if !errors.As(err, &all) || len(all) != 1 || !errors.As(err, &one) || one.File != "passtack.hcl" || one.Line != 2 || one.Column != 12 {
+		t.Errorf("%#v, %+v", err, one)
+	}
+	if _, err := ReadMachine("../../deploy/passtack.hcl"); err == nil || errors.Is(err, ErrNoControlMachine) {
+		t.Errorf("a file that cannot be read without methods: %v", err)
+	}
+}
+
 func TestMembersOfTwoProtocols(t *testing.T) {
 	text := strings.Replace(sample(t), "groups = [0]", "groups = [0, 1]", 1) + "members \"odata\" {\ngroups = [1]\nroot = \"/v4/\"\n}\n"
 	if _, err := Parse([]byte(text), "passtack.hcl", platform, methods); err == nil || !strings.Contains(err.Error(), "speak two protocols") {
--- a/internal/config/configuration_test.go
+++ b/internal/config/configuration_test.go
@@ -1,14 +1,15 @@
 package config
 
 import (
+	"errors"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
 )
 
-// The samples of configuration are read, and each mistake in them is named with its place and value.
-func TestMistakesInConfigurationAreNamed(t *testing.T) {
+// The samples for configuration are read, and each error in them is reported with its place and value.
+func TestEachErrorInConfigurationIsReported(t *testing.T) {
 	for file, mistakes := range map[string][]struct{ old, new, want string }{
 		"control.hcl": {
 			{`"127.0.0.1:7400"`, `"here"`, `:4:12: listen is no address with a port ("here")`},
@@ -51,7 +52,7 @@
 	}
 }
 
-func TestAControlMachinesFile(t *testing.T) {
+func TestControlMachineFile(t *testing.T) {
 	p, err := ReadMachine("../../deploy/control.hcl")
 	if err != nil || p.Name != "c0" || p.Fleet != "bureau" || len(p.Peers) != 2 || p.Peers[1].Name != "c2" || p.Peers[1].Address.Port() != 7400 || p.DataDir == "" {
 		t.Errorf("%+v, %v", p, err)
@@ -60,7 +61,7 @@
 	if err := os.WriteFile(other, []byte("log {\n}\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := ReadMachine(other); err == nil || !strings.Contains(err.Error(), "it has no block control_machine") {
+	if _, err := ReadMachine(other); !errors.Is(err, ErrNoControlMachine) || !strings.Contains(err.Error(), "it has no block control_machine") {
 		t.Errorf("%v", err)
 	}
 	if _, err := ReadMachine(other + "x"); err == nil {
--- /dev/null
+++ b/internal/config/operation.go
@@ -0,0 +1,144 @@
+package config
+
+import (
+	"slices"
+	"strings"
+
+	"github.com/hashicorp/hcl/v2"
+
+	"passtack/driver"
+	"passtack/internal/odata"
+)
+
+// requiredPlaceholders are those that the statement of an operation cannot do without.
+var requiredPlaceholders = map[odata.Act][]string{
+	odata.Read:    {"key"},
+	odata.List:    {"top", "skip", "order"},
+	odata.Update:  {"key"},
+	odata.Replace: {"key", "body"},
+	odata.Upsert:  {"key", "body"},
+	odata.Delete:  {"key"},
+}
+
+// operation reads one operation of an entity set, whose members speak the protocol given.
+func (r *reader) operation(s *odata.Set, b *hcl.Block, form driver.Form) {
+	c := r.content(b.Body, []string{"method", "after_write", "statement"})
+	name := b.Labels[0]
+	i := slices.Index(odata.Names[:], name)
+	if i < 0 {
+		r.addError(b.LabelRanges[0], "an operation is one of %s (%q)", strings.Join(odata.Names[:], ", "), name)
+		return
+	}
+	act := odata.Act(i)
+	if s.Operations[act] != nil {
+		r.addError(b.LabelRanges[0], "set %q has this operation twice (%q)", s.Name, name)
+	}
+	o := &odata.Operation{}
+	s.Operations[act] = o
+	if number, m, ok := r.method(c, "method", act.Writes()); ok {
+		o.Method, o.Tokened, o.Repeats, o.Window, o.Soft, o.Most = number, m.HasIdempotencyKey, m.Idempotent, m.Window, m.SoftDeadline, m.MaxDeadline
+	}
+	o.AfterWrite = o.Method
+	if c.Attributes["after_write"] != nil {
+		r.afterWrite(o, act, c, name)
+	}
+	r.statement(o, act, s, form, c, name)
+}
+
+// method reads the name of a method, which must be for writes or for reads.
+func (r *reader) method(c *hcl.BodyContent, attribute string, writes bool) (driver.Method, Method, bool) {
+	name, at := r.textOf(c, attribute, "")
+	i := slices.IndexFunc(r.methods, func(m Method) bool { return m.Name == name })
+	switch {
+	case i < 0 && c.Attributes[attribute] == nil:
+		r.addError(at, "%s is missing", attribute)
+	case i < 0:
+		r.addError(at, "%s is none of the settings (%q)", attribute, name)
+	case r.methods[i].writes() != writes:
+		use := "reads"
+		if !writes {
+			use = "writes"
+		}
+		r.addError(at, "%s is for %s, not for this (%q)", attribute, use, name)
+	default:
+		return driver.Method(i), r.methods[i], true
+	}
+	return 0, Method{}, false
+}
+
+// writes reports whether the method is for writes.
+func (m Method) writes() bool { return m.Need == "write" }
+
+// seesOwnWrites reports whether a read by the method sees the writes of its session.
+func (m Method) seesOwnWrites() bool { return m.Need == "session" || m.Need == "fresh" }
+
+// mayBeStale reports whether a read by the method may be answered from older data than its session has written.
+func (m Method) mayBeStale() bool { return m.Need == "any" || m.Need == "bounded" }
+
+// afterWrite reads the method of a read that follows a write in the same batch.
+func (r *reader) afterWrite(o *odata.Operation, act odata.Act, c *hcl.BodyContent, name string) {
+	if act.Writes() {
+		r.addError(c.Attributes["after_write"].NameRange, "after_write is for reads (%q)", name)
+		return
+	}
+	number, m, ok := r.method(c, "after_write", false)
+	if !ok {
+		return
+	}
+	o.AfterWrite = number
+	if !m.seesOwnWrites() {
+		r.addError(c.Attributes["after_write"].Expr.Range(), "after_write sees no write of its session (%q)", m.Name)
+	}
+}
+
+// statement reads the statement of an operation, which members that speak OData do not take.
+func (r *reader) statement(o *odata.Operation, act odata.Act, s *odata.Set, form driver.Form, c *hcl.BodyContent, name string) {
+	text, at := r.textOf(c, "statement", "")
+	switch {
+	case form == driver.Requests && text != "":
+		r.addError(at, "members of set %q speak odata and take no statement", s.Name)
+		return
+	case form == driver.Statements && text == "":
+		r.addError(at, "statement is missing (%q)", name)
+		return
+	case form != driver.Statements:
+		return
+	}
+	template, err := odata.NewTemplate(text, s)
+	if err != nil {
+		r.addError(at, "statement: %v", err)
+		return
+	}
+	for _, placeholder := range requiredPlaceholders[act] {
+		if !template.Has(placeholder) {
+			r.addError(at, "statement of %q leaves {%s} open nowhere", name, placeholder)
+		}
+	}
+	o.Statement = template
+}
+
+// checkAfterWrites requires after_write of each read whose method may miss a write of the same batch.
+func (r *reader) checkAfterWrites(s *odata.Set, blocks hcl.Blocks) {
+	if !hasWrites(s) {
+		return
+	}
+	for _, b := range blocks {
+		i := slices.Index(odata.Names[:], b.Labels[0])
+		if i < 0 || odata.Act(i).Writes() || s.Operations[i] == nil || s.Operations[i].AfterWrite != s.Operations[i].Method {
+			continue
+		}
+		if m := int(s.Operations[i].Method); m < len(r.methods) && r.methods[m].mayBeStale() {
+			r.addError(b.DefRange, "operation %q of set %q needs after_write: its method may miss a write of the same batch (%q)",
+				b.Labels[0], s.Name, r.methods[m].Name)
+		}
+	}
+}
+
+func hasWrites(s *odata.Set) bool {
+	for act, o := range s.Operations {
+		if o != nil && odata.Act(act).Writes() {
+			return true
+		}
+	}
+	return false
+}
--- a/internal/front/odata/judge_test.go
+++ b/internal/front/odata/judge_test.go
@@ -27,7 +27,7 @@
 	}
 	f, err := config.Parse(text, "passtack.hcl", netip.MustParseAddrPort("127.0.0.1:1"), []config.Method{
 		{Name: "status-read", Need: "bounded", Idempotent: true, SoftDeadline: time.Second}, {Name: "own-read", Need: "session", Idempotent: true},
-		{Name: "apply-write", Need: "write", HasToken: true, Window: time.Second},
+		{Name: "apply-write", Need: "write", HasIdempotencyKey: true, Window: time.Second},
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/node/site.go
+++ b/internal/node/site.go
@@ -181,7 +181,7 @@
 		effect := t.Text(at + "effect")
 		methods = append(methods, config.Method{
 			Name: name, Need: t.Item("family_info.needs", i), Idempotent: effect == "idempotent",
-			HasToken: effect == "tokened", Window: t.Span(at + "window"), SoftDeadline: t.Span(at + "soft_deadline"),
+			HasIdempotencyKey: effect == "tokened", Window: t.Span(at + "window"), SoftDeadline: t.Span(at + "soft_deadline"),
 			MaxDeadline: t.Span(at + "limit"),
 		})
 	}
