--- a/internal/node/messenger.go
+++ b/internal/node/messenger.go
@@ -39,7 +39,7 @@
 		addresses: peers.NewAddressBook(),
 	}
 	n.startLeases()
-	n.viewFleet()
+	n.joinFleet()
 	return nil
 }
 
@@ -79,10 +79,10 @@
 		m.warnDuplicateName("another")
 	}
 	switch {
-	case message.Kind == peers.Membership && n.view != nil:
-		n.view.take(from, message.Body)
-	case message.Kind == peers.Drain && n.view != nil:
-		n.view.drains.heard(message.Body)
+	case message.Kind == peers.Membership && n.membership != nil:
+		n.membership.receive(from, message.Body)
+	case message.Kind == peers.Drain && n.membership != nil:
+		n.membership.drainGossip.receive(message.Body)
 	case n.leases != nil:
 		n.leases.handleMessage(message)
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -12,10 +12,10 @@
 
 	"passtack/internal/config"
 	"passtack/internal/control"
-	"passtack/internal/fleetclock"
 	"passtack/internal/list"
 	"passtack/internal/logs"
 	"passtack/internal/loop"
+	"passtack/internal/memberclock"
 	"passtack/internal/peers"
 	"passtack/internal/recovery"
 	"passtack/internal/terms"
@@ -45,8 +45,8 @@
 	shutdown  gracefulShutdown
 	signals   *signals
 
-	clock      fleetclock.Clock // the members' clock against the loop's
-	background backgroundJobs
+	memberClock memberclock.Estimator // the members' clock against the loop's
+	background  backgroundJobs
 	telemetry
 	features
 }
@@ -54,7 +54,7 @@
 // features are the parts that a driver has only if the operator's file asks for them. Each is nil otherwise.
 type features struct {
 	messenger     *messenger
-	view          *view
+	membership    *fleetMembership
 	leases        *leaseService
 	configuration *configuration
 	learned       *learned
