--- a/internal/emu/rig/rig.go
+++ b/internal/emu/rig/rig.go
@@ -413,7 +413,8 @@
 	if strings.HasPrefix(event, "configuration") && f.began > 0 {
 		f.note(d, "%s %s %s", event, field(s.line, "version"), field(s.line, "cause"))
 	}
-	if event == "comeback" && f.began > 0 {
+	stageChanged := event == "recovery stage changed" || event == "comeback" // the latter of earlier versions
+	if stageChanged && f.began > 0 {
 		f.note(d, "is %s", field(s.line, "stage"))
 		f.falls.Reached(d.number, field(s.line, "stage"), f.loop.Now()-f.began)
 	}
--- a/internal/node/counters.go
+++ b/internal/node/counters.go
@@ -33,15 +33,15 @@
 func (n *Node) logCounters() {
 	descriptors, maxDescriptors := n.loop.Open()
 	line := []any{
-		"rpcs_held", n.rpcs.Len(),
+		"rpcs_in_service", n.rpcs.Len(),
 		"clients_open", n.listeners.openClients(),
 		"members_open", n.members.openConnections(),
 		"descriptors", descriptors,
-		"descriptors_most", maxDescriptors,
-		"dues", n.loop.Dues(),
-		"lines_lost", n.lines.Lost.Load(),
-		"lines_sampled", n.lines.Sampled.Load(),
-		"comeback", n.recovery.Stage(),
+		"descriptors_max", maxDescriptors,
+		"timers", n.loop.Dues(),
+		"log_lines_lost", n.lines.Lost.Load(),
+		"log_lines_sampled", n.lines.Sampled.Load(),
+		"recovery", n.recovery.Stage(),
 		"ready", fmt.Sprintf("%.2f", n.recovery.Ready()),
 	}
 	line = append(line, n.listeners.gauges()...)
--- a/internal/node/fleet_membership.go
+++ b/internal/node/fleet_membership.go
@@ -60,7 +60,7 @@
 	if f.statusLog.allow(e.Status, f.node.loop.Now()) {
 		slog.Info("driver status changed", "driver", e.Name, "status", e.Status, "incarnation", e.Incarnation, "refutation", e.Refutation, "reason", reason)
 	} else {
-		f.node.Count("lines_repeated")
+		f.node.Count("log_lines_repeated")
 	}
 }
 
--- a/internal/node/host.go
+++ b/internal/node/host.go
@@ -64,28 +64,28 @@
 func (h *moduleHost) Log(line string) {
 	n := h.node
 	if !n.moduleLog.write(line, n.loop.Now()) {
-		n.Count("lines_repeated")
+		n.Count("log_lines_repeated")
 	}
 }
 
 // Fault stops the driver, because the module cannot go on.
 func (h *moduleHost) Fault(why string) {
 	h.fault = errors.New(why)
-	slog.Error("fault", "cause", why)
+	slog.Error("decision module failed", "cause", why)
 	h.node.loop.Stop()
 }
 
 // Tell sends a message to another driver, if the site has an address for messages between drivers.
 func (n *Node) Tell(to driver.Peer, message []byte) {
 	if n.peers != nil {
-		n.Count("peer_texts_sent")
+		n.Count("peer_datagrams_sent")
 		n.peers.Send(to, message)
 	}
 }
 
 // takePeerMessage passes a message of another driver to the parts that talk with other drivers, and any other one to the module.
 func (n *Node) takePeerMessage(from driver.Peer, message []byte) {
-	n.Count("peer_texts_taken")
+	n.Count("peer_datagrams_received")
 	if n.messenger == nil || !n.messenger.receive(from, message) {
 		n.module.Told(from, message)
 	}
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -85,7 +85,7 @@
 		r.lastID++
 		id = r.lastID
 		r.ids[uid], r.uids[id] = id, uid
-		slog.Info("member_listed", "member", fmt.Sprintf("%012x", uint64(id)), "uid", uid, "endpoint", address, "group", group)
+		slog.Info("member added", "member", fmt.Sprintf("%012x", uint64(id)), "uid", uid, "endpoint", address, "group", group)
 		defer func() { n.recallMember(id, uid) }()
 	}
 	if address.IsValid() {
--- a/internal/node/modulelog.go
+++ b/internal/node/modulelog.go
@@ -24,6 +24,6 @@
 		return false
 	}
 	m.recent[line] = true
-	slog.Info("module", "text", line)
+	slog.Info("decision module", "text", line)
 	return true
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -160,7 +160,7 @@
 func (n *Node) restoreEndpointList() error {
 	if len(n.site.InitialList) > 0 {
 		if err := n.list.Know(n.site.InitialList); err != nil {
-			slog.Warn("known_list_unusable", "cause", err)
+			slog.Warn("initial endpoint list rejected", "cause", err)
 		}
 	}
 	n.recallList()
--- a/internal/node/recovery.go
+++ b/internal/node/recovery.go
@@ -29,10 +29,10 @@
 	if r.Check(now, n.members.waitingAttempts()) {
 		stage := r.Stage()
 		if stage == recovery.AwaitingList { // the process was suspended, and what it knows is old
-			n.Count("halts")
+			n.Count("suspensions")
 			n.list.Fetch()
 		}
-		slog.Info("comeback", "stage", stage, "after_ms", r.Age(now).Milliseconds())
+		slog.Info("recovery stage changed", "stage", stage, "after_ms", r.Age(now).Milliseconds())
 	}
 	n.listeners.rebalanceConnections()
 }
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -16,7 +16,7 @@
 	if err != nil {
 		n.Count("reloads_failed")
 		for line := range strings.Lines(err.Error()) {
-			slog.Warn("reload_failed", "cause", strings.TrimSpace(line))
+			slog.Warn("reload failed", "cause", strings.TrimSpace(line))
 		}
 		return
 	}
--- a/internal/node/rest_test.go
+++ b/internal/node/rest_test.go
@@ -108,14 +108,14 @@
 		from := epoch + 15*time.Second + phase
 		w.At(from, func() { driver.Pause(from + 740*time.Millisecond) })
 		w.Run(epoch + 20*time.Second)
-		if n.counters["halts"] != 0 {
-			t.Fatalf("%d halts after a pause of 740 ms", n.counters["halts"])
+		if n.counters["suspensions"] != 0 {
+			t.Fatalf("%d halts after a pause of 740 ms", n.counters["suspensions"])
 		}
 		from += 10 * time.Second
 		w.At(from, func() { driver.Pause(from + 1010*time.Millisecond) })
 		w.Run(epoch + 30*time.Second)
-		if n.counters["halts"] != 1 {
-			t.Errorf("%d halts after a pause of 1010 ms, %v into the second", n.counters["halts"], phase)
+		if n.counters["suspensions"] != 1 {
+			t.Errorf("%d halts after a pause of 1010 ms, %v into the second", n.counters["suspensions"], phase)
 		}
 	}
 }
--- a/internal/node/retry.go
+++ b/internal/node/retry.go
@@ -37,7 +37,7 @@
 			return err
 		}
 		if !logged {
-			slog.Warn("shortage", "cause", err, "tried_again_for", shortageRetryDuration)
+			slog.Warn("resource shortage", "cause", err, "retried_for", shortageRetryDuration)
 		}
 		time.Sleep(shortageRetryInterval)
 	}
--- a/internal/node/rpcs.go
+++ b/internal/node/rpcs.go
@@ -70,17 +70,17 @@
 	n.Count("rpcs_taken")
 	deadline, accepts := n.shutdown.bound(deadline)
 	if !accepts {
-		return t.reject(by, from, "rpcs_refused_in_stop", "shutdown")
+		return t.reject(by, from, "rpcs_rejected_in_shutdown", "shutdown")
 	}
 	l := n.listeners.byFront[by]
 	n.recovery.GroupUsed(uint16(group))
 	if !l.admits() {
-		return t.reject(by, from, "rpcs_over_share", "over_share")
+		return t.reject(by, from, "rpcs_over_quota", "over_quota")
 	}
 	q := &rpc{listener: l, client: from, pool: n.members.poolOf(group), deadline: deadline, group: group}
 	handle := t.table.Put(q)
 	if handle == 0 {
-		return t.reject(by, from, "rpcs_no_room", "no_room")
+		return t.reject(by, from, "rpcs_table_full", "table_full")
 	}
 	id := driver.RPC(handle)
 	l.rpcsTaken++
@@ -95,7 +95,7 @@
 // reject answers an RPC that is not handed to the module.
 func (t *rpcTable) reject(by driver.Front, from driver.Client, counter, reason string) driver.RPC {
 	t.Count(counter)
-	slog.Debug("rpc_refused", "client", from, "reason", reason)
+	slog.Debug("RPC rejected", "client", from, "reason", reason)
 	by.PushBack(from, 0)
 	return 0
 }
@@ -109,7 +109,7 @@
 		return
 	}
 	t.Count("rpcs_overdue")
-	slog.Error("overdue", "rpc", id, "attempts", len(q.attempts))
+	slog.Error("RPC overdue", "rpc", id, "attempts", len(q.attempts))
 	t.abort(id)
 	t.node.module.ClientLeft(id)
 }
@@ -159,7 +159,7 @@
 	if q == nil || q.answered {
 		return
 	}
-	t.Count("clients_parted")
+	t.Count("clients_half_closed")
 	t.node.module.ClientParts(id)
 	q.withdraw()
 }
@@ -199,6 +199,6 @@
 		return
 	}
 	q.answerForced = true
-	t.Count("rpcs_cut_off")
+	t.Count("rpcs_answer_forced")
 	t.node.module.CutOff(id)
 }
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -31,7 +31,7 @@
 	now, sentAt := n.loop.Now(), n.loop.Before()
 	s.begun, s.startedAt = true, now
 	s.plan = shutdown.New(sentAt, now, n.site.maxDeadline())
-	slog.Info("leaving", "rpcs", n.rpcs.Len(), "clients", n.listeners.openClients(), "sent_at_most_ms_ago", (now - sentAt).Milliseconds())
+	slog.Info("graceful shutdown started", "rpcs", n.rpcs.Len(), "clients", n.listeners.openClients(), "max_signal_delay_ms", (now - sentAt).Milliseconds())
 	if n.leases != nil {
 		n.leases.resign()
 	}
@@ -70,7 +70,7 @@
 	}
 	s.phase = phase
 	n := s.node
-	slog.Info("shutdown", "phase", phase, "after_ms", (now - s.startedAt).Milliseconds(), "rpcs", n.rpcs.Len(),
+	slog.Info("graceful shutdown phase", "phase", phase, "after_ms", (now - s.startedAt).Milliseconds(), "rpcs", n.rpcs.Len(),
 		"clients", n.listeners.openClients())
 }
 
--- a/internal/node/trace.go
+++ b/internal/node/trace.go
@@ -18,7 +18,7 @@
 // traceTaken logs that an RPC was admitted.
 func (n *Node) traceTaken(id driver.RPC, from driver.Client, deadline time.Duration) {
 	if n.tracing() {
-		slog.Debug("rpc_taken", "rpc", id, "client", from, "left_ms", n.millisLeft(deadline))
+		slog.Debug("RPC admitted", "rpc", id, "client", from, "left_ms", n.millisLeft(deadline))
 	}
 }
 
@@ -31,13 +31,13 @@
 	if len(q.attempts) > 0 {
 		after = outcomeNames[q.lastOutcome]
 	}
-	slog.Debug("attempt", "rpc", id, "n", len(q.attempts), "member", to, "left_ms", n.millisLeft(deadline), "after", after)
+	slog.Debug("attempt sent", "rpc", id, "n", len(q.attempts), "member", to, "left_ms", n.millisLeft(deadline), "after", after)
 }
 
 // traceEnded logs how an attempt ended.
 func (n *Node) traceEnded(id driver.RPC, attempt int, from driver.Member, how driver.Outcome, took time.Duration) {
 	if n.tracing() {
-		slog.Debug("attempt_ended", "rpc", id, "n", attempt, "member", from, "outcome", outcomeNames[how], "took_ms", took.Milliseconds())
+		slog.Debug("attempt ended", "rpc", id, "n", attempt, "member", from, "outcome", outcomeNames[how], "took_ms", took.Milliseconds())
 	}
 }
 
@@ -50,6 +50,6 @@
 	if how == concludedPushedBack || how == concludedAborted {
 		reason = n.module.LastReason().String()
 	}
-	slog.Debug("rpc_answered", "rpc", id, "how", how.String(), "reason", reason, "attempts", len(q.attempts), "out", q.inFlight,
+	slog.Debug("RPC answered", "rpc", id, "how", how.String(), "reason", reason, "attempts", len(q.attempts), "in_flight", q.inFlight,
 		"left_ms", n.millisLeft(q.deadline))
 }
--- a/internal/soak/driver_test.go
+++ b/internal/soak/driver_test.go
@@ -141,7 +141,7 @@
 			_, rest, _ := strings.Cut(line, " client=")
 			client, _, _ := strings.Cut(rest, " ")
 			marks = []string{" client=" + client + " "}
-		} else if len(marks) == 1 && strings.Contains(line, "event=rpc_taken") && strings.Contains(line, marks[0]) {
+		} else if len(marks) == 1 && strings.Contains(line, `event="RPC admitted"`) && strings.Contains(line, marks[0]) {
 			_, rest, _ := strings.Cut(line, " rpc=")
 			number, _, _ := strings.Cut(rest, " ")
 			marks = append(marks, " rpc="+number+" ")
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -218,8 +218,8 @@
 		if n := p.logged("level=ERROR"); n > 0 {
 			r.t.Errorf("%d lines of level ERROR", n)
 		}
-		if p.logged("event=leaving") != 1 {
-			r.t.Errorf("a driver did not hear SIGTERM once: %d times", p.logged("event=leaving"))
+		if p.logged(`event="graceful shutdown started"`) != 1 {
+			r.t.Errorf("a driver did not hear SIGTERM once: %d times", p.logged(`event="graceful shutdown started"`))
 		}
 	}
 	if ok == 0 && r.serves > 0 && len(broken) == 0 {
