--- a/internal/emu/rig/rig.go
+++ b/internal/emu/rig/rig.go
@@ -440,7 +440,7 @@
 		}
 	}
 	value, _, _ := strings.Cut(rest, " ")
-	return strings.Trim(value, `"`)
+	return value
 }
 
 func (f *fleet) note(d *driver, format string, args ...any) {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -18,7 +18,7 @@
 	"passtack/internal/memberclock"
 	"passtack/internal/peers"
 	"passtack/internal/recovery"
-	"passtack/internal/terms"
+	"passtack/internal/settings"
 	"passtack/rules"
 )
 
@@ -91,10 +91,10 @@
 // assemble creates all parts of a driver and opens its sockets.
 func assemble(l *loop.Loop, site *Site, cfg *config.File, simulated bool) (*Node, error) {
 	n := newNode(l, site, cfg, simulated)
-	n.recallConfiguration()
-	n.rpcs.tick = terms.New(site.Settings).Span("tick")
+	n.restoreConfiguration()
+	n.rpcs.tick = settings.New(site.Settings).Duration("tick")
 	n.members.openPools()
-	n.follow()
+	n.applySettings()
 	l.MakeRoom = n.evictIdle
 	n.list = list.New(l, &n.members, site.Discovery)
 	for _, step := range []func() error{
