--- a/internal/node/batch_test.go
+++ b/internal/node/batch_test.go
@@ -36,39 +36,39 @@
 func TestBatchWhilePrimaryFails(t *testing.T) {
 	for _, speaks := range []string{"pg", "odata"} {
 		t.Run(speaks, func(t *testing.T) {
-			var g *cluster
+			var g *fakeCluster
 			died := make(chan bool, 1)
-			g = startCluster(t, speaks, 3, func(c *called, nth int) fault {
+			g = startFakeCluster(t, speaks, 3, func(c *memberCall, nth int) memberFault {
 				if c.key == "new-2" && !c.write && c.member == 0 {
 					select {
 					case died <- true:
 						go g.kill(0)
 					default:
 					}
-					return cut
+					return faultDisconnect
 				}
-				return fine
+				return faultNone
 			})
 			g.members[1].lag, g.members[2].lag = 5*time.Second, 5*time.Second
 			d, at := serveOData(t, "", 200, g, "")
 			c := dialHTTP(t, at)
-			c.ask("POST", "Applications", `{"Id":"first"}`)
+			c.do("POST", "Applications", `{"Id":"first"}`)
 			body, media := multipartBatch("GET Applications('a')", `POST Applications {"Id":"new-1"}`, "GET Applications('new-1')", "GET Applications('b')")
-			got := c.ask("POST", "$batch", body, media)
+			got := c.do("POST", "$batch", body, media)
 			if fmt.Sprint(batchStatuses(got.body)) != "[200 201 200 200]" {
 				t.Errorf("with a primary: %d %s", got.status, got.body)
 			}
 			body, media = multipartBatch("GET Applications('a')", `POST Applications {"Id":"new-2"}`, "GET Applications('new-2')", "GET Applications('c')")
-			got = c.ask("POST", "$batch", body, media, "Deadline-Ms: 2000")
+			got = c.do("POST", "$batch", body, media, "Deadline-Ms: 2000")
 			if s := fmt.Sprint(batchStatuses(got.body)); s != "[200 201 503 503]" && s != "[200 201 503 200]" { // the two reads run concurrently
 				t.Errorf("the primary dies behind the write: %d %s", got.status, got.body)
 			}
-			got = c.ask("POST", "$batch", body, media, "Prefer: continue-on-error", "Deadline-Ms: 2000")
+			got = c.do("POST", "$batch", body, media, "Prefer: continue-on-error", "Deadline-Ms: 2000")
 			if s := batchStatuses(got.body); len(s) != 4 || s[1] != "503" || s[2] == "424" {
 				t.Errorf("then without a primary, going on: %d %s", got.status, got.body)
 			}
 			behindWrites := 0
-			for _, call := range g.seen() {
+			for _, call := range g.receivedCalls() {
 				if call.after > 0 {
 					behindWrites++
 				}
@@ -89,10 +89,10 @@
 
 // TestBatchSemantics checks references between parts, atomicity groups, and batches that are incomplete, late or abandoned by their client.
 func TestBatchSemantics(t *testing.T) {
-	g := startCluster(t, "pg", 2, always(fine))
+	g := startFakeCluster(t, "pg", 2, alwaysFault(faultNone))
 	d, at := serveOData(t, "", 200, g, "")
 	c := dialHTTP(t, at)
-	c.ask("POST", "Applications", `{"Id":"first"}`)
+	c.do("POST", "Applications", `{"Id":"first"}`)
 	checkJSONBatch(t, g, c)
 	checkIncompleteBatch(t, g, at)
 	checkLateBatch(t, g, c)
@@ -104,9 +104,9 @@
 }
 
 // checkJSONBatch sends parts that refer to others, fail, or form an atomicity group, which is not supported.
-func checkJSONBatch(t *testing.T, g *cluster, c *httpClient) {
+func checkJSONBatch(t *testing.T, g *fakeCluster, c *httpClient) {
 	t.Helper()
-	got := c.ask("POST", "$batch", `{"requests":[
+	got := c.do("POST", "$batch", `{"requests":[
 {"id":"1","method":"post","url":"Applications","body":{"Id":"a"}},
 {"id":"2","method":"get","url":"$1/Status","dependsOn":["1"]},
 {"id":"3","method":"get","url":"Nobody"},
@@ -120,28 +120,28 @@
 			t.Errorf("no %s in %s", want, got.body)
 		}
 	}
-	for _, call := range g.seen() {
+	for _, call := range g.receivedCalls() {
 		if call.key == "x" || call.key == "y" {
 			t.Errorf("a part of an atomicity group was sent: %s", call.text)
 		}
 	}
-	if got := c.ask("POST", "$batch", `{"requests":[]}`); got.status != 400 {
+	if got := c.do("POST", "$batch", `{"requests":[]}`); got.status != 400 {
 		t.Errorf("an empty batch: %d", got.status)
 	}
 }
 
 // checkIncompleteBatch closes the connection in the middle of a batch: none of it is sent.
-func checkIncompleteBatch(t *testing.T, g *cluster, at string) {
+func checkIncompleteBatch(t *testing.T, g *fakeCluster, at string) {
 	t.Helper()
-	before := len(g.seen())
+	before := len(g.receivedCalls())
 	body, media := multipartBatch(`POST Applications {"Id":"half-1"}`, `POST Applications {"Id":"half-2"}`)
-	text := request("POST", "$batch", body, media)
+	text := httpRequest("POST", "$batch", body, media)
 	half := dialHTTP(t, at)
 	half.Write(text[:len(text)-20])
 	time.Sleep(50 * time.Millisecond)
 	half.Close()
 	time.Sleep(100 * time.Millisecond)
-	if now := len(g.seen()); now != before {
+	if now := len(g.receivedCalls()); now != before {
 		t.Errorf("%d attempts of half a batch", now-before)
 	}
 }
@@ -155,14 +155,14 @@
 }
 
 // checkLateBatch sends a batch that takes longer than its deadline: no part is sent after it, and the client receives all statuses before it.
-func checkLateBatch(t *testing.T, g *cluster, c *httpClient) {
+func checkLateBatch(t *testing.T, g *fakeCluster, c *httpClient) {
 	t.Helper()
 	g.mutex.Lock()
 	g.wait = 120 * time.Millisecond
 	g.mutex.Unlock()
 	body, media := multipartBatch(twelveCreates("long")...)
 	began := time.Now()
-	got := c.ask("POST", "$batch", body, media, "Deadline-Ms: 700", "Prefer: continue-on-error")
+	got := c.do("POST", "$batch", body, media, "Deadline-Ms: 700", "Prefer: continue-on-error")
 	took := time.Since(began)
 	answers := make(map[string]int)
 	for _, s := range batchStatuses(got.body) {
@@ -174,9 +174,9 @@
 }
 
 // checkAbandonedBatch closes the connection while a batch runs: attempts that are in flight may end, no other begins.
-func checkAbandonedBatch(t *testing.T, g *cluster, at string) {
+func checkAbandonedBatch(t *testing.T, g *fakeCluster, at string) {
 	t.Helper()
-	sent := len(g.seen())
+	sent := len(g.receivedCalls())
 	leaver := dialHTTP(t, at)
 	creates := twelveCreates("long")
 	body, media := multipartBatch(slices.Concat(creates, creates)...)
@@ -184,9 +184,9 @@
 	time.Sleep(200 * time.Millisecond)
 	leaver.Close()
 	time.Sleep(100 * time.Millisecond)
-	atClose := len(g.seen())
+	atClose := len(g.receivedCalls())
 	time.Sleep(400 * time.Millisecond)
-	if now := len(g.seen()); now > atClose || now == sent {
+	if now := len(g.receivedCalls()); now > atClose || now == sent {
 		t.Errorf("%d attempts before the client left, %d after", atClose-sent, now-atClose)
 	}
 }
--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -47,7 +47,7 @@
 						c.Write(pgwire.AppendWelcome(nil, 1, 1))
 						continue
 					}
-					c.Write(pgwire.AppendReady(note(rows(`{"Id":"k"}`), role)))
+					c.Write(pgwire.AppendReady(appendReport(rowResponse(`{"Id":"k"}`), role)))
 				}
 			}()
 		}
@@ -103,17 +103,17 @@
 	var targets []string
 	for i := range 4 {
 		role := map[bool]string{true: "leader", false: "follower"}[i == 0]
-		targets = append(targets, target(i, 0, quickMember(b, role, members), "in_service"))
+		targets = append(targets, endpointEntry(i, 0, quickMember(b, role, members), "in_service"))
 	}
 	offered := ""
 	var wanted func(string) string
 	if front == "odata" {
 		wanted = func(at string) string {
 			offered = at
-			return offices(at, "", members == "pg")
+			return officesConfig(at, "", members == "pg")
 		}
 	}
-	n := buildWith(b, "", 8192, listOf(1, true, targets...), testSettings, wanted)
+	n := buildDriverWithConfig(b, "", 8192, endpointList(1, true, targets...), testSettings, wanted)
 	thread := serveOnThread(b, n)
 	var ready, all sync.WaitGroup
 	start := make(chan bool)
@@ -126,14 +126,14 @@
 			write := i%4 == 0 && clients > 1
 			if front == "odata" {
 				c = dialHTTP(b, offered).Conn
-				if query, end = request("GET", "Applications('k')", ""), []byte("}"); write {
-					query = request("POST", "Applications", `{"Id":"k"}`)
+				if query, end = httpRequest("GET", "Applications('k')", ""), []byte("}"); write {
+					query = httpRequest("POST", "Applications", `{"Id":"k"}`)
 				}
 			} else {
 				method := map[bool]string{true: "order", false: "look"}[write]
-				c, end = dial(b, n.site.Listen.String()).Conn, pgwire.AppendReady(nil)
-				query = asQuery(statement(fmt.Sprintf("b%d", i), method, 2000, 0))
-				c.Write(asQuery(""))
+				c, end = dialPG(b, n.site.Listen.String()).Conn, pgwire.AppendReady(nil)
+				query = queryMessage(taggedStatement(fmt.Sprintf("b%d", i), method, 2000, 0))
+				c.Write(queryMessage(""))
 				for in := make([]byte, 4096); ; {
 					if k, _ := c.Read(in); bytes.HasSuffix(in[:k], append(pgwire.AppendHead(nil, 'I', 0), end...)) {
 						break
--- a/internal/node/configuration_test.go
+++ b/internal/node/configuration_test.go
@@ -21,7 +21,7 @@
 
 // controlMachines are three control machines in a simulated network.
 type controlMachines struct {
-	play    *play
+	play    *simulatedFleet
 	servers []*server.Server
 	hosts   []*sim.Host
 	number  uint64
@@ -40,7 +40,7 @@
 	return netip.MustParseAddrPort(fmt.Sprintf("10.0.8.%d:7400", n+1))
 }
 
-func (p *play) startControlMachines() *controlMachines {
+func (p *simulatedFleet) startControlMachines() *controlMachines {
 	c := &controlMachines{play: p}
 	for n := range 3 {
 		h := p.world.Host(fmt.Sprint("control", n))
@@ -76,7 +76,7 @@
 	return 0
 }
 
-func (p *play) run(lasts time.Duration) { p.world.Run(p.world.Now() + lasts) }
+func (p *simulatedFleet) run(lasts time.Duration) { p.world.Run(p.world.Now() + lasts) }
 
 func configurationBlock(folder string) string {
 	text := fmt.Sprintf("configuration {\n  fleet = \"shop\"\n  machines = [%q, %q, %q]\n", controlAddress(0), controlAddress(1), controlAddress(2))
@@ -87,9 +87,9 @@
 }
 
 // configured returns a driver that polls control machines, with three members.
-func configured(t *testing.T, folder, more string) (*play, *controlMachines, func() *Node) {
+func configured(t *testing.T, folder, more string) (*simulatedFleet, *controlMachines, func() *Node) {
 	slog.SetDefault(slog.New(slog.DiscardHandler))
-	p := &play{t: t, world: sim.New(5, epoch), chance: pcg.New(5), answers: make(map[string]string), ran: make(map[string]int)}
+	p := &simulatedFleet{t: t, world: sim.New(5, epoch), random: pcg.New(5), answers: make(map[string]string), executions: make(map[string]int)}
 	for i := range 3 {
 		p.member(i, map[bool]string{true: "leader", false: "follower"}[i == 0])
 	}
@@ -106,8 +106,8 @@
 			d.node.LetGo()
 			d.host.Start()
 		}
-		site := &Site{Name: "d0", Listen: d.at, Discovery: netip.MustParseAddrPort("10.0.9.1:8500"), Seed: p.chance2(), Descriptors: 256, Memory: 64 << 20,
-			InitialList: []byte(listOf(1, true, targets...)), Settings: settings.Flatten(simSettings(t))}
+		site := &Site{Name: "d0", Listen: d.at, Discovery: netip.MustParseAddrPort("10.0.9.1:8500"), Seed: p.randomSeed(), Descriptors: 256, Memory: 64 << 20,
+			InitialList: []byte(endpointList(1, true, targets...)), Settings: settings.Flatten(simSettings(t))}
 		wants, err := site.ParseConfig([]byte(configurationBlock(folder)+more), "d0.hcl")
 		if err != nil {
 			t.Fatal(err)
@@ -123,7 +123,7 @@
 }
 
 // say sends one RPC on a connection of its own, and returns a function for its answer.
-func (p *play) say(method string, wait int) (heard func() string) {
+func (p *simulatedFleet) say(method string, wait int) (heard func() string) {
 	p.sent++
 	c := &simClient{play: p, loop: p.loopOn(p.world.Host(fmt.Sprint("say", p.sent))), to: p.drivers[0].at, name: "say", until: p.world.Now()}
 	c.id = fmt.Sprintf("say-%d", p.sent)
@@ -133,11 +133,11 @@
 			p.t.Error(err)
 			return
 		}
-		text := statement(c.id, method, wait, 0)
+		text := taggedStatement(c.id, method, wait, 0)
 		if method == "look" {
 			text = strings.Replace(text, "INSERT INTO items (id, doc) VALUES ('", "SELECT doc FROM items WHERE id = ('", 1)
 		}
-		c.stream.Send(pgwire.AppendFirst(nil, "app", "shop"), asQuery(text))
+		c.stream.Send(pgwire.AppendFirst(nil, "app", "shop"), queryMessage(text))
 	})
 	return func() string { return p.answers[c.id] }
 }
--- /dev/null
+++ b/internal/node/driver_test.go
@@ -0,0 +1,177 @@
+package node
+
+import (
+	"bufio"
+	"fmt"
+	"net"
+	"os"
+	"path/filepath"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+
+	"passtack/internal/pgwire"
+)
+
+func freeAddress(t testing.TB) string {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer l.Close()
+	return l.Addr().String()
+}
+
+// runningDriver is a driver under test. stop sends it SIGTERM and waits until it has stopped.
+type runningDriver struct {
+	*Node
+	address string
+	stop    func()
+}
+
+func startDriver(t *testing.T, discovery string, sockets int, known string) *runningDriver {
+	return runDriver(t, buildDriver(t, discovery, sockets, known, testSettings))
+}
+
+func buildDriver(t testing.TB, discovery string, sockets int, known, settings string) *Node {
+	return buildDriverWithConfig(t, discovery, sockets, known, settings, nil)
+}
+
+// buildDriverWithConfig also writes an operator's file, which wanted returns for a free address of a listener.
+func buildDriverWithConfig(t testing.TB, discovery string, sockets int, known, settings string, wanted func(at string) string) *Node {
+	if discovery == "" {
+		discovery = freeAddress(t)
+	}
+	open, err := os.ReadDir("/proc/self/fd") // the fake members and clients of this process use some too
+	if err != nil {
+		t.Fatal(err)
+	}
+	file := filepath.Join(t.TempDir(), "site.json")
+	for range 5 { // an address that was free may have been taken meanwhile
+		os.WriteFile(file, fmt.Appendf(nil, `{"name":"n0","listen":"%s","discovery":"%s","seed":"8c1f30d27a5be964",
+"limits":{"cores":1.0,"memory_mb":192,"sockets":%d},"peer_listen":"%s","peers":["127.0.0.1:9"],"peers_all":"127.0.0.1:9",
+"known":%s,"settings":%s}`, freeAddress(t), discovery, sockets+len(open), freeAddress(t), known, settings), 0o600)
+		site, failed := ReadSite(file, func(string) string { return "" })
+		if failed != nil {
+			t.Fatal(failed)
+		}
+		if wanted != nil {
+			site.ConfigFile = filepath.Join(t.TempDir(), "passtack.hcl")
+			os.WriteFile(site.ConfigFile, []byte(wanted(freeAddress(t))), 0o600)
+		}
+		wants, failed := site.ReadConfig()
+		if failed != nil {
+			t.Fatal(failed)
+		}
+		var n *Node
+		if n, err = New(site, wants); err == nil {
+			return n
+		}
+	}
+	t.Fatal(err)
+	return nil
+}
+
+func runDriver(t testing.TB, n *Node) *runningDriver {
+	done := make(chan error)
+	go func() { done <- n.Run() }()
+	d := &runningDriver{Node: n, address: n.site.Listen.String()}
+	d.stop = sync.OnceFunc(func() {
+		syscall.Kill(os.Getpid(), syscall.SIGTERM)
+		select {
+		case err := <-done:
+			if err != nil {
+				t.Error(err)
+			}
+		case <-time.After(30 * time.Second):
+			t.Error("the driver does not stop")
+		}
+	})
+	t.Cleanup(d.stop)
+	if got := dialPG(t, d.address).query(t, ""); got != "empty" { // Run listens to signals from before it serves
+		t.Fatalf("the empty query is answered by %s", got)
+	}
+	return d
+}
+
+// waitFor waits until a condition holds, and fails the test if it does not hold soon.
+func waitFor(t testing.TB, what string, come func() bool) {
+	t.Helper()
+	for end := time.Now().Add(20 * time.Second); !come(); time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatalf("after 20 s it is not so that %s", what)
+		}
+	}
+}
+
+// pgClient is a client that speaks PostgreSQL's protocol and waits 30 s for an answer.
+type pgClient struct {
+	net.Conn
+	r *bufio.Reader
+}
+
+func dialPG(t testing.TB, at string) *pgClient {
+	c, err := net.Dial("tcp", at)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { c.Close() })
+	c.SetDeadline(time.Now().Add(30 * time.Second))
+	c.Write(pgwire.AppendFirst(nil, "app", "shop"))
+	return &pgClient{c, bufio.NewReader(c)}
+}
+
+func queryMessage(text string) []byte {
+	return append(append(pgwire.AppendHead(nil, 'Q', len(text)+1), text...), 0)
+}
+
+func taggedStatement(id, method string, millis, group int) string {
+	return fmt.Sprintf("/* id=%s,c=%s,d=%d,k=key-%s,cluster=%d */ INSERT INTO items (id, doc) VALUES ('%s', 'x')", id, method, millis, id, group, id)
+}
+
+// readAnswer reads one complete answer and returns its row, its error code, or what came instead.
+func (c *pgClient) readAnswer() string {
+	got := ""
+	for {
+		kind, body, err := readMessage(c.r)
+		if err != nil {
+			return got + "closed"
+		}
+		switch kind {
+		case 'D':
+			got = "ok " + string(body[6:])
+		case 'I':
+			got = "empty"
+		case 'C':
+			if got == "" {
+				got = "done"
+			}
+		case 'E':
+			pgwire.Fields(body, func(code byte, value []byte) {
+				if code == 'C' {
+					got = string(value)
+				}
+			})
+		case 'Z':
+			if got != "" {
+				return got
+			}
+		}
+	}
+}
+
+func (c *pgClient) query(t testing.TB, text string) string {
+	t.Helper()
+	c.Write(queryMessage(text))
+	return c.readAnswer()
+}
+
+const codeRejected, codeAborted, codeInvalidRequest = "53300", "58000", "08P01"
+
+func (d *runningDriver) outcomes() (sum int) {
+	for _, name := range outcomeNames {
+		sum += d.counters["attempts_"+name]
+	}
+	return sum
+}
--- a/internal/node/cluster_test.go
+++ b/internal/node/fake_cluster_test.go
@@ -17,32 +17,32 @@
 	"passtack/internal/pgwire"
 )
 
-// What follows stands in for a group whose members speak either protocol with one behaviour, after the public
-// descriptions of both.
+// This file has a fake group whose members speak either protocol with the same behaviour, after the public descriptions of
+// both.
 
-// fault is what a member does with one attempt.
-type fault uint8
+// memberFault is what a member does with one attempt.
+type memberFault uint8
 
 const (
-	fine        fault = iota
-	notPrimary        // turned away untouched
-	behind            // turned away untouched
-	full              // turned away unseen
-	fails             // an error; it has run
-	cut               // the connection ends without an answer; it has run
-	cutInAnswer       // it ends in the middle of the answer
-	spoilt            // an answer that cannot be read; it has run
-	short             // the answer stops in the middle and nothing follows
-	hangs             // nothing comes; it has run
+	faultNone               memberFault = iota
+	faultNotPrimary                     // rejected; it has not run
+	faultStale                          // rejected; it has not run
+	faultFull                           // rejected before it was read
+	faultError                          // an error; it has run
+	faultDisconnect                     // the connection ends without an answer; it has run
+	faultDisconnectInAnswer             // it ends in the middle of the answer
+	faultUnreadable                     // an answer that cannot be read; it has run
+	faultTruncated                      // the answer stops in the middle and nothing follows
+	faultHang                           // nothing comes; it has run
 )
 
-func (f fault) mayRun() bool { return f == fine || f >= fails }
+func (f memberFault) mayRun() bool { return f == faultNone || f >= faultError }
 
-// called is one attempt as a member saw it.
-type called struct {
+// memberCall is one attempt as a member received it.
+type memberCall struct {
 	id, token, key, verb string
 	method               string // where the protocol names it
-	after                int64  // position that it has to see, ms
+	after                int64  // position that its answer has to include, ms
 	write                bool
 	member               int
 	began                time.Time
@@ -50,23 +50,23 @@
 	text                 string
 }
 
-// cluster is one group.
-type cluster struct {
-	t       testing.TB
-	speaks  string
-	mutex   sync.Mutex
-	members []*clusterMember
-	calls   []*called
-	effects map[string]int // by token, or by key and id where there is none
-	latest  map[string]time.Time
-	plan    func(c *called, nth int) fault
-	nth     map[string]int
-	values  func(c *called) string
-	wait    time.Duration
+// fakeCluster is one group.
+type fakeCluster struct {
+	t        testing.TB
+	protocol string
+	mutex    sync.Mutex
+	members  []*fakeClusterMember
+	calls    []*memberCall
+	effects  map[string]int // by token, or by key and id where there is none
+	latest   map[string]time.Time
+	faultFor func(c *memberCall, nth int) memberFault
+	nth      map[string]int
+	values   func(c *memberCall) string
+	wait     time.Duration
 }
 
-type clusterMember struct {
-	of       *cluster
+type fakeClusterMember struct {
+	of       *fakeCluster
 	number   int
 	listener net.Listener
 	role     string
@@ -75,15 +75,15 @@
 	conns    map[net.Conn]bool
 }
 
-func startCluster(t testing.TB, speaks string, size int, plan func(*called, int) fault) *cluster {
-	g := &cluster{t: t, speaks: speaks, plan: plan, effects: make(map[string]int), latest: make(map[string]time.Time), nth: make(map[string]int)}
-	g.values = func(c *called) string { return fmt.Sprintf(`{"Id":%q,"Status":"sent","Version":7}`, c.key) }
+func startFakeCluster(t testing.TB, speaks string, size int, plan func(*memberCall, int) memberFault) *fakeCluster {
+	g := &fakeCluster{t: t, protocol: speaks, faultFor: plan, effects: make(map[string]int), latest: make(map[string]time.Time), nth: make(map[string]int)}
+	g.values = func(c *memberCall) string { return fmt.Sprintf(`{"Id":%q,"Status":"sent","Version":7}`, c.key) }
 	for i := range size {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		m := &clusterMember{of: g, number: i, listener: l, role: map[bool]string{true: "leader", false: "follower"}[i == 0], conns: make(map[net.Conn]bool)}
+		m := &fakeClusterMember{of: g, number: i, listener: l, role: map[bool]string{true: "leader", false: "follower"}[i == 0], conns: make(map[net.Conn]bool)}
 		g.members = append(g.members, m)
 		t.Cleanup(func() { l.Close() })
 		go func() {
@@ -99,15 +99,15 @@
 	return g
 }
 
-func (g *cluster) targets() (all []string) {
+func (g *fakeCluster) targets() (all []string) {
 	for i, m := range g.members {
-		all = append(all, target(i, 0, m.listener.Addr(), "in_service"))
+		all = append(all, endpointEntry(i, 0, m.listener.Addr(), "in_service"))
 	}
 	return all
 }
 
-// kill ends a member's process; another may take its role over.
-func (g *cluster) kill(i int) {
+// kill ends a member. Another one may be promoted.
+func (g *fakeCluster) kill(i int) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	m := g.members[i]
@@ -118,23 +118,23 @@
 	}
 }
 
-func (g *cluster) promote(i int) {
+func (g *fakeCluster) promote(i int) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.members[i].role = "leader"
 }
 
-func (g *cluster) seen() []called {
+func (g *fakeCluster) receivedCalls() []memberCall {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	var all []called
+	var all []memberCall
 	for _, c := range g.calls {
 		all = append(all, *c)
 	}
 	return all
 }
 
-func (m *clusterMember) serve(c net.Conn) {
+func (m *fakeClusterMember) serve(c net.Conn) {
 	defer c.Close()
 	m.of.mutex.Lock()
 	down := m.down
@@ -144,7 +144,7 @@
 		return
 	}
 	r := bufio.NewReader(c)
-	if m.of.speaks == "pg" {
+	if m.of.protocol == "pg" {
 		var length [4]byte
 		if _, err := io.ReadFull(r, length[:]); err != nil {
 			return
@@ -153,8 +153,8 @@
 		c.Write(pgwire.AppendWelcome(nil, 1, 1))
 	}
 	for {
-		var call *called
-		if m.of.speaks == "pg" {
+		var call *memberCall
+		if m.of.protocol == "pg" {
 			call = statementCall(r)
 		} else {
 			call = requestCall(r)
@@ -168,21 +168,21 @@
 	}
 }
 
-func statementCall(r *bufio.Reader) *called {
-	kind, body, err := message(r)
+func statementCall(r *bufio.Reader) *memberCall {
+	kind, body, err := readMessage(r)
 	if err != nil || kind != 'Q' {
 		return nil
 	}
 	text := string(body[:len(body)-1])
 	rest, _ := pgwire.Comment([]byte(text), func(_, _ []byte, _, _ int) {})
-	c := &called{id: field(text, "id"), method: field(text, "c"), token: field(text, "k"), key: string(pgwire.Quoted(rest)), text: string(rest)}
+	c := &memberCall{id: field(text, "id"), method: field(text, "c"), token: field(text, "k"), key: string(pgwire.Quoted(rest)), text: string(rest)}
 	c.after, _ = strconv.ParseInt(field(text, "after"), 10, 64)
 	c.verb, _, _ = strings.Cut(string(rest), " ")
 	c.write = c.verb != "SELECT"
 	return c
 }
 
-func requestCall(r *bufio.Reader) *called {
+func requestCall(r *bufio.Reader) *memberCall {
 	q, err := http.ReadRequest(r)
 	if err != nil {
 		return nil
@@ -191,7 +191,7 @@
 	if err != nil {
 		return nil
 	}
-	c := &called{id: q.Header.Get("Request-Id"), token: q.Header.Get("Repeatability-Request-ID"), verb: q.Method, text: string(body)}
+	c := &memberCall{id: q.Header.Get("Request-Id"), token: q.Header.Get("Repeatability-Request-ID"), verb: q.Method, text: string(body)}
 	c.after, _ = strconv.ParseInt(q.Header.Get("Session-Position"), 10, 64)
 	c.write = q.Method != "GET" && q.Method != "HEAD"
 	if _, key, found := strings.Cut(q.URL.Path, "('"); found {
@@ -206,22 +206,22 @@
 	return c
 }
 
-// answer does with an attempt what the plan says, and notes what it saw.
-func (m *clusterMember) answer(conn net.Conn, c *called) (open bool) {
+// answer handles an attempt as faultFor says, and records it.
+func (m *fakeClusterMember) answer(conn net.Conn, c *memberCall) (open bool) {
 	g := m.of
 	g.mutex.Lock()
 	c.member, c.began = m.number, time.Now()
 	g.nth[c.key]++
-	f := g.plan(c, g.nth[c.key])
+	f := g.faultFor(c, g.nth[c.key])
 	role, lag, wait := m.role, m.lag, g.wait
 	position := time.Now().Add(-lag).UnixMilli()
 	if role == "leader" {
 		position = time.Now().UnixMilli()
 	}
-	if f == fine && c.write && role != "leader" {
-		f = notPrimary
-	} else if f == fine && c.after > position {
-		f = behind
+	if f == faultNone && c.write && role != "leader" {
+		f = faultNotPrimary
+	} else if f == faultNone && c.after > position {
+		f = faultStale
 	}
 	if c.ran = f.mayRun(); c.ran && c.write {
 		name := c.token
@@ -229,7 +229,7 @@
 			name = c.key + " " + c.id
 		}
 		if last, known := g.latest[name]; !known || c.token == "" || time.Since(last) > 1200*time.Millisecond {
-			g.effects[name]++ // a group drops a repeat in its window
+			g.effects[name]++ // a group recognizes a repeat within its window
 		}
 		g.latest[name] = time.Now()
 	}
@@ -239,18 +239,18 @@
 	if wait > 0 {
 		time.Sleep(wait)
 	}
-	whole := m.words(f, role, position, value, c)
+	whole := m.encodeAnswer(f, role, position, value, c)
 	switch f {
-	case cut:
+	case faultDisconnect:
 		return false
-	case cutInAnswer:
+	case faultDisconnectInAnswer:
 		conn.Write(whole[:len(whole)/2])
 		return false
-	case short:
+	case faultTruncated:
 		conn.Write(whole[:len(whole)/2])
 		io.Copy(io.Discard, conn)
 		return false
-	case hangs:
+	case faultHang:
 		io.Copy(io.Discard, conn)
 		return false
 	}
@@ -258,25 +258,25 @@
 	return err == nil
 }
 
-// words are what a member says in its protocol.
-func (m *clusterMember) words(f fault, role string, position int64, value string, c *called) []byte {
-	if m.of.speaks == "pg" {
+// encodeAnswer returns a member's answer in its protocol.
+func (m *fakeClusterMember) encodeAnswer(f memberFault, role string, position int64, value string, c *memberCall) []byte {
+	if m.of.protocol == "pg" {
 		notes := func(out []byte) []byte {
 			out = pgwire.AppendParameter(out, "node_role", role)
 			out = pgwire.AppendParameter(out, "replay_position", strconv.FormatInt(position, 10))
 			return pgwire.AppendReady(out)
 		}
-		if code := map[fault]string{notPrimary: "25006", behind: "72000", full: "53300", fails: "XX000"}[f]; code != "" {
+		if code := map[memberFault]string{faultNotPrimary: "25006", faultStale: "72000", faultFull: "53300", faultError: "XX000"}[f]; code != "" {
 			return notes(pgwire.AppendError(nil, false, code, "no", -1))
 		}
-		out := rows(value)
-		if f == spoilt {
+		out := rowResponse(value)
+		if f == faultUnreadable {
 			out[len(out)-3] = 0xff
 			out = append(out, 0xff, 0xff, 0xff)
 		}
 		return notes(out)
 	}
-	status := map[fault]int{notPrimary: 421, behind: 425, full: 429, fails: 500}[f]
+	status := map[memberFault]int{faultNotPrimary: 421, faultStale: 425, faultFull: 429, faultError: 500}[f]
 	if status == 0 {
 		status = map[string]int{"POST": 201, "DELETE": 204}[c.verb]
 	}
@@ -286,25 +286,25 @@
 	var out bytes.Buffer
 	fmt.Fprintf(&out, "HTTP/1.1 %d x\r\nNode-Role: %s\r\nReplay-Position: %d\r\nOData-Version: 4.01\r\n", status, role, position)
 	switch {
-	case status == 204 && f != spoilt:
+	case status == 204 && f != faultUnreadable:
 		out.WriteString("\r\n")
 		return out.Bytes()
 	case status >= 400:
 		value = `{"error":{"code":"x","message":"no"}}`
-	case f == spoilt:
+	case f == faultUnreadable:
 		value = value[:len(value)-1] + "\""
 	}
 	fmt.Fprintf(&out, "Content-Type: application/json\r\nContent-Length: %d\r\n\r\n", len(value))
 	if c.verb != "HEAD" {
 		out.WriteString(value)
 	}
-	if f == spoilt && status == 204 {
+	if f == faultUnreadable && status == 204 {
 		return []byte("HTTP/1.1 2x4 what\r\n\r\n")
 	}
 	return out.Bytes()
 }
 
-// httpClient asks over one connection, as a patient client does.
+// httpClient sends requests over one connection and waits 30 s for an answer.
 type httpClient struct {
 	t testing.TB
 	net.Conn
@@ -321,19 +321,19 @@
 	return &httpClient{t, c, bufio.NewReader(c)}
 }
 
-// heard is an answer.
-type heard struct {
+// httpAnswer is an answer.
+type httpAnswer struct {
 	status int
 	header http.Header
 	body   string
-	last   bool // the connection ends behind it
+	last   bool // the connection is closed after it
 }
 
 func (c *httpClient) send(verb, target, body string, fields ...string) {
-	c.Write(request(verb, target, body, fields...))
+	c.Write(httpRequest(verb, target, body, fields...))
 }
 
-func request(verb, target, body string, fields ...string) []byte {
+func httpRequest(verb, target, body string, fields ...string) []byte {
 	var out bytes.Buffer
 	fmt.Fprintf(&out, "%s /odata/%s HTTP/1.1\r\nHost: x\r\n", verb, target)
 	for _, f := range fields {
@@ -349,19 +349,19 @@
 	return out.Bytes()
 }
 
-func (c *httpClient) hear(verb string) heard {
+func (c *httpClient) readAnswer(verb string) httpAnswer {
 	answer, err := http.ReadResponse(c.r, &http.Request{Method: verb})
 	if err != nil {
-		return heard{body: "closed"}
+		return httpAnswer{body: "closed"}
 	}
 	body, err := io.ReadAll(answer.Body)
 	if err != nil {
-		return heard{body: "broken off"}
+		return httpAnswer{body: "broken off"}
 	}
-	return heard{answer.StatusCode, answer.Header, string(body), answer.Close}
+	return httpAnswer{answer.StatusCode, answer.Header, string(body), answer.Close}
 }
 
-func (c *httpClient) ask(verb, target, body string, fields ...string) heard {
+func (c *httpClient) do(verb, target, body string, fields ...string) httpAnswer {
 	c.send(verb, target, body, fields...)
-	return c.hear(verb)
+	return c.readAnswer(verb)
 }
--- /dev/null
+++ b/internal/node/fake_member_test.go
@@ -0,0 +1,188 @@
+package node
+
+import (
+	"bufio"
+	"encoding/binary"
+	"fmt"
+	"io"
+	"net"
+	"strconv"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"passtack/internal/pgwire"
+)
+
+// receivedQuery is one statement that a member received.
+type receivedQuery struct {
+	text         string
+	began, ended time.Time
+	mayHaveRun   bool
+}
+
+func field(text, name string) string {
+	value := ""
+	pgwire.Comment([]byte(text), func(n, v []byte, _, _ int) {
+		if string(n) == name {
+			value = string(v)
+		}
+	})
+	return value
+}
+
+// fakeMember answers each statement by respond, and closes the connection if respond returns false.
+type fakeMember struct {
+	listener    net.Listener
+	respond     func(c net.Conn, q *receivedQuery) (open bool)
+	onConnect   func(c net.Conn) (open bool)
+	mutex       sync.Mutex
+	queries     []*receivedQuery
+	connections int
+}
+
+func readMessage(r *bufio.Reader) (kind byte, body []byte, err error) {
+	var head [5]byte
+	if _, err = io.ReadFull(r, head[:]); err != nil {
+		return 0, nil, err
+	}
+	body = make([]byte, binary.BigEndian.Uint32(head[1:])-4)
+	_, err = io.ReadFull(r, body)
+	return head[0], body, err
+}
+
+func startFakeMember(t testing.TB, act func(c net.Conn, q *receivedQuery) bool) *fakeMember {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	m := &fakeMember{listener: l, respond: act}
+	t.Cleanup(func() { l.Close() })
+	go func() {
+		for {
+			c, err := l.Accept()
+			if err != nil {
+				return
+			}
+			go m.serve(c)
+		}
+	}()
+	return m
+}
+
+func (m *fakeMember) serve(c net.Conn) {
+	defer c.Close()
+	m.mutex.Lock()
+	m.connections++
+	m.mutex.Unlock()
+	if m.onConnect != nil && !m.onConnect(c) {
+		return
+	}
+	r := bufio.NewReader(c)
+	var length [4]byte
+	if _, err := io.ReadFull(r, length[:]); err != nil {
+		return
+	}
+	io.CopyN(io.Discard, r, int64(binary.BigEndian.Uint32(length[:]))-4)
+	c.Write(pgwire.AppendWelcome(nil, 1, 1))
+	for {
+		kind, body, err := readMessage(r)
+		if err != nil || kind != 'Q' {
+			return
+		}
+		q := &receivedQuery{text: string(body[:len(body)-1]), began: time.Now()}
+		m.mutex.Lock()
+		m.queries = append(m.queries, q)
+		m.mutex.Unlock()
+		answering := &timedConn{c, m, q}
+		if !m.respond(answering, q) {
+			answering.Close()
+			return
+		}
+	}
+}
+
+// timedConn records when a member ended a query, before the driver can know of it.
+type timedConn struct {
+	net.Conn
+	member *fakeMember
+	query  *receivedQuery
+}
+
+func (s *timedConn) recordEnd() {
+	s.member.mutex.Lock()
+	s.query.ended = time.Now()
+	s.member.mutex.Unlock()
+}
+
+func (s *timedConn) Write(text []byte) (int, error) {
+	s.recordEnd()
+	return s.Conn.Write(text)
+}
+
+func (s *timedConn) Close() error {
+	s.recordEnd()
+	return s.Conn.Close()
+}
+
+func (m *fakeMember) seen() []*receivedQuery {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	return append([]*receivedQuery(nil), m.queries...)
+}
+
+func rowResponse(value string) []byte {
+	out := append(pgwire.AppendHead(nil, 'T', 2+4+18), 0, 1, 'd', 'o', 'c', 0)
+	out = append(out, make([]byte, 18)...)
+	out = append(pgwire.AppendHead(out, 'D', 6+len(value)), 0, 1)
+	out = append(binary.BigEndian.AppendUint32(out, uint32(len(value))), value...)
+	return append(pgwire.AppendHead(out, 'C', 9), "SELECT 1\x00"...)
+}
+
+func appendReport(out []byte, role string) []byte {
+	now := time.Now()
+	out = pgwire.AppendParameter(out, "node_role", role)
+	out = pgwire.AppendParameter(out, "replay_position", strconv.FormatInt(now.UnixMilli(), 10))
+	leads := map[string]int{"leader": 1, "follower": 0}[role]
+	return pgwire.AppendParameter(out, "server_load", fmt.Sprintf("x0=%.3f,x1=%d,util=0.5", float64(now.UnixMilli())/1000, leads))
+}
+
+func respondOK(c net.Conn, q *receivedQuery, role string) bool {
+	c.Write(pgwire.AppendReady(appendReport(rowResponse("value of "+field(q.text, "id")), role)))
+	return true
+}
+
+func respondError(c net.Conn, code, role string) bool {
+	c.Write(pgwire.AppendReady(appendReport(pgwire.AppendError(nil, false, code, "no", -1), role)))
+	return true
+}
+
+func waitForClose(c net.Conn) bool {
+	c.Read(make([]byte, 1))
+	return false
+}
+
+func respondAsLeader(c net.Conn, q *receivedQuery) bool { return respondOK(c, q, "leader") }
+
+// endpointEntry is an entry of an endpoint list, JSON.
+func endpointEntry(number int, group int, at net.Addr, state string) string {
+	return fmt.Sprintf(`{"uid":"s-%d","endpoint":"%s","az":"a","model":"m","pod_group":%d,"state":"%s","capacity_hint":1,"boot_ms":0}`,
+		number, at, group, state)
+}
+
+func endpointList(rev int, all bool, targets ...string) string {
+	return fmt.Sprintf(`{"rev":%d,"all":%t,"targets":[%s]}`, rev, all, strings.Join(targets, ","))
+}
+
+const testSettings = `{"areas":["a"],"balancers":1,"tick_us":5000,"locality":0,"registry_mode":"automatic","position":0,
+"caps":{"connect_timeout_us":250000,"idle_close_us":15000000,"max_retry_after_us":1000000,"may_cancel":true,"most_tries":8},
+"classes":[
+{"name":"look","effect":"safe","group":"all","hard_limit_us":2500000,"late_worth":0.2,"points":3.0,"target_us":1000000},
+{"name":"own","effect":"safe","group":"all","hard_limit_us":2000000,"late_worth":0.0,"points":1.0,"target_us":800000},
+{"name":"order","effect":"keyed","group":"cell","hard_limit_us":2000000,"late_worth":0.5,"points":6.0,"target_us":600000,"window_us":1200000},
+{"name":"pay","effect":"unsafe","group":"cell","hard_limit_us":2000000,"late_worth":0.5,"points":6.0,"target_us":600000}],
+"family_info":{"answers_stamped":true,"behind":"hold","class_read":["recent","own_writes","update","update"],
+"lag_allowed_us":[800000,0,0,0],"write_marks":"client","role_listed":"off"},
+"report":{"columns":["x0","x1","load_share"],"how":"inline"},
+"rules":{"cold_us":16000000,"drain_grace_us":250000,"fall_multiple":4.0,"start_capacity":0.25,"tip_after_us":1000000}}`
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -50,7 +50,7 @@
 		Name: "n0", Listen: netip.MustParseAddrPort("10.0.0.1:6543"), Discovery: netip.MustParseAddrPort("10.0.9.1:8500"), Seed: 5,
 		PeerListen: netip.MustParseAddrPort("10.0.0.1:7946"), PeerBroadcast: netip.MustParseAddrPort("10.255.255.255:7946"),
 		Peers:       []netip.AddrPort{netip.MustParseAddrPort("10.0.0.2:7946"), netip.MustParseAddrPort("10.0.0.3:7946")},
-		Descriptors: 256, Memory: 64 << 20, InitialList: []byte(listOf(1, true)), Settings: settings.Flatten(simSettings(t)),
+		Descriptors: 256, Memory: 64 << 20, InitialList: []byte(endpointList(1, true)), Settings: settings.Flatten(simSettings(t)),
 	}
 }
 
--- a/internal/node/hostile_clients_test.go
+++ b/internal/node/hostile_clients_test.go
@@ -16,9 +16,9 @@
 func TestConnectionFloodLeavesOtherListenerItsQuota(t *testing.T) {
 	for _, flooded := range []string{"odata", "pg"} {
 		t.Run(flooded, func(t *testing.T) {
-			g := startCluster(t, "pg", 2, always(fine))
+			g := startFakeCluster(t, "pg", 2, alwaysFault(faultNone))
 			d, at := serveOData(t, "", 120, g, "")
-			dial(t, d.at).ask(t, statement("first", "order", 5000, 0))
+			dialPG(t, d.address).query(t, taggedStatement("first", "order", 5000, 0))
 			end := make(chan bool)
 			var flood sync.WaitGroup
 			g.mutex.Lock()
@@ -34,7 +34,7 @@
 						}
 						if flooded == "odata" {
 							c := dialHTTP(t, at)
-							for i%8 > 0 && c.ask("GET", "Applications('x')", "").status != 0 {
+							for i%8 > 0 && c.do("GET", "Applications('x')", "").status != 0 {
 								select {
 								case <-end:
 									c.Close()
@@ -45,8 +45,8 @@
 							time.Sleep(20 * time.Millisecond)
 							c.Close()
 						} else {
-							c := dial(t, d.at)
-							for i%8 > 0 && !strings.Contains(c.ask(t, statement(fmt.Sprintf("f%d", i), "look", 500, 0)), "closed") {
+							c := dialPG(t, d.address)
+							for i%8 > 0 && !strings.Contains(c.query(t, taggedStatement(fmt.Sprintf("f%d", i), "look", 500, 0)), "closed") {
 								select {
 								case <-end:
 									c.Close()
@@ -65,10 +65,10 @@
 			for i := range 40 {
 				began := time.Now()
 				if flooded == "odata" {
-					if got := dial(t, d.at).ask(t, statement(fmt.Sprintf("o%d", i), "order", 2000, 0)); strings.HasPrefix(got, "ok") {
+					if got := dialPG(t, d.address).query(t, taggedStatement(fmt.Sprintf("o%d", i), "order", 2000, 0)); strings.HasPrefix(got, "ok") {
 						answered++
 					}
-				} else if got := dialHTTP(t, at).ask("POST", "Applications", fmt.Sprintf(`{"Id":"o%d"}`, i), "Deadline-Ms: 2000"); got.status == 201 {
+				} else if got := dialHTTP(t, at).do("POST", "Applications", fmt.Sprintf(`{"Id":"o%d"}`, i), "Deadline-Ms: 2000"); got.status == 201 {
 					answered++
 				}
 				slowest = max(slowest, time.Since(began))
@@ -87,7 +87,7 @@
 // TestHostileRequestsAreRejected sends ten thousand hostile requests to the OData listener: each is answered with an error or a close, none
 // reaches a member, and the memory that they leave behind is bounded.
 func TestHostileRequestsAreRejected(t *testing.T) {
-	g := startCluster(t, "pg", 1, always(fine))
+	g := startFakeCluster(t, "pg", 1, alwaysFault(faultNone))
 	d, at := serveOData(t, "", 300, g, "")
 	chance := pcg.New(7)
 	head := "POST /odata/Applications HTTP/1.1\r\nHost: x\r\nContent-Type: application/json\r\n"
@@ -152,10 +152,10 @@
 	if after > before+16<<20 {
 		t.Errorf("heap in use grew from %d to %d KB", before>>10, after>>10)
 	}
-	if got := dialHTTP(t, at).ask("GET", "Applications('a')", ""); got.status != 200 {
+	if got := dialHTTP(t, at).do("GET", "Applications('a')", ""); got.status != 200 {
 		t.Errorf("afterwards: %d %s", got.status, got.body)
 	}
-	if calls := len(g.seen()); calls != 1 {
+	if calls := len(g.receivedCalls()); calls != 1 {
 		t.Errorf("a member saw %d attempts", calls)
 	}
 	d.stop()
--- a/internal/node/rest_test.go
+++ b/internal/node/idle_driver_test.go
@@ -15,32 +15,32 @@
 	"passtack/internal/settings"
 )
 
-// holding is a connection to a discovery where nothing ever changes.
-type holding struct {
+// idleDiscovery is a connection to a discovery whose list never changes.
+type idleDiscovery struct {
 	loop   *loop.Loop
 	stream *loop.Stream
 	calls  *int
 }
 
-func (h *holding) Opened()        {}
-func (h *holding) Closed(error)   {}
-func (h *holding) Panicked(error) {}
+func (h *idleDiscovery) Opened()        {}
+func (h *idleDiscovery) Closed(error)   {}
+func (h *idleDiscovery) Panicked(error) {}
 
-func (h *holding) Input(in []byte) int {
+func (h *idleDiscovery) Input(in []byte) int {
 	*h.calls++
 	hold := 0
 	if _, after, held := strings.Cut(string(in), "hold_ms="); held {
 		hold, _ = strconv.Atoi(after[:strings.IndexByte(after, ' ')])
 	}
 	h.loop.At(h.loop.Now()+time.Duration(hold)*time.Millisecond, func() {
-		body := listOf(1, false)
+		body := endpointList(1, false)
 		h.stream.Send(fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body))
 	})
 	return len(in)
 }
 
-// resting gives a driver without clients that watches discovery, and its host.
-func resting(t *testing.T, members int) (w *sim.World, n *Node, driver *sim.Host, calls *int) {
+// idleDriver returns a driver without clients that watches discovery, and its host.
+func idleDriver(t *testing.T, members int) (w *sim.World, n *Node, driver *sim.Host, calls *int) {
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	w, calls = sim.New(3, epoch), new(int)
 	on := func(h *sim.Host) *loop.Loop {
@@ -58,11 +58,11 @@
 	}
 	site := &Site{
 		Name: "d", Listen: netip.MustParseAddrPort("10.0.0.1:6543"), Discovery: netip.MustParseAddrPort("10.0.9.1:8500"), Seed: 5,
-		Descriptors: 4000, Memory: 64 << 20, InitialList: []byte(listOf(1, true, targets...)), Settings: settings.Flatten(simSettings(t)),
+		Descriptors: 4000, Memory: 64 << 20, InitialList: []byte(endpointList(1, true, targets...)), Settings: settings.Flatten(simSettings(t)),
 	}
 	agent := on(w.Host("agent"))
 	if _, err := agent.Listen(site.Discovery, 1<<12, loop.Door{}, func(open func(loop.Handler) *loop.Stream) {
-		h := &holding{loop: agent, calls: calls}
+		h := &idleDiscovery{loop: agent, calls: calls}
 		h.stream = open(h)
 	}, func(bool) {}); err != nil {
 		t.Fatal(err)
@@ -75,19 +75,18 @@
 	return w, n, driver, calls
 }
 
-// Without clients a driver wakes for its look at itself and for what discovery says, and for nothing else, however many
-// members there are.
-func TestADriverThatRestsWakesSeldom(t *testing.T) {
+// Without clients a driver wakes for the module's ticks and for discovery's answers only, however many members there are.
+func TestIdleDriverWakesRarely(t *testing.T) {
 	const minutes = 2
 	woken := make(map[int]int)
 	for _, members := range []int{100, 1100} {
-		w, n, driver, calls := resting(t, members)
-		w.Run(epoch + 5*time.Second) // it comes back and has its list
+		w, n, driver, calls := idleDriver(t, members)
+		w.Run(epoch + 5*time.Second) // it has recovered and has its list
 		turns, called := driver.Turns, *calls
 		w.Run(epoch + 5*time.Second + minutes*time.Minute)
 		woken[members] = driver.Turns - turns
 		t.Logf("%d members: %d wakes and %d calls for the list in %d minutes", members, woken[members], *calls-called, minutes)
-		looks := int(minutes * time.Minute / (250 * time.Millisecond)) // of the module, while nothing is under way
+		looks := int(minutes * time.Minute / (250 * time.Millisecond)) // ticks of the module while no RPC is in service
 		if called = *calls - called; called < 40*minutes/2 || woken[members] > looks+2*called {
 			t.Errorf("%d members: %d wakes in %d minutes, with %d looks and %d calls for the list", members, woken[members], minutes, looks, called)
 		}
@@ -100,11 +99,11 @@
 	}
 }
 
-// A driver that stood still while it rested begins anew, whenever in its rest that was; a pause shorter by one
-// of its looks is none.
-func TestAHaltOfADriverThatRestsIsNoticed(t *testing.T) {
+// An idle driver that was suspended for over a second restarts its recovery, whenever between two ticks that began. A pause
+// that is shorter by the time between two ticks does not count.
+func TestIdleDriverNoticesASuspension(t *testing.T) {
 	for phase := time.Duration(0); phase < 250*time.Millisecond; phase += 17 * time.Millisecond {
-		w, n, driver, _ := resting(t, 4)
+		w, n, driver, _ := idleDriver(t, 4)
 		from := epoch + 15*time.Second + phase
 		w.At(from, func() { driver.Pause(from + 740*time.Millisecond) })
 		w.Run(epoch + 20*time.Second)
--- a/internal/node/member_clock_test.go
+++ b/internal/node/member_clock_test.go
@@ -17,13 +17,13 @@
 func TestWrongWallClockIsCorrectedFromMemberPositions(t *testing.T) {
 	for _, ahead := range []time.Duration{-time.Hour, -5 * time.Second, 0, 5 * time.Second, time.Hour} {
 		t.Run(ahead.String(), func(t *testing.T) {
-			s := newSceneOn(t, nil, 256, "", func(h *sim.Host) loop.System {
+			s := newScenarioOn(t, nil, 256, "", func(h *sim.Host) loop.System {
 				h.Ahead = ahead
 				return h
 			})
 			for _, m := range s.members {
-				m.act = func(c *acted, id string, _ func()) {
-					c.stream.Send(pgwire.AppendReady(s.position(rows("value of " + id))))
+				m.respond = func(c *scriptedMemberConn, id string, _ func()) {
+					c.stream.Send(pgwire.AppendReady(s.position(rowResponse("value of " + id))))
 				}
 			}
 			asked := 0
@@ -31,7 +31,7 @@
 			ask = func() {
 				if asked++; asked < 100 {
 					id := fmt.Sprint("w", asked)
-					s.client.stream.Send(asQuery(fmt.Sprintf(pays, id, "order", id, "x")))
+					s.client.stream.Send(queryMessage(fmt.Sprintf(payStatement, id, "order", id, "x")))
 					s.client.loop.At(s.world.Now()+50*ms, ask)
 				}
 			}
@@ -40,11 +40,11 @@
 			if got := s.node.memberClock.Offset(); (got + ahead).Abs() > 50*ms {
 				t.Fatalf("the members' clock is taken to be %v ahead, it is %v", got, -ahead)
 			}
-			before := len(s.client.heard)
+			before := len(s.client.received)
 			after := (s.world.Now() - 10*ms) / ms
-			s.ask(4100*ms, fmt.Sprintf(`/* id=r1,c=own,d=2000,cluster=0,after=%d */ SELECT doc FROM items WHERE id = '7'`, after))
+			s.send(4100*ms, fmt.Sprintf(`/* id=r1,c=own,d=2000,cluster=0,after=%d */ SELECT doc FROM items WHERE id = '7'`, after))
 			s.world.Run(epoch + 5*time.Second)
-			if heard := s.client.heard[before:]; !slices.Contains(heard, "value of r1") {
+			if heard := s.client.received[before:]; !slices.Contains(heard, "value of r1") {
 				t.Errorf("a read behind a commit of its session hears %q", heard)
 			}
 			if s.node.counters["clock_corrections"] > 1 {
@@ -55,7 +55,7 @@
 }
 
 // position tells of a primary that all committed till now is applied.
-func (s *scene) position(out []byte) []byte {
+func (s *scenario) position(out []byte) []byte {
 	out = pgwire.AppendParameter(out, "node_role", "leader")
 	return pgwire.AppendParameter(out, "replay_position", strconv.FormatInt(int64(s.world.Now()/ms), 10))
 }
--- a/internal/node/odata_test.go
+++ b/internal/node/odata_test.go
@@ -12,8 +12,8 @@
 	"passtack/internal/pcg"
 )
 
-// set is an entity set of the operator's file; its statements are left out where members take requests.
-func set(name, read, groups string, statements bool) string {
+// odataSet is an entity set of the operator's file; its statements are left out if members speak OData.
+func odataSet(name, read, groups string, statements bool) string {
 	operation := func(name, method, after, statement string) string {
 		if after != "" {
 			after = fmt.Sprintf("after_write = %q\n", after)
@@ -42,31 +42,33 @@
 		operation("delete", "pay", "", "DELETE FROM items WHERE id = {key} RETURNING doc") + "}\n"
 }
 
-func offices(at, more string, statements bool) string {
+func officesConfig(at, more string, statements bool) string {
 	members := ""
 	if !statements {
 		members = "members \"odata\" { groups = [0] }\n"
 	}
 	return fmt.Sprintf("%sfront \"odata\" \"offices\" {\nlisten = %q\nroot = \"/odata/\"\n%s%s%s}\n", members, at, more,
-		set("Applications", "look", "0", statements), set("Mine", "own", "0", statements))
+		odataSet("Applications", "look", "0", statements), odataSet("Mine", "own", "0", statements))
 }
 
-// serveOData starts a driver with both fronts; it gives the address of the one for OData.
-func serveOData(t testing.TB, discovery string, sockets int, g *cluster, more string) (d *running, at string) {
+// serveOData starts a driver with listeners for both protocols and returns the address of the one for OData.
+func serveOData(t testing.TB, discovery string, sockets int, g *fakeCluster, more string) (d *runningDriver, at string) {
 	t.Helper()
-	n := buildWith(t, discovery, sockets, listOf(1, true, g.targets()...), testSettings, func(free string) string {
+	n := buildDriverWithConfig(t, discovery, sockets, endpointList(1, true, g.targets()...), testSettings, func(free string) string {
 		at = free
-		return offices(free, more, g.speaks == "pg")
+		return officesConfig(free, more, g.protocol == "pg")
 	})
-	return run(t, n), at
+	return runDriver(t, n), at
 }
 
-func always(f fault) func(*called, int) fault { return func(*called, int) fault { return f } }
+func alwaysFault(f memberFault) func(*memberCall, int) memberFault {
+	return func(*memberCall, int) memberFault { return f }
+}
 
 func TestODataRequests(t *testing.T) {
 	for _, speaks := range []string{"pg", "odata"} {
 		t.Run(speaks, func(t *testing.T) {
-			g := startCluster(t, speaks, 2, always(fine))
+			g := startFakeCluster(t, speaks, 2, alwaysFault(faultNone))
 			d, at := serveOData(t, "", 200, g, "")
 			c := dialHTTP(t, at)
 			const entity = `{"Id":"a","Status":"sent","Version":7}`
@@ -101,7 +103,7 @@
 				{"POST", "Applications", entity, []string{"Repeatability-Request-ID: x"}, 400, "belong together"},
 				{"DELETE", "Applications('a')", "", []string{"Repeatability-Request-ID: x", "Repeatability-First-Sent: Tue, 01 Dec 2026 10:00:00 GMT"}, 501, "repeatable delete"},
 			} {
-				got := c.ask(q.verb, q.target, q.body, q.fields...)
+				got := c.do(q.verb, q.target, q.body, q.fields...)
 				if strings.Contains(q.target, " ") { // a target that has to be encoded ends the connection
 					c = dialHTTP(t, at)
 				}
@@ -112,10 +114,10 @@
 					t.Errorf("%s %s: the error %q is no JSON", q.verb, q.target, got.body)
 				}
 			}
-			if head := c.ask("HEAD", "Applications('a')", ""); head.header.Get("Content-Length") == "0" || head.header.Get("Date") == "" {
+			if head := c.do("HEAD", "Applications('a')", ""); head.header.Get("Content-Length") == "0" || head.header.Get("Date") == "" {
 				t.Errorf("HEAD is answered with %v", head.header)
 			}
-			created := c.ask("POST", "Applications", entity, "OData-MaxVersion: 4.0")
+			created := c.do("POST", "Applications", entity, "OData-MaxVersion: 4.0")
 			if created.header.Get("Location") != "/odata/Applications('a')" || created.header.Get("Session-Position") == "" ||
 				created.header.Get("OData-Version") != "4.0" {
 				t.Errorf("a create is answered with %v", created.header)
@@ -124,7 +126,7 @@
 			if d.rpcs.Len() != 0 || d.counters["rpcs_overdue"] != 0 || d.counters["attempts_sent"] != d.outcomes() {
 				t.Errorf("counted %v", d.counters)
 			}
-			for _, call := range g.seen() {
+			for _, call := range g.receivedCalls() {
 				if call.write != (call.token != "") || call.id == "" {
 					t.Errorf("a member saw %+v", call)
 				}
@@ -133,10 +135,10 @@
 	}
 }
 
-// With members that take statements the front itself makes pages, projections, tags and conditions.
+// With members that take statements the listener itself computes pages, projections, ETags and conditions.
 func TestODataOverStatements(t *testing.T) {
-	g := startCluster(t, "pg", 1, always(fine))
-	g.values = func(c *called) string {
+	g := startFakeCluster(t, "pg", 1, alwaysFault(faultNone))
+	g.values = func(c *memberCall) string {
 		switch {
 		case strings.HasSuffix(c.text, "-- TRUE"):
 			return `{"count":17,"value":[{"Id":"a"},{"Id":"b"},{"Id":"c"}]}`
@@ -184,16 +186,16 @@
 		{"PATCH", "Applications('a')", `{"Status":"x"}`, []string{`If-Match: W/"7"`}, 501, "If-Match with a tag"},
 		{"PATCH", "Applications('a')", `{"Id":"b"}`, nil, 400, "not the one of the path"},
 	} {
-		got := c.ask(q.verb, q.target, q.body, q.fields...)
+		got := c.do(q.verb, q.target, q.body, q.fields...)
 		if got.status != q.status || !strings.Contains(got.body, q.want) {
 			t.Errorf("%s %s %v: %d %s", q.verb, q.target, q.fields, got.status, got.body)
 		}
 	}
-	if got := c.ask("POST", "Applications", `{"Id":"x"}`, "Prefer: return=minimal"); got.status != 204 || got.header.Get("OData-EntityId") == "" {
+	if got := c.do("POST", "Applications", `{"Id":"x"}`, "Prefer: return=minimal"); got.status != 204 || got.header.Get("OData-EntityId") == "" {
 		t.Errorf("a create that wants no entity back: %d %v", got.status, got.header)
 	}
-	c.ask("GET", "Applications('it''s')?$select=Id", "")
-	calls := g.seen()
+	c.do("GET", "Applications('it''s')?$select=Id", "")
+	calls := g.receivedCalls()
 	upserts := 0
 	for _, call := range calls {
 		if strings.Contains(call.text, "ON CONFLICT") {
@@ -208,11 +210,11 @@
 	}
 }
 
-// Requests of one connection are answered in order, however they are cut; what cannot be read ends it.
+// Requests of one connection are answered in order, however they are fragmented; one that cannot be read ends it.
 func TestODataConnections(t *testing.T) {
-	g := startCluster(t, "pg", 1, always(fine))
+	g := startFakeCluster(t, "pg", 1, alwaysFault(faultNone))
 	d, at := serveOData(t, "", 100, g, "limits {\nbody_bytes = 1000\nhead_bytes = 1000\n}\n")
-	all := slices.Concat(request("POST", "Applications", `{"Id":"one"}`), request("GET", "Applications('two')", ""), request("GET", "", ""))
+	all := slices.Concat(httpRequest("POST", "Applications", `{"Id":"one"}`), httpRequest("GET", "Applications('two')", ""), httpRequest("GET", "", ""))
 	for split := 0; split < len(all); split += 3 {
 		c := dialHTTP(t, at)
 		c.Write(all[:split])
@@ -220,7 +222,7 @@
 			time.Sleep(time.Millisecond)
 		}
 		c.Write(all[split:])
-		if a, b, e := c.hear("POST"), c.hear("GET"), c.hear("GET"); !strings.Contains(a.body, "one") || !strings.Contains(b.body, "two") || e.status != 200 {
+		if a, b, e := c.readAnswer("POST"), c.readAnswer("GET"), c.readAnswer("GET"); !strings.Contains(a.body, "one") || !strings.Contains(b.body, "two") || e.status != 200 {
 			t.Fatalf("split at %d: %s, %s, %d", split, a.body, b.body, e.status)
 		}
 		c.Close()
@@ -232,11 +234,11 @@
 	}
 	c.r.ReadString('\n')
 	c.Write([]byte(`{"Id":"ex"}`))
-	if got := c.hear("POST"); got.status != 201 {
+	if got := c.readAnswer("POST"); got.status != 201 {
 		t.Errorf("then %d %s", got.status, got.body)
 	}
 	c.Write([]byte("POST /odata/Applications HTTP/1.1\r\nHost: x\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n6\r\n{\"Id\":\r\n4\r\n\"c\"}\r\n0\r\n\r\n"))
-	if got := c.hear("POST"); got.status != 201 || !strings.Contains(got.body, `"Id":"c"`) {
+	if got := c.readAnswer("POST"); got.status != 201 || !strings.Contains(got.body, `"Id":"c"`) {
 		t.Errorf("a body in chunks: %d %s", got.status, got.body)
 	}
 	for text, want := range map[string]int{
@@ -250,18 +252,18 @@
 	} {
 		c := dialHTTP(t, at)
 		c.Write([]byte(text))
-		if got := c.hear("GET"); got.status != want || !got.last {
+		if got := c.readAnswer("GET"); got.status != want || !got.last {
 			t.Errorf("%.50q: %d %v", text, got.status, got.header)
 		}
 		began := time.Now()
-		if got := c.hear("GET"); got.body != "closed" || time.Since(began) > time.Second { // idle ones end later
+		if got := c.readAnswer("GET"); got.body != "closed" || time.Since(began) > time.Second { // idle connections are closed later
 			t.Errorf("%.50q: the connection goes on for %v", text, time.Since(began))
 		}
 	}
 	began := time.Now()
 	c = dialHTTP(t, at)
 	c.Write([]byte("GET /odata/ HTTP/1.1\r\nHost"))
-	if got := c.hear("GET"); got.status != 408 || time.Since(began) < time.Second || time.Since(began) > 4*time.Second {
+	if got := c.readAnswer("GET"); got.status != 408 || time.Since(began) < time.Second || time.Since(began) > 4*time.Second {
 		t.Errorf("half of a head: %d after %v", got.status, time.Since(began))
 	}
 	d.stop()
@@ -270,41 +272,41 @@
 	}
 }
 
-// step is one RPC of a scripted run: a read, one of its own session's, a tokened write, or a write that must never run
-// twice; and what members do with its attempts in turn.
-type step struct {
+// scriptedOperation is one RPC of a scripted run: a read, a read of its session's writes, an idempotent write, or a write that
+// must never run twice; and what members do with each of its attempts.
+type scriptedOperation struct {
 	key, kind string
-	faults    []fault
+	faults    []memberFault
 }
 
-// outcome is what a client heard and what members saw.
-type outcome struct {
+// operationOutcome is what a client received and how often members were called.
+type operationOutcome struct {
 	answer     string
 	ran, calls int
 }
 
-var kinds = map[string]struct{ pg, method, verb, target, body string }{
+var operationKinds = map[string]struct{ pg, method, verb, target, body string }{
 	"read":   {"SELECT doc FROM items WHERE id = '%s'", "look", "GET", "Applications('%s')", ""},
 	"own":    {"SELECT doc FROM items WHERE id = '%s'", "own", "GET", "Mine('%s')", ""},
 	"write":  {"INSERT INTO items (id, doc) VALUES ('%s', 'x') RETURNING doc", "order", "POST", "Applications", `{"Id":"%s"}`},
 	"delete": {"DELETE FROM items WHERE id = '%s' RETURNING doc", "pay", "DELETE", "Applications('%s')", ""},
 }
 
-// asks sends one RPC by a protocol and tells what the client heard. A read has to see what was committed until after.
-func asks(t testing.TB, front string, c *client, h *httpClient, s step, millis int, after time.Time) string {
-	k := kinds[s.kind]
+// runOperation sends one RPC by a protocol and returns what the client received. A read has to see what was committed until after.
+func runOperation(t testing.TB, front string, c *pgClient, h *httpClient, s scriptedOperation, millis int, after time.Time) string {
+	k := operationKinds[s.kind]
 	position, session := "", "X: y"
 	if !after.IsZero() {
 		position, session = fmt.Sprintf(",after=%d", after.UnixMilli()), fmt.Sprintf("Session-Position: %d", after.UnixMilli())
 	}
 	if front == "pg" {
-		got := c.ask(t, fmt.Sprintf("/* id=%s,c=%s,d=%d,k=token-%s,cluster=0%s */ "+k.pg, s.key, k.method, millis, s.key, position, s.key))
+		got := c.query(t, fmt.Sprintf("/* id=%s,c=%s,d=%d,k=token-%s,cluster=0%s */ "+k.pg, s.key, k.method, millis, s.key, position, s.key))
 		switch {
 		case strings.HasPrefix(got, "ok "):
 			return "ok"
-		case got == pushedBack:
+		case got == codeRejected:
 			return "pushed back"
-		case got == aborted:
+		case got == codeAborted:
 			return "aborted"
 		}
 		return got
@@ -316,7 +318,7 @@
 	if body != "" {
 		body = fmt.Sprintf(body, s.key)
 	}
-	got := h.ask(k.verb, target, body, session, fmt.Sprintf("Deadline-Ms: %d", millis))
+	got := h.do(k.verb, target, body, session, fmt.Sprintf("Deadline-Ms: %d", millis))
 	switch {
 	case got.status >= 200 && got.status < 300:
 		return "ok"
@@ -328,15 +330,14 @@
 	return fmt.Sprint(got.status, got.body)
 }
 
-// One scripted run of faults is played against both protocols: clients and members of PostgreSQL's, clients and members
-// of OData, and OData's clients on members of PostgreSQL's. What the clients hear and what the members saw must be the
-// same, and keep the rules.
+// One scripted run of faults is run against both protocols: clients and members of PostgreSQL's, clients and members of OData,
+// and OData's clients on members of PostgreSQL's. What clients and members receive must be the same, and keep the rules.
 func TestSameOutcomesOnBothProtocols(t *testing.T) {
-	var script []step
-	add := func(kind string, faults ...fault) {
-		script = append(script, step{fmt.Sprintf("k%d", len(script)), kind, faults})
+	var script []scriptedOperation
+	add := func(kind string, faults ...memberFault) {
+		script = append(script, scriptedOperation{fmt.Sprintf("k%d", len(script)), kind, faults})
 	}
-	all := []fault{fine, notPrimary, behind, full, fails, cut, cutInAnswer, spoilt, short, hangs}
+	all := []memberFault{faultNone, faultNotPrimary, faultStale, faultFull, faultError, faultDisconnect, faultDisconnectInAnswer, faultUnreadable, faultTruncated, faultHang}
 	for _, kind := range []string{"read", "own", "write", "delete"} {
 		for _, f := range all {
 			add(kind, f)
@@ -353,33 +354,33 @@
 		add("write")
 		add("read")
 	}
-	results := make(map[string][]outcome)
+	results := make(map[string][]operationOutcome)
 	var names []string
 	var playing sync.WaitGroup
 	var mutex sync.Mutex
 	for _, pair := range [][2]string{{"pg", "pg"}, {"odata", "odata"}, {"odata", "pg"}} {
 		name := pair[0] + " clients, " + pair[1] + " members"
 		names = append(names, name)
-		faults := make(map[string][]fault)
+		faults := make(map[string][]memberFault)
 		for _, s := range script {
 			faults[s.key] = s.faults
 		}
-		g := startCluster(t, pair[1], 3, func(c *called, nth int) fault {
+		g := startFakeCluster(t, pair[1], 3, func(c *memberCall, nth int) memberFault {
 			if f := faults[c.key]; nth <= len(f) {
 				return f[nth-1]
 			}
-			return fine
+			return faultNone
 		})
 		d, at := serveOData(t, "", 200, g, "")
 		playing.Go(func() {
-			c, h := dial(t, d.at), dialHTTP(t, at)
-			var got []outcome
+			c, h := dialPG(t, d.address), dialHTTP(t, at)
+			var got []operationOutcome
 			for _, s := range script {
-				answer := asks(t, pair[0], c, h, s, 400, time.Time{})
-				got = append(got, outcome{answer: answer})
+				answer := runOperation(t, pair[0], c, h, s, 400, time.Time{})
+				got = append(got, operationOutcome{answer: answer})
 			}
-			byKey := make(map[string][]called)
-			for _, call := range g.seen() {
+			byKey := make(map[string][]memberCall)
+			for _, call := range g.receivedCalls() {
 				byKey[call.key] = append(byKey[call.key], call)
 			}
 			for i, s := range script {
@@ -417,8 +418,8 @@
 	}
 }
 
-// checkRules holds what a client heard against what the members saw.
-func checkRules(t *testing.T, name string, s step, o outcome) {
+// checkRules compares what a client received with what members were sent.
+func checkRules(t *testing.T, name string, s scriptedOperation, o operationOutcome) {
 	t.Helper()
 	switch {
 	case o.answer != "ok" && o.answer != "pushed back" && o.answer != "aborted":
--- a/internal/node/protocol_parity_test.go
+++ b/internal/node/protocol_parity_test.go
@@ -19,12 +19,12 @@
 	var runs sync.WaitGroup
 	for _, pair := range protocolPairs {
 		name := pair[0] + " clients, " + pair[1] + " members"
-		g := startCluster(t, pair[1], 3, always(fine))
+		g := startFakeCluster(t, pair[1], 3, alwaysFault(faultNone))
 		calls, answers := make(chan bool, 10), make(chan string, 10)
-		answers <- listOf(1, true, g.targets()...)
+		answers <- endpointList(1, true, g.targets()...)
 		d, at := serveOData(t, startDiscovery(t, calls, answers), 200, g, "")
 		runs.Go(func() {
-			r := &parityRun{t: t, name: name, clients: pair[0], cluster: g, statements: dial(t, d.at), requests: dialHTTP(t, at), lists: answers}
+			r := &parityRun{t: t, name: name, clients: pair[0], cluster: g, statements: dialPG(t, d.address), requests: dialHTTP(t, at), lists: answers}
 			if !r.run() {
 				return
 			}
@@ -50,8 +50,8 @@
 	t          *testing.T
 	name       string
 	clients    string // their protocol
-	cluster    *cluster
-	statements *client
+	cluster    *fakeCluster
+	statements *pgClient
 	requests   *httpClient
 	lists      chan<- string // answers of discovery
 
@@ -61,7 +61,7 @@
 
 func (r *parityRun) ask(kind string, after time.Time) string {
 	r.asked++
-	return asks(r.t, r.clients, r.statements, r.requests, step{key: fmt.Sprintf("k%d", r.asked), kind: kind}, 400, after)
+	return runOperation(r.t, r.clients, r.statements, r.requests, scriptedOperation{key: fmt.Sprintf("k%d", r.asked), kind: kind}, 400, after)
 }
 
 func (r *parityRun) record(outcome string) { r.outcomes = append(r.outcomes, outcome) }
@@ -96,11 +96,11 @@
 		g.mutex.Unlock()
 	}
 	setLag(5 * time.Second)
-	before := len(g.seen())
+	before := len(g.receivedCalls())
 	for range 10 {
 		r.record("lag " + r.ask("write", time.Time{}) + r.ask("own", time.Now()))
 	}
-	for _, call := range g.seen()[before:] {
+	for _, call := range g.receivedCalls()[before:] {
 		if !call.write && (call.after == 0 || call.ran && call.member != 0) {
 			r.t.Errorf("%s: a read behind a write asks member %d, which lags, for what is after %d", r.name, call.member, call.after)
 		}
@@ -112,11 +112,11 @@
 func (r *parityRun) failPrimary() {
 	g := r.cluster
 	g.kill(0)
-	before := len(g.seen())
+	before := len(g.receivedCalls())
 	for range 5 {
 		r.record("no primary " + r.ask("write", time.Time{}))
 	}
-	for _, call := range g.seen()[before:] {
+	for _, call := range g.receivedCalls()[before:] {
 		if call.ran {
 			r.t.Errorf("%s: member %d runs a write though it is no primary", r.name, call.member)
 		}
@@ -126,13 +126,13 @@
 // drain checks that a draining member receives nothing new.
 func (r *parityRun) drain() {
 	g := r.cluster
-	r.lists <- listOf(2, false, target(2, 0, g.members[2].listener.Addr(), "terminating"))
+	r.lists <- endpointList(2, false, endpointEntry(2, 0, g.members[2].listener.Addr(), "terminating"))
 	time.Sleep(600 * time.Millisecond) // the list has arrived and the grace period is over
-	before := len(g.seen())
+	before := len(g.receivedCalls())
 	for range 20 {
 		r.record("drain " + r.ask("read", time.Time{}) + r.ask("own", time.Time{}))
 	}
-	for _, call := range g.seen()[before:] {
+	for _, call := range g.receivedCalls()[before:] {
 		if call.member == 2 {
 			r.t.Errorf("%s: a draining member receives a new request", r.name)
 		}
@@ -141,25 +141,25 @@
 
 // TestReadYourWritesAcrossProtocols writes over one protocol and reads over the other: the read sees the write, though replicas lag.
 func TestReadYourWritesAcrossProtocols(t *testing.T) {
-	g := startCluster(t, "pg", 3, always(fine))
+	g := startFakeCluster(t, "pg", 3, alwaysFault(faultNone))
 	g.members[1].lag, g.members[2].lag = 5*time.Second, 5*time.Second
 	d, at := serveOData(t, "", 200, g, "")
-	c, h := dial(t, d.at), dialHTTP(t, at)
+	c, h := dialPG(t, d.address), dialHTTP(t, at)
 	for i := range 20 {
 		key := fmt.Sprintf("k%d", i)
-		wrote := h.ask("POST", "Applications", fmt.Sprintf(`{"Id":%q}`, key))
+		wrote := h.do("POST", "Applications", fmt.Sprintf(`{"Id":%q}`, key))
 		position := wrote.header.Get("Session-Position")
 		if wrote.status != 201 || position == "" {
 			t.Fatalf("the write: %d %v", wrote.status, wrote.header)
 		}
-		if got := c.ask(t, fmt.Sprintf("/* id=r%s,c=own,d=500,cluster=0,after=%s */ SELECT doc FROM items WHERE id = '%s'", key, position, key)); !strings.HasPrefix(got, "ok") {
+		if got := c.query(t, fmt.Sprintf("/* id=r%s,c=own,d=500,cluster=0,after=%s */ SELECT doc FROM items WHERE id = '%s'", key, position, key)); !strings.HasPrefix(got, "ok") {
 			t.Errorf("read over the other protocol: %s", got)
 		}
-		if got := h.ask("GET", "Mine('"+key+"')", "", "Session-Position: "+position); got.status != 200 {
+		if got := h.do("GET", "Mine('"+key+"')", "", "Session-Position: "+position); got.status != 200 {
 			t.Errorf("read over the same: %d %s", got.status, got.body)
 		}
 	}
-	for _, call := range g.seen() {
+	for _, call := range g.receivedCalls() {
 		if !call.write && (call.after == 0 || call.ran && call.member != 0) {
 			t.Errorf("a read that must see %d is answered by member %d, which lags", call.after, call.member)
 		}
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -11,7 +11,7 @@
 
 // TestReloadUnderLoad reloads the operator's file under load: entity sets and limits change, and an invalid file changes nothing.
 func TestReloadUnderLoad(t *testing.T) {
-	g := startCluster(t, "pg", 2, always(fine))
+	g := startFakeCluster(t, "pg", 2, alwaysFault(faultNone))
 	d, at := serveOData(t, "", 200, g, "")
 	h := dialHTTP(t, at)
 	text, err := os.ReadFile(d.site.ConfigFile)
@@ -20,7 +20,7 @@
 	}
 	end, asked := make(chan bool), make(chan int)
 	go func() {
-		c, n := dial(t, d.at), 0
+		c, n := dialPG(t, d.address), 0
 		for {
 			select {
 			case <-end:
@@ -28,7 +28,7 @@
 				return
 			default:
 				n++
-				if got := c.ask(t, statement(fmt.Sprintf("load-%d", n), "look", 2000, 0)); !strings.HasPrefix(got, "ok") {
+				if got := c.query(t, taggedStatement(fmt.Sprintf("load-%d", n), "look", 2000, 0)); !strings.HasPrefix(got, "ok") {
 					t.Errorf("during a reload an RPC receives %s", got)
 				}
 			}
@@ -51,16 +51,16 @@
 	time.Sleep(time.Second) // the platform sends SIGHUP no sooner
 	write(strings.Replace(string(text), `set "Mine"`, `set "Own"`, 1))
 	until("a set of another name", func() bool {
-		return h.ask("GET", "Own('a')", "").status == 200 && h.ask("GET", "Mine('a')", "").status == 404
+		return h.do("GET", "Own('a')", "").status == 200 && h.do("GET", "Mine('a')", "").status == 404
 	})
 	write("front \"odata\" \"offices\" {\nlisten = 7\n}\n")
 	time.Sleep(300 * time.Millisecond)
-	if got := h.ask("GET", "Own('a')", ""); got.status != 200 {
+	if got := h.do("GET", "Own('a')", ""); got.status != 200 {
 		t.Errorf("after an invalid file: %d", got.status)
 	}
 	write(strings.Replace(string(text), "root = ", "limits { body_bytes = 300 }\nroot = ", 1))
 	until("another limit", func() bool {
-		return dialHTTP(t, at).ask("POST", "Applications", fmt.Sprintf(`{"Id":"a","Status":%q}`, strings.Repeat("x", 400))).status == 413
+		return dialHTTP(t, at).do("POST", "Applications", fmt.Sprintf(`{"Id":"a","Status":%q}`, strings.Repeat("x", 400))).status == 413
 	})
 	close(end)
 	if n := <-asked; n < 100 {
@@ -71,3 +71,49 @@
 		t.Errorf("counted %v", d.counters)
 	}
 }
+
+// SIGHUP brings another address of discovery, whatever the environment said at the start; an unusable file
+// changes nothing.
+func TestReload(t *testing.T) {
+	first, second := startFakeMember(t, respondAsLeader), startFakeMember(t, respondAsLeader)
+	calls, answers := make(chan bool, 100), make(chan string, 1)
+	old := startDiscovery(t, make(chan bool, 100), make(chan string))
+	n := buildDriver(t, old, 100, endpointList(1, true, endpointEntry(1, 0, first.listener.Addr(), "in_service")), testSettings)
+	n.site.environment = func(name string) string { return map[string]string{"BALANCER_DISCOVERY": old}[name] }
+	text, err := os.ReadFile(n.site.file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	d := runDriver(t, n)
+	c := dialPG(t, d.address)
+	reload := func(text string) {
+		t.Helper()
+		os.WriteFile(n.site.file, []byte(text), 0o600)
+		syscall.Kill(os.Getpid(), syscall.SIGHUP)
+		if got := c.query(t, taggedStatement("a1", "order", 5000, 0)); got != "ok value of a1" {
+			t.Fatalf("under a reload one hears %s", got)
+		}
+	}
+	reload("{")
+	time.Sleep(time.Second)
+	answers <- endpointList(7, true, endpointEntry(2, 0, second.listener.Addr(), "in_service"))
+	fresh := strings.Replace(string(text), old, startDiscovery(t, calls, answers), 1)
+	reload(fresh[:len(fresh)/2])
+	time.Sleep(50 * time.Millisecond)
+	os.WriteFile(n.site.file, []byte(fresh), 0o600) // as slow as that
+	for range 2 {                                   // the list and the watch behind it
+		select {
+		case <-calls:
+		case <-time.After(4 * time.Second):
+			t.Fatal("the new discovery is not asked")
+		}
+	}
+	before := len(first.seen())
+	if got := c.query(t, taggedStatement("a2", "order", 5000, 0)); got != "ok value of a2" || len(first.seen()) != before {
+		t.Errorf("after the reload one hears %s", got)
+	}
+	d.stop()
+	if d.counters["reloads"] != 1 || d.counters["reloads_failed"] != 1 || d.counters["list_failures"] != 0 {
+		t.Errorf("counted %v", d.counters)
+	}
+}
--- a/internal/node/repeatable_test.go
+++ b/internal/node/repeatable_test.go
@@ -23,17 +23,17 @@
 	for _, speaks := range []string{"pg", "odata"} {
 		t.Run(speaks, func(t *testing.T) {
 			hangsFirst := map[string]bool{"hang": true, "late": true}
-			g := startCluster(t, speaks, 2, func(c *called, nth int) fault {
+			g := startFakeCluster(t, speaks, 2, func(c *memberCall, nth int) memberFault {
 				if hangsFirst[c.key] && nth == 1 {
-					return hangs
+					return faultHang
 				}
-				return fine
+				return faultNone
 			})
 			g.wait = 150 * time.Millisecond
 			d, at := serveOData(t, "", 200, g, "")
-			dialHTTP(t, at).ask("POST", "Applications", `{"Id":"first"}`) // the driver learns the primary
+			dialHTTP(t, at).do("POST", "Applications", `{"Id":"first"}`) // the driver learns the primary
 			checkDroppedCreates(t, at)
-			checkConcurrentCreates(t, d.at, at, speaks)
+			checkConcurrentCreates(t, d.address, at, speaks)
 			g.mutex.Lock()
 			g.wait = 10 * time.Millisecond
 			g.mutex.Unlock()
@@ -44,7 +44,7 @@
 					t.Errorf("%s had %d effects", token, times)
 				}
 			}
-			for _, call := range g.seen() {
+			for _, call := range g.receivedCalls() {
 				if call.key == "old" || call.key == "other" {
 					t.Errorf("a member received a request that was rejected: %+v", call)
 				}
@@ -62,7 +62,7 @@
 	t.Helper()
 	for _, when := range []string{"before", "in", "after"} {
 		sent := time.Now()
-		text := request("POST", "Applications", createBody(when), repeatabilityHeaders("id-"+when, sent)...)
+		text := httpRequest("POST", "Applications", createBody(when), repeatabilityHeaders("id-"+when, sent)...)
 		c := dialHTTP(t, at)
 		switch when {
 		case "before":
@@ -75,11 +75,11 @@
 			time.Sleep(400 * time.Millisecond)
 		}
 		c.Close()
-		got := dialHTTP(t, at).ask("POST", "Applications", createBody(when), repeatabilityHeaders("id-"+when, sent)...)
+		got := dialHTTP(t, at).do("POST", "Applications", createBody(when), repeatabilityHeaders("id-"+when, sent)...)
 		if got.status != 201 || !strings.Contains(got.body, when) || got.header.Get("Repeatability-Result") != "accepted" {
 			t.Errorf("dropped %s the write, repeated: %d %v %s", when, got.status, got.header, got.body)
 		}
-		other := dialHTTP(t, at).ask("POST", "Applications", createBody("other"), repeatabilityHeaders("id-"+when, sent)...)
+		other := dialHTTP(t, at).do("POST", "Applications", createBody("other"), repeatabilityHeaders("id-"+when, sent)...)
 		if other.status != 412 || other.header.Get("Repeatability-Result") != "rejected" {
 			t.Errorf("another request of the same id: %d %s", other.status, other.body)
 		}
@@ -94,13 +94,13 @@
 	for i := range 10 {
 		clients.Go(func() {
 			if i == 0 && speaks == "pg" {
-				got := dial(t, atStatements).ask(t, "/* id=both,c=order,d=900,k=id-both,cluster=0 */ INSERT INTO items (id, doc) VALUES ('both', 'x')")
+				got := dialPG(t, atStatements).query(t, "/* id=both,c=order,d=900,k=id-both,cluster=0 */ INSERT INTO items (id, doc) VALUES ('both', 'x')")
 				if !strings.HasPrefix(got, "ok") {
 					t.Errorf("the same token over the other protocol: %s", got)
 				}
 				return
 			}
-			got := dialHTTP(t, at).ask("POST", "Applications", createBody("both"), repeatabilityHeaders("id-both", sent)...)
+			got := dialHTTP(t, at).do("POST", "Applications", createBody("both"), repeatabilityHeaders("id-both", sent)...)
 			if got.status != 201 {
 				t.Errorf("one of ten at once: %d %s", got.status, got.body)
 			}
@@ -119,19 +119,19 @@
 	}{{"hang", 0, 201}, {"late", 1300 * time.Millisecond, 412}} {
 		c := dialHTTP(t, at)
 		for i := range 30 { // so that no member is an outlier any more
-			c.ask("PATCH", "Applications('calm')", `{"Status":"x"}`, repeatabilityHeaders(fmt.Sprintf("calm-%s-%d", repeat.key, i), time.Now())...)
+			c.do("PATCH", "Applications('calm')", `{"Status":"x"}`, repeatabilityHeaders(fmt.Sprintf("calm-%s-%d", repeat.key, i), time.Now())...)
 		}
 		sent := time.Now()
 		headers := repeatabilityHeaders("id-"+repeat.key, sent)
-		if got := c.ask("POST", "Applications", createBody(repeat.key), append(headers, "Deadline-Ms: 300")...); got.status != 500 {
+		if got := c.do("POST", "Applications", createBody(repeat.key), append(headers, "Deadline-Ms: 300")...); got.status != 500 {
 			t.Errorf("%s: the first receives %d %s", repeat.key, got.status, got.body)
 		}
 		time.Sleep(repeat.pause)
-		if got := c.ask("POST", "Applications", createBody(repeat.key), repeatabilityHeaders("id-"+repeat.key, sent)...); got.status != repeat.status {
+		if got := c.do("POST", "Applications", createBody(repeat.key), repeatabilityHeaders("id-"+repeat.key, sent)...); got.status != repeat.status {
 			t.Errorf("%s: a repeat after %v receives %d %s", repeat.key, repeat.pause, got.status, got.body)
 		}
 	}
-	unknown := dialHTTP(t, at).ask("POST", "Applications", createBody("old"), repeatabilityHeaders("id-old", time.Now().Add(-5*time.Second))...)
+	unknown := dialHTTP(t, at).do("POST", "Applications", createBody("old"), repeatabilityHeaders("id-old", time.Now().Add(-5*time.Second))...)
 	if unknown.status != 412 {
 		t.Errorf("an unknown request of 5 s ago: %d %s", unknown.status, unknown.body)
 	}
@@ -141,15 +141,15 @@
 // unless another client waits for the same request. A repeat by the client runs it anew.
 func TestAbandonedRepeatableRequestIsNotRetried(t *testing.T) {
 	arrived := make(chan string, 99)
-	g := startCluster(t, "pg", 2, func(c *called, nth int) fault {
+	g := startFakeCluster(t, "pg", 2, func(c *memberCall, nth int) memberFault {
 		arrived <- c.key
 		if c.key != "first" && nth == 1 {
-			return fails
+			return faultError
 		}
-		return fine
+		return faultNone
 	})
 	_, at := serveOData(t, "", 200, g, "")
-	dialHTTP(t, at).ask("POST", "Applications", `{"Id":"first"}`) // the driver learns the primary
+	dialHTTP(t, at).do("POST", "Applications", `{"Id":"first"}`) // the driver learns the primary
 	for len(arrived) > 0 {
 		<-arrived
 	}
@@ -160,15 +160,15 @@
 		sent := time.Now()
 		body := fmt.Sprintf(`{"Id":%q,"Status":"sent"}`, key)
 		c := dialHTTP(t, at)
-		c.Write(request("POST", "Applications", body, repeatabilityHeaders("id-"+key, sent)...))
+		c.Write(httpRequest("POST", "Applications", body, repeatabilityHeaders("id-"+key, sent)...))
 		for got := ""; got != key; got = <-arrived {
 		}
 		other := make(chan int, 1)
 		if joined {
 			second := dialHTTP(t, at)
-			second.Write(request("POST", "Applications", body, repeatabilityHeaders("id-"+key, sent)...))
-			go func() { other <- second.hear("POST").status }()
-			dialHTTP(t, at).ask("GET", "$metadata", "") // it came later and is answered, so the second request has been read
+			second.Write(httpRequest("POST", "Applications", body, repeatabilityHeaders("id-"+key, sent)...))
+			go func() { other <- second.readAnswer("POST").status }()
+			dialHTTP(t, at).do("GET", "$metadata", "") // it came later and is answered, so the second request has been read
 		}
 		c.Close()
 		want := 1
@@ -184,7 +184,7 @@
 			t.Errorf("%s: %d attempts, wanted %d", key, g.nth[key], want)
 		}
 		g.mutex.Unlock()
-		if got := dialHTTP(t, at).ask("POST", "Applications", body, repeatabilityHeaders("id-"+key, sent)...); got.status != 201 {
+		if got := dialHTTP(t, at).do("POST", "Applications", body, repeatabilityHeaders("id-"+key, sent)...); got.status != 201 {
 			t.Errorf("%s, asked again: %d %s", key, got.status, got.body)
 		}
 	}
--- a/internal/node/retry_test.go
+++ b/internal/node/retry_test.go
@@ -10,7 +10,7 @@
 )
 
 // What passes by itself is tried again; what does not is told at once.
-func TestShortagesAreWaitedOut(t *testing.T) {
+func TestResourceShortagesAreRetried(t *testing.T) {
 	for cause, tries := range map[error]int{
 		unix.ENFILE: 3, &os.PathError{Op: "open", Err: unix.EIO}: 3, fmt.Errorf("listen: %w", unix.EADDRINUSE): 3,
 		unix.EACCES: 1, os.ErrNotExist: 1, errors.New("not a number"): 1,
--- a/internal/node/sim_test.go
+++ b/internal/node/simulated_fleet_test.go
@@ -19,25 +19,25 @@
 	"passtack/internal/settings"
 )
 
-// What follows runs the whole driver in simulated time, with members and clients on loops of their own.
+// This file runs complete drivers in simulated time, with members and clients on event loops of their own.
 
 const epoch = 1767225600 * time.Second
 
-type play struct {
-	t        testing.TB
-	world    *sim.World
-	chance   *pcg.Source
-	record   strings.Builder
-	members  []*simMember
-	drivers  []*simDriver
-	answers  map[string]string // by id
-	ran      map[string]int    // attempts that may have run, by id
-	sent     int
-	lateCall int
+type simulatedFleet struct {
+	t                testing.TB
+	world            *sim.World
+	random           *pcg.Source
+	timeline         strings.Builder
+	members          []*simMember
+	drivers          []*simDriver
+	answers          map[string]string // by id
+	executions       map[string]int    // attempts that members have run, by id
+	sent             int
+	callsAfterAnswer int
 }
 
 type simMember struct {
-	play *play
+	play *simulatedFleet
 	host *sim.Host
 	at   netip.AddrPort
 	role string
@@ -51,11 +51,11 @@
 	node *Node
 }
 
-func (p *play) note(format string, args ...any) {
-	fmt.Fprintf(&p.record, "%v %s\n", p.world.Now()-epoch, fmt.Sprintf(format, args...))
+func (p *simulatedFleet) note(format string, args ...any) {
+	fmt.Fprintf(&p.timeline, "%v %s\n", p.world.Now()-epoch, fmt.Sprintf(format, args...))
 }
 
-func (p *play) loopOn(h *sim.Host) *loop.Loop {
+func (p *simulatedFleet) loopOn(h *sim.Host) *loop.Loop {
 	l, err := loop.On(h, 1000, 16<<20)
 	if err != nil {
 		p.t.Fatal(err)
@@ -64,7 +64,7 @@
 	return l
 }
 
-func (p *play) member(i int, role string) {
+func (p *simulatedFleet) member(i int, role string) {
 	m := &simMember{play: p, host: p.world.Host(fmt.Sprint("m", i)), at: netip.MustParseAddrPort(fmt.Sprintf("10.0.1.%d:5432", i+1)), role: role}
 	m.work = 20 * time.Millisecond
 	m.start()
@@ -74,25 +74,25 @@
 func (m *simMember) start() {
 	m.loop = m.play.loopOn(m.host)
 	if _, err := m.loop.Listen(m.at, 1<<20, loop.Door{}, func(open func(loop.Handler) *loop.Stream) {
-		c := &simServed{member: m}
+		c := &simMemberConn{member: m}
 		c.stream = open(c)
 	}, func(bool) {}); err != nil {
 		m.play.t.Fatal(err)
 	}
 }
 
-// simServed is one connection of a member.
-type simServed struct {
+// simMemberConn is one connection of a member.
+type simMemberConn struct {
 	member *simMember
 	stream *loop.Stream
 	began  bool
 }
 
-func (c *simServed) Opened()          {}
-func (c *simServed) Closed(error)     {}
-func (c *simServed) Panicked(e error) { panic(e) }
+func (c *simMemberConn) Opened()          {}
+func (c *simMemberConn) Closed(error)     {}
+func (c *simMemberConn) Panicked(e error) { panic(e) }
 
-func (c *simServed) Input(in []byte) int {
+func (c *simMemberConn) Input(in []byte) int {
 	m := c.member
 	if !c.began {
 		_, size, err := pgwire.First(in)
@@ -110,35 +110,35 @@
 	id, write := field(text, "id"), strings.Contains(text, "INSERT")
 	m.play.note("%s gets %s", m.host.Name, id)
 	if m.play.answers[id] != "" {
-		m.play.lateCall++
+		m.play.callsAfterAnswer++
 	}
 	answer := func() {
-		out := note2(rows("value of "+id), m)
+		out := appendSimReport(rowResponse("value of "+id), m)
 		if write && m.role != "leader" {
-			out = note2(pgwire.AppendError(nil, false, "25006", "no", -1), m)
+			out = appendSimReport(pgwire.AppendError(nil, false, "25006", "no", -1), m)
 		} else {
-			m.play.ran[id]++
+			m.play.executions[id]++
 		}
 		c.stream.Send(pgwire.AppendReady(out))
 	}
-	m.loop.At(m.loop.Now()+m.work+time.Duration(m.play.chance.Below(10))*time.Millisecond, answer)
+	m.loop.At(m.loop.Now()+m.work+time.Duration(m.play.random.Below(10))*time.Millisecond, answer)
 	return size
 }
 
-func note2(out []byte, m *simMember) []byte {
+func appendSimReport(out []byte, m *simMember) []byte {
 	out = pgwire.AppendParameter(out, "node_role", m.role)
 	return pgwire.AppendParameter(out, "replay_position", strconv.FormatInt(int64(m.loop.Now()/time.Millisecond), 10))
 }
 
-func (p *play) driver(i int) {
+func (p *simulatedFleet) driver(i int) {
 	d := &simDriver{host: p.world.Host(fmt.Sprint("d", i)), at: netip.MustParseAddrPort(fmt.Sprintf("10.0.0.%d:6543", i+1))}
 	var targets []string
 	for j, m := range p.members {
 		targets = append(targets, fmt.Sprintf(`{"uid":"s-%d","endpoint":"%s","az":"a","pod_group":0,"state":"in_service","capacity_hint":1,"boot_ms":0}`, j, m.at))
 	}
 	site := &Site{
-		Name: d.host.Name, Listen: d.at, Discovery: netip.MustParseAddrPort("10.0.9.1:8500"), Seed: p.chance2(), Descriptors: 256, Memory: 64 << 20,
-		InitialList: []byte(listOf(1, true, targets...)), Settings: settings.Flatten(simSettings(p.t)),
+		Name: d.host.Name, Listen: d.at, Discovery: netip.MustParseAddrPort("10.0.9.1:8500"), Seed: p.randomSeed(), Descriptors: 256, Memory: 64 << 20,
+		InitialList: []byte(endpointList(1, true, targets...)), Settings: settings.Flatten(simSettings(p.t)),
 	}
 	n, err := On(p.loopOn(d.host), site, config.Default())
 	if err != nil {
@@ -148,21 +148,23 @@
 	p.drivers = append(p.drivers, d)
 }
 
-func (p *play) chance2() uint64 { return uint64(p.chance.Uint32())<<32 | uint64(p.chance.Uint32()) }
+func (p *simulatedFleet) randomSeed() uint64 {
+	return uint64(p.random.Uint32())<<32 | uint64(p.random.Uint32())
+}
 
-// simClient asks one RPC after the other, on one connection for as long as that lasts.
+// simClient sends one RPC after the other, on one connection for as long as that is open.
 type simClient struct {
-	play   *play
-	loop   *loop.Loop
-	to     netip.AddrPort
-	name   string
-	stream *loop.Stream
-	asked  int
-	id     string
-	until  time.Duration
+	play     *simulatedFleet
+	loop     *loop.Loop
+	to       netip.AddrPort
+	name     string
+	stream   *loop.Stream
+	requests int
+	id       string
+	until    time.Duration
 }
 
-func (p *play) client(i int, to netip.AddrPort, until time.Duration) {
+func (p *simulatedFleet) client(i int, to netip.AddrPort, until time.Duration) {
 	c := &simClient{play: p, loop: p.loopOn(p.world.Host(fmt.Sprint("c", i))), to: to, name: fmt.Sprint("c", i), until: until}
 	c.loop.Later(c.connect)
 }
@@ -176,33 +178,33 @@
 		c.play.t.Fatal(err)
 	}
 	c.stream.Send(pgwire.AppendFirst(nil, "app", "shop"))
-	c.ask()
+	c.sendNext()
 }
 
-func (c *simClient) ask() {
+func (c *simClient) sendNext() {
 	if c.loop.Now() > c.until {
 		return
 	}
-	c.asked++
+	c.requests++
 	c.play.sent++
-	c.id = fmt.Sprintf("%s-%d", c.name, c.asked)
-	method := []string{"look", "order", "look", "pay"}[c.asked%4]
-	text := statement(c.id, method, 500, 0)
+	c.id = fmt.Sprintf("%s-%d", c.name, c.requests)
+	method := []string{"look", "order", "look", "pay"}[c.requests%4]
+	text := taggedStatement(c.id, method, 500, 0)
 	if method == "look" {
 		text = strings.Replace(text, "INSERT INTO items (id, doc) VALUES ('", "SELECT doc FROM items WHERE id = ('", 1)
 	}
-	c.stream.Send(asQuery(text))
+	c.stream.Send(queryMessage(text))
 	id := c.id
 	c.loop.At(c.loop.Now()+500*time.Millisecond, func() {
-		if c.id == id && c.play.answers[id] == "" { // nobody has answered in time
-			c.done("nothing")
+		if c.id == id && c.play.answers[id] == "" { // there was no answer in time
+			c.finish("nothing")
 			c.stream.Close()
 			c.connect()
 		}
 	})
 }
 
-func (c *simClient) done(what string) {
+func (c *simClient) finish(what string) {
 	c.play.answers[c.id] = what
 	c.play.note("%s hears %s", c.id, what)
 }
@@ -212,7 +214,7 @@
 
 func (c *simClient) Closed(cause error) {
 	if c.play.answers[c.id] == "" {
-		c.done("closed")
+		c.finish("closed")
 	}
 	c.loop.At(c.loop.Now()+50*time.Millisecond, c.connect)
 }
@@ -226,23 +228,23 @@
 	case size == 0:
 		return 0
 	case kind == 'D':
-		c.done("ok")
+		c.finish("ok")
 	case kind == 'E':
 		pgwire.Fields(body, func(code byte, value []byte) {
 			if code == 'C' {
-				c.done(string(value))
+				c.finish(string(value))
 			}
 		})
 	case kind == 'Z' && c.play.answers[c.id] != "":
-		c.loop.At(c.loop.Now()+10*time.Millisecond, c.ask)
+		c.loop.At(c.loop.Now()+10*time.Millisecond, c.sendNext)
 	}
 	return size
 }
 
-// rehearse plays ten seconds: a member pauses, the primary is killed and a replica takes over, a driver is killed and
-// starts again, a link loses packets.
-func rehearse(t testing.TB, seed uint64) *play {
-	p := &play{t: t, world: sim.New(seed, epoch), chance: pcg.New(seed), answers: make(map[string]string), ran: make(map[string]int)}
+// runFaultScenario simulates twelve seconds: a member is suspended, the primary is killed and a replica promoted, a driver is
+// killed and restarted, a link loses packets.
+func runFaultScenario(t testing.TB, seed uint64) *simulatedFleet {
+	p := &simulatedFleet{t: t, world: sim.New(seed, epoch), random: pcg.New(seed), answers: make(map[string]string), executions: make(map[string]int)}
 	for i := range 3 {
 		p.member(i, map[bool]string{true: "leader", false: "follower"}[i == 0])
 	}
@@ -281,29 +283,29 @@
 	return decoded(t, testSettings)
 }
 
-// The same seed gives the same course to the byte, another seed another; and the rules hold.
-func TestTheDriverInSimulatedTime(t *testing.T) {
+// Equal seeds give equal timelines to the byte, different seeds different ones; no RPC runs twice that must not.
+func TestDriverInSimulatedTime(t *testing.T) {
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	digests := make(map[uint64]bool)
 	began := time.Now()
 	for seed := range uint64(4) {
-		p := rehearse(t, seed)
-		again := rehearse(t, seed)
-		if p.record.String() != again.record.String() {
+		p := runFaultScenario(t, seed)
+		again := runFaultScenario(t, seed)
+		if p.timeline.String() != again.timeline.String() {
 			t.Fatalf("seed %d has two courses", seed)
 		}
 		hash := fnv.New64a()
-		hash.Write([]byte(p.record.String()))
+		hash.Write([]byte(p.timeline.String()))
 		digests[hash.Sum64()] = true
 		counts := make(map[string]int)
 		for id, answer := range p.answers {
 			counts[answer]++
 			turn, _ := strconv.Atoi(id[strings.IndexByte(id, '-')+1:])
 			pay := turn%4 == 3
-			if pay && p.ran[id] > 1 || pay && answer == pushedBack && p.ran[id] > 0 {
-				t.Errorf("seed %d: %s, which must not run twice, hears %s and ran %d times", seed, id, answer, p.ran[id])
+			if pay && p.executions[id] > 1 || pay && answer == codeRejected && p.executions[id] > 0 {
+				t.Errorf("seed %d: %s, which must not run twice, hears %s and ran %d times", seed, id, answer, p.executions[id])
 			}
-			if answer == "ok" && p.ran[id] == 0 {
+			if answer == "ok" && p.executions[id] == 0 {
 				t.Errorf("seed %d: %s hears ok though nothing ran", seed, id)
 			}
 		}
--- a/internal/node/state_test.go
+++ b/internal/node/state_test.go
@@ -12,9 +12,9 @@
 // What a driver learned is in its folder once it has ended, and its next life has it; meanwhile no other may use the folder.
 func TestWhatWasLearnedOutlastsTheDriver(t *testing.T) {
 	folder := t.TempDir()
-	m := startMember(t, leader)
+	m := startFakeMember(t, respondAsLeader)
 	next := func() *Node {
-		return buildWith(t, "", 100, listOf(1, true, target(0, 0, m.listener.Addr(), "in_service")), testSettings, func(string) string {
+		return buildDriverWithConfig(t, "", 100, endpointList(1, true, endpointEntry(0, 0, m.listener.Addr(), "in_service")), testSettings, func(string) string {
 			return fmt.Sprintf("state {\n  folder = %q\n  every = \"100ms\"\n}\n", folder)
 		})
 	}
@@ -25,8 +25,8 @@
 	if second := next(); second.learned != nil || second.counters["state_unusable"] != 1 {
 		t.Error("two drivers hold one folder")
 	}
-	d := run(t, first)
-	if a := dial(t, d.at).ask(t, statement("x1", "order", 1900, 0)); !strings.HasPrefix(a, "ok") {
+	d := runDriver(t, first)
+	if a := dialPG(t, d.address).query(t, taggedStatement("x1", "order", 1900, 0)); !strings.HasPrefix(a, "ok") {
 		t.Fatalf("it is answered by %s", a)
 	}
 	d.stop()
@@ -46,5 +46,5 @@
 	if again.learned == nil || again.learned.recalled.SavedAt == 0 || len(again.learned.recalled.Members) != 0 {
 		t.Errorf("the next life recalls %+v", again.learned)
 	}
-	run(t, again).stop()
+	runDriver(t, again).stop()
 }
