--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -15,8 +15,8 @@
 	"github.com/hashicorp/hcl/v2/hclsyntax"
 
 	"passtack/driver"
+	"passtack/internal/quota"
 	"passtack/internal/rollout/server"
-	"passtack/internal/share"
 )
 
 // File is an operator's file that has been checked. Blocks that it does not have are nil.
@@ -52,7 +52,7 @@
 func Default() *File { return &File{Listeners: []*Listener{platformListener()}} }
 
 func platformListener() *Listener {
-	return &Listener{Protocol: "pg", Name: "platform", Quota: share.Terms{Weight: 1}}
+	return &Listener{Protocol: "pg", Name: "platform", Quota: quota.Config{Weight: 1}}
 }
 
 // Read reads and checks a file. The platform's listener has its own address, and the settings have the methods. Errors in the
--- a/internal/config/listener.go
+++ b/internal/config/listener.go
@@ -7,14 +7,14 @@
 
 	"github.com/hashicorp/hcl/v2"
 
-	"passtack/internal/share"
+	"passtack/internal/quota"
 )
 
 // Listener is one listener for clients.
 type Listener struct {
 	Protocol, Name string
 	Listen         netip.AddrPort // invalid for the platform's own
-	Quota          share.Terms
+	Quota          quota.Config
 	OData          *OData // nil for other protocols
 }
 
@@ -106,9 +106,9 @@
 	}
 	for _, b := range blocks {
 		in := r.content(b.Body, attributes)
-		l.Quota.Limits[share.Connections] = r.intOf(in, "connections", 0, 1, 1<<20)
-		l.Quota.Limits[share.RPCs] = r.intOf(in, "rpcs", 0, 1, 1<<20)
-		l.Quota.Limits[share.Bytes] = r.intOf(in, "memory_kb", 0, 1, 1<<20) << 10
+		l.Quota.Limits[quota.Connections] = r.intOf(in, "connections", 0, 1, 1<<20)
+		l.Quota.Limits[quota.RPCs] = r.intOf(in, "rpcs", 0, 1, 1<<20)
+		l.Quota.Limits[quota.Bytes] = r.intOf(in, "memory_kb", 0, 1, 1<<20) << 10
 		if o := l.OData; o != nil {
 			o.HTTP.Target = r.intOf(in, "target_bytes", o.HTTP.Target, 64, 64<<10)
 			o.HTTP.Head = r.intOf(in, "head_bytes", o.HTTP.Head, 256, 64<<10)
--- a/internal/node/configuration.go
+++ b/internal/node/configuration.go
@@ -54,10 +54,8 @@
 	if w.DataDir == "" {
 		return
 	}
-	storage, err := n.openConfigurationStorage(w.DataDir)
-	if err != nil {
-		slog.Warn("configuration folder unusable", "folder", w.DataDir, "cause", err)
-		n.Count(counterFolderUnusable)
+	storage := n.openConfigurationStorage(w.DataDir)
+	if storage == nil {
 		return
 	}
 	c.storage = storage
@@ -98,7 +96,7 @@
 func (c *configuration) VersionOffered(version uint64, text []byte) {
 	local := c.local
 	var next *checkedVersion
-	c.node.carry(func() (err error) {
+	c.node.workers.run(func() (err error) {
 		next, err = local.check(version, text)
 		return err
 	}, func(err error, _ time.Duration) {
@@ -134,7 +132,7 @@
 			c.apply(next)
 		}
 	}
-	n.carry(func() error { return c.storage.write(next.version, next.text) }, func(err error, _ time.Duration) {
+	n.workers.run(func() error { return c.storage.write(next.version, next.text) }, func(err error, _ time.Duration) {
 		if err != nil {
 			n.Count(counterConfigurationStore)
 			c.storage.logFailure(next.version, err, n.loop.Now())
--- a/internal/node/configuration_test.go
+++ b/internal/node/configuration_test.go
@@ -103,7 +103,7 @@
 	start := func() *Node {
 		if d.node != nil {
 			d.host.Kill()
-			d.node.LetGo()
+			d.node.CloseStores()
 			d.host.Start()
 		}
 		site := &Site{Name: "d0", Listen: d.at, Discovery: netip.MustParseAddrPort("10.0.9.1:8500"), Seed: p.randomSeed(), Descriptors: 256, Memory: 64 << 20,
@@ -282,7 +282,7 @@
 		if s := n.configuration.status(); s.SilentMS < 2500 || n.Counted("configuration_poll_failures") == 0 {
 			t.Errorf("%+v", s)
 		}
-		n.LetGo()
+		n.CloseStores()
 	}
 }
 
@@ -292,7 +292,7 @@
 	p, c, start := configured(t, folder, "")
 	c.publish(`{"settings":{"caps":{"max_retry_after_us":7000}}}`)
 	p.drivers[0].host.Kill()
-	p.drivers[0].node.LetGo()
+	p.drivers[0].node.CloseStores()
 	for _, h := range c.hosts {
 		h.Kill()
 	}
@@ -313,7 +313,7 @@
 	if looks() != "ok" {
 		t.Errorf("an RPC is answered %q", looks())
 	}
-	n.LetGo()
+	n.CloseStores()
 }
 
 // findInconsistency returns how a driver's settings differ from the version that it reports, or why they cannot be served; "": neither.
--- /dev/null
+++ b/internal/node/data_directory.go
@@ -0,0 +1,78 @@
+package node
+
+import (
+	"errors"
+	"log/slog"
+	"time"
+
+	"passtack/internal/persist"
+	"passtack/internal/storage"
+)
+
+// directoryOpenTimeout is how long a data directory may take to be read before the driver starts without it.
+const directoryOpenTimeout = 2 * time.Second
+
+var errDiskStalled = errors.New("the disk does not respond")
+
+// dataDirectory is a folder of the operator's file, and how its faults are reported.
+type dataDirectory struct {
+	path            string
+	maxSize         int    // bytes
+	unusableEvent   string // log event
+	damagedEvent    string // log event, for each file of which something could not be read
+	unusableCounter string // of starts without the directory
+}
+
+// openDataDirectory opens a data directory and reports what is wrong with it. A driver serves without it too: the store is nil if the
+// directory cannot be used.
+func (n *Node) openDataDirectory(d dataDirectory) (*storage.Store, storage.RecoveryReport) {
+	store, report, err := n.openStore(d)
+	if err != nil {
+		slog.Warn(d.unusableEvent, "folder", d.path, "cause", err)
+		n.Count(d.unusableCounter)
+		return nil, report
+	}
+	for _, file := range report.Unreadable {
+		slog.Warn(d.damagedEvent, "file", file)
+	}
+	return store, report
+}
+
+// openStore opens a data directory. On a real disk it does so on another goroutine, since a disk that stalls would hold up the start.
+func (n *Node) openStore(d dataDirectory) (*storage.Store, storage.RecoveryReport, error) {
+	if n.simulated {
+		return persist.Open(d.path, n.site.Name, d.maxSize)
+	}
+	type result struct {
+		store  *storage.Store
+		report storage.RecoveryReport
+		err    error
+	}
+	opened := make(chan result, 1)
+	go func() {
+		store, report, err := persist.Open(d.path, n.site.Name, d.maxSize)
+		opened <- result{store, report, err}
+	}()
+	select {
+	case r := <-opened:
+		return r.store, r.report, r.err
+	case <-time.After(directoryOpenTimeout):
+		go func() { // nobody will use the store
+			if r := <-opened; r.err == nil {
+				r.store.Close()
+			}
+		}()
+		return nil, storage.RecoveryReport{}, errDiskStalled
+	}
+}
+
+// CloseStores releases the data directories of a driver, as the end of its process would.
+func (n *Node) CloseStores() {
+	n.learned.close()
+	if n.leases != nil {
+		n.leases.promises.close()
+	}
+	if n.configuration != nil {
+		n.configuration.close()
+	}
+}
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -100,7 +100,7 @@
 			continue
 		}
 		inForce[i].Quota = f.Quota
-		s.quotas.Change(s.all[i].quotaID, f.Quota)
+		s.quotas.Update(s.all[i].quotaID, f.Quota)
 		if odata, ok := s.all[i].front.(*odatafront.Front); ok {
 			inForce[i].OData = f.OData
 			odata.Offer(f.OData)
--- a/internal/node/timer.go
+++ b/internal/node/timer.go
@@ -35,9 +35,7 @@
 	delay := now - t.next
 	n.module.Wake()
 	if now >= n.recovery.nextCheck {
-		if p := n.background.plan; p != nil {
-			p.ReportLateness(delay, now)
-		}
+		n.background.scheduler.ReportLateness(delay, now)
 		n.recovery.check()
 	}
 	if rest := n.module.Rest(); rest > t.interval {
