--- a/internal/node/learned_save.go
+++ b/internal/node/learned_save.go
@@ -173,7 +173,7 @@
 }
 
 func (l *learnedState) logNotSaved(err error) {
-	slog.Warn("learned state not saved", "folder", l.node.config.State.Folder, "cause", err)
+	slog.Warn("learned state not saved", "folder", l.node.config.State.DataDir, "cause", err)
 }
 
 // expireRequests is the job "forget-repeats": it lets the fronts forget idempotent requests whose retention is over.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -10,12 +10,12 @@
 	"os"
 	"runtime/debug"
 
+	"passtack/internal/config"
 	"passtack/internal/control"
 	"passtack/internal/list"
 	"passtack/internal/logs"
 	"passtack/internal/loop"
 	"passtack/internal/memberclock"
-	"passtack/internal/operator"
 	"passtack/internal/peers"
 	"passtack/internal/recovery"
 	"passtack/internal/settings"
@@ -28,8 +28,8 @@
 // Node is one driver. All of it runs on its event loop; workers touch none of its state.
 type Node struct {
 	site      *Site
-	config    *operator.File // in force
-	simulated bool           // time stands still within an iteration of the loop, and there are no workers
+	config    *config.File // in force
+	simulated bool         // time stands still within an iteration of the loop, and there are no workers
 
 	loop   *loop.Loop
 	module *rules.Router
@@ -62,7 +62,7 @@
 }
 
 // New opens all sockets of a driver on the system's event loop and listens for signals. Run serves.
-func New(site *Site, config *operator.File) (*Node, error) {
+func New(site *Site, cfg *config.File) (*Node, error) {
 	debug.SetMemoryLimit(runtimeMemory(site))
 	var l *loop.Loop
 	err := retryOnResourceShortage(func() (err error) {
@@ -73,7 +73,7 @@
 		return nil, fmt.Errorf("limits: %w", err)
 	}
 	signals := watchSignals(l)
-	n, err := assemble(l, site, config, false)
+	n, err := assemble(l, site, cfg, false)
 	if err != nil {
 		return nil, err
 	}
@@ -82,16 +82,16 @@
 }
 
 // On assembles a driver on an event loop of the caller's, real or simulated, which the caller runs.
-func On(l *loop.Loop, site *Site, config *operator.File) (*Node, error) {
-	return assemble(l, site, config, true)
+func On(l *loop.Loop, site *Site, cfg *config.File) (*Node, error) {
+	return assemble(l, site, cfg, true)
 }
 
 // runtimeMemory is the memory limit of the Go runtime in bytes. The rest of the site's limit is left to what the runtime does not count.
 func runtimeMemory(site *Site) int64 { return site.Memory * 3 / 4 }
 
 // assemble creates all parts of a driver and opens its sockets.
-func assemble(l *loop.Loop, site *Site, config *operator.File, simulated bool) (*Node, error) {
-	n := newNode(l, site, config, simulated)
+func assemble(l *loop.Loop, site *Site, cfg *config.File, simulated bool) (*Node, error) {
+	n := newNode(l, site, cfg, simulated)
 	n.restoreConfiguration()
 	n.rpcs.tick = settings.New(site.Settings).Duration("tick")
 	n.members.openPools()
@@ -119,8 +119,8 @@
 }
 
 // newNode creates the parts that need no socket, file or setting.
-func newNode(l *loop.Loop, site *Site, config *operator.File, simulated bool) *Node {
-	n := &Node{site: site, config: config, simulated: simulated, loop: l, telemetry: newTelemetry()}
+func newNode(l *loop.Loop, site *Site, cfg *config.File, simulated bool) *Node {
+	n := &Node{site: site, config: cfg, simulated: simulated, loop: l, telemetry: newTelemetry()}
 	n.background = newBackgroundJobs(l, simulated)
 	n.workers.loop = l
 	n.host.node = n
@@ -163,7 +163,7 @@
 func (n *Node) restoreEndpointList() error {
 	if len(n.site.InitialList) > 0 {
 		if err := n.list.Know(n.site.InitialList); err != nil {
-			slog.Warn("known_list_unusable", "cause", err)
+			slog.Warn("initial endpoint list rejected", "cause", err)
 		}
 	}
 	n.learned.restoreList()
@@ -203,8 +203,8 @@
 	debug.SetMemoryLimit(runtimeMemory(n.site))
 	n.lines = logs.To(os.Stderr)
 	defer n.lines.End()
-	n.lines.Level.Set(n.config.Level)
-	n.lines.Sample.Store(n.config.Sample)
+	n.lines.Level.Set(n.config.LogLevel)
+	n.lines.Sample.Store(n.config.LogSample)
 	n.signals.forward(n.reread)
 	defer n.startWorkers()()
 	slog.Info("started", "name", n.site.Name, "listen", n.site.Listen, "discovery", n.site.Discovery)
