--- a/internal/emu/rig/leases_test.go
+++ b/internal/emu/rig/leases_test.go
@@ -187,39 +187,39 @@
 	}
 }
 
-// planted builds the program with a mutation that its environment names.
-var planted = sync.OnceValues(func() (string, error) {
+// mutatedProgram builds the program so that its environment names a mutation of leases.
+var mutatedProgram = sync.OnceValues(func() (string, error) {
 	at, err := program()
 	if err != nil {
 		return "", err
 	}
-	name := filepath.Join(filepath.Dir(at), "planted")
+	name := filepath.Join(filepath.Dir(at), "mutated")
 	if out, err := exec.Command("go", "build", "-tags", "mutation", "-o", name, "passtack/cmd/passtack").CombinedOutput(); err != nil {
 		return "", fmt.Errorf("%w: %s", err, out)
 	}
 	return name, nil
 })
 
-// The witness finds what somebody might do wrong.
-func TestPlantedMistakesAreFoundByTheWitness(t *testing.T) {
-	at, err := planted()
+// TestMutationsFoundByWitness shows that the witness finds bugs that are put in.
+func TestMutationsFoundByWitness(t *testing.T) {
+	at, err := mutatedProgram()
 	if err != nil {
 		t.Fatal(err)
 	}
 	const first = `voters = [0, 1, 2]
   askers = [3, 4]`
 	text := fleetOf(5, 7, first) + trouble("cut", "0s", "2500ms", `from = ["d4"];to = ["d0..2"]`)
-	for mistake, more := range map[string]string{
+	for mutation, more := range map[string]string{
 		"counts-from-answer": trouble("delay", "2s", "4s", `from = ["d0..2"];to = ["d3"];by = "350ms";one_way = true`) +
 			trouble("cut", "4s", "3s", `from = ["d3"];to = ["d0..2"];one_way = true`),
 		"answers-at-once": trouble("cut", "4s", "3s", `from = ["d3"];to = ["d0..2"]`) + trouble("driver_kill", "4s", "50ms", `on = [0, 1, 2, 4];folder = "emptied"`),
 		"half-decides":    trouble("partition", "3s", "4s", `islands = [["d0", "d3"], ["d1..2", "d4"]]`),
 		"reuses-number":   trouble("driver_kill", "4s", "1s", `on = [3]`),
 	} {
-		t.Run(mistake, func(t *testing.T) {
+		t.Run(mutation, func(t *testing.T) {
 			t.Parallel()
 			wrapper := filepath.Join(t.TempDir(), "program")
-			if err := os.WriteFile(wrapper, fmt.Appendf(nil, "#!/bin/sh\nPASSTACK_PLANTED=%s exec %s \"$@\"\n", mistake, at), 0o700); err != nil {
+			if err := os.WriteFile(wrapper, fmt.Appendf(nil, "#!/bin/sh\nPASSTACK_PLANTED=%s exec %s \"$@\"\n", mutation, at), 0o700); err != nil {
 				t.Fatal(err)
 			}
 			r, err := playLeases(text+more, 1, Programs{Path: wrapper}, io.Discard)
--- a/internal/node/hostile_clients_test.go
+++ b/internal/node/hostile_clients_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"io"
 	"net"
 	"runtime"
 	"strings"
@@ -24,39 +25,35 @@
 			g.mutex.Lock()
 			g.wait = 40 * time.Millisecond
 			g.mutex.Unlock()
+			ended := func() bool {
+				select {
+				case <-end:
+					return true
+				default:
+					return false
+				}
+			}
+			connect := func(i int) (request func() bool, connection io.Closer) {
+				if flooded == "odata" {
+					c := dialHTTP(t, at)
+					return func() bool { return c.do("GET", "Applications('x')", "").status != 0 }, c
+				}
+				c := dialPG(t, d.address)
+				statement := taggedStatement(fmt.Sprintf("f%d", i), "look", 500, 0)
+				return func() bool { return !strings.Contains(c.query(t, statement), "closed") }, c
+			}
 			for i := range 200 {
 				flood.Go(func() { // most send requests without end, some are silent
-					for {
-						select {
-						case <-end:
-							return
-						default:
-						}
-						if flooded == "odata" {
-							c := dialHTTP(t, at)
-							for i%8 > 0 && c.do("GET", "Applications('x')", "").status != 0 {
-								select {
-								case <-end:
-									c.Close()
-									return
-								default:
-								}
-							}
-							time.Sleep(20 * time.Millisecond)
-							c.Close()
-						} else {
-							c := dialPG(t, d.address)
-							for i%8 > 0 && !strings.Contains(c.query(t, taggedStatement(fmt.Sprintf("f%d", i), "look", 500, 0)), "closed") {
-								select {
-								case <-end:
-									c.Close()
-									return
-								default:
-								}
+					for !ended() {
+						request, connection := connect(i)
+						for i%8 > 0 && request() {
+							if ended() {
+								connection.Close()
+								return
 							}
-							time.Sleep(20 * time.Millisecond)
-							c.Close()
 						}
+						time.Sleep(20 * time.Millisecond)
+						connection.Close()
 					}
 				})
 			}
