--- a/cmd/passtack/fleet.go
+++ b/cmd/passtack/fleet.go
@@ -16,7 +16,7 @@
 }
 
 // Run queries the drivers.
-func (c *fleetCommand) Run() error { return askAll(c.Addresses, "fleet", c.JSON, printFleet) }
+func (c *fleetCommand) Run() error { return queryAll(c.Addresses, "fleet", c.JSON, printFleet) }
 
 // printFleet prints the first driver's list in full, and of the others' lists what differs from it.
 func printFleet(fleets []node.FleetStatus) error {
--- a/cmd/passtack/full_test.go
+++ b/cmd/passtack/full_test.go
@@ -15,7 +15,7 @@
 
 // Idle clients hold all descriptors that they may, and the system gives the process no more than its limit: a reload
 // still reads its files, and the driver moves to another discovery and asks there.
-func TestAReloadReadsItsFilesThoughClientsHoldTheDescriptors(t *testing.T) {
+func TestReloadReadsFilesWhileClientsUseAllDescriptors(t *testing.T) {
 	const sockets = 48
 	agent, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/cmd/passtack/leases.go
+++ b/cmd/passtack/leases.go
@@ -13,13 +13,14 @@
 	"passtack/internal/node"
 )
 
-// leases is the command that shows who holds which lease, as running drivers see it.
-type leases struct {
+// leasesCommand shows who holds which lease, as running drivers see it.
+type leasesCommand struct {
 	At   []string `arg:"" help:"Control addresses of drivers, as their operator's files name them."`
 	JSON bool     `help:"As JSON."`
 }
 
-func (c *leases) Run() error { return askAll(c.At, "leases", c.JSON, printLeases) }
+// Run queries the drivers' control endpoints.
+func (c *leasesCommand) Run() error { return queryAll(c.At, "leases", c.JSON, printLeases) }
 
 // printLeases prints a table of what each candidate knows and one of what each voter has granted.
 func printLeases(all []node.LeasesStatus) error {
--- a/cmd/passtack/lives_test.go
+++ b/cmd/passtack/lives_test.go
@@ -184,7 +184,7 @@
 	}
 }
 
-const lifeSite = `{"name":"n0","listen":%q,"discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",
+const siteTemplate = `{"name":"n0","listen":%q,"discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",
 "limits":{"cores":1.0,"memory_mb":%d,"sockets":1024},"known":%s,
 "settings":{"areas":["a"],"tick_us":5000,"registry_mode":"automatic","caps":{"connect_timeout_us":250000,"idle_close_us":15000000,"max_retry_after_us":1000000,"most_tries":8},
 "classes":[{"name":"look","effect":"safe","points":1,"target_us":1000000,"hard_limit_us":2500000},{"name":"own","effect":"safe","points":1,"target_us":800000,"hard_limit_us":2000000},
@@ -200,7 +200,7 @@
 	os.Mkdir(folder, 0o700)
 	siteFile, operatorFile := filepath.Join(dir, "site.json"), filepath.Join(dir, "operator.hcl")
 	known := fmt.Sprintf(`{"rev":1,"all":true,"targets":[{"uid":"s-1","endpoint":%q,"az":"a","pod_group":0,"state":"in_service","capacity_hint":1,"boot_ms":0}]}`, member.listener.Addr())
-	os.WriteFile(siteFile, fmt.Appendf(nil, lifeSite, freeAddress(t), 64, known), 0o600)
+	os.WriteFile(siteFile, fmt.Appendf(nil, siteTemplate, freeAddress(t), 64, known), 0o600)
 	os.WriteFile(operatorFile, fmt.Appendf(nil, `state {
   folder = %q
   every = "100ms"
@@ -306,7 +306,7 @@
 	store.Close()
 	known, _ := json.Marshal(map[string]any{"rev": 1, "all": true, "targets": targets})
 	siteFile, operatorFile := filepath.Join(dir, "site.json"), filepath.Join(dir, "operator.hcl")
-	os.WriteFile(siteFile, fmt.Appendf(nil, lifeSite, freeAddress(t), 32, known), 0o600)
+	os.WriteFile(siteFile, fmt.Appendf(nil, siteTemplate, freeAddress(t), 32, known), 0o600)
 	os.WriteFile(operatorFile, fmt.Appendf(nil, "state {\n folder = %q\n every = \"100ms\"\n}\ncontrol { listen = %q }\n", folder, ask), 0o600)
 	p := serveProcess(t, "--site", siteFile, "--operator", operatorFile)
 	if !strings.Contains(p.log.String(), "members=10000 sessions=100000") {
@@ -355,7 +355,7 @@
 }
 
 // A voter whose folder belongs to another driver starts all the same, and goes on without it.
-func TestAFolderOfPromisesThatCannotBeUsed(t *testing.T) {
+func TestUnusableLeaseStorageIsReported(t *testing.T) {
 	dir, talks, ask := t.TempDir(), freeAddress(t), freeAddress(t)
 	folder := filepath.Join(dir, "votes")
 	os.Mkdir(folder, 0o700)
@@ -368,7 +368,7 @@
 	}
 	store.Close()
 	siteFile, operatorFile := filepath.Join(dir, "site.json"), filepath.Join(dir, "operator.hcl")
-	text := strings.Replace(fmt.Sprintf(lifeSite, freeAddress(t), 64, `{"rev":1,"all":true,"targets":[]}`), `"limits"`, fmt.Sprintf(`"peer_listen":%q,"peers_all":"127.0.0.1:1","peers":[%q],"limits"`, talks, talks), 1)
+	text := strings.Replace(fmt.Sprintf(siteTemplate, freeAddress(t), 64, `{"rev":1,"all":true,"targets":[]}`), `"limits"`, fmt.Sprintf(`"peer_listen":%q,"peers_all":"127.0.0.1:1","peers":[%q],"limits"`, talks, talks), 1)
 	os.WriteFile(siteFile, []byte(text), 0o600)
 	os.WriteFile(operatorFile, fmt.Appendf(nil, `control { listen = %q }
 leases {
--- a/cmd/passtack/ready_test.go
+++ b/cmd/passtack/ready_test.go
@@ -28,7 +28,7 @@
 // answersReady tells how long it takes until an empty query is answered at the address, as the front asks it.
 func answersReady(at string, began time.Time) time.Duration {
 	for time.Since(began) < 30*time.Second {
-		if took, ok := asksReady(at, began); ok {
+		if took, ok := reportsReady(at, began); ok {
 			return took
 		}
 		time.Sleep(20 * time.Millisecond) // it is not there yet; the front comes again too
@@ -36,7 +36,7 @@
 	return 30 * time.Second
 }
 
-func asksReady(at string, began time.Time) (time.Duration, bool) {
+func reportsReady(at string, began time.Time) (time.Duration, bool) {
 	c, err := net.DialTimeout("tcp", at, time.Second)
 	if err != nil {
 		return 0, false
@@ -61,7 +61,7 @@
 
 // Nine in ten of thirty drivers that start at one moment are ready within 10 s, and all within 30 s, while discovery refuses
 // or says nothing, with an old list or none; and again after all were killed.
-func TestMostDriversAreReadyInTime(t *testing.T) {
+func TestDriversAreReadyInTime(t *testing.T) {
 	const drivers = 30
 	silent, err := net.Listen("tcp", "127.0.0.1:0") // it takes connections into its queue and says nothing
 	if err != nil {
--- a/cmd/passtack/state.go
+++ b/cmd/passtack/state.go
@@ -62,6 +62,7 @@
 	JSON   bool   `help:"As JSON."`
 }
 
+// Run prints a summary of the saved state.
 func (c *stateShow) Run() error {
 	s, err := readSavedState(c.Folder)
 	if err != nil {
@@ -119,6 +120,7 @@
 	Folder string `arg:"" help:"The directory, as the operator's file names it." type:"existingdir"`
 }
 
+// Run fails where a file of the directory cannot be read.
 func (c *stateVerify) Run() error {
 	s, err := readSavedState(c.Folder)
 	if err != nil {
@@ -138,6 +140,7 @@
 	Of     string `help:"What is written: members or sessions." enum:"members,sessions" default:"members"`
 }
 
+// Run writes the members or sessions as CSV to standard output.
 func (c *stateExport) Run() error {
 	s, err := readSavedState(c.Folder)
 	if err != nil {
@@ -188,6 +191,7 @@
 // maxPrunedSize is the size in bytes up to which any directory can be pruned: no driver's limit is larger.
 const maxPrunedSize = 1 << 30
 
+// Run deletes what has not changed for longer than the limit.
 func (c *statePrune) Run() error {
 	s, err := readSavedState(c.Folder)
 	if err != nil {
--- a/cmd/passtack/status.go
+++ b/cmd/passtack/status.go
@@ -14,13 +14,14 @@
 	"passtack/internal/node"
 )
 
-// status asks a running driver.
-type status struct {
+// statusCommand shows the state of a running driver.
+type statusCommand struct {
 	At   string `arg:"" help:"Its control address, as the operator's file names it."`
 	JSON bool   `help:"As JSON."`
 }
 
-func (c *status) Run() error {
+// Run queries the driver's control endpoint and prints a table, or JSON.
+func (c *statusCommand) Run() error {
 	var s node.Status
 	if err := control.Query(c.At, "status", &s); err != nil {
 		return err
@@ -53,26 +54,26 @@
 	return out.Encode(value)
 }
 
-// askAll asks drivers one question and prints what they say; those that say nothing are named at the end.
-func askAll[T any](at []string, question string, asJSON bool, print func([]T) error) error {
-	var all []T
-	var silent []string
-	for _, one := range at {
-		var s T
-		if err := control.Query(one, question, &s); err != nil {
-			silent = append(silent, fmt.Sprintf("%s: %v", one, err))
+// queryAll queries the control endpoints of several drivers and prints their answers. Its error names those that did not answer.
+func queryAll[T any](addresses []string, query string, asJSON bool, print func([]T) error) error {
+	var answers []T
+	var failures []string
+	for _, address := range addresses {
+		var answer T
+		if err := control.Query(address, query, &answer); err != nil {
+			failures = append(failures, fmt.Sprintf("%s: %v", address, err))
 			continue
 		}
-		all = append(all, s)
+		answers = append(answers, answer)
 	}
 	if asJSON {
-		print = func(all []T) error { return printJSON(all) }
+		print = func(answers []T) error { return printJSON(answers) }
 	}
-	if err := print(all); err != nil {
+	if err := print(answers); err != nil {
 		return err
 	}
-	if len(silent) > 0 {
-		return errors.New(strings.Join(silent, "\n"))
+	if len(failures) > 0 {
+		return errors.New(strings.Join(failures, "\n"))
 	}
 	return nil
 }
