--- a/internal/node/fleet_membership.go
+++ b/internal/node/fleet_membership.go
@@ -117,7 +117,7 @@
 	return rate
 }
 
-// maxStatusLines is how many changes to one status are logged within quietFor.
+// maxStatusLines is how many changes to one status are logged within logLimitInterval.
 const maxStatusLines = 10
 
 // driverStatusLog bounds how many changes of drivers' status are logged.
@@ -128,7 +128,7 @@
 
 // allow reports whether one more change to this status is to be logged.
 func (s *driverStatusLog) allow(status membership.Status, now time.Duration) bool {
-	if now-s.since > quietFor {
+	if now-s.since > logLimitInterval {
 		clear(s.lines)
 		s.since = now
 	}
--- a/internal/node/log_limiter.go
+++ b/internal/node/log_limiter.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// quietFor is the pause after a log line that a logLimiter lets pass.
-const quietFor = 5 * time.Second
+// logLimitInterval is the pause after a log line that a logLimiter lets pass.
+const logLimitInterval = 5 * time.Second
 
-// logLimiter lets one log line pass in quietFor. The zero value lets the first one pass.
+// logLimiter lets one log line pass in logLimitInterval. The zero value lets the first one pass.
 type logLimiter struct{ mutedUntil time.Duration }
 
 func (l *logLimiter) allow(now time.Duration) bool {
 	if now < l.mutedUntil {
 		return false
 	}
-	l.mutedUntil = now + quietFor
+	l.mutedUntil = now + logLimitInterval
 	return true
 }
