--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -18,7 +18,7 @@
 )
 
 // quickMember is one that answers as soon as it is asked.
-func quickMember(b testing.TB, role, speaks string) net.Addr {
+func quickMember(b testing.TB, role, protocol string) net.Addr {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
@@ -37,7 +37,7 @@
 					if _, err := c.Read(in); err != nil {
 						return
 					}
-					if speaks == "odata" {
+					if protocol == "odata" {
 						fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nNode-Role: %s\r\nReplay-Position: %d\r\nContent-Type: application/json\r\n"+
 							"Content-Length: 10\r\n\r\n{\"Id\":\"k\"}", role, time.Now().UnixMilli())
 						continue
@@ -56,7 +56,7 @@
 }
 
 // spent is the CPU time of a thread of this process.
-func spent(b *testing.B, thread int) time.Duration {
+func cpuTime(b *testing.B, thread int) time.Duration {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/self/task/%d/schedstat", thread))
 	if err != nil {
 		b.Skip("the system does not tell a thread's CPU time")
@@ -163,14 +163,14 @@
 		})
 	}
 	ready.Wait()
-	before, began := spent(b, thread), time.Now()
+	before, began := cpuTime(b, thread), time.Now()
 	b.ReportAllocs()
 	b.ResetTimer()
 	close(start)
 	all.Wait()
 	b.StopTimer()
 	total := float64(share * clients)
-	b.ReportMetric(float64(spent(b, thread)-before)/total/1000, "cpu_µs/RPC")
+	b.ReportMetric(float64(cpuTime(b, thread)-before)/total/1000, "cpu_µs/RPC")
 	b.ReportMetric(total/time.Since(began).Seconds(), "RPC/s")
 	if n.counters["rpcs_ok"] < int(total) {
 		b.Errorf("%d of %.0f RPCs are ok", n.counters["rpcs_ok"], total)
--- a/internal/node/configuration_test.go
+++ b/internal/node/configuration_test.go
@@ -68,7 +68,7 @@
 			c.hosts[n].Do(func() {
 				s.Machine().Publish(rollout.PublishRequest{RequestID: id, PublicationID: id, BaseVersion: s.Machine().Committed().Version, Text: text})
 			})
-			c.play.run(time.Second)
+			c.play.advance(time.Second)
 			return s.Machine().Committed().Version
 		}
 	}
@@ -76,7 +76,7 @@
 	return 0
 }
 
-func (p *simulatedFleet) run(lasts time.Duration) { p.world.Run(p.world.Now() + lasts) }
+func (p *simulatedFleet) advance(lasts time.Duration) { p.world.Run(p.world.Now() + lasts) }
 
 func configurationBlock(folder string) string {
 	text := fmt.Sprintf("configuration {\n  fleet = \"shop\"\n  machines = [%q, %q, %q]\n", controlAddress(0), controlAddress(1), controlAddress(2))
@@ -118,7 +118,7 @@
 		return d.node
 	}
 	start()
-	p.run(4 * time.Second)
+	p.advance(4 * time.Second)
 	return p, c, start
 }
 
@@ -159,7 +159,7 @@
 		m.work = 500 * time.Millisecond
 	}
 	before := p.say("pay", 1500)
-	p.run(100 * time.Millisecond)
+	p.advance(100 * time.Millisecond)
 	if v := c.publish(replacedMethods); v != 1 || n.Configuration().Version != 1 {
 		t.Fatalf("version %d is published, %+v in force", v, n.Configuration())
 	}
@@ -170,7 +170,7 @@
 		m.work = 20 * time.Millisecond
 	}
 	buys, pays, looks := p.say("buy", 800), p.say("pay", 800), p.say("look", 600)
-	p.run(time.Second)
+	p.advance(time.Second)
 	if buys() != "ok" || looks() != "ok" || pays() == "ok" || pays() == "" {
 		t.Errorf("a new method is answered %q, one that stays %q, a removed one %q", buys(), looks(), pays())
 	}
@@ -181,7 +181,7 @@
 		t.Fatalf("version %d, %+v", v, n.Configuration())
 	}
 	pays, buys = p.say("pay", 800), p.say("buy", 800)
-	p.run(time.Second)
+	p.advance(time.Second)
 	if pays() != "ok" || buys() == "ok" || n.loop.Most() != 256-3 {
 		t.Errorf("with its own file again: pay is answered %q, buy %q, %d descriptors", pays(), buys(), n.loop.Most())
 	}
@@ -221,7 +221,7 @@
 		}
 	}
 	looks := p.say("look", 600)
-	p.run(time.Second)
+	p.advance(time.Second)
 	if looks() != "ok" {
 		t.Errorf("an RPC is answered %q", looks())
 	}
@@ -248,7 +248,7 @@
 		t.Fatal(err)
 	}
 	p.drivers[0].host.Do(func() { n.reload(&site, wants, nil) })
-	p.run(2 * time.Second)
+	p.advance(2 * time.Second)
 	if got := n.Configuration(); got.Version != v || got.RejectedVersion != 0 {
 		t.Errorf("%+v", got)
 	}
@@ -275,7 +275,7 @@
 			t.Errorf("tick %v, %v, zones %v", n.rpcs.tick, n.Settings()["caps.longest_wait"], n.members.zones)
 		}
 		looks := p.say("look", 600)
-		p.run(3 * time.Second)
+		p.advance(3 * time.Second)
 		if looks() != "ok" {
 			t.Errorf("without control machines an RPC is answered %q", looks())
 		}
@@ -309,7 +309,7 @@
 		t.Errorf("%+v", got)
 	}
 	looks := p.say("look", 600)
-	p.run(time.Second)
+	p.advance(time.Second)
 	if looks() != "ok" {
 		t.Errorf("an RPC is answered %q", looks())
 	}
--- a/internal/node/fake_cluster_test.go
+++ b/internal/node/fake_cluster_test.go
@@ -75,8 +75,8 @@
 	conns    map[net.Conn]bool
 }
 
-func startFakeCluster(t testing.TB, speaks string, size int, plan func(*memberCall, int) memberFault) *fakeCluster {
-	g := &fakeCluster{t: t, protocol: speaks, faultFor: plan, effects: make(map[string]int), latest: make(map[string]time.Time), nth: make(map[string]int)}
+func startFakeCluster(t testing.TB, protocol string, size int, faultFor func(*memberCall, int) memberFault) *fakeCluster {
+	g := &fakeCluster{t: t, protocol: protocol, faultFor: faultFor, effects: make(map[string]int), latest: make(map[string]time.Time), nth: make(map[string]int)}
 	g.values = func(c *memberCall) string { return fmt.Sprintf(`{"Id":%q,"Status":"sent","Version":7}`, c.key) }
 	for i := range size {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/node/fake_member_test.go
+++ b/internal/node/fake_member_test.go
@@ -52,12 +52,12 @@
 	return head[0], body, err
 }
 
-func startFakeMember(t testing.TB, act func(c net.Conn, q *receivedQuery) bool) *fakeMember {
+func startFakeMember(t testing.TB, respond func(c net.Conn, q *receivedQuery) bool) *fakeMember {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := &fakeMember{listener: l, respond: act}
+	m := &fakeMember{listener: l, respond: respond}
 	t.Cleanup(func() { l.Close() })
 	go func() {
 		for {
--- a/internal/node/host.go
+++ b/internal/node/host.go
@@ -55,7 +55,7 @@
 func (h *moduleHost) FetchList() { h.node.list.Fetch() }
 
 // Tell sends a message to another driver.
-func (h *moduleHost) Tell(to driver.Peer, message []byte) { h.node.Tell(to, message) }
+func (h *moduleHost) Tell(to driver.Peer, message []byte) { h.node.sendPeerMessage(to, message) }
 
 // WakeAfter schedules the module's next tick.
 func (h *moduleHost) WakeAfter(wait time.Duration) { h.node.timer.wakeAfter(wait) }
@@ -75,8 +75,8 @@
 	h.node.loop.Stop()
 }
 
-// Tell sends a message to another driver, if the site has an address for messages between drivers.
-func (n *Node) Tell(to driver.Peer, message []byte) {
+// sendPeerMessage sends a message to another driver, if the site has an address for messages between drivers.
+func (n *Node) sendPeerMessage(to driver.Peer, message []byte) {
 	if n.peers != nil {
 		n.Count("peer_datagrams_sent")
 		n.peers.Send(to, message)
--- a/internal/node/listeners.go
+++ b/internal/node/listeners.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"net/netip"
+	"slices"
 	"time"
 
 	"passtack/driver"
@@ -86,6 +87,25 @@
 	return nil
 }
 
+// applySettings takes the methods of the site's settings. Retired ones are not served any more.
+func (s *listenerSet) applySettings(site *Site) {
+	methods := site.methods()
+	served := slices.Clone(methods.names)
+	for i := range served {
+		if methods.retired[i] {
+			served[i] = ""
+		}
+	}
+	for _, l := range s.all {
+		switch f := l.front.(type) {
+		case *pgfront.Front:
+			f.Methods(served, methods.inSession, methods.tokened)
+		case *odatafront.Front: // its operations name no retired method
+			f.Methods(methods.names)
+		}
+	}
+}
+
 // limits bounds what the listener's connections use to its quota.
 func (l *listener) limits() loop.Door {
 	capacity := func(kind quota.Resource) func(int) int {
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -5,6 +5,7 @@
 	"log/slog"
 	"net/netip"
 	"slices"
+	"strings"
 	"time"
 
 	"passtack/driver"
@@ -58,6 +59,17 @@
 	r.pools[form] = member.New(n.loop, &n.rpcs, protocol, &r.connectLimiter, defaultConnectTimeout, defaultIdleTimeout)
 }
 
+// applySettings takes what the site's settings say of zones and of connections to members.
+func (r *memberRegistry) applySettings(site *Site) {
+	r.zones = strings.Split(site.Settings["zones"], ",")
+	connectTimeout := site.duration("caps.connect_timeout", defaultConnectTimeout)
+	idleTimeout := site.duration("caps.idle_close", defaultIdleTimeout)
+	r.connectLimiter.SetTimeout(connectTimeout)
+	for _, p := range r.pools {
+		p.Within(connectTimeout, idleTimeout)
+	}
+}
+
 // poolOf returns the pool for the protocol that the members of a group speak.
 func (r *memberRegistry) poolOf(group driver.Group) *member.Pool {
 	return r.pools[r.node.formOf(group)]
--- a/internal/node/messenger.go
+++ b/internal/node/messenger.go
@@ -46,7 +46,7 @@
 // send sends a message to one driver, or to all where the receiver is driver.EveryPeer.
 func (m *messenger) send(to driver.Peer, kind peers.Kind, body []byte) {
 	m.node.Count("peer_messages_sent")
-	m.node.Tell(to, peers.Message{Kind: kind, From: m.self, Incarnation: m.incarnation, Body: body}.Encode(m.fleet))
+	m.node.sendPeerMessage(to, peers.Message{Kind: kind, From: m.self, Incarnation: m.incarnation, Body: body}.Encode(m.fleet))
 }
 
 // receive takes a datagram of another driver. It reports false where that is no message of a messenger; the datagram is for the decision
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,6 +1,22 @@
 // Package node assembles one driver: it connects the decision module to clients, members, the endpoint list and the other
-// drivers. Each part of a driver is a type of its own in this package; Node creates the parts and connects them. No
-// decision about an RPC is taken here.
+// drivers. No decision about an RPC is taken here.
+//
+// Node creates the parts of a driver and connects them. Each part is a type with a file of its own:
+//
+//	Site                the platform's file
+//	listenerSet         listeners for clients, and the quotas between them
+//	rpcTable            RPCs in service, their attempts and answers
+//	memberRegistry      numbers of members, the endpoint list, pools of connections to members
+//	moduleHost          what the decision module acts through
+//	moduleTimer         the ticks of the decision module
+//	recoveryMonitor     how far the driver has recovered since its start
+//	gracefulShutdown    the phases of a shutdown
+//	signals             SIGTERM, SIGHUP and SIGUSR1
+//	telemetry           counters and the log
+//	backgroundJobs, workerPool
+//	                    work beside RPCs, and the goroutines for what would block the loop
+//	features            the parts that the operator's file may ask for: messenger, fleetMembership, leaseService,
+//	                    configuration, learnedState
 package node
 
 import (
--- a/internal/node/rpcs.go
+++ b/internal/node/rpcs.go
@@ -6,6 +6,7 @@
 
 	"passtack/driver"
 	"passtack/internal/loop"
+	"passtack/internal/settings"
 	"passtack/internal/slots"
 )
 
@@ -51,6 +52,11 @@
 	tick        time.Duration // between two ticks of the module, in which it answers what is at its deadline
 }
 
+// applySettings takes what the site's settings say of RPCs. The module's tick changes with a restart only.
+func (t *rpcTable) applySettings(site *Site) {
+	t.maxAttempts = int(settings.New(site.Settings).Number("caps.attempts", 1))
+}
+
 // Len returns how many RPCs are being served.
 func (t *rpcTable) Len() int { return t.table.Count() }
 
--- a/internal/node/scenario_test.go
+++ b/internal/node/scenario_test.go
@@ -196,7 +196,7 @@
 }
 
 // at schedules an action by the time after the start.
-func (s *scenario) at(after time.Duration, act func()) { s.world.At(epoch+after, act) }
+func (s *scenario) at(after time.Duration, action func()) { s.world.At(epoch+after, action) }
 
 // send lets the client send statements in one write.
 func (s *scenario) send(after time.Duration, texts ...string) {
