--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -220,7 +220,7 @@
 }
 
 func build(t testing.TB, discovery string, sockets int, known, settings string) *Node {
-	return buildWith(t, discovery, sockets, known, testSettings, nil)
+	return buildWith(t, discovery, sockets, known, settings, nil)
 }
 
 // buildWith also writes the operator's file, given a free address for a front.
@@ -1145,7 +1145,7 @@
 }
 
 func TestSiteMistakesAreNamed(t *testing.T) {
-	good := `{"name":"n0","listen":"127.0.0.1:6543","discovery":"127.0.0.1:8500","seed":"8c","limits":{"memory_mb":1,"sockets":40},"testSettings":` + testSettings + `}`
+	good := `{"name":"n0","listen":"127.0.0.1:6543","discovery":"127.0.0.1:8500","seed":"8c","limits":{"memory_mb":1,"sockets":40},"settings":` + testSettings + `}`
 	for change, want := range map[string]string{
 		`"listen":"127.0.0.1:6543">"listen":"here"`: "listen", `"seed":"8c">"seed":"me"`: "seed", `"sockets":40>"sockets":0`: "sockets",
 		`"discovery":>"other":`: "discovery", `"classes">"others"`: "methods", `{"name">"name"`: "site.json", `"tick_us">"tock"`: "tick",
