--- a/cmd/passtack/fleet.go
+++ b/cmd/passtack/fleet.go
@@ -11,12 +11,12 @@
 
 // fleetCommand shows the membership lists of running drivers.
 type fleetCommand struct {
-	Addresses []string `arg:"" help:"Control addresses of drivers, as their operator's files name them."`
+	Addresses []string `arg:"" name:"at" help:"Control addresses of drivers, as their operator's files name them."`
 	JSON      bool     `help:"As JSON."`
 }
 
 // Run queries the drivers.
-func (c *fleetCommand) Run() error { return askAll(c.Addresses, "fleet", c.JSON, printFleet) }
+func (c *fleetCommand) Run() error { return queryAll(c.Addresses, "fleet", c.JSON, printFleet) }
 
 // printFleet prints the first driver's list in full, and of the others' lists what differs from it.
 func printFleet(fleets []node.FleetStatus) error {
--- a/cmd/passtack/status.go
+++ b/cmd/passtack/status.go
@@ -14,13 +14,14 @@
 	"passtack/internal/node"
 )
 
-// status asks a running driver.
-type status struct {
+// statusCommand shows the state of a running driver.
+type statusCommand struct {
 	At   string `arg:"" help:"Its control address, as the operator's file names it."`
 	JSON bool   `help:"As JSON."`
 }
 
-func (c *status) Run() error {
+// Run queries the driver's control endpoint and prints a table, or JSON.
+func (c *statusCommand) Run() error {
 	var s node.Status
 	if err := control.Query(c.At, "status", &s); err != nil {
 		return err
@@ -29,17 +30,17 @@
 		return printJSON(s)
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(w, "driver\t%s\ncomeback\t%s\nready\t%.2f\n\n", s.Name, s.Comeback, s.Ready)
-	if len(s.Chores) > 0 {
+	fmt.Fprintf(w, "driver\t%s\ncomeback\t%s\nready\t%.2f\n\n", s.Name, s.RecoveryStage, s.Ready)
+	if len(s.Jobs) > 0 {
 		fmt.Fprintln(w, "chore\tstate\tfor\truns\tfailed\tlate\tskipped\tspent\tlongest slice\tslowest write\tbytes\twhy")
 	}
-	for _, k := range s.Chores {
-		why := k.Why
-		if why == "" && k.Skips > 0 {
-			why = "skipped for " + k.Skipped
+	for _, k := range s.Jobs {
+		why := k.BlockedBy
+		if why == "" && k.SkippedRuns > 0 {
+			why = "skipped for " + k.SkipReason
 		}
-		fmt.Fprintf(w, "%s\t%s\t%.1fs\t%d\t%d\t%d\t%d\t%.1fms\t%.2fms\t%.1fms\t%d\t%s\n", k.Name, k.State, float64(k.ForMS)/1000, k.Runs, k.Failed, k.Late, k.Skips,
-			k.SpentMS, k.LongestMS, k.SlowestMS, k.Bytes, why)
+		fmt.Fprintf(w, "%s\t%s\t%.1fs\t%d\t%d\t%d\t%d\t%.1fms\t%.2fms\t%.1fms\t%d\t%s\n", k.Name, k.State, float64(k.ForMS)/1000, k.Runs, k.Failed, k.StartedLate, k.SkippedRuns,
+			k.UsedMS, k.LongestSliceMS, k.LongestWorkerMS, k.Bytes, why)
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.Counters)) {
 		fmt.Fprintf(w, "%s\t%d\n", name, s.Counters[name])
@@ -53,26 +54,26 @@
 	return out.Encode(value)
 }
 
-// askAll asks drivers one question and prints what they say; those that say nothing are named at the end.
-func askAll[T any](at []string, question string, asJSON bool, print func([]T) error) error {
-	var all []T
-	var silent []string
-	for _, one := range at {
-		var s T
-		if err := control.Query(one, question, &s); err != nil {
-			silent = append(silent, fmt.Sprintf("%s: %v", one, err))
+// queryAll queries the control endpoints of several drivers and prints their answers. Its error names those that did not answer.
+func queryAll[T any](addresses []string, query string, asJSON bool, print func([]T) error) error {
+	var answers []T
+	var failures []string
+	for _, address := range addresses {
+		var answer T
+		if err := control.Query(address, query, &answer); err != nil {
+			failures = append(failures, fmt.Sprintf("%s: %v", address, err))
 			continue
 		}
-		all = append(all, s)
+		answers = append(answers, answer)
 	}
 	if asJSON {
-		print = func(all []T) error { return printJSON(all) }
+		print = func(answers []T) error { return printJSON(answers) }
 	}
-	if err := print(all); err != nil {
+	if err := print(answers); err != nil {
 		return err
 	}
-	if len(silent) > 0 {
-		return errors.New(strings.Join(silent, "\n"))
+	if len(failures) > 0 {
+		return errors.New(strings.Join(failures, "\n"))
 	}
 	return nil
 }
--- /dev/null
+++ b/internal/config/leases.go
@@ -0,0 +1,128 @@
+package config
+
+import (
+	"net/netip"
+	"slices"
+	"strings"
+	"time"
+
+	"github.com/hashicorp/hcl/v2"
+
+	"passtack/internal/lease"
+)
+
+// Names of tasks.
+const (
+	WatchDiscovery = "watch-discovery"
+	Summary        = "summary"
+)
+
+// Leases is a driver's part in the leases of its fleet, for work that one driver does for all.
+type Leases struct {
+	Fleet                string // drivers of other fleets are ignored
+	Version              uint32 // of the set of voters
+	Voters, FormerVoters []string
+	TTL, MaxTTL          time.Duration // of a lease; the longest that any driver of the fleet asks for
+	DataDir              string        // where a voter persists its promises; "": nowhere
+	Tasks                []Task
+}
+
+// Task is work for the holder of the lease of the same name.
+type Task struct {
+	Name     string
+	Interval time.Duration  // between two summaries
+	Address  netip.AddrPort // that summaries are sent to
+	Path     string         // that they are put to
+}
+
+// VoterSet returns the voters, and those of the version before.
+func (l *Leases) VoterSet() lease.VoterSet {
+	s := lease.VoterSet{Version: l.Version}
+	for _, name := range l.Voters {
+		s.Voters = append(s.Voters, lease.NodeOf(name))
+	}
+	for _, name := range l.FormerVoters {
+		s.Former = append(s.Former, lease.NodeOf(name))
+	}
+	return s
+}
+
+// leases reads the driver's part in leases.
+func (r *reader) leases(f *File, b *hcl.Block) {
+	c := r.content(b.Body, []string{"fleet", "version", "voters", "former", "lasts", "longest", "folder"}, hcl.BlockHeaderSchema{Type: "task", LabelNames: []string{"name"}})
+	if c == nil {
+		return
+	}
+	l := &Leases{Version: uint32(r.intOf(c, "version", 1, 1, 1<<30))}
+	l.Fleet, _ = r.fleet(c)
+	l.Voters = r.voters(c, "voters", true)
+	l.FormerVoters = r.voters(c, "former", false)
+	if l.FormerVoters != nil && l.Version == 1 {
+		r.addError(c.Attributes["former"].Expr.Range(), "former is given with the first version")
+	}
+	l.TTL = r.durationOf(c, "lasts", 5*time.Second, 500*time.Millisecond, time.Minute)
+	if l.MaxTTL = r.durationOf(c, "longest", 2*l.TTL, 500*time.Millisecond, 10*time.Minute); l.MaxTTL < l.TTL {
+		r.addError(c.Attributes["longest"].Expr.Range(), "longest is under lasts (%v, %v)", l.MaxTTL, l.TTL)
+	}
+	l.DataDir = r.dataDir(c, false)
+	for _, t := range c.Blocks {
+		r.task(l, t)
+	}
+	f.Leases = l
+}
+
+// voters reads three, five or seven names of drivers.
+func (r *reader) voters(c *hcl.BodyContent, name string, required bool) (names []string) {
+	a := c.Attributes[name]
+	if a == nil {
+		if required {
+			r.addError(c.MissingItemRange, "%s is missing", name)
+		}
+		return nil
+	}
+	items, ok := r.items(a)
+	if !ok {
+		return nil
+	}
+	for _, item := range items {
+		voter := textItem(item)
+		if !namePattern.MatchString(voter) || slices.Contains(names, voter) {
+			r.addError(item.Range(), "a name that cannot be, or that comes twice (%s)", item.Range().SliceBytes(r.text))
+			continue
+		}
+		names = append(names, voter)
+	}
+	if n := len(items); n != 3 && n != 5 && n != 7 {
+		r.addError(a.Expr.Range(), "%s are neither three nor five nor seven (%d)", name, n)
+	}
+	return names
+}
+
+func (r *reader) task(l *Leases, b *hcl.Block) {
+	t := Task{Name: b.Labels[0]}
+	attributes := map[string][]string{WatchDiscovery: {}, Summary: {"every", "to", "path"}}[t.Name]
+	if attributes == nil {
+		r.addError(b.LabelRanges[0], "tasks are %s and %s (%q)", WatchDiscovery, Summary, t.Name)
+		return
+	}
+	if slices.ContainsFunc(l.Tasks, func(other Task) bool { return other.Name == t.Name }) {
+		r.addError(b.LabelRanges[0], "a second task of this name (%q)", t.Name)
+	}
+	c := r.content(b.Body, attributes)
+	if c == nil {
+		return
+	}
+	if t.Name == Summary {
+		r.summary(&t, c)
+	}
+	l.Tasks = append(l.Tasks, t)
+}
+
+func (r *reader) summary(t *Task, c *hcl.BodyContent) {
+	t.Interval = r.durationOf(c, "every", time.Second, 10*time.Millisecond, time.Hour)
+	t.Address, _ = r.addressOf(c, "to")
+	var at hcl.Range
+	if t.Path, at = r.textOf(c, "path", "/fleet"); !strings.HasPrefix(t.Path, "/") || strings.ContainsAny(t.Path, " \r\n") {
+		r.addError(at, "path does not begin with a slash, or has a space (%q)", t.Path)
+	}
+}
--- a/internal/node/configuration.go
+++ b/internal/node/configuration.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"passtack/internal/operator"
+	"passtack/internal/config"
 	"passtack/internal/rollout"
 	watch "passtack/internal/rollout/client"
 	"passtack/internal/settings"
@@ -51,13 +51,11 @@
 		inForceSince: n.loop.Now(),
 	}
 	n.configuration = c
-	if w.Folder == "" {
+	if w.DataDir == "" {
 		return
 	}
-	storage, err := n.openConfigurationStorage(w.Folder)
-	if err != nil {
-		slog.Warn("configuration folder unusable", "folder", w.Folder, "cause", err)
-		n.Count(counterFolderUnusable)
+	storage := n.openConfigurationStorage(w.DataDir)
+	if storage == nil {
 		return
 	}
 	c.storage = storage
@@ -98,7 +96,7 @@
 func (c *configuration) VersionOffered(version uint64, text []byte) {
 	local := c.local
 	var next *checkedVersion
-	c.node.carry(func() (err error) {
+	c.node.workers.run(func() (err error) {
 		next, err = local.check(version, text)
 		return err
 	}, func(err error, _ time.Duration) {
@@ -134,7 +132,7 @@
 			c.apply(next)
 		}
 	}
-	n.carry(func() error { return c.storage.write(next.version, next.text) }, func(err error, _ time.Duration) {
+	n.workers.run(func() error { return c.storage.write(next.version, next.text) }, func(err error, _ time.Duration) {
 		if err != nil {
 			n.Count(counterConfigurationStore)
 			c.storage.logFailure(next.version, err, n.loop.Now())
@@ -188,7 +186,7 @@
 }
 
 // reloadLocal takes over what needs no restart from the driver's own files, after a reload. A version that was rejected may go with them now.
-func (c *configuration) reloadLocal(fresh *Site, file *operator.File) {
+func (c *configuration) reloadLocal(fresh *Site, file *config.File) {
 	c.local.memoryBytes, c.local.descriptors, c.local.operatorFile = fresh.Memory, fresh.Descriptors, file
 	c.report.RejectedVersion, c.report.RejectReason = 0, ""
 	c.applyLimits()
--- a/internal/node/configuration_check.go
+++ b/internal/node/configuration_check.go
@@ -4,19 +4,19 @@
 	"fmt"
 	"strings"
 
-	"passtack/internal/operator"
+	"passtack/internal/config"
 	"passtack/internal/settings"
 )
 
 // localConfiguration is what the driver's own files say. A published version is merged over it.
 type localConfiguration struct {
 	settings     map[string]string
-	operatorFile *operator.File
+	operatorFile *config.File
 	memoryBytes  int64
 	descriptors  int
 }
 
-func newLocalConfiguration(site *Site, file *operator.File) localConfiguration {
+func newLocalConfiguration(site *Site, file *config.File) localConfiguration {
 	return localConfiguration{settings: site.Settings, operatorFile: file, memoryBytes: site.Memory, descriptors: site.Descriptors}
 }
 
@@ -25,7 +25,7 @@
 	version      uint64
 	text         []byte
 	settings     map[string]string
-	operatorFile *operator.File
+	operatorFile *config.File
 	limits       publishedLimits
 }
 
@@ -39,7 +39,7 @@
 	if err != nil {
 		return nil, err
 	}
-	file, err := l.operatorFile.Again(methodsOf(merged))
+	file, err := l.operatorFile.Recheck(methodsOf(merged))
 	if err != nil {
 		firstLine, _, _ := strings.Cut(err.Error(), "\n")
 		return nil, fmt.Errorf("the operator's file does not go with it: %s", firstLine)
@@ -54,7 +54,7 @@
 }
 
 // CheckPublished returns why a driver with these files could not use a published configuration, or nil.
-func CheckPublished(site *Site, file *operator.File, text []byte) error {
+func CheckPublished(site *Site, file *config.File, text []byte) error {
 	_, err := newLocalConfiguration(site, file).check(0, text)
 	return err
 }
--- a/internal/node/connection_shard.go
+++ b/internal/node/connection_shard.go
@@ -17,7 +17,7 @@
 func (s *connectionShard) update(activeDrivers, addresses int) {
 	n, now := s.node, s.node.loop.Now()
 	s.shards.Observe(activeDrivers, addresses, now)
-	total := n.config.View.Connections
+	total := n.config.Membership.MemberConnections
 	if total == 0 || addresses == 0 { // without addresses it is unknown how many drivers there may be
 		return
 	}
--- a/internal/node/fleet_membership.go
+++ b/internal/node/fleet_membership.go
@@ -28,7 +28,7 @@
 
 // joinFleet starts the membership list, where it is wanted.
 func (n *Node) joinFleet() {
-	config := n.config.View
+	config := n.config.Membership
 	if config == nil {
 		return
 	}
@@ -36,9 +36,9 @@
 		node: n, messenger: n.messenger,
 		statusLog:   driverStatusLog{lines: make(map[membership.Status]int)},
 		requestRate: requestRate{countedAt: n.loop.Now()},
-		shard:       connectionShard{node: n, shards: membership.NewShards(config.Every)},
+		shard:       connectionShard{node: n, shards: membership.NewShards(config.Interval)},
 	}
-	listConfig := membership.Config{ProbeInterval: config.Every, Incarnation: n.messenger.incarnation}
+	listConfig := membership.Config{ProbeInterval: config.Interval, Incarnation: n.messenger.incarnation}
 	f.list = membership.New(f, n.site.Name, listConfig, n.site.Seed+101, n.loop.Now())
 	f.drainGossip = newDrainGossip(n, f.list)
 	n.membership = f
@@ -60,7 +60,7 @@
 	if f.statusLog.allow(e.Status, f.node.loop.Now()) {
 		slog.Info("driver status changed", "driver", e.Name, "status", e.Status, "incarnation", e.Incarnation, "refutation", e.Refutation, "reason", reason)
 	} else {
-		f.node.Count("lines_repeated")
+		f.node.Count("log_lines_repeated")
 	}
 }
 
@@ -91,7 +91,7 @@
 		ListRevision: uint32(n.list.Rev()),
 	})
 	f.shard.update(f.list.ActiveCount(), f.PeerCount())
-	n.loop.At(now+min(summaryInterval, n.config.View.Every), f.updateSummary)
+	n.loop.At(now+min(summaryInterval, n.config.Membership.Interval), f.updateSummary)
 }
 
 // Membership returns the driver's membership list, nil where it has none.
@@ -117,7 +117,7 @@
 	return rate
 }
 
-// maxStatusLines is how many changes to one status are logged within quietFor.
+// maxStatusLines is how many changes to one status are logged within logLimitInterval.
 const maxStatusLines = 10
 
 // driverStatusLog bounds how many changes of drivers' status are logged.
@@ -128,7 +128,7 @@
 
 // allow reports whether one more change to this status is to be logged.
 func (s *driverStatusLog) allow(status membership.Status, now time.Duration) bool {
-	if now-s.since > quietFor {
+	if now-s.since > logLimitInterval {
 		clear(s.lines)
 		s.since = now
 	}
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -45,7 +45,7 @@
 func (r *memberRegistry) openPools() {
 	n := r.node
 	load := member.Load{Columns: n.site.reportColumns(), Word: settings.ProjectName}
-	host := n.config.Host
+	host := n.config.MemberHost
 	if host == "" {
 		host = n.site.Name
 	}
@@ -85,8 +85,8 @@
 		r.lastID++
 		id = r.lastID
 		r.ids[uid], r.uids[id] = id, uid
-		slog.Info("member_listed", "member", fmt.Sprintf("%012x", uint64(id)), "uid", uid, "endpoint", address, "group", group)
-		defer func() { n.recallMember(id, uid) }()
+		slog.Info("member added", "member", fmt.Sprintf("%012x", uint64(id)), "uid", uid, "endpoint", address, "group", group)
+		defer func() { n.learned.restoreMember(id, uid) }()
 	}
 	if address.IsValid() {
 		r.poolOf(group).Place(id, address)
