--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// AttemptEnded takes the outcome of an attempt. An answer is passed on to the client unless the RPC is answered; the module is
-// told in any case.
+// AttemptEnded takes the outcome of an attempt. An answer is passed on to the client unless the RPC is answered. The outcome
+// is passed on to the module in any case.
 func (t *rpcTable) AttemptEnded(id driver.RPC, attempt int, from driver.Member, how driver.Outcome, took, position time.Duration,
 	role driver.Role, report []float64, answer *driver.Answer) {
 	n := t.node
--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -17,45 +17,33 @@
 	"passtack/internal/pgwire"
 )
 
-// quickMember is one that answers as soon as it is asked.
+// quickMember is a member that answers at once.
 func quickMember(b testing.TB, role, protocol string) net.Addr {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		b.Fatal(err)
-	}
-	b.Cleanup(func() { l.Close() })
-	go func() {
+	l := listenLocal(b)
+	go serveConnections(l, func(c net.Conn) {
+		defer c.Close()
+		in, began := make([]byte, 4096), false
 		for {
-			c, err := l.Accept()
-			if err != nil {
+			if _, err := c.Read(in); err != nil {
 				return
 			}
-			go func() {
-				defer c.Close()
-				in, began := make([]byte, 4096), false
-				for {
-					if _, err := c.Read(in); err != nil {
-						return
-					}
-					if protocol == "odata" {
-						fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nNode-Role: %s\r\nReplay-Position: %d\r\nContent-Type: application/json\r\n"+
-							"Content-Length: 10\r\n\r\n{\"Id\":\"k\"}", role, time.Now().UnixMilli())
-						continue
-					}
-					if !began {
-						began = true
-						c.Write(pgwire.AppendWelcome(nil, 1, 1))
-						continue
-					}
-					c.Write(pgwire.AppendReady(appendReport(rowResponse(`{"Id":"k"}`), role)))
-				}
-			}()
+			if protocol == "odata" {
+				fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nNode-Role: %s\r\nReplay-Position: %d\r\nContent-Type: application/json\r\n"+
+					"Content-Length: 10\r\n\r\n{\"Id\":\"k\"}", role, time.Now().UnixMilli())
+				continue
+			}
+			if !began {
+				began = true
+				c.Write(pgwire.AppendWelcome(nil, 1, 1))
+				continue
+			}
+			c.Write(pgwire.AppendReady(appendReport(rowResponse(`{"Id":"k"}`), role)))
 		}
-	}()
+	})
 	return l.Addr()
 }
 
-// spent is the CPU time of a thread of this process.
+// cpuTime is the CPU time of a thread of this process.
 func cpuTime(b *testing.B, thread int) time.Duration {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/self/task/%d/schedstat", thread))
 	if err != nil {
@@ -102,7 +90,7 @@
 func serveAll(b *testing.B, clients int, front, members string) {
 	var targets []string
 	for i := range 4 {
-		role := map[bool]string{true: "leader", false: "follower"}[i == 0]
+		role := roleName(i == 0)
 		targets = append(targets, endpointEntry(i, 0, quickMember(b, role, members), "in_service"))
 	}
 	offered := ""
--- a/internal/node/configuration_test.go
+++ b/internal/node/configuration_test.go
@@ -91,7 +91,7 @@
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	p := &simulatedFleet{t: t, world: sim.New(5, epoch), random: pcg.New(5), answers: make(map[string]string), executions: make(map[string]int)}
 	for i := range 3 {
-		p.member(i, map[bool]string{true: "leader", false: "follower"}[i == 0])
+		p.member(i, roleName(i == 0))
 	}
 	c := p.startControlMachines()
 	d := &simDriver{host: p.world.Host("d0"), at: netip.MustParseAddrPort("10.0.0.1:6543")}
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -10,34 +10,22 @@
 
 // startDiscovery starts a discovery that announces each call on a channel and answers it with the next text of another.
 func startDiscovery(t *testing.T, calls chan bool, answers chan string) string {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { l.Close() })
-	go func() {
-		for {
-			c, err := l.Accept()
+	l := listenLocal(t)
+	go serveConnections(l, func(c net.Conn) {
+		defer c.Close()
+		for r := bufio.NewReader(c); ; {
+			line, err := r.ReadString('\n')
 			if err != nil {
 				return
 			}
-			go func() {
-				defer c.Close()
-				for r := bufio.NewReader(c); ; {
-					line, err := r.ReadString('\n')
-					if err != nil {
-						return
-					}
-					if line != "\r\n" {
-						continue
-					}
-					calls <- true
-					body := <-answers
-					fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\n%s\r\n%x\r\n%s\r\n0\r\n\r\n", body[:4], len(body)-4, body[4:])
-				}
-			}()
+			if line != "\r\n" {
+				continue
+			}
+			calls <- true
+			body := <-answers
+			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\n%s\r\n%x\r\n%s\r\n0\r\n\r\n", body[:4], len(body)-4, body[4:])
 		}
-	}()
+	})
 	return l.Addr().String()
 }
 
--- a/internal/node/driver_test.go
+++ b/internal/node/driver_test.go
@@ -23,6 +23,27 @@
 	return l.Addr().String()
 }
 
+// listenLocal listens on a free address until the test ends.
+func listenLocal(t testing.TB) net.Listener {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { l.Close() })
+	return l
+}
+
+// serveConnections serves each connection in a goroutine of its own, until the listener is closed.
+func serveConnections(l net.Listener, serve func(net.Conn)) {
+	for {
+		c, err := l.Accept()
+		if err != nil {
+			return
+		}
+		go serve(c)
+	}
+}
+
 // runningDriver is a driver under test. stop sends it SIGTERM and waits until it has stopped.
 type runningDriver struct {
 	*Node
--- a/internal/node/fake_cluster_test.go
+++ b/internal/node/fake_cluster_test.go
@@ -79,22 +79,9 @@
 	g := &fakeCluster{t: t, protocol: protocol, faultFor: faultFor, effects: make(map[string]int), latest: make(map[string]time.Time), nth: make(map[string]int)}
 	g.values = func(c *memberCall) string { return fmt.Sprintf(`{"Id":%q,"Status":"sent","Version":7}`, c.key) }
 	for i := range size {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			t.Fatal(err)
-		}
-		m := &fakeClusterMember{of: g, number: i, listener: l, role: map[bool]string{true: "leader", false: "follower"}[i == 0], conns: make(map[net.Conn]bool)}
+		m := &fakeClusterMember{of: g, number: i, listener: listenLocal(t), role: roleName(i == 0), conns: make(map[net.Conn]bool)}
 		g.members = append(g.members, m)
-		t.Cleanup(func() { l.Close() })
-		go func() {
-			for {
-				c, err := l.Accept()
-				if err != nil {
-					return
-				}
-				go m.serve(c)
-			}
-		}()
+		go serveConnections(m.listener, m.serve)
 	}
 	return g
 }
--- a/internal/node/fake_member_test.go
+++ b/internal/node/fake_member_test.go
@@ -53,21 +53,8 @@
 }
 
 func startFakeMember(t testing.TB, respond func(c net.Conn, q *receivedQuery) bool) *fakeMember {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	m := &fakeMember{listener: l, respond: respond}
-	t.Cleanup(func() { l.Close() })
-	go func() {
-		for {
-			c, err := l.Accept()
-			if err != nil {
-				return
-			}
-			go m.serve(c)
-		}
-	}()
+	m := &fakeMember{listener: listenLocal(t), respond: respond}
+	go serveConnections(m.listener, m.serve)
 	return m
 }
 
@@ -186,3 +173,11 @@
 "lag_allowed_us":[800000,0,0,0],"write_marks":"client","role_listed":"off"},
 "report":{"columns":["x0","x1","load_share"],"how":"inline"},
 "rules":{"cold_us":16000000,"drain_grace_us":250000,"fall_multiple":4.0,"start_capacity":0.25,"tip_after_us":1000000}}`
+
+// roleName is what members report as their role.
+func roleName(primary bool) string {
+	if primary {
+		return "leader"
+	}
+	return "follower"
+}
--- a/internal/node/invariants_test.go
+++ b/internal/node/invariants_test.go
@@ -22,7 +22,7 @@
 			var members []*fakeMember
 			var targets []string
 			for i := range 4 {
-				role := map[bool]string{true: "leader", false: "follower"}[i%2 == 0]
+				role := roleName(i%2 == 0)
 				chance, mutex := pcg.New(seed*100+uint64(i)), sync.Mutex{}
 				m := startFakeMember(t, func(c net.Conn, q *receivedQuery) bool {
 					mutex.Lock()
--- a/internal/node/listeners.go
+++ b/internal/node/listeners.go
@@ -135,7 +135,7 @@
 	return l.rpcs < l.capacity(quota.RPCs, maxRPCs)
 }
 
-// reportUsage tells the quotas what all listeners have in use.
+// reportUsage reports to the quotas what all listeners use.
 func (s *listenerSet) reportUsage() {
 	for _, l := range s.all {
 		connections, bytes := l.connections.Held()
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -22,8 +22,8 @@
 	defaultIdleTimeout    = time.Hour
 )
 
-// memberRegistry numbers the members of the endpoint list and has the connections to them. It is told of the list by
-// package list, and passes it on to the module.
+// memberRegistry numbers the members of the endpoint list and owns the pools of connections to them. It is the list.Host: it
+// receives the endpoint list, and passes it on to the module.
 type memberRegistry struct {
 	node           *Node
 	pools          [driver.Forms]*member.Pool // by the protocol of the members
--- a/internal/node/rpcs.go
+++ b/internal/node/rpcs.go
@@ -20,7 +20,7 @@
 	attempts     []uint32 // the pool's handles, by number of the attempt
 	inFlight     int      // attempts that have not ended
 	answered     bool
-	answerForced bool           // the module was told to answer it now
+	answerForced bool           // the module was asked to answer it before its deadline
 	lastOutcome  driver.Outcome // of the attempt that ended last
 	overdueTimer loop.Due
 }
--- a/internal/node/simulated_fleet_test.go
+++ b/internal/node/simulated_fleet_test.go
@@ -246,7 +246,7 @@
 func runFaultScenario(t testing.TB, seed uint64) *simulatedFleet {
 	p := &simulatedFleet{t: t, world: sim.New(seed, epoch), random: pcg.New(seed), answers: make(map[string]string), executions: make(map[string]int)}
 	for i := range 3 {
-		p.member(i, map[bool]string{true: "leader", false: "follower"}[i == 0])
+		p.member(i, roleName(i == 0))
 	}
 	p.driver(0)
 	p.driver(1)
--- a/internal/node/site.go
+++ b/internal/node/site.go
@@ -15,7 +15,7 @@
 	"passtack/internal/settings"
 )
 
-// Site is what the platform tells a driver about the place where it runs: the deploy file, and the environment over it.
+// Site is the platform's configuration of a driver: its file, overridden by variables of the environment.
 type Site struct {
 	Name                      string
 	Listen, Discovery         netip.AddrPort
@@ -51,7 +51,7 @@
 // requiredSettings are those without which no driver can serve.
 var requiredSettings = []string{"methods.count", "methods.0.name", "family_info.needs", "tick"}
 
-// ReadSite reads the platform's file. Variables of the environment go over it.
+// ReadSite reads the platform's file. Variables of the environment override it.
 func ReadSite(file string, environment func(string) string) (*Site, error) {
 	var text []byte
 	err := retryOnResourceShortage(func() (err error) {
