--- a/internal/front/odata/errand.go
+++ b/internal/front/odata/errand.go
@@ -81,7 +81,7 @@
 	} else if e.key.Text == "" {
 		session = 0
 	}
-	position := member.Position([]byte(e.question.fields.Text("session-position")), f.clerk.MembersNow(), 0)
+	position := member.PlausiblePosition([]byte(e.question.fields.Text("session-position")), f.clerk.MembersNow(), 0)
 	if position = max(position, floor); e.act.Writes() {
 		position = 0
 	}
--- a/internal/lab/capacity/driver_state.go
+++ b/internal/lab/capacity/driver_state.go
@@ -242,9 +242,9 @@
 		return nil, err
 	}
 	opens := recovery.NewConnectLimiter(250 * time.Millisecond)
-	p := member.New(l, new(quiet), &pgmember.Tongue{}, &opens, 250*time.Millisecond, 15*time.Second)
+	p := member.New(l, new(quiet), &pgmember.Protocol{}, &opens, 250*time.Millisecond, 15*time.Second)
 	for n := range members {
-		p.Place(driver.Member(n+1), memberPlace(n))
+		p.SetAddress(driver.Member(n+1), memberPlace(n))
 	}
 	return p, nil
 }
--- /dev/null
+++ b/internal/member/attempt.go
@@ -0,0 +1,185 @@
+package member
+
+import (
+	"fmt"
+	"log/slog"
+	"time"
+
+	"passtack/driver"
+	"passtack/internal/chain"
+	"passtack/internal/loop"
+	"passtack/internal/slots"
+)
+
+// failureLogInterval is the time between log lines on failures at one member. Counters have them all.
+const failureLogInterval = 5 * time.Second
+
+// attempt is one attempt of an RPC at a member, or a health check.
+type attempt struct {
+	handle        slots.Handle
+	rpc           driver.RPC
+	number        int  // of the RPC's attempts
+	probe         bool // it is a health check and has no RPC
+	target        driver.Member
+	startedAt     time.Duration
+	writeDeadline time.Duration // by when it must be fully written
+	deadline      time.Duration // by when its response is due
+	connection    *connection
+	request       *driver.Ask // a copy, until it is written
+	timer         loop.Due
+	queued        chain.Link[*attempt] // in the member's queue
+}
+
+// Attempt sends a request to a member with the time that is left until the deadline. It is fully written by writeDeadline or
+// cut off. Each attempt ends with exactly one outcome, never during this call. The result identifies it for Cancel and
+// Withdraw.
+func (p *Pool) Attempt(rpc driver.RPC, number int, target driver.Member, writeDeadline, deadline time.Duration, request *driver.Ask) uint32 {
+	m := p.members[target]
+	a := &attempt{
+		rpc: rpc, number: number, target: target, startedAt: p.loop.Now(),
+		writeDeadline: min(writeDeadline, deadline), deadline: deadline,
+	}
+	a.handle = p.attempts.Put(a)
+	if a.handle == 0 || m == nil || a.writeDeadline <= p.loop.Clock() {
+		p.loop.Later(func() { p.finish(a, driver.Moot, nil) })
+		return uint32(a.handle)
+	}
+	p.expireAt(a, a.writeDeadline)
+	if c := p.takeIdle(m); c != nil {
+		c.attempt, a.connection = a, c
+		c.write(request)
+		return uint32(a.handle)
+	}
+	a.request = request.Copy()
+	if m.waiting.Count() == 0 && p.connectLimiter.MayConnect(&m.connections) {
+		p.connect(a, m)
+	} else {
+		p.enqueue(a, m)
+	}
+	return uint32(a.handle)
+}
+
+// Probe sends a health check to a member. It does not wait for a connection: where no more may be opened it ends unsent.
+func (p *Pool) Probe(target driver.Member) {
+	m, now := p.members[target], p.loop.Now()
+	if m == nil {
+		return
+	}
+	deadline := now + p.connectTimeout
+	a := &attempt{probe: true, target: target, startedAt: now, writeDeadline: deadline, deadline: deadline}
+	a.handle = p.attempts.Put(a)
+	if a.handle == 0 {
+		p.loop.Later(func() { p.finish(a, driver.Moot, nil) })
+		return
+	}
+	p.expireAt(a, a.deadline)
+	if c := p.takeIdle(m); c != nil {
+		c.attempt, a.connection = a, c
+		c.writeProbe()
+		return
+	}
+	if p.connectLimiter.AtMemberLimit(&m.connections) {
+		p.loop.Later(func() { p.finish(a, driver.Moot, nil) })
+		return
+	}
+	p.connect(a, m)
+}
+
+// Cancel ends an attempt later in this iteration of the loop. From now on nothing of it is written.
+func (p *Pool) Cancel(handle uint32) {
+	if a := p.attempts.Get(slots.Handle(handle)); a != nil {
+		outcome := driver.Cancelled
+		if a.progress() < FullyWritten {
+			outcome = driver.Moot
+		}
+		p.detach(a)
+		p.loop.Later(func() { p.finish(a, outcome, nil) })
+	}
+}
+
+// Withdraw cancels an attempt that is not fully written. It does not count against the member.
+func (p *Pool) Withdraw(handle uint32) {
+	if a := p.attempts.Get(slots.Handle(handle)); a != nil && a.progress() < FullyWritten {
+		p.Cancel(handle)
+	}
+}
+
+func (a *attempt) progress() Progress {
+	if a.connection == nil || a.connection.attempt != a {
+		return NotConnected
+	}
+	return a.connection.progress()
+}
+
+// expireAt sets when the attempt is checked against its deadlines.
+func (p *Pool) expireAt(a *attempt, at time.Duration) {
+	p.loop.Forget(a.timer)
+	a.timer = p.loop.At(at, func() { p.expire(a.handle) })
+}
+
+// expire ends an attempt that missed a deadline. One that was fully written in time has until its response is due.
+func (p *Pool) expire(handle slots.Handle) {
+	a := p.attempts.Get(handle)
+	if a == nil {
+		return
+	}
+	if a.queued.Value != nil && a.connection == nil {
+		p.ledger.Count("connects_waited_out")
+	}
+	progress, errorReceived, outcome := a.progress(), false, driver.Failed
+	if progress >= FullyWritten && p.loop.Now() < a.deadline {
+		p.expireAt(a, a.deadline)
+		return
+	}
+	if a.connection != nil {
+		errorReceived, outcome = a.connection.errorReceived, a.connection.outcome
+	}
+	p.detach(a)
+	if errorReceived {
+		p.finish(a, outcome, nil)
+		return
+	}
+	p.fail(a, Failure{progress, true, errTimeout})
+}
+
+// detach separates an attempt from its connection, which is closed unless it is still being established.
+func (p *Pool) detach(a *attempt) {
+	a.queued.Leave()
+	c := a.connection
+	if c == nil || c.attempt != a {
+		return
+	}
+	if c.attempt = nil; c.established {
+		c.close()
+	}
+}
+
+// fail ends an attempt without a complete response, and logs it.
+func (p *Pool) fail(a *attempt, failure Failure) {
+	if m, now := p.members[a.target], p.loop.Now(); m != nil && now >= m.failureLogAfter {
+		m.failureLogAfter = now + failureLogInterval
+		slog.Warn("attempt failed", "member", fmt.Sprintf("%012x", uint64(a.target)), "endpoint", m.address,
+			"progress", progressNames[failure.Progress], "timed_out", failure.TimedOut, "cause", failure.Cause)
+	}
+	p.finish(a, failure.Outcome(), nil)
+}
+
+// finish reports the outcome of an attempt to the ledger, once. The response is nil if none was received.
+func (p *Pool) finish(a *attempt, outcome driver.Outcome, response *Response) {
+	if a.handle != 0 && p.attempts.Get(a.handle) != a {
+		return
+	}
+	p.attempts.Drop(a.handle)
+	p.loop.Forget(a.timer)
+	if response == nil {
+		response = &p.response
+		response.reset(false)
+	}
+	took := p.loop.Now() - a.startedAt
+	if a.probe {
+		p.ledger.Probed(a.target, outcome == driver.OK, took, response.LoadReport)
+		return
+	}
+	p.ledger.AttemptEnded(a.rpc, a.number, a.target, outcome, took, response.Answer.Position, response.Role, response.LoadReport,
+		&response.Answer)
+}
--- /dev/null
+++ b/internal/member/connection.go
@@ -0,0 +1,251 @@
+package member
+
+import (
+	"io"
+	"net/netip"
+	"slices"
+	"time"
+
+	"passtack/driver"
+	"passtack/internal/loop"
+	"passtack/internal/slots"
+)
+
+// maxResponsePause bounds a pause within a response, beyond the retransmission of a lost packet. Members send a response at
+// once.
+const maxResponsePause = 250 * time.Millisecond
+
+// connection is one connection to a member. It implements loop.Handler.
+type connection struct {
+	pool            *Pool
+	handle          slots.Handle
+	member          *member
+	address         netip.AddrPort // the member may have moved since
+	stream          *loop.Stream
+	openedAt        time.Duration
+	established     bool // the member has accepted the greeting
+	released        bool
+	attempt         *attempt
+	written         bool // the attempt was handed to the stream
+	idleSince       time.Duration
+	timer           loop.Due // until it is established; then for the rest of a response
+	responseStarted bool
+	errorReceived   bool
+	outcome         driver.Outcome // of the error that was received
+}
+
+// connect opens a connection for an attempt.
+func (p *Pool) connect(a *attempt, m *member) {
+	c := &connection{pool: p, member: m, address: m.address, attempt: a, idleSince: p.loop.Now(), openedAt: p.loop.Now()}
+	stream, err := p.loop.Dial(m.address, c, MaxResponseBytes)
+	if err == nil {
+		c.stream = stream
+		if c.handle = p.connections.Put(c); c.handle == 0 {
+			stream.Close()
+			err = loop.ErrNoRoom
+		}
+	}
+	if err != nil {
+		p.ledger.Count("connects_failed")
+		p.loop.Later(func() { p.fail(a, Failure{NotConnected, false, err}) })
+		return
+	}
+	a.connection = c
+	p.connectLimiter.Started(&m.connections)
+	p.ledger.Count("connects")
+	if greeting := p.protocol.Greeting(); greeting != nil {
+		c.stream.Send(greeting)
+	}
+	c.timer = p.loop.At(p.loop.Now()+p.connectTimeout, func() {
+		if p.connections.Get(c.handle) == c && !c.established {
+			c.abort(errConnectTimeout)
+		}
+	})
+}
+
+// Opened implements loop.Handler.
+func (c *connection) Opened() {
+	if c.pool.protocol.Greeting() == nil {
+		c.becomeEstablished()
+	}
+}
+
+func (c *connection) becomeEstablished() {
+	p, m := c.pool, c.member
+	c.established = true
+	p.connectLimiter.Established(&m.connections, p.loop.Now()-c.openedAt, p.loop.Now())
+	p.loop.Forget(c.timer)
+	c.start()
+	p.loop.Later(p.serveQueues)
+}
+
+// start writes the attempt for which the connection was opened or reserved, if it still has one.
+func (c *connection) start() {
+	a := c.attempt
+	switch {
+	case a == nil && c.address == c.member.address:
+		c.becomeIdle()
+	case a == nil:
+		c.close()
+	case a.probe:
+		c.writeProbe()
+	case c.pool.loop.Clock() >= a.writeDeadline: // as after this process was suspended
+		c.attempt, a.connection = nil, nil
+		c.becomeIdle()
+		c.pool.loop.Later(func() { c.pool.expire(a.handle) })
+	default:
+		c.write(a.request)
+		a.request = nil
+	}
+}
+
+// write sends the attempt, with the time that is left at this moment: the iteration of the loop may have taken long.
+func (c *connection) write(request *driver.Ask) {
+	c.responseStarted, c.errorReceived, c.written = false, false, true
+	left := max(c.attempt.deadline-c.pool.loop.Clock(), time.Millisecond)
+	c.stream.Send(c.pool.protocol.EncodeRequest(request, left)...)
+}
+
+func (c *connection) writeProbe() {
+	c.responseStarted, c.errorReceived, c.written = false, false, true
+	c.stream.Send(c.pool.protocol.EncodeProbe())
+}
+
+// Input implements loop.Handler. It consumes complete responses only: nothing of a malformed one is used.
+func (c *connection) Input(in []byte) int {
+	p := c.pool
+	if c.established && c.attempt == nil {
+		size, ok := p.protocol.ParseUnsolicited(in)
+		if !ok {
+			c.close()
+		}
+		return size
+	}
+	c.parse(in, false)
+	response := &p.response
+	switch {
+	case response.Malformed:
+		c.abort(errMalformedResponse)
+		return 0
+	case response.Size == 0:
+		if c.responseStarted && c.established {
+			c.awaitMore()
+		}
+		return 0
+	case !c.established:
+		c.becomeEstablished()
+		return response.Size
+	case !c.written:
+		c.abort(errMalformedResponse)
+		return 0
+	}
+	return c.complete(response, len(in))
+}
+
+// complete ends the attempt with its response and returns the size of it. The connection is used again unless the member has
+// sent more than that, or has moved.
+func (c *connection) complete(response *Response, received int) (size int) {
+	p, a := c.pool, c.attempt
+	size = response.Size
+	c.attempt, c.written, c.errorReceived = nil, false, false
+	p.loop.Forget(c.timer)
+	reusable := size == received && !response.CloseAfter && c.address == c.member.address
+	if reusable {
+		c.becomeIdle()
+	}
+	p.finish(a, response.Outcome, response)
+	if !reusable {
+		c.close()
+	}
+	return size
+}
+
+// parse parses what has been received of the response into the pool's response. An error that was received is final, even if
+// more is missing.
+func (c *connection) parse(in []byte, ended bool) {
+	p := c.pool
+	response := &p.response
+	response.reset(c.responseStarted)
+	probing := c.attempt != nil && c.attempt.probe
+	p.protocol.ParseResponse(in, c.established, probing, ended, p.loop.Now()+p.clockOffset, response)
+	c.responseStarted, c.errorReceived, c.outcome = response.Started, response.ErrorReceived, response.Outcome
+}
+
+// awaitMore aborts the connection unless more of the response comes in time. It waits longer while the stream does not read
+// for want of memory.
+func (c *connection) awaitMore() {
+	p := c.pool
+	p.loop.Forget(c.timer)
+	c.timer = p.loop.At(p.loop.Now()+maxResponsePause, func() {
+		if c.stream.Rests() {
+			c.awaitMore()
+		} else if p.connections.Get(c.handle) == c && c.attempt != nil {
+			c.abort(errResponseStalled)
+		}
+	})
+}
+
+func (c *connection) progress() Progress {
+	switch {
+	case !c.established:
+		return NotConnected
+	case !c.written || c.stream.Unsent() > 0:
+		return PartlyWritten
+	case c.responseStarted:
+		return ResponseStarted
+	}
+	return FullyWritten
+}
+
+// Closed implements loop.Handler: it ends the attempt that the connection carried.
+func (c *connection) Closed(cause error) {
+	c.release()
+	a := c.attempt
+	if a == nil {
+		return
+	}
+	if c.established && c.written && cause == io.EOF { // which ends a response that has no length
+		response := &c.pool.response
+		if c.parse(c.stream.Unread(), true); response.Size > 0 && !response.Malformed {
+			c.attempt = nil
+			c.pool.finish(a, response.Outcome, response)
+			return
+		}
+	}
+	c.attempt = nil
+	if c.errorReceived && (c.established || c.outcome == driver.Full) {
+		c.pool.finish(a, c.outcome, nil)
+		return
+	}
+	c.pool.fail(a, Failure{c.progress(), false, cause})
+}
+
+// Panicked implements loop.Handler.
+func (c *connection) Panicked(cause error) { c.abort(cause) }
+
+// abort closes the connection and ends the attempt that it carries.
+func (c *connection) abort(cause error) {
+	c.close()
+	c.Closed(cause)
+}
+
+// close closes the connection, not the attempt that it carries.
+func (c *connection) close() {
+	c.stream.Close()
+	c.release()
+}
+
+// release removes the connection from the pool. It may be called twice.
+func (c *connection) release() {
+	p, m := c.pool, c.member
+	if !c.released && c.established {
+		p.connectLimiter.Closed(&m.connections)
+	} else if !c.released {
+		p.connectLimiter.Failed(&m.connections, p.loop.Now()-c.openedAt, p.loop.Now())
+		p.loop.Later(func() { p.connectFailed(m) })
+	}
+	c.released = true
+	p.loop.Forget(c.timer)
+	p.connections.Drop(c.handle)
+	m.idle = slices.DeleteFunc(m.idle, func(other *connection) bool { return other == c })
+}
--- a/internal/member/odata/odata.go
+++ b/internal/member/odata/odata.go
@@ -1,4 +1,4 @@
-// Package odata speaks OData over HTTP/1.1 with members: one request at a time on a connection.
+// Package odata speaks OData over HTTP/1.1 with members, one request at a time on a connection.
 package odata
 
 import (
@@ -12,76 +12,74 @@
 	"passtack/internal/member"
 )
 
-// limits bound an answer; its body may hold what a client may ask for.
-var limits = httpwire.Limits{Head: 16 << 10, Fields: 100, Body: member.Most - 32<<10}
+// limits bounds a response. What MaxResponseBytes has beyond the body is for its header and chunk sizes.
+var limits = httpwire.Limits{Head: 16 << 10, Fields: 100, Body: member.MaxResponseBytes - 32<<10}
 
-// Tongue words requests.
-type Tongue struct {
-	Load  member.Load
-	Host  string // what members are asked for
-	parts [4][]byte
-	head  []byte
-	tail  []byte
+// Protocol encodes requests and parses their responses.
+type Protocol struct {
+	Load    member.LoadReportParser
+	Host    string // the Host field of requests
+	parts   [4][]byte
+	header  []byte
+	trailer []byte
 }
 
-// Hello is nothing: a connection that is up is ready.
-func (*Tongue) Hello() []byte { return nil }
+// Greeting implements member.Protocol. There is none: a connection is ready once it is open.
+func (*Protocol) Greeting() []byte { return nil }
 
-// Call implements member.Tongue: a request with the time that is left as a field.
-func (t *Tongue) Call(ask *driver.Ask, left time.Duration) [][]byte {
-	t.head = httpwire.AppendRequest(t.head[:0], ask.Verb, ask.Path)
-	t.head = httpwire.AppendField(t.head, "Host", t.Host)
-	t.tail = strconv.AppendInt(append(t.tail[:0], "Deadline-Ms: "...), int64(left/time.Millisecond), 10)
-	t.tail = append(t.tail, "\r\n"...)
+// EncodeRequest implements member.Protocol. It returns a request with the time that is left in a header field.
+func (t *Protocol) EncodeRequest(ask *driver.Ask, left time.Duration) [][]byte {
+	t.header = httpwire.AppendRequest(t.header[:0], ask.Verb, ask.Path)
+	t.header = httpwire.AppendField(t.header, "Host", t.Host)
+	t.trailer = strconv.AppendInt(append(t.trailer[:0], "Deadline-Ms: "...), int64(left/time.Millisecond), 10)
+	t.trailer = append(t.trailer, "\r\n"...)
 	if len(ask.Body) > 0 || ask.Verb != "GET" && ask.Verb != "HEAD" && ask.Verb != "DELETE" {
-		t.tail = httpwire.AppendLength(t.tail, len(ask.Body))
+		t.trailer = httpwire.AppendLength(t.trailer, len(ask.Body))
 	} else {
-		t.tail = append(t.tail, "\r\n"...)
+		t.trailer = append(t.trailer, "\r\n"...)
 	}
-	t.parts = [4][]byte{t.head, ask.Fields, t.tail, ask.Body}
+	t.parts = [4][]byte{t.header, ask.Fields, t.trailer, ask.Body}
 	return t.parts[:]
 }
 
-// Probe asks for the service document without its body.
-func (t *Tongue) Probe() []byte {
+// EncodeProbe implements member.Protocol. It requests the header of the service document.
+func (t *Protocol) EncodeProbe() []byte {
 	out := httpwire.AppendRequest(nil, "HEAD", "/")
 	return append(httpwire.AppendField(out, "Host", t.Host), "\r\n"...)
 }
 
-// Hear reads one answer. What the status says of the attempt: done, also where the entity is missing or another than
-// wanted; 421 and 425 turned away untouched, as no primary and too far behind; 429 and 503 turned away unseen; what is
-// left has failed and may have run.
-func (t *Tongue) Hear(in []byte, greeted, probing, ended bool, now time.Duration, h *member.Heard) {
-	r, fault := httpwire.NextReply(in, probing, ended, limits)
-	h.Begun = h.Begun || len(in) > 0
+// ParseResponse implements member.Protocol.
+func (t *Protocol) ParseResponse(in []byte, greeted, probing, ended bool, now time.Duration, response *member.Response) {
+	reply, fault := httpwire.NextReply(in, probing, ended, limits)
+	response.Started = response.Started || len(in) > 0
 	if fault != nil {
-		h.Spoilt = true
+		response.Malformed = true
 		return
 	}
-	if r.Size == 0 {
+	if reply.Size == 0 {
 		return
 	}
-	h.How = outcomeOf(r.Status)
-	if h.How == driver.OK && !probing && !whole(&r) {
-		h.Spoilt = true
+	response.Outcome = outcomeOf(reply.Status)
+	if response.Outcome == driver.OK && !probing && !validBody(&reply) {
+		response.Malformed = true
 		return
 	}
-	h.Size, h.Last = r.Size, r.Last
-	h.Answer.Form, h.Answer.Status, h.Answer.Fields, h.Answer.Value = driver.Requests, r.Status, r.Fields, r.Body
-	if text, _ := r.Fields.Get("replay-position"); text != nil {
-		h.Answer.Position = member.Position(text, now, 0)
-		h.Answer.Told = member.Told(text)
+	response.Size, response.CloseAfter = reply.Size, reply.Last
+	response.Answer.Form, response.Answer.Status, response.Answer.Fields, response.Answer.Value = driver.Requests, reply.Status, reply.Fields, reply.Body
+	if text, _ := reply.Fields.Get("replay-position"); text != nil {
+		response.Answer.Position = member.PlausiblePosition(text, now, 0)
+		response.Answer.Told = member.ParsePosition(text)
 	}
-	if text, _ := r.Fields.Get("node-role"); text != nil {
-		h.Role = member.Role(text, driver.Unknown)
+	if text, _ := reply.Fields.Get("node-role"); text != nil {
+		response.Role = member.ParseRole(text, driver.Unknown)
 	}
-	if text, _ := r.Fields.Get("server-load"); text != nil {
-		h.Report = t.Load.Read(string(text), h.Report)
+	if text, _ := reply.Fields.Get("server-load"); text != nil {
+		response.LoadReport = t.Load.Parse(string(text), response.LoadReport)
 	}
 }
 
-// whole tells whether the body is what its type says.
-func whole(r *httpwire.Reply) bool {
+// validBody reports whether the body is what its media type promises.
+func validBody(r *httpwire.Reply) bool {
 	media, _, _ := strings.Cut(r.Fields.Text("content-type"), ";")
 	if strings.EqualFold(strings.TrimSpace(media), "application/json") {
 		return json.Valid(r.Body)
@@ -89,6 +87,9 @@
 	return len(r.Body) > 0 || r.Status != 200
 }
 
+// outcomeOf returns what a status means for the attempt. A missing entity or a failed precondition (4xx) is a success: the
+// member has served the request. With 421 (not the primary) and 425 (too far behind), and with 429 and 503 (overloaded), the
+// request has not run. With any other status it may have run.
 func outcomeOf(status int) driver.Outcome {
 	switch {
 	case status == 421 || status == 425:
@@ -101,5 +102,5 @@
 	return driver.Failed
 }
 
-// Chat implements member.Tongue: a member that sends something unasked for gets no further request on that connection.
-func (*Tongue) Chat(in []byte) (size int, ok bool) { return 0, false }
+// ParseUnsolicited implements member.Protocol. HTTP has no unsolicited messages, so the connection is not used again.
+func (*Protocol) ParseUnsolicited(in []byte) (size int, ok bool) { return 0, false }
--- a/internal/member/pg/pg.go
+++ b/internal/member/pg/pg.go
@@ -1,4 +1,4 @@
-// Package pg speaks version 3 of PostgreSQL's protocol with members.
+// Package pg speaks version 3 of PostgreSQL's protocol with members, in simple queries.
 package pg
 
 import (
@@ -11,95 +11,111 @@
 	"passtack/internal/pgwire"
 )
 
-// Tongue words simple queries.
-type Tongue struct {
-	Load  member.Load
-	parts [5][]byte
-	head  [32]byte
+// The SQLSTATE codes of members that have a meaning of their own.
+const (
+	codeReadOnlyTransaction = "25006" // a write at a replica
+	codeSnapshotTooOld      = "72000" // the replica is too far behind
+	codeTooManyConnections  = "53300"
+)
+
+// Protocol encodes simple queries and parses their responses.
+type Protocol struct {
+	Load   member.LoadReportParser
+	parts  [5][]byte
+	header [32]byte // of the query, and the time that is left
 }
 
-// Hello implements member.Tongue: the startup message.
-func (*Tongue) Hello() []byte { return pgwire.AppendFirst(nil, "app", "shop") }
+// Greeting implements member.Protocol. It returns the startup message.
+func (*Protocol) Greeting() []byte { return pgwire.AppendFirst(nil, "app", "shop") }
 
-var end = []byte{0}
+var terminator = []byte{0}
 
-// Call implements member.Tongue: a simple query with the time that is left in its comment.
-func (t *Tongue) Call(ask *driver.Ask, left time.Duration) [][]byte {
-	budget := strconv.AppendInt(t.head[8:8], int64(left/time.Millisecond), 10)
-	head := pgwire.AppendHead(t.head[:0], 'Q', len(ask.Before)+len(budget)+len(ask.After)+1)
-	t.parts = [5][]byte{head, ask.Before, budget, ask.After, end}
+// EncodeRequest implements member.Protocol. It returns a simple query with the time that is left in its comment.
+func (t *Protocol) EncodeRequest(request *driver.Ask, left time.Duration) [][]byte {
+	budget := strconv.AppendInt(t.header[8:8], int64(left/time.Millisecond), 10)
+	header := pgwire.AppendHead(t.header[:0], 'Q', len(request.Before)+len(budget)+len(request.After)+1)
+	t.parts = [5][]byte{header, request.Before, budget, request.After, terminator}
 	return t.parts[:]
 }
 
-// Probe is the empty query.
-func (*Tongue) Probe() []byte { return append(pgwire.AppendHead(nil, 'Q', 1), 0) }
+// EncodeProbe implements member.Protocol. It returns the empty query.
+func (*Protocol) EncodeProbe() []byte { return append(pgwire.AppendHead(nil, 'Q', 1), 0) }
 
-// Hear takes the messages of one answer in their order: a description, one row of one column, a tag; or an error.
-func (t *Tongue) Hear(in []byte, greeted, probing, ended bool, now time.Duration, h *member.Heard) {
-	seen, at, code := byte(0), 0, "" // seen: the kind of the latest message of the answer proper
-	h.How = driver.OK
-	for seen != 'Z' {
+// ParseResponse implements member.Protocol. A response is a description, one row of one column, and a tag, or an error; then
+// the member is ready for the next query.
+func (t *Protocol) ParseResponse(in []byte, greeted, probing, ended bool, now time.Duration, r *member.Response) {
+	at, last, code := 0, byte(0), "" // last: the kind of the latest message of the response proper
+	r.Outcome = driver.OK
+	for last != 'Z' {
 		kind, body, size, err := pgwire.Next(in[at:])
 		if err != nil {
-			h.Spoilt = true
+			r.Malformed = true
 			return
 		}
 		if size == 0 {
-			h.Begun = h.Begun || kind != 0 && kind != 'S' && kind != 'N'
+			r.Started = r.Started || kind != 0 && kind != 'S' && kind != 'N'
 			return
 		}
-		fits := true
+		var valid bool
 		switch kind {
-		case 'R', 'K':
-			fits = !greeted
-		case 'N':
 		case 'S':
-			fits = t.parameter(body, now, h)
-		case 'I':
-			fits = probing && seen == 0
-		case 'T':
-			fits = seen == 0 && pgwire.Described(body)
+			valid = t.parseParameter(body, now, r)
 		case 'D':
-			if fits = seen == 'T' && pgwire.Row(body); fits {
-				h.Answer.Value = body[6:]
+			if valid = last == 'T' && pgwire.Row(body); valid {
+				r.Answer.Value = body[6:]
 			}
-		case 'C':
-			fits = seen == 'D' && pgwire.Tag(body)
 		case 'E':
-			code = codeOf(body)
-			fits = seen != 'C' && seen != 'E' && code != ""
-			h.Failed, h.How = fits, outcomeOf(code)
-		case 'Z':
-			answered := seen == 'C' || seen == 'E' || seen == 'I' && probing
-			fits = pgwire.Ready(body) && (answered || !greeted && seen == 0)
+			code = parseCode(body)
+			valid = last != 'C' && last != 'E' && code != ""
+			r.ErrorReceived, r.Outcome = valid, outcomeOf(code)
 		default:
-			fits = false
+			valid = follows(kind, last, body, greeted, probing)
 		}
-		if !fits { // then an error that came before it proves nothing
-			h.Failed = false
+		if !valid { // which also discredits an error before it
+			r.ErrorReceived = false
 		}
-		if !fits || !greeted && code != "" {
-			h.Spoilt = true
+		if !valid || !greeted && code != "" {
+			r.Malformed = true
 			return
 		}
 		if at += size; kind == 'T' || kind == 'D' || kind == 'C' {
-			h.Answer.Parts = append(h.Answer.Parts, in[at-size:at])
+			r.Answer.Parts = append(r.Answer.Parts, in[at-size:at])
 		}
 		if kind != 'R' && kind != 'K' && kind != 'N' && kind != 'S' {
-			h.Begun, seen = true, kind
+			r.Started, last = true, kind
 		}
 	}
-	h.Size = at
+	r.Size = at
+}
+
+// follows reports whether a message that carries nothing for the response is valid, and may follow the last one.
+func follows(kind, last byte, body []byte, greeted, probing bool) bool {
+	switch kind {
+	case 'R', 'K':
+		return !greeted
+	case 'N':
+		return true
+	case 'I':
+		return probing && last == 0
+	case 'T':
+		return last == 0 && pgwire.Described(body)
+	case 'C':
+		return last == 'D' && pgwire.Tag(body)
+	case 'Z':
+		answered := last == 'C' || last == 'E' || last == 'I' && probing
+		return pgwire.Ready(body) && (answered || !greeted && last == 0)
+	}
+	return false
 }
 
-// Chat passes over what an idle member may say unasked.
-func (*Tongue) Chat(in []byte) (size int, ok bool) {
+// ParseUnsolicited implements member.Protocol. It skips parameters and notices.
+func (*Protocol) ParseUnsolicited(in []byte) (size int, ok bool) {
 	kind, _, size, err := pgwire.Next(in)
 	return size, err == nil && (kind == 'S' || kind == 'N' || kind == 0)
 }
 
-// codeOf reads the code of an error, nothing where there is none that could be one.
-func codeOf(body []byte) (code string) {
+// parseCode returns the SQLSTATE code of an error message, "" if it has no valid one.
+func parseCode(body []byte) (code string) {
 	ok := pgwire.Fields(body, func(field byte, value []byte) {
 		if field == 'C' {
 			code = string(value)
@@ -112,26 +128,27 @@
 	return code
 }
 
-func (t *Tongue) parameter(body []byte, now time.Duration, h *member.Heard) bool {
+// parseParameter takes what a parameter message reports of the member. It reports whether the message is valid.
+func (t *Protocol) parseParameter(body []byte, now time.Duration, r *member.Response) bool {
 	name, value, ok := pgwire.Parameter(body)
 	switch string(name) {
 	case "replay_position":
-		h.Answer.Position = member.Position(value, now, h.Answer.Position)
-		h.Answer.Told = member.Told(value)
+		r.Answer.Position = member.PlausiblePosition(value, now, r.Answer.Position)
+		r.Answer.Told = member.ParsePosition(value)
 	case "node_role":
-		h.Role = member.Role(value, h.Role)
+		r.Role = member.ParseRole(value, r.Role)
 	case "server_load":
-		h.Report = t.Load.Read(string(value), h.Report)
+		r.LoadReport = t.Load.Parse(string(value), r.LoadReport)
 	}
 	return ok
 }
 
-// outcomeOf reads the code of a member's error.
+// outcomeOf returns what an error of the member means for the attempt.
 func outcomeOf(code string) driver.Outcome {
 	switch code {
-	case "25006", "72000":
+	case codeReadOnlyTransaction, codeSnapshotTooOld:
 		return driver.Miss
-	case "53300":
+	case codeTooManyConnections:
 		return driver.Full
 	}
 	return driver.Failed
--- /dev/null
+++ b/internal/member/queue.go
@@ -0,0 +1,51 @@
+package member
+
+// enqueue makes an attempt wait for a connection, at most as long as one may take to be established.
+func (p *Pool) enqueue(a *attempt, m *member) {
+	p.ledger.Count("connects_waited")
+	a.queued.Value, m.congested.Value = a, m
+	m.waiting.Push(&a.queued)
+	if !m.congested.In(&p.congested) {
+		p.congested.Push(&m.congested)
+	}
+	p.expireAt(a, min(a.writeDeadline, p.loop.Now()+p.connectTimeout))
+}
+
+// serveQueue gives idle connections to the attempts that wait for the member, and new ones while more may be opened.
+func (p *Pool) serveQueue(m *member) {
+	for next := m.waiting.First(); next != nil; next = m.waiting.First() {
+		a, c := next.Value, p.takeIdle(m)
+		if c == nil && !p.connectLimiter.MayConnect(&m.connections) {
+			return
+		}
+		next.Leave()
+		p.expireAt(a, a.writeDeadline)
+		if c == nil {
+			p.connect(a, m)
+			continue
+		}
+		c.attempt, a.connection = a, c
+		c.start() // which ends the attempt if its deadline has passed
+	}
+	m.congested.Leave()
+}
+
+// serveQueues serves the queues of all members, once more connections may be opened.
+func (p *Pool) serveQueues() {
+	for link := p.congested.First(); link != nil; {
+		next := link.Next()
+		p.serveQueue(link.Value)
+		link = next
+	}
+}
+
+// connectFailed fails all attempts that wait for a member to which no connection is left, since one could not be established.
+func (p *Pool) connectFailed(m *member) {
+	if m.connections.None() {
+		for link := m.waiting.First(); link != nil; link = m.waiting.First() {
+			link.Leave()
+			p.fail(link.Value, Failure{NotConnected, false, errSharedConnectFailed})
+		}
+	}
+	p.serveQueues()
+}
--- a/internal/node/attempts_test.go
+++ b/internal/node/attempts_test.go
@@ -133,8 +133,8 @@
 			t.Errorf("%d attempts counted as %s, at least %d wanted", d.counters[outcome], outcome, count)
 		}
 	}
-	if d.counters["attempts_sent"] != d.outcomes() || d.rpcs.Len() != 0 || d.members.pools[0].Out() != 0 {
-		t.Errorf("%d RPCs and %d attempts are left, counted %v", d.rpcs.Len(), d.members.pools[0].Out(), d.counters)
+	if d.counters["attempts_sent"] != d.outcomes() || d.rpcs.Len() != 0 || d.members.pools[0].InFlight() != 0 {
+		t.Errorf("%d RPCs and %d attempts are left, counted %v", d.rpcs.Len(), d.members.pools[0].InFlight(), d.counters)
 	}
 }
 
--- a/internal/node/client_disconnect_test.go
+++ b/internal/node/client_disconnect_test.go
@@ -111,8 +111,8 @@
 							t.Errorf("a member had it whole %v after its client had gone", at-epoch-150*ms)
 						}
 					}
-					if s.node.rpcs.Len() != 0 || s.node.members.pools[0].Out() != 0 || s.node.members.pools[0].Waiting() != 0 {
-						t.Errorf("%d RPCs are left, %d attempts out, %d waiting", s.node.rpcs.Len(), s.node.members.pools[0].Out(), s.node.members.pools[0].Waiting())
+					if s.node.rpcs.Len() != 0 || s.node.members.pools[0].InFlight() != 0 || s.node.members.pools[0].Waiting() != 0 {
+						t.Errorf("%d RPCs are left, %d attempts out, %d waiting", s.node.rpcs.Len(), s.node.members.pools[0].InFlight(), s.node.members.pools[0].Waiting())
 					}
 				})
 			}
--- a/internal/node/connection_shard.go
+++ b/internal/node/connection_shard.go
@@ -27,6 +27,6 @@
 		n.members.connectLimiter.SetMemberLimit(connections)
 	}
 	for _, p := range n.members.pools {
-		p.Trim()
+		p.CloseExcess()
 	}
 }
--- a/internal/node/member_clock.go
+++ b/internal/node/member_clock.go
@@ -36,7 +36,7 @@
 	n.Count("clock_corrections")
 	slog.Warn("member clock offset corrected", "change_ms", change.Milliseconds(), "offset_ms", offset.Milliseconds())
 	for _, p := range n.members.pools {
-		p.Offset(offset)
+		p.SetClockOffset(offset)
 	}
 	n.module.CorrectClock(change)
 }
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -45,16 +45,16 @@
 // openPools creates a pool of connections for each protocol of members.
 func (r *memberRegistry) openPools() {
 	n := r.node
-	load := member.Load{Columns: n.site.reportColumns(), Word: settings.ProjectName}
+	load := member.LoadReportParser{Columns: n.site.reportColumns(), Translate: settings.ProjectName}
 	host := n.config.MemberHost
 	if host == "" {
 		host = n.site.Name
 	}
-	r.openPool(driver.Statements, &pgmember.Tongue{Load: load})
-	r.openPool(driver.Requests, &odatamember.Tongue{Load: load, Host: host})
+	r.openPool(driver.Statements, &pgmember.Protocol{Load: load})
+	r.openPool(driver.Requests, &odatamember.Protocol{Load: load, Host: host})
 }
 
-func (r *memberRegistry) openPool(form driver.Form, protocol member.Tongue) {
+func (r *memberRegistry) openPool(form driver.Form, protocol member.Protocol) {
 	n := r.node
 	r.pools[form] = member.New(n.loop, &n.rpcs, protocol, &r.connectLimiter, defaultConnectTimeout, defaultIdleTimeout)
 }
@@ -66,7 +66,7 @@
 	idleTimeout := site.duration("caps.idle_close", defaultIdleTimeout)
 	r.connectLimiter.SetTimeout(connectTimeout)
 	for _, p := range r.pools {
-		p.Within(connectTimeout, idleTimeout)
+		p.SetTimeouts(connectTimeout, idleTimeout)
 	}
 }
 
@@ -101,7 +101,7 @@
 		defer func() { n.learned.restoreMember(id, uid) }()
 	}
 	if address.IsValid() {
-		r.poolOf(group).Place(id, address)
+		r.poolOf(group).SetAddress(id, address)
 	}
 	zoneNumber := driver.Zone(max(0, slices.Index(r.zones, zone)))
 	if n.membership != nil {
@@ -167,9 +167,9 @@
 	var longest *member.Pool
 	longestSince := time.Duration(0)
 	for _, p := range r.pools {
-		if since, ok := p.Oldest(); ok && (longest == nil || since < longestSince) {
+		if since, ok := p.OldestIdle(); ok && (longest == nil || since < longestSince) {
 			longest, longestSince = p, since
 		}
 	}
-	return longest != nil && longest.MakeRoom()
+	return longest != nil && longest.EvictIdle()
 }
