--- a/internal/node/configuration_golden_test.go
+++ b/internal/node/configuration_golden_test.go
@@ -23,7 +23,7 @@
 
 func TestGoldenConfigurationFolder(t *testing.T) {
 	source, written := filepath.Join("testdata", "configuration"), t.TempDir()
-	p, c, _ := configured(t, written, "")
+	p, c, _ := startConfiguredDriver(t, written, "")
 	c.publish(replacedMethods)
 	p.drivers[0].host.Kill()
 	p.drivers[0].node.CloseStores()
@@ -40,7 +40,7 @@
 	if value := string([]byte{1, 0, 0, 0, 0, 0, 0, 0}) + replacedMethods; len(got) != 1 || len(want) != 1 || want[configurationRecord] != value || got[configurationRecord] != value {
 		t.Errorf("written %q, the golden folder has %q", got, want)
 	}
-	p, _, _ = configured(t, found, "")
+	p, _, _ = startConfiguredDriver(t, found, "")
 	n := p.drivers[0].node
 	if n.Configuration().Version != 1 || n.Settings()["caps.attempts"] != "3" || n.Settings()["methods.0.name"] != "buy" || n.loop.Most() != 300-3 {
 		t.Errorf("restored %+v, %v", n.Configuration(), n.Settings())
--- a/internal/node/configuration_test.go
+++ b/internal/node/configuration_test.go
@@ -21,10 +21,10 @@
 
 // controlMachines are three control machines in a simulated network.
 type controlMachines struct {
-	play    *simulatedFleet
+	fleet    *simulatedFleet
 	servers []*server.Server
 	hosts   []*sim.Host
-	number  uint64
+	lastID  uint64
 }
 
 type simStorage struct {
@@ -41,7 +41,7 @@
 }
 
 func (p *simulatedFleet) startControlMachines() *controlMachines {
-	c := &controlMachines{play: p}
+	c := &controlMachines{fleet: p}
 	for n := range 3 {
 		h := p.world.Host(fmt.Sprint("control", n))
 		place := server.MachineConfig{Fleet: "shop", Name: h.Name, Listen: controlAddress(n)}
@@ -61,22 +61,22 @@
 
 // publish publishes a text as the next version, and lets a second pass.
 func (c *controlMachines) publish(text string) uint64 {
-	c.number++
+	c.lastID++
 	for n, s := range c.servers {
 		if s.Machine().IsWriter() {
-			id := c.number
+			id := c.lastID
 			c.hosts[n].Do(func() {
 				s.Machine().Publish(rollout.PublishRequest{RequestID: id, PublicationID: id, BaseVersion: s.Machine().Committed().Version, Text: text})
 			})
-			c.play.advance(time.Second)
+			c.fleet.advance(time.Second)
 			return s.Machine().Committed().Version
 		}
 	}
-	c.play.t.Fatal("no machine is the writer")
+	c.fleet.t.Fatal("no machine is the writer")
 	return 0
 }
 
-func (p *simulatedFleet) advance(lasts time.Duration) { p.world.Run(p.world.Now() + lasts) }
+func (p *simulatedFleet) advance(duration time.Duration) { p.world.Run(p.world.Now() + duration) }
 
 func configurationBlock(folder string) string {
 	text := fmt.Sprintf("configuration {\n  fleet = \"shop\"\n  machines = [%q, %q, %q]\n", controlAddress(0), controlAddress(1), controlAddress(2))
@@ -86,8 +86,8 @@
 	return text + "}\n"
 }
 
-// configured returns a driver that polls control machines, with three members.
-func configured(t *testing.T, folder, more string) (*simulatedFleet, *controlMachines, func() *Node) {
+// startConfiguredDriver returns a driver that polls control machines, with three members.
+func startConfiguredDriver(t *testing.T, folder, more string) (*simulatedFleet, *controlMachines, func() *Node) {
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	p := &simulatedFleet{t: t, world: sim.New(5, epoch), random: pcg.New(5), answers: make(map[string]string), executions: make(map[string]int)}
 	for i := range 3 {
@@ -122,8 +122,8 @@
 	return p, c, start
 }
 
-// say sends one RPC on a connection of its own, and returns a function for its answer.
-func (p *simulatedFleet) say(method string, wait int) (heard func() string) {
+// sendRPC sends one RPC on a connection of its own, and returns a function for its answer.
+func (p *simulatedFleet) sendRPC(method string, deadlineMS int) (answer func() string) {
 	p.sent++
 	c := &simClient{play: p, loop: p.loopOn(p.world.Host(fmt.Sprint("say", p.sent))), to: p.drivers[0].at, name: "say", until: p.world.Now()}
 	c.id = fmt.Sprintf("say-%d", p.sent)
@@ -133,7 +133,7 @@
 			p.t.Error(err)
 			return
 		}
-		text := taggedStatement(c.id, method, wait, 0)
+		text := taggedStatement(c.id, method, deadlineMS, 0)
 		if method == "look" {
 			text = strings.Replace(text, "INSERT INTO items (id, doc) VALUES ('", "SELECT doc FROM items WHERE id = ('", 1)
 		}
@@ -150,7 +150,7 @@
 // A version is applied as a whole: methods, caps and limits. RPCs of removed methods that are under way are answered and later ones rejected;
 // new methods are served.
 func TestPublishedVersionIsApplied(t *testing.T) {
-	p, c, _ := configured(t, "", "")
+	p, c, _ := startConfiguredDriver(t, "", "")
 	n := p.drivers[0].node
 	if got := n.Configuration(); got.Version != 0 || n.configuration.status().SilentMS > 2000 {
 		t.Fatalf("%+v, %+v", got, n.configuration.status())
@@ -158,7 +158,7 @@
 	for _, m := range p.members {
 		m.work = 500 * time.Millisecond
 	}
-	before := p.say("pay", 1500)
+	before := p.sendRPC("pay", 1500)
 	p.advance(100 * time.Millisecond)
 	if v := c.publish(replacedMethods); v != 1 || n.Configuration().Version != 1 {
 		t.Fatalf("version %d is published, %+v in force", v, n.Configuration())
@@ -169,7 +169,7 @@
 	for _, m := range p.members {
 		m.work = 20 * time.Millisecond
 	}
-	buys, pays, looks := p.say("buy", 800), p.say("pay", 800), p.say("look", 600)
+	buys, pays, looks := p.sendRPC("buy", 800), p.sendRPC("pay", 800), p.sendRPC("look", 600)
 	p.advance(time.Second)
 	if buys() != "ok" || looks() != "ok" || pays() == "ok" || pays() == "" {
 		t.Errorf("a new method is answered %q, one that stays %q, a removed one %q", buys(), looks(), pays())
@@ -180,7 +180,7 @@
 	if v := c.publish(`{}`); v != 2 || n.Configuration().Version != 2 {
 		t.Fatalf("version %d, %+v", v, n.Configuration())
 	}
-	pays, buys = p.say("pay", 800), p.say("buy", 800)
+	pays, buys = p.sendRPC("pay", 800), p.sendRPC("buy", 800)
 	p.advance(time.Second)
 	if pays() != "ok" || buys() == "ok" || n.loop.Most() != 256-3 {
 		t.Errorf("with its own file again: pay is answered %q, buy %q, %d descriptors", pays(), buys(), n.loop.Most())
@@ -202,7 +202,7 @@
   }
 }
 `
-	p, c, _ := configured(t, "", front)
+	p, c, _ := startConfiguredDriver(t, "", front)
 	n := p.drivers[0].node
 	c.publish(`{"settings":{"caps":{"max_retry_after_us":7000}}}`)
 	for text, want := range map[string]string{
@@ -220,7 +220,7 @@
 			t.Error("a part of the rejected version is in force")
 		}
 	}
-	looks := p.say("look", 600)
+	looks := p.sendRPC("look", 600)
 	p.advance(time.Second)
 	if looks() != "ok" {
 		t.Errorf("an RPC is answered %q", looks())
@@ -236,7 +236,7 @@
 		return fmt.Sprintf("front \"odata\" \"shop\" {\n  listen = \"10.0.0.1:8080\"\n  set \"Items\" {\n    key = \"Id\"\n    groups = [0]\n    property \"Id\" {}\n    operation \"read\" {\n      method = %q\n"+
 			"      statement = \"SELECT doc FROM items WHERE id = {key}\"\n    }\n  }\n}\n", method)
 	}
-	p, c, _ := configured(t, "", front("look"))
+	p, c, _ := startConfiguredDriver(t, "", front("look"))
 	n := p.drivers[0].node
 	v := c.publish(`{"settings":{"classes":[{"name":"seek","effect":"safe","points":2,"target_us":300000,"hard_limit_us":700000}],"family_info":{"class_read":["loose"]}}}`)
 	if got := n.Configuration(); got.RejectedVersion != v {
@@ -257,7 +257,7 @@
 // With a folder a driver restarts with the version that was in force, also without control machines; otherwise with its own file.
 func TestRestartRestoresAppliedVersion(t *testing.T) {
 	for _, folder := range []string{t.TempDir(), ""} {
-		p, c, start := configured(t, folder, "")
+		p, c, start := startConfiguredDriver(t, folder, "")
 		c.publish(`{"settings":{"tick_us":8000,"areas":["b","a"],"caps":{"max_retry_after_us":7000}}}`)
 		n := p.drivers[0].node
 		if got := n.Configuration(); got.Version != 1 || strings.Join(got.NeedsRestart, " ") != "tick_us areas" || n.rpcs.tick != 5*time.Millisecond {
@@ -274,7 +274,7 @@
 		if folder != "" && (n.rpcs.tick != 8*time.Millisecond || n.Settings()["caps.longest_wait"] != "7000" || n.members.zones[0] != "b") {
 			t.Errorf("tick %v, %v, zones %v", n.rpcs.tick, n.Settings()["caps.longest_wait"], n.members.zones)
 		}
-		looks := p.say("look", 600)
+		looks := p.sendRPC("look", 600)
 		p.advance(3 * time.Second)
 		if looks() != "ok" {
 			t.Errorf("without control machines an RPC is answered %q", looks())
@@ -289,7 +289,7 @@
 // A driver serves even if the stored version cannot be used any more.
 func TestUnusableStoredVersionIsIgnored(t *testing.T) {
 	folder := t.TempDir()
-	p, c, start := configured(t, folder, "")
+	p, c, start := startConfiguredDriver(t, folder, "")
 	c.publish(`{"settings":{"caps":{"max_retry_after_us":7000}}}`)
 	p.drivers[0].host.Kill()
 	p.drivers[0].node.CloseStores()
@@ -308,7 +308,7 @@
 	if got := n.Configuration(); got.Version != 0 || got.RejectedVersion != 9 || !strings.Contains(got.RejectReason, "settings.clases") {
 		t.Errorf("%+v", got)
 	}
-	looks := p.say("look", 600)
+	looks := p.sendRPC("look", 600)
 	p.advance(time.Second)
 	if looks() != "ok" {
 		t.Errorf("an RPC is answered %q", looks())
@@ -341,8 +341,8 @@
 func TestApplyBeforeCheckIsDetected(t *testing.T) {
 	good, bad := `{"settings":{"caps":{"max_retry_after_us":7000}}}`, `{"settings":{"caps":{"max_retry_after_us":9000},"family_info":{"class_read":["old"]}}}`
 	for _, mutated := range []bool{false, true} {
-		_, c, _ := configured(t, "", "")
-		n := c.play.drivers[0].node
+		_, c, _ := startConfiguredDriver(t, "", "")
+		n := c.fleet.drivers[0].node
 		published := map[uint64]string{c.publish(good): good}
 		if wrong := findInconsistency(n, published); wrong != "" {
 			t.Fatal(wrong)
