--- a/internal/node/attempts_test.go
+++ b/internal/node/attempts_test.go
@@ -15,56 +15,61 @@
 	"passtack/rules"
 )
 
-// Each member has a group and a way to fail of its own. The outcome must be what the bytes on the wire prove, and no more.
-func TestOutcomesOfConnectionFailures(t *testing.T) {
-	hangUp := func(net.Conn) bool { return false }
-	breaks := []struct {
-		what, want, outcome string
-		greet               func(net.Conn) bool
-		act                 func(net.Conn, *receivedQuery) bool
-		member              *fakeMember
-	}{
-		{what: "refused", want: codeRejected, outcome: "no_connection"},
-		{what: "hangs up on the connect", want: codeRejected, outcome: "no_connection", greet: hangUp, act: respondAsLeader},
-		{what: "says nothing on the connect", want: codeRejected, outcome: "no_connection", greet: waitForClose, act: respondAsLeader},
-		{what: "has too many connections", want: codeRejected, outcome: "full", act: respondAsLeader, greet: func(c net.Conn) bool {
-			c.Write(pgwire.AppendError(nil, true, "53300", "too many", -1))
-			return false
-		}},
-		{what: "speaks something else", want: codeRejected, outcome: "no_connection", act: respondAsLeader, greet: func(c net.Conn) bool {
-			c.Write([]byte("HTTP/1.1 400 Bad Request\r\n\r\n"))
-			return false
-		}},
-		{what: "hangs up on the query", want: codeAborted, outcome: "broken", act: func(net.Conn, *receivedQuery) bool { return false }},
-		{what: "hangs up mid answer", want: codeAborted, outcome: "broken", act: func(c net.Conn, q *receivedQuery) bool {
-			c.Write(rowResponse("half")[:30])
-			return false
-		}},
-		{what: "answers garbage", want: codeAborted, outcome: "broken", act: func(c net.Conn, q *receivedQuery) bool {
-			c.Write([]byte{'D', 255, 255, 255, 255, 1, 2})
-			return waitForClose(c)
-		}},
-		{what: "answers without a row", want: codeAborted, outcome: "broken", act: func(c net.Conn, q *receivedQuery) bool {
-			c.Write(pgwire.AppendDone(nil, "SELECT 0"))
-			return true
-		}},
-		{what: "says nothing", want: codeAborted, outcome: "timed_out", act: func(c net.Conn, q *receivedQuery) bool { return waitForClose(c) }},
-		{what: "fails", want: codeAborted, outcome: "failed", act: func(c net.Conn, q *receivedQuery) bool { return respondError(c, "XX000", "leader") }},
-		{what: "fails and hangs up", want: codeAborted, outcome: "failed", act: func(c net.Conn, q *receivedQuery) bool {
-			c.Write(pgwire.AppendError(nil, true, "XX000", "no", -1))
-			return false
-		}},
-		{what: "is full", want: codeRejected, outcome: "full", act: func(c net.Conn, q *receivedQuery) bool { return respondError(c, "53300", "leader") }},
-		{what: "is no primary", want: codeRejected, outcome: "miss", act: func(c net.Conn, q *receivedQuery) bool { return respondError(c, "25006", "follower") }},
-		{what: "says more than was asked", want: "ok value of f14", outcome: "ok", act: func(c net.Conn, q *receivedQuery) bool {
-			respondOK(c, q, "leader")
-			c.Write(rowResponse("more"))
-			return true
-		}},
-	}
+// connectionFailure is a way in which a connection to a member, or an attempt on it, fails.
+type connectionFailure struct {
+	what, want, outcome string // want is what the client receives
+	onConnect           func(net.Conn) bool
+	respond             func(net.Conn, *receivedQuery) bool // nil: nobody listens
+	member              *fakeMember
+}
+
+func hangUp(net.Conn) bool { return false }
+
+var connectionFailures = []connectionFailure{
+	{what: "refused", want: codeRejected, outcome: "no_connection"},
+	{what: "hangs up on the connect", want: codeRejected, outcome: "no_connection", onConnect: hangUp, respond: respondAsLeader},
+	{what: "says nothing on the connect", want: codeRejected, outcome: "no_connection", onConnect: waitForClose, respond: respondAsLeader},
+	{what: "has too many connections", want: codeRejected, outcome: "full", respond: respondAsLeader, onConnect: func(c net.Conn) bool {
+		c.Write(pgwire.AppendError(nil, true, "53300", "too many", -1))
+		return false
+	}},
+	{what: "speaks something else", want: codeRejected, outcome: "no_connection", respond: respondAsLeader, onConnect: func(c net.Conn) bool {
+		c.Write([]byte("HTTP/1.1 400 Bad Request\r\n\r\n"))
+		return false
+	}},
+	{what: "hangs up on the query", want: codeAborted, outcome: "broken", respond: func(net.Conn, *receivedQuery) bool { return false }},
+	{what: "hangs up mid answer", want: codeAborted, outcome: "broken", respond: func(c net.Conn, q *receivedQuery) bool {
+		c.Write(rowResponse("half")[:30])
+		return false
+	}},
+	{what: "answers garbage", want: codeAborted, outcome: "broken", respond: func(c net.Conn, q *receivedQuery) bool {
+		c.Write([]byte{'D', 255, 255, 255, 255, 1, 2})
+		return waitForClose(c)
+	}},
+	{what: "answers without a row", want: codeAborted, outcome: "broken", respond: func(c net.Conn, q *receivedQuery) bool {
+		c.Write(pgwire.AppendDone(nil, "SELECT 0"))
+		return true
+	}},
+	{what: "says nothing", want: codeAborted, outcome: "timed_out", respond: func(c net.Conn, q *receivedQuery) bool { return waitForClose(c) }},
+	{what: "fails", want: codeAborted, outcome: "failed", respond: func(c net.Conn, q *receivedQuery) bool { return respondError(c, "XX000", "leader") }},
+	{what: "fails and hangs up", want: codeAborted, outcome: "failed", respond: func(c net.Conn, q *receivedQuery) bool {
+		c.Write(pgwire.AppendError(nil, true, "XX000", "no", -1))
+		return false
+	}},
+	{what: "is full", want: codeRejected, outcome: "full", respond: func(c net.Conn, q *receivedQuery) bool { return respondError(c, "53300", "leader") }},
+	{what: "is no primary", want: codeRejected, outcome: "miss", respond: func(c net.Conn, q *receivedQuery) bool { return respondError(c, "25006", "follower") }},
+	{what: "says more than was asked", want: "ok value of f14", outcome: "ok", respond: func(c net.Conn, q *receivedQuery) bool {
+		respondOK(c, q, "leader")
+		c.Write(rowResponse("more"))
+		return true
+	}},
+}
+
+// corruptAnswers are answers that break the protocol, by what is wrong with them.
+func corruptAnswers() map[string][]byte {
 	whole := pgwire.AppendReady(appendReport(rowResponse("value"), "leader"))
 	row, tag := bytes.Index(whole, []byte("value")), bytes.Index(whole, []byte("SELECT 1"))
-	for what, spoilt := range map[string][]byte{
+	return map[string][]byte{
 		"gives a row that is too short":     slices.Replace(bytes.Clone(whole), row-4, row, 0, 0, 0, 4),
 		"gives a row of 3 GB":               slices.Replace(bytes.Clone(whole), row-4, row, 0xb2, 0xd0, 0x5e, 0),
 		"gives two columns":                 slices.Replace(bytes.Clone(whole), row-6, row-4, 0, 2),
@@ -78,59 +83,40 @@
 		"gives a parameter without a value": append(append(pgwire.AppendHead(nil, 'S', 2), "x\x00"...), whole...),
 		"turns it away but not wholly":      append(pgwire.AppendError(nil, false, "53300", "no", -1), 'Z', 0, 0, 0, 5, 'x'),
 		"greets instead":                    pgwire.AppendWelcome(nil, 1, 1),
-	} {
-		i := len(breaks)
-		breaks = append(breaks, breaks[0])
-		breaks[i].what, breaks[i].want, breaks[i].outcome = what, codeAborted, "broken"
-		breaks[i].act = func(c net.Conn, q *receivedQuery) bool {
-			c.Write(spoilt)
+	}
+}
+
+// Each member has a group and a way to fail of its own. The outcome must be what the bytes on the wire prove, and no more.
+func TestOutcomesOfConnectionFailures(t *testing.T) {
+	failures := slices.Clone(connectionFailures)
+	for what, answer := range corruptAnswers() {
+		failures = append(failures, connectionFailure{what: what, want: codeAborted, outcome: "broken", respond: func(c net.Conn, q *receivedQuery) bool {
+			c.Write(answer)
 			return waitForClose(c)
-		}
+		}})
 	}
 	var targets []string
-	wanted := make(map[string]int)
-	for i := range breaks {
-		b := &breaks[i]
-		b.member = startFakeMember(t, b.act)
-		b.member.onConnect = b.greet
-		if b.act == nil {
-			b.member.listener.Close()
+	minOutcomes := make(map[string]int)
+	for i := range failures {
+		f := &failures[i]
+		f.member = startFakeMember(t, f.respond)
+		f.member.onConnect = f.onConnect
+		if f.respond == nil {
+			f.member.listener.Close()
 		}
-		wanted["attempts_"+b.outcome]++
-		targets = append(targets, endpointEntry(i, i, b.member.listener.Addr(), "in_service"))
+		minOutcomes["attempts_"+f.outcome]++
+		targets = append(targets, endpointEntry(i, i, f.member.listener.Addr(), "in_service"))
 	}
 	d := startDriver(t, "", 100, endpointList(1, true, targets...))
 	var all sync.WaitGroup
-	for i, b := range breaks {
-		all.Go(func() {
-			id := fmt.Sprintf("f%d", i)
-			began := time.Now()
-			if got := dialPG(t, d.address).query(t, taggedStatement(id, "pay", 600, i)); got != b.want {
-				t.Errorf("%s: the client hears %s, not %s", b.what, got, b.want)
-			}
-			if took := time.Since(began); took > 2*time.Second {
-				t.Errorf("%s: the answer took %v", b.what, took)
-			}
-			ran := b.member.seen()
-			for _, q := range ran {
-				if field(q.text, "id") != id || field(q.text, "k") != "key-"+id ||
-					!strings.HasSuffix(q.text, " */ INSERT INTO items (id, doc) VALUES ('"+id+"', 'x')") {
-					t.Errorf("%s: the member was sent %q", b.what, q.text)
-				}
-				if left, err := strconv.Atoi(field(q.text, "d")); err != nil || left < 1 || left > 600 {
-					t.Errorf("%s: the member is told of %s ms", b.what, field(q.text, "d"))
-				}
-			}
-			if len(ran) > 1 && b.want == codeAborted {
-				t.Errorf("%s: %d attempts of which one may have run", b.what, len(ran))
-			}
-		})
+	for i, f := range failures {
+		all.Go(func() { f.check(t, d, i) })
 	}
 	all.Wait()
 	d.stop()
-	for outcome, count := range wanted {
-		if d.counters[outcome] < count {
-			t.Errorf("%d attempts counted as %s, at least %d wanted", d.counters[outcome], outcome, count)
+	for counter, count := range minOutcomes {
+		if d.counters[counter] < count {
+			t.Errorf("%d attempts counted as %s, at least %d wanted", d.counters[counter], counter, count)
 		}
 	}
 	if d.counters["attempts_sent"] != d.outcomes() || d.rpcs.Len() != 0 || d.members.pools[0].Out() != 0 {
@@ -138,6 +124,31 @@
 	}
 }
 
+// check sends an RPC to the group of the member that fails, and checks what the client and the member receive.
+func (f connectionFailure) check(t *testing.T, d *runningDriver, group int) {
+	id := fmt.Sprintf("f%d", group)
+	began := time.Now()
+	if got := dialPG(t, d.address).query(t, taggedStatement(id, "pay", 600, group)); got != f.want {
+		t.Errorf("%s: the client receives %s, not %s", f.what, got, f.want)
+	}
+	if took := time.Since(began); took > 2*time.Second {
+		t.Errorf("%s: the answer took %v", f.what, took)
+	}
+	received := f.member.seen()
+	for _, q := range received {
+		if field(q.text, "id") != id || field(q.text, "k") != "key-"+id ||
+			!strings.HasSuffix(q.text, " */ INSERT INTO items (id, doc) VALUES ('"+id+"', 'x')") {
+			t.Errorf("%s: the member was sent %q", f.what, q.text)
+		}
+		if left, err := strconv.Atoi(field(q.text, "d")); err != nil || left < 1 || left > 600 {
+			t.Errorf("%s: the member is told of %s ms", f.what, field(q.text, "d"))
+		}
+	}
+	if len(received) > 1 && f.want == codeAborted {
+		t.Errorf("%s: %d attempts of which one may have run", f.what, len(received))
+	}
+}
+
 // A truncated answer is not waited for until the client's deadline; if no answer comes, the client is told before that.
 func TestTruncatedAnswers(t *testing.T) {
 	m := startFakeMember(t, func(c net.Conn, q *receivedQuery) bool {
