--- a/internal/node/configuration_test.go
+++ b/internal/node/configuration_test.go
@@ -21,7 +21,7 @@
 
 // controlMachines are three control machines in a simulated network.
 type controlMachines struct {
-	fleet    *simulatedFleet
+	fleet   *simulatedFleet
 	servers []*server.Server
 	hosts   []*sim.Host
 	lastID  uint64
