--- a/cmd/passtack/red_test.go
+++ b/cmd/passtack/red_test.go
@@ -10,14 +10,14 @@
 
 // What CI may pass over is named one by one, and a line that names nothing fails it.
 func TestTestsKnownToFailAreNamed(t *testing.T) {
-	const good = "internal/list TestWholeListsAndChanges | it cannot be mended now | issue 1\n"
+	const good = "internal/discovery TestCompleteListsAndChanges | it cannot be mended now | issue 1\n"
 	for _, c := range []struct {
 		text, pattern, wrong string
 	}{
 		{"", "", ""},
-		{good, "^(TestWholeListsAndChanges)$\n", ""},
-		{strings.TrimSpace(good) + "\ninternal/node TestReload | two | issue 22", "^(TestWholeListsAndChanges|TestReload)$\n", ""},
-		{"internal/list TestNobodyWrote | cause | issue 1\n", "", "names no test"},
+		{good, "^(TestCompleteListsAndChanges)$\n", ""},
+		{strings.TrimSpace(good) + "\ninternal/node TestReload | two | issue 22", "^(TestCompleteListsAndChanges|TestReload)$\n", ""},
+		{"internal/discovery TestNobodyWrote | cause | issue 1\n", "", "names no test"},
 		{"internal/nowhere TestReload | cause | issue 1\n", "", "names no test"},
 		{"TestReload | cause | issue 1\n", "", "is malformed"},
 		{"internal/node TestReload |  | issue 1\n", "", "is malformed"},
--- /dev/null
+++ b/internal/discovery/client.go
@@ -0,0 +1,241 @@
+// Package discovery is the client of the discovery agent: it watches the list of endpoints, or polls it, and reports each list
+// to its host. All calls come from the goroutine of the event loop.
+package discovery
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"log/slog"
+	"net/http"
+	"net/netip"
+	"time"
+
+	"passtack/driver"
+	"passtack/internal/httpwire"
+	"passtack/internal/loop"
+)
+
+// Host receives endpoint lists.
+type Host interface {
+	// ListBegins starts a list, which Listed and ListEnds follow at once. A failure is reported as an empty list of driver.NoList.
+	ListBegins(kind driver.Listing)
+	// Listed reports one entry. The address is invalid where a removed member has none.
+	Listed(uid string, address netip.AddrPort, zone string, group driver.Group, state driver.Standing,
+		size float64, started time.Duration, primary bool)
+	// ListEnds completes the list.
+	ListEnds(kind driver.Listing)
+	// Count adds one to a counter.
+	Count(name string)
+}
+
+// A change is reported within 6 s after discovery has it, whatever requests fail meanwhile. In the worst case it comes just
+// after the last response, and the watch that was opened then gets none: it is given up after watchHold + responseSlack, the
+// next request follows rules.ListPause later at most, and is answered within responseSlack: 2.5 + 1 + 0.5 + 1 = 5 s. If that
+// request fails too, and responses come at once, the one after it is answered after 5.5 s at most.
+const (
+	watchHold     = 2500 * time.Millisecond // for which discovery may hold a watch without a change
+	responseSlack = time.Second             // for a response, beyond watchHold
+	maxListBytes  = 4 << 20
+	listPath      = "/discovery/hosts"
+)
+
+// MaxWatch is the longest time from sending a watch until it is answered or given up.
+const MaxWatch = watchHold + responseSlack
+
+var errTimeout = errors.New("no response in time")
+
+// StatusError reports a response of discovery with another status than 200.
+type StatusError int
+
+// Error implements error.
+func (s StatusError) Error() string { return fmt.Sprintf("status %d", int(s)) }
+
+// Client is the connection to discovery. One request is outstanding at a time. It implements loop.Handler.
+type Client struct {
+	loop        *loop.Loop
+	host        Host
+	address     netip.AddrPort
+	stream      *loop.Stream // nil: not connected
+	revision    int64        // of the latest list
+	requests    uint64       // sent so far
+	outstanding uint64       // number of the request without a response, 0: none
+	timeout     loop.Due     // of that request
+	fetching    bool         // that request, or the latest, is for the complete list
+	fetchNext   bool         // the next request is for the complete list
+	pollNext    bool         // the next request does not wait for a change, as the latest failed or the watch is paused
+	watching    bool         // a watch follows each response
+	paused      bool         // the watch is paused
+	respondedAt time.Duration
+
+	// OnList receives every list before the host does, for storage. It may be nil. Entries are by uid; those of removed members
+	// are nil.
+	OnList func(revision int64, complete bool, entries map[string][]byte)
+}
+
+// New creates a client that has sent no request.
+func New(l *loop.Loop, host Host, address netip.AddrPort) *Client {
+	return &Client{loop: l, host: host, address: address}
+}
+
+// Restore reports a list that was stored earlier.
+func (c *Client) Restore(body []byte) error { return c.apply(body, true) }
+
+// SetPaused pauses or resumes the watch. While it is paused, only Fetch and Poll send requests.
+func (c *Client) SetPaused(paused bool) {
+	if c.paused = paused; !paused {
+		c.send()
+	}
+}
+
+// Poll requests the changes so far, also while the watch is paused.
+func (c *Client) Poll() {
+	c.pollNext = true
+	c.send()
+}
+
+// Fetch requests the complete list once.
+func (c *Client) Fetch() {
+	c.fetchNext = true
+	c.send()
+}
+
+// SetWatching starts or stops the watch. A failure stops it too.
+func (c *Client) SetWatching(watching bool) {
+	if c.watching = watching; watching {
+		c.send()
+	}
+}
+
+// SetAddress changes the address of discovery, drops the outstanding request and fetches the complete list.
+func (c *Client) SetAddress(address netip.AddrPort) {
+	c.disconnect()
+	c.address, c.outstanding = address, 0
+	c.Fetch()
+}
+
+// Fresh reports whether discovery has responded recently enough for a watch that goes on.
+func (c *Client) Fresh() bool { return c.respondedAt > 0 && c.loop.Now()-c.respondedAt < MaxWatch }
+
+// Revision returns the revision of the latest list.
+func (c *Client) Revision() int64 { return c.revision }
+
+// send sends the next request, unless one is outstanding or none is due.
+func (c *Client) send() {
+	if c.outstanding != 0 || !c.fetchNext && (!c.watching || c.paused && !c.pollNext) {
+		return
+	}
+	if err := c.connect(); err != nil {
+		c.loop.Later(func() { c.fail(err) })
+		return
+	}
+	c.fetching, c.fetchNext = c.fetchNext, false
+	path, wait := c.nextRequest()
+	c.requests++
+	c.outstanding = c.requests
+	number := c.outstanding
+	c.stream.Send(httpwire.AppendGet(nil, c.address.String(), path))
+	c.host.Count("list_calls")
+	c.timeout = c.loop.At(c.loop.Now()+wait, func() {
+		if c.outstanding == number {
+			c.fail(errTimeout)
+		}
+	})
+}
+
+// nextRequest returns the path of the request to send and how long to wait for its response.
+func (c *Client) nextRequest() (path string, wait time.Duration) {
+	if c.fetching {
+		return listPath, responseSlack
+	}
+	hold := watchHold
+	if c.pollNext {
+		hold = 0
+	}
+	return fmt.Sprintf("%s?from=%d&hold_ms=%d", listPath, c.revision, hold/time.Millisecond), responseSlack + hold
+}
+
+// connect opens a connection unless there is one that can be used again.
+func (c *Client) connect() (err error) {
+	if c.stream != nil && !c.stream.Alive() {
+		c.disconnect()
+	}
+	if c.stream == nil {
+		c.stream, err = c.loop.DialKept(c.address, c, maxListBytes)
+	}
+	return err
+}
+
+func (c *Client) disconnect() {
+	if c.stream != nil {
+		c.stream.Close()
+		c.stream = nil
+	}
+}
+
+// Opened implements loop.Handler.
+func (c *Client) Opened() {}
+
+// Input implements loop.Handler: it reads a response once it is complete.
+func (c *Client) Input(in []byte) int {
+	if c.outstanding == 0 {
+		return len(in)
+	}
+	status, body, size, last, err := httpwire.Answer(in, false)
+	if err != nil || len(in) >= maxListBytes && size == 0 {
+		c.fail(errors.Join(httpwire.ErrAnswer, err))
+		return 0
+	}
+	if size == 0 {
+		return 0
+	}
+	c.receive(status, body, last)
+	return size
+}
+
+// receive takes a complete response and sends the next request.
+func (c *Client) receive(status int, body []byte, last bool) {
+	if status != http.StatusOK {
+		c.fail(StatusError(status))
+		return
+	}
+	if err := c.apply(body, false); err != nil {
+		c.fail(err)
+		return
+	}
+	c.loop.Forget(c.timeout)
+	c.outstanding, c.respondedAt, c.pollNext = 0, c.loop.Now(), false
+	if last {
+		c.disconnect()
+	}
+	c.send()
+}
+
+// Closed implements loop.Handler. The end of the connection completes a response without a length.
+func (c *Client) Closed(cause error) {
+	in := c.stream.Unread()
+	c.stream = nil
+	if c.outstanding == 0 {
+		return
+	}
+	if status, body, size, _, err := httpwire.Answer(in, true); cause == io.EOF && err == nil && size > 0 {
+		c.receive(status, body, true)
+		return
+	}
+	c.fail(cause)
+}
+
+// Panicked implements loop.Handler.
+func (c *Client) Panicked(cause error) { c.fail(cause) }
+
+// fail reports that a request brought no list. The latest list remains valid. The watch stops until the host starts it again;
+// then a request for the complete list that failed is repeated.
+func (c *Client) fail(cause error) {
+	slog.Warn("endpoint list request failed", "revision", c.revision, "cause", cause)
+	c.disconnect()
+	c.fetchNext = c.fetchNext || c.outstanding != 0 && c.fetching
+	c.outstanding, c.watching, c.pollNext = 0, false, true
+	c.host.Count("list_failures")
+	c.host.ListBegins(driver.NoList)
+	c.host.ListEnds(driver.NoList)
+}
--- a/internal/lab/capacity/driver_state.go
+++ b/internal/lab/capacity/driver_state.go
@@ -11,7 +11,7 @@
 
 	"passtack/driver"
 	"passtack/internal/config"
-	"passtack/internal/list"
+	"passtack/internal/discovery"
 	"passtack/internal/loop"
 	"passtack/internal/loop/sim"
 	"passtack/internal/member"
@@ -120,13 +120,13 @@
 func (q *quiet) AttemptEnded(driver.RPC, int, driver.Member, driver.Outcome, time.Duration, time.Duration, driver.Role, []float64, *driver.Answer) {
 }
 
-// ListBegins implements list.Host by passing the event on.
+// ListBegins implements discovery.Host by passing the event on.
 func (q *quiet) ListBegins(how driver.Listing) { q.module.ListBegins(how) }
 
-// ListEnds implements list.Host by passing the event on.
+// ListEnds implements discovery.Host by passing the event on.
 func (q *quiet) ListEnds(how driver.Listing) { q.module.ListEnds(how) }
 
-// Listed implements list.Host by passing the entry on.
+// Listed implements discovery.Host by passing the entry on.
 func (q *quiet) Listed(uid string, _ netip.AddrPort, _ string, group driver.Group, state driver.Standing, size float64, started time.Duration, primary bool) {
 	m, known := q.ids[uid]
 	if !known {
@@ -306,15 +306,15 @@
 	if err != nil {
 		return err
 	}
-	d := list.New(l, q, memberPlace(0))
+	d := discovery.New(l, q, memberPlace(0))
 	for what, text := range map[string][]byte{"whole": listText(members, 0, members, memberPlace), "change": listText(members, 0, 1, memberPlace), "nothing": listText(members, 0, 0, memberPlace)} {
-		if err := d.Know(listText(members, 0, members, memberPlace)); err != nil { // so that all are known
+		if err := d.Restore(listText(members, 0, members, memberPlace)); err != nil { // so that all are known
 			return err
 		}
 		least := time.Duration(0)
 		var objects, bytes float64
 		for n := range times {
-			o, b, took := mallocs(func() { err = errors.Join(err, d.Know(text)) })
+			o, b, took := mallocs(func() { err = errors.Join(err, d.Restore(text)) })
 			if n == 0 || took < least {
 				objects, bytes, least = o, b, took
 			}
--- a/internal/lab/capacity/growth_test.go
+++ b/internal/lab/capacity/growth_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"passtack/internal/list"
+	"passtack/internal/discovery"
 	"passtack/internal/loop"
 	"passtack/internal/loop/sim"
 	"passtack/internal/peers"
@@ -164,11 +164,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	side := list.New(l, counted{}, placeOf(2, 0, 8500))
-	whole := (&discovery{members: 400, rev: 1}).list(true)
+	side := discovery.New(l, counted{}, placeOf(2, 0, 8500))
+	whole := (&discoveryAgent{members: 400, rev: 1}).list(true)
 	read := func(times int) {
 		for range times {
-			if err := side.Know(whole); err != nil {
+			if err := side.Restore(whole); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/lab/capacity/hollow.go
+++ b/internal/lab/capacity/hollow.go
@@ -113,7 +113,7 @@
 		return nil, err
 	}
 	field.Serve(l, func() {})
-	d := &discovery{members: few, rev: 1}
+	d := &discoveryAgent{members: few, rev: 1}
 	for i := range drivers {
 		f.talk = append(f.talk, placeOf(3, i, 7946))
 		a, err := d.agent(l, placeOf(2, i, 8500))
@@ -263,7 +263,7 @@
 }
 
 // discovery tells which members there are.
-type discovery struct {
+type discoveryAgent struct {
 	members int
 	rev     int
 	drains  int    // member that drains since the latest revision; none: 0
@@ -273,14 +273,14 @@
 
 // agent is discovery as one driver meets it.
 type agent struct {
-	discovery          *discovery
+	discovery          *discoveryAgent
 	loop               *loop.Loop
 	at                 netip.AddrPort
 	waiting            *asker
 	calls, sent, taken int
 }
 
-func (d *discovery) agent(l *loop.Loop, at netip.AddrPort) (*agent, error) {
+func (d *discoveryAgent) agent(l *loop.Loop, at netip.AddrPort) (*agent, error) {
 	a := &agent{discovery: d, loop: l, at: at}
 	d.agents = append(d.agents, a)
 	_, err := l.Listen(at, 1<<16, loop.Door{}, func(open func(loop.Handler) *loop.Stream) {
@@ -291,7 +291,7 @@
 }
 
 // drain lets a member drain, of which one agent alone tells, or all.
-func (d *discovery) drain(member int, only *agent) {
+func (d *discoveryAgent) drain(member int, only *agent) {
 	d.rev, d.drains, d.only = d.rev+1, member, only
 	for _, a := range d.agents {
 		if k := a.waiting; k != nil && (only == nil || a == only) {
@@ -302,7 +302,7 @@
 }
 
 // list is a whole one, or what a drain changes.
-func (d *discovery) list(whole bool) []byte {
+func (d *discoveryAgent) list(whole bool) []byte {
 	type target struct {
 		UID      string  `json:"uid"`
 		Endpoint string  `json:"endpoint"`
--- a/internal/lab/capacity/lists.go
+++ b/internal/lab/capacity/lists.go
@@ -8,14 +8,14 @@
 	"time"
 
 	"passtack/driver"
+	"passtack/internal/discovery"
 	"passtack/internal/draingossip"
-	"passtack/internal/list"
 	"passtack/internal/loop"
 	"passtack/internal/loop/sim"
 )
 
 func listSweeps() []Sweep {
-	const about = "Drivers' side of discovery (internal/list) on simulated loops, one connection and one agent each; what a list is told to counts and keeps nothing: no module, no " +
+	const about = "Drivers' side of discovery (internal/discovery) on simulated loops, one connection and one agent each; what a list is told to counts and keeps nothing: no module, no " +
 		"connections to members. Bytes are those of HTTP, both ways. All start at once and fetch the whole list; they watch for 60 s; then one member drains."
 	return []Sweep{
 		{Name: "list", Axis: Members, Sizes: MemberSizes, About: about + " 30 drivers.", Play: func(stop context.Context, size int, seed uint64, point func(Point)) error {
@@ -29,25 +29,25 @@
 
 // reader is told what a list says.
 type reader struct {
-	list    *list.Discovery
+	list    *discovery.Client
 	entries int
 	whole   time.Duration // when it had the whole list
 	changed time.Duration // when it first had a change
 	now     func() time.Duration
 }
 
-// ListBegins implements list.Host; it does nothing.
+// ListBegins implements discovery.Host; it does nothing.
 func (r *reader) ListBegins(driver.Listing) {}
 
-// Count implements list.Host; it does nothing.
+// Count implements discovery.Host; it does nothing.
 func (r *reader) Count(string) {}
 
-// Listed implements list.Host by counting the entry.
+// Listed implements discovery.Host by counting the entry.
 func (r *reader) Listed(string, netip.AddrPort, string, driver.Group, driver.Standing, float64, time.Duration, bool) {
 	r.entries++
 }
 
-// ListEnds implements list.Host.
+// ListEnds implements discovery.Host.
 func (r *reader) ListEnds(how driver.Listing) {
 	switch {
 	case how == driver.Whole && r.whole == 0:
@@ -77,7 +77,7 @@
 	if err != nil {
 		return err
 	}
-	d := &discovery{members: members, rev: 1}
+	d := &discoveryAgent{members: members, rev: 1}
 	var readers []*reader
 	for i := range drivers {
 		at := placeOf(2, i, 8500)
@@ -89,10 +89,10 @@
 			return err
 		}
 		r := &reader{now: world.Now}
-		r.list = list.New(l, r, at)
+		r.list = discovery.New(l, r, at)
 		l.Later(func() {
 			r.list.Fetch()
-			r.list.Watch(true)
+			r.list.SetWatching(true)
 		})
 		readers = append(readers, r)
 	}
@@ -156,21 +156,21 @@
 // counted is a host that keeps nothing.
 type counted struct{}
 
-// ListBegins implements list.Host; it does nothing.
+// ListBegins implements discovery.Host; it does nothing.
 func (counted) ListBegins(driver.Listing) {}
 
-// ListEnds implements list.Host; it does nothing.
+// ListEnds implements discovery.Host; it does nothing.
 func (counted) ListEnds(driver.Listing) {}
 
-// Count implements list.Host; it does nothing.
+// Count implements discovery.Host; it does nothing.
 func (counted) Count(string) {}
 
-// Listed implements list.Host; it does nothing.
+// Listed implements discovery.Host; it does nothing.
 func (counted) Listed(string, netip.AddrPort, string, driver.Group, driver.Standing, float64, time.Duration, bool) {
 }
 
 // listCounts counts what reading a whole list and knowing its drains takes, on this machine's own loop.
-func listCounts(point func(Point), p Point, d *discovery) error {
+func listCounts(point func(Point), p Point, d *discoveryAgent) error {
 	one := func(measure, unit string, value float64) {
 		p.Measure, p.Unit, p.Value, p.How = measure, unit, value, "counted"
 		point(p)
@@ -181,10 +181,10 @@
 	if err != nil {
 		return err
 	}
-	side := list.New(l, counted{}, placeOf(2, 0, 8500))
+	side := discovery.New(l, counted{}, placeOf(2, 0, 8500))
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
-	if err := side.Know(whole); err != nil {
+	if err := side.Restore(whole); err != nil {
 		return err
 	}
 	runtime.ReadMemStats(&after)
@@ -193,7 +193,7 @@
 	var took []float64
 	for range 11 {
 		began := time.Now()
-		if err := side.Know(whole); err != nil {
+		if err := side.Restore(whole); err != nil {
 			return err
 		}
 		took = append(took, float64(time.Since(began).Microseconds())/1000)
--- a/internal/lab/capacity/processes.go
+++ b/internal/lab/capacity/processes.go
@@ -125,7 +125,7 @@
 	if err != nil {
 		return err
 	}
-	d := &discovery{rev: 1}
+	d := &discoveryAgent{rev: 1}
 	places, err := play.Free(size)
 	if err != nil {
 		return err
--- a/internal/node/configuration.go
+++ b/internal/node/configuration.go
@@ -165,7 +165,7 @@
 	n.module.Change(running)
 	c.report.NeedsRestart = append(c.report.NeedsRestart, n.applyConfig(next.operatorFile)...)
 	if drainingRuleChanged { // it decides by the endpoint list which members may be sent to
-		n.list.Fetch()
+		n.discovery.Fetch()
 	}
 	n.Count(counterVersionsApplied)
 	slog.Info("configuration version applied", "version", next.version, "bytes", len(next.text), "needs_restart", strings.Join(c.report.NeedsRestart, ","))
--- a/internal/node/discovery_watcher.go
+++ b/internal/node/discovery_watcher.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"passtack/driver"
+	"passtack/internal/discovery"
 	"passtack/internal/lease"
-	"passtack/internal/list"
 	"passtack/internal/loop"
 	"passtack/internal/peers"
 )
@@ -15,7 +15,7 @@
 	announceInterval     = 300 * time.Millisecond // between two messages of the holder while its list does not change
 	holderTimeout        = time.Second            // after which drivers watch for themselves if the holder is silent
 	revisionPollInterval = 20 * time.Millisecond  // in which the holder notices that its list has changed
-	maxPauseOfPolls      = list.Longest           // after which a paused driver asks discovery all the same, as the holder may be wrong
+	maxPauseOfPolls      = discovery.MaxWatch     // after which a paused driver asks discovery all the same, as the holder may be wrong
 )
 
 // discoveryWatcher is the task of watching discovery for all drivers: the holder announces the revision of its endpoint list, and the other
@@ -58,7 +58,7 @@
 		return
 	}
 	now := n.loop.Now()
-	if revision := n.list.Rev(); n.list.Fresh() && (revision != w.announcedRevision || now-w.lastActive >= announceInterval) {
+	if revision := n.discovery.Revision(); n.discovery.Fresh() && (revision != w.announcedRevision || now-w.lastActive >= announceInterval) {
 		w.announcedRevision, w.lastActive = revision, now
 		n.Count("revisions_sent")
 		w.leases.messenger.send(driver.EveryPeer, peers.Revision, encodeRevision(revision))
@@ -77,9 +77,9 @@
 	now := n.loop.Now()
 	n.loop.Forget(w.timer)
 	w.timer = n.loop.At(now+holderTimeout, func() { w.setPaused(false) })
-	if revision > n.list.Rev() || now-w.lastActive >= maxPauseOfPolls {
+	if revision > n.discovery.Revision() || now-w.lastActive >= maxPauseOfPolls {
 		w.lastActive = now
-		n.list.Catch()
+		n.discovery.Poll()
 	}
 	w.setPaused(true)
 }
@@ -93,11 +93,11 @@
 	if paused {
 		w.lastActive = w.leases.node.loop.Now()
 	}
-	w.leases.node.list.Rest(paused)
+	w.leases.node.discovery.SetPaused(paused)
 }
 
 func (w *discoveryWatcher) status() any {
-	return DiscoveryWatcherStatus{Paused: w.paused, Revision: w.leases.node.list.Rev()}
+	return DiscoveryWatcherStatus{Paused: w.paused, Revision: w.leases.node.discovery.Revision()}
 }
 
 func encodeRevision(revision int64) []byte {
--- a/internal/node/fleet_membership.go
+++ b/internal/node/fleet_membership.go
@@ -88,7 +88,7 @@
 	f.list.UpdateSummary(membership.Summary{
 		ReadyPercent: uint8(n.recovery.Ready() * 100),
 		RequestRate:  uint16(min(rate, math.MaxUint16)),
-		ListRevision: uint32(n.list.Rev()),
+		ListRevision: uint32(n.discovery.Revision()),
 	})
 	f.shard.update(f.list.ActiveCount(), f.PeerCount())
 	n.loop.At(now+min(summaryInterval, n.config.Membership.Interval), f.updateSummary)
--- a/internal/node/host.go
+++ b/internal/node/host.go
@@ -49,10 +49,10 @@
 func (h *moduleHost) Forget(m driver.Member) { h.node.members.forget(m) }
 
 // Watch starts or stops the watch on the endpoint list.
-func (h *moduleHost) Watch(on bool) { h.node.list.Watch(on) }
+func (h *moduleHost) Watch(on bool) { h.node.discovery.SetWatching(on) }
 
 // FetchList requests the complete endpoint list.
-func (h *moduleHost) FetchList() { h.node.list.Fetch() }
+func (h *moduleHost) FetchList() { h.node.discovery.Fetch() }
 
 // Tell sends a message to another driver.
 func (h *moduleHost) Tell(to driver.Peer, message []byte) { h.node.sendPeerMessage(to, message) }
--- a/internal/node/learned.go
+++ b/internal/node/learned.go
@@ -60,7 +60,7 @@
 	persist.ForEachSessionWrite(store, n.module.RecallToken)
 	n.module.Usual(l.restored.UsualLatencies...)
 	l.logRestored(now, len(report.Unreadable))
-	n.list.Keep = l.saveEndpoints
+	n.discovery.OnList = l.saveEndpoints
 	l.addJobs(config.SaveInterval)
 	n.learned = l // from now on writes of sessions are saved: the restored ones are stored already
 }
@@ -82,15 +82,15 @@
 	n, r := l.node, l.restored
 	body := r.EndpointList()
 	r.Endpoints = nil // the memory is not needed any more
-	if body == nil || r.ListVersion.Discovery != n.site.Discovery || r.ListVersion.Revision <= n.list.Rev() {
+	if body == nil || r.ListVersion.Discovery != n.site.Discovery || r.ListVersion.Revision <= n.discovery.Revision() {
 		return
 	}
-	if err := n.list.Know(body); err != nil {
+	if err := n.discovery.Restore(body); err != nil {
 		slog.Warn("saved endpoint list unusable", "cause", err)
 		return
 	}
 	n.Count("state_lists")
-	n.list.Fetch()
+	n.discovery.Fetch()
 }
 
 // restoreRequests gives a front the saved idempotent requests, and saves those that it finishes from now on.
--- a/internal/node/lease_golden_test.go
+++ b/internal/node/lease_golden_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
+	"passtack/internal/discovery"
 	"passtack/internal/lease"
-	"passtack/internal/list"
 	"passtack/internal/loop"
 	"passtack/internal/loop/sim"
 	"passtack/internal/peers"
@@ -68,7 +68,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n := &Node{loop: l, list: new(list.Discovery)}
+	n := &Node{loop: l, discovery: new(discovery.Client)}
 	service := &leaseService{node: n}
 	s := &summaryTask{leases: service, upload: &summaryUpload{node: n, accepted: 5, rejected: 1, failed: 2}}
 	status := LeasesStatus{Name: "n0", Version: 2, Voters: []string{"n0", "n1", "n2"}, Former: []string{"n0", "n1", "n3"}, SilentForMS: 10,
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -22,7 +22,7 @@
 	defaultIdleTimeout    = time.Hour
 )
 
-// memberRegistry numbers the members of the endpoint list and owns the pools of connections to them. It is the list.Host: it
+// memberRegistry numbers the members of the endpoint list and owns the pools of connections to them. It is the discovery.Host: it
 // receives the endpoint list, and passes it on to the module.
 type memberRegistry struct {
 	node           *Node
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -28,7 +28,7 @@
 
 	"passtack/internal/config"
 	"passtack/internal/control"
-	"passtack/internal/list"
+	"passtack/internal/discovery"
 	"passtack/internal/logs"
 	"passtack/internal/loop"
 	"passtack/internal/memberclock"
@@ -47,10 +47,10 @@
 	config    *config.File // in force
 	simulated bool         // time stands still within an iteration of the loop, and there are no workers
 
-	loop   *loop.Loop
-	module *rules.Router
-	list   *list.Discovery
-	peers  *peers.Peers // nil: the site has no address for messages between drivers
+	loop      *loop.Loop
+	module    *rules.Router
+	discovery *discovery.Client
+	peers     *peers.Peers // nil: the site has no address for messages between drivers
 
 	host      moduleHost
 	listeners listenerSet
@@ -113,7 +113,7 @@
 	n.members.openPools()
 	n.applySettings()
 	l.MakeRoom = n.evictIdle
-	n.list = list.New(l, &n.members, site.Discovery)
+	n.discovery = discovery.New(l, &n.members, site.Discovery)
 	for _, step := range []func() error{
 		n.listenToPeers,
 		n.startModule,
@@ -127,7 +127,7 @@
 		}
 	}
 	if site.Settings["list"] == "pushed" {
-		n.list.Watch(true)
+		n.discovery.SetWatching(true)
 	}
 	n.watchConfiguration()
 	n.recovery.check()
@@ -178,7 +178,7 @@
 // restoreEndpointList takes the list of the site's file, and the one that was persisted if that is newer.
 func (n *Node) restoreEndpointList() error {
 	if len(n.site.InitialList) > 0 {
-		if err := n.list.Know(n.site.InitialList); err != nil {
+		if err := n.discovery.Restore(n.site.InitialList); err != nil {
 			slog.Warn("initial endpoint list rejected", "cause", err)
 		}
 	}
--- a/internal/node/recovery.go
+++ b/internal/node/recovery.go
@@ -30,7 +30,7 @@
 		stage := r.Stage()
 		if stage == recovery.AwaitingList { // the process was suspended, and what it knows is old
 			n.Count("suspensions")
-			n.list.Fetch()
+			n.discovery.Fetch()
 		}
 		slog.Info("recovery stage changed", "stage", stage, "after_ms", r.Age(now).Milliseconds())
 	}
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -52,7 +52,7 @@
 	}
 	if fresh.fileDiscovery.IsValid() && fresh.fileDiscovery != s.fileDiscovery {
 		s.fileDiscovery, s.Discovery = fresh.fileDiscovery, fresh.Discovery
-		n.list.Move(s.Discovery)
+		n.discovery.SetAddress(s.Discovery)
 	}
 	s.Descriptors, s.Memory, s.Peers, s.PeerBroadcast = fresh.Descriptors, fresh.Memory, fresh.Peers, fresh.PeerBroadcast
 	n.applyLimits()
--- a/internal/node/summary_task.go
+++ b/internal/node/summary_task.go
@@ -100,7 +100,7 @@
 	n := s.leases.node
 	return digest{
 		RPCs: uint32(n.counters["rpcs_taken"]), OK: uint32(n.counters["rpcs_ok"]), Rejected: uint32(n.counters["rpcs_pushed_back"]),
-		InFlight: uint32(n.rpcs.Len()), Revision: uint64(n.list.Rev()), ReadyPercent: uint8(n.recovery.Ready() * 100),
+		InFlight: uint32(n.rpcs.Len()), Revision: uint64(n.discovery.Revision()), ReadyPercent: uint8(n.recovery.Ready() * 100),
 	}
 }
 
