--- a/cmd/passtack/lives_test.go
+++ b/cmd/passtack/lives_test.go
@@ -265,7 +265,7 @@
 	if len(member.writes) != 1 {
 		t.Errorf("the member was sent %q", member.writes)
 	}
-	if out, ok := passtack(t, "status", ask); !ok || !strings.Contains(out, "save") || !strings.Contains(out, "repeats_told") {
+	if out, ok := passtack(t, "status", ask); !ok || !strings.Contains(out, "save") || !strings.Contains(out, "repeats_replayed") {
 		t.Errorf("status: %s", out)
 	}
 }
--- a/internal/batch/batch.go
+++ b/internal/batch/batch.go
@@ -1,15 +1,16 @@
-// Package batch plans a batch of requests that one client sent together: which may go now, which may go side by side,
-// how the time that is left is shared, what a read behind a write has to see, and which never go. Each request of the
-// batch is one RPC with one outcome.
+// Package batch plans the requests that a client sent in one batch: their order, which may be in flight at the same time, how
+// the remaining time is divided, which commits a read must see, and which are never sent. Each request is one RPC with one
+// outcome.
 //
-// In an ordered batch only reads go side by side. In one without an order a request waits for those that it needs, and
-// for those before it that touch the same group where one of both writes. So a read behind a write of the same group
-// sees it in either.
+// In an ordered batch only reads are sent at the same time. In one without an order a request waits for those that it depends
+// on, and for those before it in the same group if one of both writes. So a read sees the writes of its group before it in
+// either.
 package batch
 
 import (
 	"errors"
 	"fmt"
+	"slices"
 	"time"
 
 	"passtack/driver"
@@ -17,128 +18,150 @@
 
 // Item is one request of a batch.
 type Item struct {
-	Write bool
-	Group driver.Group
-	Needs []int         // earlier items that must be ok
-	Soft  time.Duration // what it is expected to take at most
-	Void  bool          // it has its outcome already and never goes
+	Write     bool
+	Group     driver.Group
+	DependsOn []int         // earlier items that must succeed
+	Expected  time.Duration // the soft deadline of its method, by which the remaining time is divided
+	Answered  bool          // it was rejected when the batch was parsed, and is not sent
 }
 
-// End is an outcome.
-type End uint8
+// Outcome is the outcome of an item.
+type Outcome uint8
 
 const (
 	// OK means that the request succeeded.
-	OK      End = iota
-	Refused     // nothing ran
-	Aborted     // it may have run
+	OK Outcome = iota
+	// NotRun means that the request failed or was rejected, and has changed nothing.
+	NotRun
+	// Uncertain means that the request may have run.
+	Uncertain
 )
 
-// Skip tells why an item never goes.
-type Skip uint8
+// SkipReason is why an item is never sent.
+type SkipReason uint8
 
 const (
-	// Goes means that the item is sent.
-	Goes    Skip = iota
-	Needed       // what it needs is not ok
-	Stopped      // an earlier one is not ok, and the batch does not go on after that
-	TooLate      // the time of the batch is over
+	// NotSkipped means that the item is sent, or was answered without that.
+	NotSkipped SkipReason = iota
+	// DependencyFailed means that a request that it depends on did not succeed.
+	DependencyFailed
+	// EarlierFailed means that a request before it did not succeed, and the client did not ask to continue on errors.
+	EarlierFailed
+	// DeadlinePassed means that the batch has no time left.
+	DeadlinePassed
 )
 
+// step is an item and its state.
 type step struct {
 	Item
-	after        []int // items that must have ended, whatever their outcome
-	tail         time.Duration
-	begun, ended bool
-	end          End
-	skip         Skip
+	waitsFor    []int         // earlier items that must end before it, whatever their outcome
+	longestPath time.Duration // the expected duration of the slowest chain that begins with it
+	started     bool
+	ended       bool
+	outcome     Outcome
+	skipReason  SkipReason
 }
 
-// Plan is a batch under way.
+// Plan is a batch in service.
 type Plan struct {
-	steps   []step
-	until   time.Duration
-	goOn    bool // after one that is not ok
-	abreast int
-	out     int
-	failed  bool
-	wrote   map[driver.Group]time.Duration // position that what follows has to see
+	steps           []step
+	deadline        time.Duration
+	continueOnError bool
+	maxConcurrent   int
+	inFlight        int
+	failed          bool                           // an item did not succeed
+	commits         map[driver.Group]time.Duration // the latest position committed by the batch
 }
 
-// ErrNeeds tells of an item that needs itself or a later one.
-var ErrNeeds = errors.New("a request depends on one that does not come before it")
+// ErrDependency is returned for an item that depends on itself or a later one.
+var ErrDependency = errors.New("a request depends on one that does not come before it")
 
-// New plans a batch whose client waits until then. No more than abreast items are out at once.
-func New(items []Item, ordered, goOn bool, abreast int, until time.Duration) (*Plan, error) {
-	p := &Plan{until: until, goOn: goOn, abreast: max(abreast, 1), wrote: make(map[driver.Group]time.Duration)}
+// New plans a batch. At most maxConcurrent items are in flight.
+func New(items []Item, ordered, continueOnError bool, maxConcurrent int, deadline time.Duration) (*Plan, error) {
+	p := &Plan{
+		deadline: deadline, continueOnError: continueOnError, maxConcurrent: max(maxConcurrent, 1),
+		commits: make(map[driver.Group]time.Duration),
+	}
 	for i, item := range items {
 		s := step{Item: item}
-		for _, n := range item.Needs {
+		for _, n := range item.DependsOn {
 			if n < 0 || n >= i {
-				return nil, fmt.Errorf("item %d: %w", i, ErrNeeds)
-			}
-			s.after = append(s.after, n)
-		}
-		for j := i - 1; j >= 0; j-- {
-			o := items[j]
-			if !o.Void && (o.Write || item.Write) && (ordered || o.Group == item.Group) {
-				s.after = append(s.after, j)
-				if o.Write { // all before it come before that
-					break
-				}
+				return nil, fmt.Errorf("item %d: %w", i, ErrDependency)
 			}
 		}
-		if item.Void {
-			s.ended, s.end, s.begun = true, Refused, true
+		s.waitsFor = append(slices.Clone(item.DependsOn), conflicts(items, i, ordered)...)
+		if item.Answered {
+			s.ended, s.outcome, s.started = true, NotRun, true
 			p.failed = true
 		}
 		p.steps = append(p.steps, s)
 	}
-	for i := len(p.steps) - 1; i >= 0; i-- { // the longest way from each to the end
+	p.setLongestPaths()
+	return p, nil
+}
+
+// conflicts returns the items before item i that must end before it, as one of both writes. Those that an earlier write in the
+// result waits for are left out.
+func conflicts(items []Item, i int, ordered bool) (earlier []int) {
+	for j := i - 1; j >= 0; j-- {
+		o := items[j]
+		if !o.Answered && (o.Write || items[i].Write) && (ordered || o.Group == items[i].Group) {
+			earlier = append(earlier, j)
+			if o.Write {
+				break
+			}
+		}
+	}
+	return earlier
+}
+
+// setLongestPaths computes the longest path from each step to the end of the batch.
+func (p *Plan) setLongestPaths() {
+	for i := len(p.steps) - 1; i >= 0; i-- {
 		s := &p.steps[i]
-		s.tail += s.Soft
-		for _, j := range s.after {
-			p.steps[j].tail = max(p.steps[j].tail, s.tail)
+		s.longestPath += s.Expected
+		for _, j := range s.waitsFor {
+			p.steps[j].longestPath = max(p.steps[j].longestPath, s.longestPath)
 		}
 	}
-	return p, nil
 }
 
-// Next gives an item that may go now and how long it may take; a read has to see what was committed up to floor, 0:
-// nothing of this batch. There is none where ok is false.
-func (p *Plan) Next(now time.Duration) (i int, until, floor time.Duration, ok bool) {
-	if p.out >= p.abreast {
+// Next returns an item to send now, its deadline, and the position that it must see, 0 if none of the batch. It is not ok if no
+// item may be sent now.
+func (p *Plan) Next(now time.Duration) (i int, deadline, minPosition time.Duration, ok bool) {
+	if p.inFlight >= p.maxConcurrent {
 		return 0, 0, 0, false
 	}
 	for i := range p.steps {
 		s := &p.steps[i]
-		if s.begun || !p.ready(s) {
+		if s.started || !p.ready(s) {
 			continue
 		}
 		switch {
-		case p.lacks(s):
-			p.drop(s, Needed)
+		case p.dependencyFailed(s):
+			p.skip(s, DependencyFailed)
 			return p.Next(now)
-		case p.failed && !p.goOn && p.before(i):
-			p.drop(s, Stopped)
+		case p.failed && !p.continueOnError && p.earlierFailed(i):
+			p.skip(s, EarlierFailed)
 			return p.Next(now)
-		case now >= p.until:
-			p.drop(s, TooLate)
+		case now >= p.deadline:
+			p.skip(s, DeadlinePassed)
 			return p.Next(now)
 		}
-		s.begun = true
-		p.out++
-		left := p.until - now
-		if s.tail > s.Soft { // others come behind it: each gets of the time what it is expected to take of it
-			left = time.Duration(float64(left) * float64(s.Soft) / float64(s.tail))
+		s.started = true
+		p.inFlight++
+		left := p.deadline - now
+		if s.longestPath > s.Expected { // divide the time with those that wait for it
+			left = time.Duration(float64(left) * float64(s.Expected) / float64(s.longestPath))
 		}
-		return i, now + left, p.wrote[s.Group], true
+		return i, now + left, p.commits[s.Group], true
 	}
 	return 0, 0, 0, false
 }
 
+// ready reports whether all items have ended that the step waits for.
 func (p *Plan) ready(s *step) bool {
-	for _, j := range s.after {
+	for _, j := range s.waitsFor {
 		if !p.steps[j].ended {
 			return false
 		}
@@ -146,46 +169,49 @@
 	return true
 }
 
-func (p *Plan) lacks(s *step) bool {
-	for _, j := range s.Needs {
-		if p.steps[j].end != OK || p.steps[j].skip != Goes {
+// dependencyFailed reports whether an item did not succeed that the step depends on.
+func (p *Plan) dependencyFailed(s *step) bool {
+	for _, j := range s.DependsOn {
+		if p.steps[j].outcome != OK || p.steps[j].skipReason != NotSkipped {
 			return true
 		}
 	}
 	return false
 }
 
-// before tells whether one before the item was not ok.
-func (p *Plan) before(i int) bool {
+// earlierFailed reports whether an item before item i did not succeed.
+func (p *Plan) earlierFailed(i int) bool {
 	for _, s := range p.steps[:i] {
-		if s.ended && s.end != OK {
+		if s.ended && s.outcome != OK {
 			return true
 		}
 	}
 	return false
 }
 
-func (p *Plan) drop(s *step, why Skip) { s.begun, s.ended, s.end, s.skip = true, true, Refused, why }
+func (p *Plan) skip(s *step, reason SkipReason) {
+	s.started, s.ended, s.outcome, s.skipReason = true, true, NotRun, reason
+}
 
-// Ended tells the outcome of an item that went, and the position of its commit if one was told.
-func (p *Plan) Ended(i int, how End, position, now time.Duration) {
+// Complete records the outcome of an item that was sent, and the position of its commit, 0 if it is not known.
+func (p *Plan) Complete(i int, outcome Outcome, position, now time.Duration) {
 	s := &p.steps[i]
-	s.ended, s.end = true, how
-	p.out--
-	p.failed = p.failed || how != OK
-	if !s.Write || how == Refused {
+	s.ended, s.outcome = true, outcome
+	p.inFlight--
+	p.failed = p.failed || outcome != OK
+	if !s.Write || outcome == NotRun {
 		return
 	}
-	if how == Aborted || position <= 0 { // it may have committed as late as now
+	if outcome == Uncertain || position <= 0 { // it may have committed as late as now
 		position = now
 	}
-	p.wrote[s.Group] = max(p.wrote[s.Group], position)
+	p.commits[s.Group] = max(p.commits[s.Group], position)
 }
 
-// Skipped tells why an item never goes.
-func (p *Plan) Skipped(i int) Skip { return p.steps[i].skip }
+// Skipped returns why an item is never sent.
+func (p *Plan) Skipped(i int) SkipReason { return p.steps[i].skipReason }
 
-// Done tells whether every item has its outcome; Next must have been asked until it gave none.
+// Done reports whether every item has its outcome, provided that Next was called until it was not ok.
 func (p *Plan) Done() bool {
 	for _, s := range p.steps {
 		if !s.ended {
--- a/internal/batch/batch_test.go
+++ b/internal/batch/batch_test.go
@@ -14,15 +14,15 @@
 
 const ms = time.Millisecond
 
-// play lets every item end as told and notes the rounds in which they went, side by side in one round.
-func play(t *testing.T, p *Plan, ends map[int]End) (rounds string) {
+// run completes every item with the outcome given, and returns the rounds in which they were sent.
+func run(t *testing.T, p *Plan, ends map[int]Outcome) (rounds string) {
 	t.Helper()
 	now := time.Duration(0)
 	for {
 		var round []int
 		for i, until, _, ok := p.Next(now); ok; i, until, _, ok = p.Next(now) {
-			if until <= now || until > p.until {
-				t.Fatalf("item %d goes at %v until %v", i, now, until)
+			if until <= now || until > p.deadline {
+				t.Fatalf("item %d is sent at %v until %v", i, now, until)
 			}
 			round = append(round, i)
 		}
@@ -32,7 +32,7 @@
 		rounds += fmt.Sprint(round)
 		now += 10 * ms
 		for _, i := range round {
-			p.Ended(i, ends[i], 0, now)
+			p.Complete(i, ends[i], 0, now)
 		}
 	}
 	if !p.Done() {
@@ -41,39 +41,41 @@
 	return rounds
 }
 
-func read(g driver.Group, needs ...int) Item { return Item{Group: g, Needs: needs, Soft: 100 * ms} }
+func read(g driver.Group, needs ...int) Item {
+	return Item{Group: g, DependsOn: needs, Expected: 100 * ms}
+}
 func write(g driver.Group, needs ...int) Item {
-	return Item{Write: true, Group: g, Needs: needs, Soft: 50 * ms}
+	return Item{Write: true, Group: g, DependsOn: needs, Expected: 50 * ms}
 }
 
-func TestWhoGoesWhen(t *testing.T) {
+func TestOrderOfRequests(t *testing.T) {
 	for _, c := range []struct {
 		what          string
 		items         []Item
 		ordered, goOn bool
-		ends          map[int]End
+		ends          map[int]Outcome
 		rounds        string
-		skips         []Skip
+		skips         []SkipReason
 	}{
-		{"reads go side by side", []Item{read(0), read(0), read(1)}, true, false, nil, "[0 1 2]", nil},
-		{"in order writes part them", []Item{read(0), write(0), read(1), read(0)}, true, false, nil, "[0][1][2 3]", nil},
+		{"reads are sent at the same time", []Item{read(0), read(0), read(1)}, true, false, nil, "[0 1 2]", nil},
+		{"writes of an ordered batch separate them", []Item{read(0), write(0), read(1), read(0)}, true, false, nil, "[0][1][2 3]", nil},
 		{"without an order groups do not wait for each other", []Item{write(0), write(1), read(0), read(1)}, false, false, nil, "[0 1][2 3]", nil},
-		{"what is needed comes first", []Item{read(0), read(1, 0), read(2, 1)}, false, false, nil, "[0][1][2]", nil},
-		{"one that fails stops those behind it", []Item{read(0), write(0), read(0), write(0)}, true, false, map[int]End{1: Refused},
-			"[0][1]", []Skip{Goes, Goes, Stopped, Stopped}},
-		{"unless the batch goes on", []Item{write(0), read(0), read(1, 0)}, true, true, map[int]End{0: Aborted},
-			"[0][1]", []Skip{Goes, Goes, Needed}},
-		{"what needs one that was skipped is skipped", []Item{write(0), read(1, 0), read(1, 1)}, false, true, map[int]End{0: Refused},
-			"[0]", []Skip{Goes, Needed, Needed}},
-		{"a void one counts as not ok", []Item{{Void: true}, read(0)}, true, false, nil, "", []Skip{Goes, Stopped}},
-		{"and is gone past where the batch goes on", []Item{{Void: true}, read(0)}, true, true, nil, "[1]", nil},
+		{"dependencies come first", []Item{read(0), read(1, 0), read(2, 1)}, false, false, nil, "[0][1][2]", nil},
+		{"a failure stops those after it", []Item{read(0), write(0), read(0), write(0)}, true, false, map[int]Outcome{1: NotRun},
+			"[0][1]", []SkipReason{NotSkipped, NotSkipped, EarlierFailed, EarlierFailed}},
+		{"unless the batch continues on errors", []Item{write(0), read(0), read(1, 0)}, true, true, map[int]Outcome{0: Uncertain},
+			"[0][1]", []SkipReason{NotSkipped, NotSkipped, DependencyFailed}},
+		{"one that depends on a skipped one is skipped", []Item{write(0), read(1, 0), read(1, 1)}, false, true, map[int]Outcome{0: NotRun},
+			"[0]", []SkipReason{NotSkipped, DependencyFailed, DependencyFailed}},
+		{"one that was rejected counts as failed", []Item{{Answered: true}, read(0)}, true, false, nil, "", []SkipReason{NotSkipped, EarlierFailed}},
+		{"and is passed if the batch continues on errors", []Item{{Answered: true}, read(0)}, true, true, nil, "[1]", nil},
 	} {
 		p, err := New(c.items, c.ordered, c.goOn, 8, time.Second)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := play(t, p, c.ends); got != c.rounds {
-			t.Errorf("%s: went %s, want %s", c.what, got, c.rounds)
+		if got := run(t, p, c.ends); got != c.rounds {
+			t.Errorf("%s: sent %s, want %s", c.what, got, c.rounds)
 		}
 		for i, want := range c.skips {
 			if got := p.Skipped(i); got != want {
@@ -83,15 +85,15 @@
 	}
 }
 
-func TestNeedsMustComeBefore(t *testing.T) {
+func TestDependenciesMustComeBefore(t *testing.T) {
 	for _, items := range [][]Item{{read(0, 0)}, {read(0, 1), read(0)}, {read(0, -1)}} {
-		if _, err := New(items, false, false, 1, time.Second); !errors.Is(err, ErrNeeds) {
+		if _, err := New(items, false, false, 1, time.Second); !errors.Is(err, ErrDependency) {
 			t.Errorf("%v: %v", items, err)
 		}
 	}
 }
 
-func TestReadsSeeWhatWasWrittenBefore(t *testing.T) {
+func TestReadsSeeEarlierWrites(t *testing.T) {
 	p, _ := New([]Item{write(0), read(0), read(1), write(0), read(0)}, true, true, 8, 10*time.Second)
 	next := func(want int, floor time.Duration) {
 		t.Helper()
@@ -100,43 +102,43 @@
 		}
 	}
 	next(0, 0)
-	p.Ended(0, OK, 700*ms, time.Second)
+	p.Complete(0, OK, 700*ms, time.Second)
 	next(1, 700*ms)
 	next(2, 0) // another group's
-	p.Ended(1, OK, 0, time.Second)
-	p.Ended(2, OK, 0, time.Second)
+	p.Complete(1, OK, 0, time.Second)
+	p.Complete(2, OK, 0, time.Second)
 	next(3, 700*ms)
-	p.Ended(3, Aborted, 0, 2*time.Second) // it may commit as late as that
+	p.Complete(3, Uncertain, 0, 2*time.Second) // it may commit as late as that
 	next(4, 2*time.Second)
 }
 
-func TestTimeIsShared(t *testing.T) {
+func TestTheRemainingTimeIsDivided(t *testing.T) {
 	p, _ := New([]Item{write(0), write(0), write(0)}, true, true, 1, 300*ms)
 	_, until, _, _ := p.Next(0)
 	if until != 100*ms {
 		t.Errorf("the first of three has until %v of 300 ms", until)
 	}
-	p.Ended(0, OK, 0, 150*ms)
+	p.Complete(0, OK, 0, 150*ms)
 	if _, until, _, _ = p.Next(150 * ms); until != 225*ms {
 		t.Errorf("the second has until %v", until)
 	}
-	p.Ended(1, OK, 0, 300*ms)
-	if _, _, _, ok := p.Next(300 * ms); ok || p.Skipped(2) != TooLate || !p.Done() {
+	p.Complete(1, OK, 0, 300*ms)
+	if _, _, _, ok := p.Next(300 * ms); ok || p.Skipped(2) != DeadlinePassed || !p.Done() {
 		t.Error("the third goes though the time is over")
 	}
 }
 
-// Whatever a batch holds and however its items end: each has exactly one outcome, none goes before what it needs or
-// overtakes a write of its group, and no more go at once than allowed.
-func TestAnyBatchEnds(t *testing.T) {
+// In any batch and with any outcomes: each item has exactly one outcome, none is sent before its dependencies or a write of its
+// group before it, and no more are in flight than allowed.
+func TestEveryBatchCompletes(t *testing.T) {
 	seeded.Check(t, func(t *rapid.T) {
 		var items []Item
 		for i := range rapid.IntRange(1, 12).Draw(t, "items") {
-			item := Item{Write: rapid.Bool().Draw(t, "write"), Group: driver.Group(rapid.IntRange(0, 2).Draw(t, "group")), Soft: 100 * ms}
+			item := Item{Write: rapid.Bool().Draw(t, "write"), Group: driver.Group(rapid.IntRange(0, 2).Draw(t, "group")), Expected: 100 * ms}
 			if i > 0 && rapid.Bool().Draw(t, "needs") {
-				item.Needs = []int{rapid.IntRange(0, i-1).Draw(t, "need")}
+				item.DependsOn = []int{rapid.IntRange(0, i-1).Draw(t, "need")}
 			}
-			item.Void = rapid.IntRange(0, 9).Draw(t, "void") == 0
+			item.Answered = rapid.IntRange(0, 9).Draw(t, "void") == 0
 			items = append(items, item)
 		}
 		ordered, goOn, abreast := rapid.Bool().Draw(t, "ordered"), rapid.Bool().Draw(t, "goOn"), rapid.IntRange(1, 4).Draw(t, "abreast")
@@ -158,16 +160,16 @@
 				n := rapid.IntRange(0, len(out)-1).Draw(t, "which")
 				i = out[n]
 				out = slices.Delete(out, n, n+1)
-				how := End(rapid.IntRange(0, 2).Draw(t, "how"))
+				how := Outcome(rapid.IntRange(0, 2).Draw(t, "how"))
 				now += time.Duration(rapid.IntRange(0, 400).Draw(t, "takes")) * ms
 				ended[i], ok[i] = true, how == OK
-				p.Ended(i, how, 0, now)
+				p.Complete(i, how, 0, now)
 				continue
 			}
-			if went[i] || items[i].Void || until <= now || until > 2*time.Second || len(out) >= abreast {
+			if went[i] || items[i].Answered || until <= now || until > 2*time.Second || len(out) >= abreast {
 				t.Fatalf("item %d goes, %d are out, until %v at %v", i, len(out), until, now)
 			}
-			for _, n := range items[i].Needs {
+			for _, n := range items[i].DependsOn {
 				if !ok[n] {
 					t.Fatalf("item %d goes though %d is not ok", i, n)
 				}
@@ -187,7 +189,7 @@
 			t.Fatalf("some have no outcome: %+v", p)
 		}
 		for i := range items {
-			if went[i] == (p.Skipped(i) != Goes || items[i].Void) {
+			if went[i] == (p.Skipped(i) != NotSkipped || items[i].Answered) {
 				t.Fatalf("item %d: went %t, skipped for %d", i, went[i], p.Skipped(i))
 			}
 		}
--- a/internal/front/odata/batch.go
+++ b/internal/front/odata/batch.go
@@ -10,159 +10,162 @@
 	"passtack/internal/odata"
 )
 
-// batchWork is a batch under way.
-type batchWork struct {
-	work    *work
-	front   *Front
-	batch   *odata.Batch
-	plan    *batch.Plan
-	errands []*errand // nil where an item has its answer without one
-	replies []*reply
-	pumping bool
-	overdue loop.Due
+// batchRun is a batch in service.
+type batchRun struct {
+	exchange  *exchange
+	front     *Front
+	batch     *odata.Batch
+	plan      *batch.Plan
+	requests  []*request // nil for those answered without an RPC
+	responses []*response
+	sending   bool
+	timeout   loop.Due
 }
 
-const mostDefault = 30 * time.Second // that a batch may last whose client does not say
+// maxBatchDefault bounds the duration of a batch whose client sets no deadline.
+const maxBatchDefault = 30 * time.Second
 
-// batch begins a batch.
-func (f *Front) batch(w *work, q *question) {
-	parsed, err := odata.ParseBatch(q.fields.Text("content-type"), q.body, odata.BatchLimits{Items: f.offer.MaxBatch, HTTP: f.offer.HTTP})
+// serveBatch starts a batch.
+func (f *Front) serveBatch(w *exchange, q *httpRequest) {
+	parsed, err := odata.ParseBatch(q.fields.Text("content-type"), q.body, odata.BatchLimits{Items: f.config.MaxBatch, HTTP: f.config.HTTP})
 	if err != nil {
-		w.finish(failure(err))
+		w.finish(errorResponse(err))
 		return
 	}
-	f.clerk.Count("batches_taken")
-	b := &batchWork{work: w, front: f, batch: parsed, errands: make([]*errand, len(parsed.Items)), replies: make([]*reply, len(parsed.Items))}
+	f.handler.Count("batches_taken")
+	b := &batchRun{exchange: w, front: f, batch: parsed, requests: make([]*request, len(parsed.Items)), responses: make([]*response, len(parsed.Items))}
 	w.batch = b
-	items, lasts := make([]batch.Item, len(parsed.Items)), time.Duration(0)
+	items, duration := make([]batch.Item, len(parsed.Items)), time.Duration(0)
 	for i := range parsed.Items {
 		if err := b.prepare(i); err != nil {
-			b.replies[i] = err
+			b.responses[i] = err
 		}
-		items[i] = batch.Item{Needs: parsed.Items[i].Needs, Void: b.replies[i] != nil && b.replies[i].status >= 400}
-		if e := b.errands[i]; e != nil {
-			items[i].Write, items[i].Group, items[i].Soft = e.act.Writes(), e.group, e.operation.Soft
-			lasts += e.operation.Most
+		items[i] = batch.Item{DependsOn: parsed.Items[i].Needs, Answered: b.responses[i] != nil && b.responses[i].status >= 400}
+		if req := b.requests[i]; req != nil {
+			items[i].Write, items[i].Group, items[i].Expected = req.act.Writes(), req.group, req.operation.Soft
+			duration += req.operation.Most
 		}
 	}
-	until := f.until(q, min(max(lasts, time.Second), mostDefault))
-	goOn := preference(q.fields, "continue-on-error")
-	if b.plan, err = plan(items, parsed.Ordered, goOn == "true", f.offer.MaxConcurrent, until); err != nil {
-		w.finish(failure(err))
+	deadline := f.deadline(q, min(max(duration, time.Second), maxBatchDefault))
+	continueOnError := preference(q.fields, "continue-on-error")
+	if b.plan, err = newPlan(items, parsed.Ordered, continueOnError == "true", f.config.MaxConcurrent, deadline); err != nil {
+		w.finish(errorResponse(err))
 		return
 	}
-	b.overdue = f.loop.At(until, b.pump)
-	b.pump()
+	b.timeout = f.loop.At(deadline, b.sendReady)
+	b.sendReady()
 }
 
-func plan(items []batch.Item, ordered, goOn bool, abreast int, until time.Duration) (*batch.Plan, *odata.Error) {
-	p, err := batch.New(items, ordered, goOn, abreast, until)
+// newPlan plans the order of a batch.
+func newPlan(items []batch.Item, ordered, continueOnError bool, maxConcurrent int, deadline time.Duration) (*batch.Plan, *odata.Error) {
+	p, err := batch.New(items, ordered, continueOnError, maxConcurrent, deadline)
 	if err != nil {
-		return nil, fault(400, "BadRequest", "%v", err)
+		return nil, newError(400, "BadRequest", "%v", err)
 	}
 	return p, nil
 }
 
-// prepare judges one item; it gives its answer where nothing has to be sent.
-func (b *batchWork) prepare(i int) *reply {
+// prepare validates one request of the batch. It returns the response where nothing has to be sent, else nil.
+func (b *batchRun) prepare(i int) *response {
 	item := &b.batch.Items[i]
 	if item.Fault != nil {
-		return failure(item.Fault)
+		return errorResponse(item.Fault)
 	}
 	target := item.Target
-	if to, rest, ok := b.batch.Reference(target); ok { // to what an earlier one creates, whose key it brings
-		e := b.errands[to]
-		if e == nil || e.act != odata.Create {
-			return failure(fault(400, "BadRequest", "%s refers to what creates nothing", target))
+	if to, rest, ok := b.batch.Reference(target); ok { // to an entity that an earlier one creates
+		req := b.requests[to]
+		if req == nil || req.act != odata.Create {
+			return errorResponse(newError(400, "BadRequest", "%s refers to what creates nothing", target))
 		}
-		target = e.resource.Set.Name + "(" + odata.Encode(odata.KeyOf(e.key)) + ")" + rest
+		target = req.resource.Set.Name + "(" + odata.Encode(odata.KeyOf(req.key)) + ")" + rest
 	}
-	e, done := b.front.judge(&question{verb: item.Verb, target: target, fields: item.Fields, body: item.Body, inner: true})
+	req, done := b.front.validate(&httpRequest{verb: item.Verb, target: target, fields: item.Fields, body: item.Body, inBatch: true})
 	if done != nil {
 		return done
 	}
-	e.work, e.index = b.work, i
-	b.errands[i] = e
+	req.exchange, req.batchIndex = b.exchange, i
+	b.requests[i] = req
 	return nil
 }
 
-// pump sends what may go now, and answers the whole once each item has its answer.
-func (b *batchWork) pump() {
-	if b.pumping || b.work == nil {
+// sendReady sends the requests that may be sent now, and answers the batch once each has its response.
+func (b *batchRun) sendReady() {
+	if b.sending || b.exchange == nil {
 		return
 	}
-	b.pumping = true
+	b.sending = true
 	f := b.front
-	for i, until, floor, ok := b.plan.Next(f.loop.Now()); ok; i, until, floor, ok = b.plan.Next(f.loop.Now()) {
-		e := b.errands[i]
-		if e == nil { // a document, which is known
-			b.plan.Ended(i, batch.OK, 0, f.loop.Now())
+	for i, deadline, minPosition, ok := b.plan.Next(f.loop.Now()); ok; i, deadline, minPosition, ok = b.plan.Next(f.loop.Now()) {
+		req := b.requests[i]
+		if req == nil { // answered without an RPC
+			b.plan.Complete(i, batch.OK, 0, f.loop.Now())
 			continue
 		}
-		method := e.operation.Method
-		if floor > 0 {
-			method = e.operation.AfterWrite
+		method := req.operation.Method
+		if minPosition > 0 {
+			method = req.operation.AfterWrite
 		}
-		e.question.came = f.loop.Now() // it waited for others of the batch, by the client's own wish
-		f.send(e, until, floor, method)
-		if b.work == nil {
+		req.http.receivedAt = f.loop.Now() // the wait for others of the batch does not count
+		f.send(req, deadline, minPosition, method)
+		if b.exchange == nil {
 			return
 		}
 	}
-	b.pumping = false
+	b.sending = false
 	if !b.plan.Done() {
 		return
 	}
-	answers := make([]odata.InnerAnswer, len(b.replies))
-	for i, r := range b.replies {
+	answers := make([]odata.InnerAnswer, len(b.responses))
+	for i, r := range b.responses {
 		if r == nil {
-			r = skipped(b.plan.Skipped(i))
+			r = skippedResponse(b.plan.Skipped(i))
 		}
 		answers[i] = odata.InnerAnswer{Status: r.status, Fields: r.fields, Body: r.body}
 	}
 	media, body := b.batch.Render(answers)
-	f.loop.Forget(b.overdue)
-	w := b.work
-	b.work = nil
-	w.finish(&reply{200, httpwire.AppendField(nil, "Content-Type", media), body})
+	f.loop.Forget(b.timeout)
+	w := b.exchange
+	b.exchange = nil
+	w.finish(&response{200, httpwire.AppendField(nil, "Content-Type", media), body})
 }
 
-func skipped(why batch.Skip) *reply {
-	switch why {
-	case batch.Needed:
-		return failure(fault(424, "FailedDependency", "not sent: a request that this one depends on was not done"))
-	case batch.Stopped:
-		return failure(fault(424, "FailedDependency", "not sent: an earlier request of the batch was not done"))
+// skippedResponse answers a request of a batch that is never sent.
+func skippedResponse(reason batch.SkipReason) *response {
+	switch reason {
+	case batch.DependencyFailed:
+		return errorResponse(newError(424, "FailedDependency", "not sent: a request that this one depends on was not done"))
+	case batch.EarlierFailed:
+		return errorResponse(newError(424, "FailedDependency", "not sent: an earlier request of the batch was not done"))
 	}
-	return failure(fault(503, "PushedBack", "not sent: the time of the batch is over"))
+	return errorResponse(newError(503, "PushedBack", "not sent: the time of the batch is over"))
 }
 
-// ended takes the answer of one item.
-func (b *batchWork) ended(e *errand, how idempotency.Outcome, r *reply, position time.Duration) {
-	if b.work == nil {
+// itemEnded takes the response to one request of the batch.
+func (b *batchRun) itemEnded(req *request, outcome idempotency.Outcome, r *response, position time.Duration) {
+	if b.exchange == nil {
 		return
 	}
-	b.replies[e.index] = r
-	end := batch.OK
+	b.responses[req.batchIndex] = r
+	itemOutcome := batch.OK
 	switch {
-	case how == idempotency.NotRun:
-		end = batch.Refused
-	case how == idempotency.Uncertain:
-		end = batch.Aborted
+	case outcome == idempotency.NotRun:
+		itemOutcome = batch.NotRun
+	case outcome == idempotency.Uncertain:
+		itemOutcome = batch.Uncertain
 	case r.status >= 400:
-		end = batch.Refused
+		itemOutcome = batch.NotRun
 	}
-	b.plan.Ended(e.index, end, position, b.front.loop.Now())
-	b.pump()
+	b.plan.Complete(req.batchIndex, itemOutcome, position, b.front.loop.Now())
+	b.sendReady()
 }
 
-// leave ends a batch whose client has left: what was not sent never is.
-func (b *batchWork) leave() {
-	b.work = nil
-	b.front.loop.Forget(b.overdue)
-	for i, e := range b.errands {
-		if e != nil && b.replies[i] == nil && (e.rpc != 0 || e.joined != nil) {
-			e.leave()
+// abandon ends a batch whose client has disconnected. What was not sent never is.
+func (b *batchRun) abandon() {
+	b.exchange = nil
+	b.front.loop.Forget(b.timeout)
+	for i, req := range b.requests {
+		if req != nil && b.responses[i] == nil && (req.rpc != 0 || req.joinedEntry != nil) {
+			req.abandon()
 		}
 	}
 }
--- /dev/null
+++ b/internal/front/odata/connection.go
@@ -0,0 +1,148 @@
+package odata
+
+import (
+	"passtack/internal/front"
+	"passtack/internal/httpwire"
+	"passtack/internal/odata"
+)
+
+// connection is one client's connection. It serves one request at a time. It implements front.Handler.
+type connection struct {
+	*front.Connection
+	front        *Front
+	exchange     *exchange // nil: none
+	sentContinue bool      // of the request being received
+}
+
+// exchange is one request on a connection and its response: a single request or a batch.
+type exchange struct {
+	connection *connection // nil once the client has disconnected
+	omitBody   bool        // the request is HEAD
+	closeAfter bool        // the connection is closed behind the response
+	version    string
+	batch      *batchRun
+	request    *request
+	starting   bool // a response during this time is consumed by Input
+}
+
+// Busy implements front.Handler.
+func (c *connection) Busy() bool { return c.exchange != nil }
+
+// Opened implements loop.Handler.
+func (c *connection) Opened() {}
+
+// RejectIncomplete implements front.Handler.
+func (c *connection) RejectIncomplete() {
+	c.reject(&httpwire.Fault{Status: 408, Reason: "half of a request came and no more"})
+}
+
+// RejectUnstarted implements front.Handler.
+func (c *connection) RejectUnstarted() {
+	c.Stream.Send(c.front.encodeMessage(pushBackResponse(0), "4.01", false, true))
+	c.Close(front.ClosedShutdown)
+}
+
+// Closed implements loop.Handler.
+func (c *connection) Closed(cause error) {
+	c.Connection.Release(cause)
+	c.abandon()
+}
+
+// abandon ends the exchange in service, if there is one, as its client has disconnected. Repeatable requests go on without it.
+func (c *connection) abandon() {
+	w := c.exchange
+	if w == nil {
+		return
+	}
+	c.exchange, w.connection = nil, nil
+	c.Connection.EndRequest()
+	if w.batch != nil {
+		w.batch.abandon()
+	} else if w.request != nil {
+		w.request.abandon()
+	}
+}
+
+// Panicked implements loop.Handler. The request in service may have run.
+func (c *connection) Panicked(cause error) {
+	if !c.Ended {
+		c.Stream.Send(c.front.encodeMessage(abortResponse(), "4.01", false, true))
+	}
+	c.abandon()
+	c.Close(front.ClosedPanic)
+}
+
+// reject answers a violation of the protocol and ends the connection.
+func (c *connection) reject(fault *httpwire.Fault) {
+	c.front.handler.Count("clients_rejected")
+	c.abandon()
+	c.Stream.Send(c.front.encodeMessage(errorResponse(&odata.Error{Status: fault.Status, Code: "BadRequest", Text: fault.Reason}), "4.01", false, true))
+	c.Close(front.ClosedUnreadable)
+}
+
+// Input implements loop.Handler. It takes one request at a time.
+func (c *connection) Input(in []byte) int {
+	if c.Ended {
+		return len(in)
+	}
+	if c.exchange != nil || !c.BeginRead() {
+		return 0
+	}
+	f := c.front
+	r, fault := httpwire.Next(in, f.config.HTTP)
+	if fault != nil {
+		c.reject(fault)
+		return len(in)
+	}
+	if r.Size == 0 {
+		if r.Continue && !c.sentContinue {
+			c.sentContinue = true
+			c.Stream.Send([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
+		}
+		return 0
+	}
+	c.sentContinue = false
+	c.serve(&r)
+	return r.Size
+}
+
+// serve starts a request. It may be answered during the call.
+func (c *connection) serve(r *httpwire.Request) {
+	f := c.front
+	w := &exchange{connection: c, omitBody: string(r.Verb) == "HEAD", closeAfter: r.Last, version: "4.01", starting: true}
+	c.BeginRequest()
+	c.exchange = w
+	q := &httpRequest{verb: string(r.Verb), target: string(r.Target), fields: r.Fields, body: r.Body, receivedAt: c.Stream.Came(r.Size)}
+	if q.fields.Text("odata-maxversion") == "4.0" {
+		w.version = "4.0"
+	}
+	req, done := f.validate(q)
+	switch {
+	case done != nil:
+		w.finish(done)
+	case req.resource.Kind == odata.BatchOf:
+		f.serveBatch(w, q)
+	default:
+		req.exchange, w.request = w, req
+		f.send(req, f.deadline(q, req.operation.Most), 0, req.operation.Method)
+	}
+	w.starting = false
+}
+
+// finish sends the response on its connection.
+func (w *exchange) finish(r *response) {
+	c := w.connection
+	if c == nil {
+		return
+	}
+	f := c.front
+	c.exchange, w.connection = nil, nil
+	c.Connection.EndRequest()
+	c.BeginIdle()
+	c.Stream.Send(f.encodeMessage(r, w.version, w.omitBody, w.closeAfter))
+	if w.closeAfter {
+		c.Close(front.ClosedByClient)
+	} else if !w.starting {
+		c.AfterResponse()
+	}
+}
--- /dev/null
+++ b/internal/front/odata/encode.go
@@ -0,0 +1,80 @@
+package odata
+
+import (
+	"fmt"
+	"strconv"
+	"strings"
+	"time"
+
+	"passtack/driver"
+	"passtack/internal/httpwire"
+	"passtack/internal/odata"
+)
+
+// encode encodes the request to the member. The token is that of an idempotent write, the position one that a read must see.
+func (req *request) encode(method driver.Method, token string, position time.Duration) {
+	f := req.front
+	req.memberRequest.Form = req.form
+	if req.form == driver.Requests {
+		req.encodeHTTP(token, position)
+		return
+	}
+	header := fmt.Appendf(nil, "/* id=%s,c=%s,d=", req.id, f.methods[method])
+	comment := []byte{}
+	if token != "" {
+		comment = fmt.Appendf(comment, ",k=%s", token)
+	}
+	comment = fmt.Appendf(comment, ",cluster=%d", req.group)
+	if position > 0 {
+		comment = fmt.Appendf(comment, ",after=%d", (position+time.Millisecond-1)/time.Millisecond)
+	}
+	comment = append(comment, " */ "...)
+	set := req.resource.Set
+	fill := &odata.Fill{
+		Key: req.key, Body: req.http.body, Values: req.values, Filter: req.resource.Filter, Order: req.resource.Order,
+		Skip: req.resource.Skip, Top: req.pageSize() + 1, Match: req.requiredVersion, Set: set, Count: req.resource.Count,
+	}
+	if req.resource.Top >= 0 && req.resource.Top <= set.Page { // there is no next page
+		fill.Top = req.resource.Top
+	}
+	req.memberRequest.Before, req.memberRequest.After = header, req.operation.Statement.Append(comment, fill)
+}
+
+// pageSize returns how many items the response may hold.
+func (req *request) pageSize() int {
+	if req.resource.Top >= 0 {
+		return min(req.resource.Top, req.resource.Set.Page)
+	}
+	return req.resource.Set.Page
+}
+
+// encodeHTTP encodes the request for members that speak OData: as it was received, below the members' root.
+func (req *request) encodeHTTP(token string, position time.Duration) {
+	q, f := req.http, req.front
+	req.memberRequest.Verb, req.memberRequest.Body = q.verb, append([]byte(nil), q.body...)
+	if q.verb == "HEAD" { // the length is that of the body
+		req.memberRequest.Verb = "GET"
+	}
+	path := q.target
+	if _, rest, found := strings.Cut(path, "://"); found && !strings.HasPrefix(path, "/") {
+		path = rest[max(strings.IndexByte(rest, '/'), 0):]
+	}
+	path = strings.TrimPrefix(path, f.config.Root)
+	req.memberRequest.Path = f.memberRoot + strings.TrimPrefix(path, "/")
+	out := httpwire.AppendField(nil, "Request-Id", req.id)
+	if token != "" {
+		out = httpwire.AppendField(out, "Repeatability-Request-ID", token)
+	}
+	if position > 0 {
+		out = httpwire.AppendField(out, "Session-Position", strconv.FormatInt(int64((position+time.Millisecond-1)/time.Millisecond), 10))
+	}
+	if len(q.body) > 0 {
+		out = httpwire.AppendField(out, "Content-Type", "application/json")
+	}
+	for _, name := range []string{"Accept", "Prefer", "If-Match", "If-None-Match", "OData-Version", "OData-MaxVersion"} {
+		if value := q.fields.Text(name); value != "" {
+			out = httpwire.AppendField(out, name, value)
+		}
+	}
+	req.memberRequest.Fields = out
+}
--- /dev/null
+++ b/internal/front/odata/preconditions.go
@@ -0,0 +1,100 @@
+package odata
+
+import (
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"passtack/driver"
+	"passtack/internal/odata"
+)
+
+// readPreconditions reads the version that the client requires of the entity. An upsert that requires none is a create.
+func (req *request) readPreconditions() *odata.Error {
+	fields := req.http.fields
+	req.ifMatch, req.ifNoneMatch = fields.Text("if-match"), fields.Text("if-none-match")
+	if !req.act.Writes() {
+		return nil
+	}
+	if req.ifNoneMatch != "" {
+		if req.ifNoneMatch != "*" || req.act != odata.Update && req.act != odata.Replace && req.act != odata.Upsert {
+			return odata.Missing("", "If-None-Match of a write but * on PUT and PATCH")
+		}
+		if req.ifMatch != "" {
+			return newError(400, "BadRequest", "If-Match and If-None-Match together")
+		}
+		req.act = odata.Create
+		if req.values, _ = req.resource.Set.Body(req.http.body, false); req.values != nil {
+			req.values[req.resource.Set.Key.Name] = req.key
+		}
+	}
+	if req.ifMatch != "" && req.act == odata.Create {
+		return newError(400, "BadRequest", "If-Match of a create")
+	}
+	return nil
+}
+
+// checkStatement rejects what the operation's statement has no parameter for. Members that speak OData check it themselves.
+func (req *request) checkStatement() *odata.Error {
+	if req.form = req.front.handler.FormOf(req.group); req.form == driver.Requests {
+		return nil
+	}
+	r, s := &req.resource, req.operation.Statement
+	switch {
+	case r.Filter != nil && !s.Has("where"):
+		return odata.Missing("$filter", "$filter on "+r.Set.Name)
+	case len(r.Order) > 0 && !s.Has("order"):
+		return odata.Missing("$orderby", "$orderby on "+r.Set.Name)
+	case r.Count && req.act == odata.List && !s.Has("counted"):
+		return odata.Missing("$count", "$count beside the items of "+r.Set.Name)
+	}
+	if req.act.Writes() && req.ifMatch != "" && req.ifMatch != "*" {
+		version, ok := odata.VersionOf(req.ifMatch)
+		if !ok || strings.Contains(req.ifMatch, ",") {
+			return newError(400, "BadRequest", "If-Match %q is no tag of this service", req.ifMatch)
+		}
+		if !s.Has("match") || r.Set.ETag == nil {
+			return odata.Missing("If-Match", "If-Match with a tag on "+odata.Names[req.act]+" of "+r.Set.Name)
+		}
+		req.requiredVersion = version
+	}
+	if req.act.Writes() && (req.ifMatch == "" || req.ifMatch == "*") && s.Has("match") {
+		return newError(428, "PreconditionRequired", "%s of %s wants If-Match with the version that is there", odata.Names[req.act], r.Set.Name)
+	}
+	return nil
+}
+
+// readRepeatability reads the fields of a repeatable request.
+func (req *request) readRepeatability() *odata.Error {
+	fields := req.http.fields
+	id, sent := fields.Text("repeatability-request-id"), fields.Text("repeatability-first-sent")
+	if !req.act.Writes() || id == "" && sent == "" {
+		return nil
+	}
+	if id == "" || sent == "" {
+		return newError(400, "BadRequest", "Repeatability-Request-ID and Repeatability-First-Sent belong together")
+	}
+	client := fields.Text("repeatability-client-id")
+	if len(id) > 128 || len(client) > 128 {
+		return newError(400, "BadRequest", "a Repeatability-Request-ID or Repeatability-Client-ID of over 128 characters")
+	}
+	sentAt, failed := http.ParseTime(sent)
+	if failed != nil {
+		return newError(400, "BadRequest", "Repeatability-First-Sent %q is no date", sent)
+	}
+	if !req.operation.Tokened && !req.operation.Repeats {
+		return odata.Missing("", "a repeatable "+odata.Names[req.act]+" of "+req.resource.Set.Name)
+	}
+	req.idempotencyKey, req.repeatabilityID = client+"\x00"+id, id
+	req.firstSent = time.Duration(sentAt.UnixNano())
+	if millis := fields.Text("first-sent-ms"); millis != "" { // more precise than a date
+		n, failed := strconv.ParseInt(millis, 10, 64)
+		if exact := time.Duration(n) * time.Millisecond; failed == nil && exact.Truncate(time.Second) == req.firstSent {
+			req.firstSent = exact
+		} else {
+			return newError(400, "BadRequest", "First-Sent-Ms %q lies outside of its second", millis)
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/front/odata/preferences.go
@@ -0,0 +1,87 @@
+package odata
+
+import (
+	"mime"
+	"strconv"
+	"strings"
+	"time"
+
+	"passtack/internal/front"
+	"passtack/internal/httpwire"
+	"passtack/internal/odata"
+)
+
+// negotiateFormat picks the media type that the client prefers of those offered. $format overrides Accept.
+func (req *request) negotiateFormat(offered ...string) *odata.Error {
+	wanted := req.http.fields.Text("accept")
+	if short := req.resource.Format; short != "" {
+		if full := map[string]string{"json": "application/json", "xml": "application/xml"}[short]; full != "" {
+			short = full
+		}
+		wanted = short
+	}
+	if strings.TrimSpace(wanted) == "" {
+		wanted = "*/*"
+	}
+	best, quality := "", -1.0
+	for item := range strings.SplitSeq(wanted, ",") {
+		media, parameters, err := mime.ParseMediaType(item)
+		if err != nil {
+			continue
+		}
+		q := 1.0
+		if text, found := parameters["q"]; found {
+			if q, err = strconv.ParseFloat(text, 64); err != nil {
+				continue
+			}
+		}
+		metadata := strings.ToLower(parameters["odata.metadata"] + parameters["metadata"])
+		for _, mediaType := range offered {
+			kind, _, _ := strings.Cut(mediaType, "/")
+			if q > 0 && q > quality && metadata != "full" && (media == mediaType || media == "*/*" || media == kind+"/*") {
+				best, quality = mediaType, q
+				req.minimalMetadata = metadata != "none"
+			}
+		}
+	}
+	if best == "" {
+		return newError(406, "NotAcceptable", "%s is what there is", strings.Join(offered, " or "))
+	}
+	req.format = best
+	return nil
+}
+
+// maxWait bounds how long a client may ask to wait.
+const maxWait = time.Minute // that a client may ask to wait
+
+// deadline returns when the client stops waiting: by the preference wait (seconds), by Deadline-Ms, else after otherwise.
+func (f *Front) deadline(q *httpRequest, otherwise time.Duration) time.Duration {
+	wait := otherwise
+	if n, err := strconv.Atoi(preference(q.fields, "wait")); err == nil && n > 0 {
+		wait = min(time.Duration(n)*time.Second, maxWait)
+	}
+	if n, err := strconv.Atoi(q.fields.Text("deadline-ms")); err == nil && n > 0 {
+		wait = min(time.Duration(n)*time.Millisecond, maxWait)
+	}
+	return q.receivedAt + wait - front.DeliveryMargin
+}
+
+// preference returns the value of a preference in Prefer, "true" where it has none, "" where it is absent.
+func preference(fields httpwire.Fields, name string) (value string) {
+	fields.Each(func(field, text []byte) bool {
+		if strings.EqualFold(string(field), "prefer") {
+			for item := range strings.SplitSeq(string(text), ",") {
+				item, _, _ = strings.Cut(item, ";")
+				key, v, _ := strings.Cut(strings.TrimSpace(item), "=")
+				key = strings.TrimPrefix(strings.ToLower(strings.TrimSpace(key)), "odata.")
+				if key == name && value == "" {
+					if value = strings.Trim(strings.TrimSpace(v), `"`); value == "" {
+						value = "true"
+					}
+				}
+			}
+		}
+		return true
+	})
+	return value
+}
--- a/internal/front/odata/render.go
+++ b/internal/front/odata/render.go
@@ -10,46 +10,46 @@
 	"passtack/internal/odata"
 )
 
-// broken is what the client hears where a member's value is not what the metadata promises.
-func broken() *reply {
-	return failure(fault(500, "BrokenValue", "a member answered with what is no such resource"))
+// malformedValueResponse answers a request if a member's value does not match the metadata.
+func malformedValueResponse() *response {
+	return errorResponse(newError(500, "BrokenValue", "a member answered with what is no such resource"))
 }
 
-// render makes the answer out of what a member gave.
-func (f *Front) render(e *errand, a *driver.Answer) *reply {
-	var r *reply
+// render returns the response to the client for a member's answer.
+func (f *Front) render(req *request, a *driver.Answer) *response {
+	var r *response
 	if a.Form == driver.Requests {
-		r = f.passOn(e, a)
+		r = f.forward(req, a)
 	} else {
-		r = f.fromValue(e, a.Value)
+		r = f.renderValue(req, a.Value)
 	}
-	if e.act.Writes() && a.Position > 0 && r.status < 300 {
+	if req.act.Writes() && a.Position > 0 && r.status < 300 {
 		r.fields = httpwire.AppendField(r.fields, "Session-Position", strconv.FormatInt(int64(a.Position/time.Millisecond), 10))
 	}
 	return r
 }
 
-// passed are the fields of a member's answer that its client gets too.
-var passed = []string{"Content-Type", "ETag", "Preference-Applied", "Allow"}
+// forwardedFields are the header fields of a member's response that the client gets.
+var forwardedFields = []string{"Content-Type", "ETag", "Preference-Applied", "Allow"}
 
-// passOn hands the answer of a member that speaks OData on. Its body stays as it is.
-func (f *Front) passOn(e *errand, a *driver.Answer) *reply {
-	r := &reply{status: a.Status, body: append([]byte(nil), a.Value...)}
+// forward returns the response of a member that speaks OData. The body is unchanged.
+func (f *Front) forward(req *request, a *driver.Answer) *response {
+	r := &response{status: a.Status, body: append([]byte(nil), a.Value...)}
 	fields := httpwire.Fields(a.Fields)
-	for _, name := range passed {
+	for _, name := range forwardedFields {
 		if value := fields.Text(name); value != "" {
 			r.fields = httpwire.AppendField(r.fields, name, value)
 		}
 	}
-	if e.act == odata.Create && a.Status < 300 {
-		r.fields = f.location(r.fields, e, e.key, a.Status == 204)
+	if req.act == odata.Create && a.Status < 300 {
+		r.fields = f.appendLocation(r.fields, req, req.key, a.Status == 204)
 	}
 	return r
 }
 
-// location tells where a new entity is.
-func (f *Front) location(fields []byte, e *errand, key odata.Value, withID bool) []byte {
-	at := f.offer.Root + e.resource.Set.Name + "(" + odata.Encode(odata.KeyOf(key)) + ")"
+// appendLocation appends the fields that locate a new entity.
+func (f *Front) appendLocation(fields []byte, req *request, key odata.Value, withID bool) []byte {
+	at := f.config.Root + req.resource.Set.Name + "(" + odata.Encode(odata.KeyOf(key)) + ")"
 	fields = httpwire.AppendField(fields, "Location", at)
 	if withID {
 		fields = httpwire.AppendField(fields, "OData-EntityId", at)
@@ -57,148 +57,149 @@
 	return fields
 }
 
-// fromValue renders the value that a statement gave.
-func (f *Front) fromValue(e *errand, value []byte) *reply {
-	if e.act.Writes() {
-		return f.written(e, value)
+// renderValue returns the response for the value of a statement.
+func (f *Front) renderValue(req *request, value []byte) *response {
+	if req.act.Writes() {
+		return f.renderWrite(req, value)
 	}
-	res, root := &e.resource, f.offer.Root
-	json := httpwire.AppendField(nil, "Content-Type", "application/json;odata.metadata="+map[bool]string{true: "minimal", false: "none"}[e.minimal])
+	res, root := &req.resource, f.config.Root
+	json := httpwire.AppendField(nil, "Content-Type", "application/json;odata.metadata="+map[bool]string{true: "minimal", false: "none"}[req.minimalMetadata])
 	plain := httpwire.AppendField(nil, "Content-Type", "text/plain")
 	switch {
-	case e.act == odata.Count:
+	case req.act == odata.Count:
 		if n, err := strconv.ParseUint(strings.TrimSpace(string(value)), 10, 63); err == nil {
-			return &reply{200, plain, strconv.AppendUint(nil, n, 10)}
+			return &response{200, plain, strconv.AppendUint(nil, n, 10)}
 		}
-		return broken()
-	case e.act == odata.List:
-		body, ok := res.CollectionBody(value, root, e.limit(), e.minimal, e.next())
+		return malformedValueResponse()
+	case req.act == odata.List:
+		body, ok := res.CollectionBody(value, root, req.pageSize(), req.minimalMetadata, req.nextPage())
 		if !ok {
-			return broken()
+			return malformedValueResponse()
 		}
-		return &reply{200, json, body}
+		return &response{200, json, body}
 	case odata.Nothing(value):
-		return failure(fault(404, "NotFound", "there is no such entity"))
+		return errorResponse(newError(404, "NotFound", "there is no such entity"))
 	}
-	whole, ok := res.EntityBody(value, root, e.minimal)
+	whole, ok := res.EntityBody(value, root, req.minimalMetadata)
 	if !ok {
-		return broken()
+		return malformedValueResponse()
 	}
 	tag := res.Set.ETagOf(value)
-	if r := e.unchanged(tag); r != nil {
+	if r := req.conditionalResponse(tag); r != nil {
 		return r
 	}
 	switch res.Kind {
 	case odata.PropertyOf, odata.ValueOf:
-		body, null, ok := res.PropertyBody(value, root, e.minimal, res.Kind == odata.ValueOf)
+		body, null, ok := res.PropertyBody(value, root, req.minimalMetadata, res.Kind == odata.ValueOf)
 		if !ok {
-			return broken()
+			return malformedValueResponse()
 		}
-		r := &reply{200, json, body}
+		r := &response{200, json, body}
 		if res.Kind == odata.ValueOf {
 			r.fields = plain
 		}
 		if null {
-			r = &reply{status: 204}
+			r = &response{status: 204}
 		}
-		return tagged(r, tag)
+		return withETag(r, tag)
 	}
-	return tagged(&reply{200, json, whole}, tag)
+	return withETag(&response{200, json, whole}, tag)
 }
 
-func tagged(r *reply, tag string) *reply {
+// withETag adds the entity's tag to a response, if it has one.
+func withETag(r *response, tag string) *response {
 	if tag != "" {
 		r.fields = httpwire.AppendField(r.fields, "ETag", tag)
 	}
 	return r
 }
 
-// unchanged answers a read by what its client knows already.
-func (e *errand) unchanged(tag string) *reply {
-	listed := func(tags string) bool {
-		for one := range strings.SplitSeq(tags, ",") {
-			if one = strings.TrimSpace(one); one == "*" || one == tag && tag != "" {
+// conditionalResponse answers a read whose condition fails, or whose client has the entity already. Else it returns nil.
+func (req *request) conditionalResponse(tag string) *response {
+	matches := func(tags string) bool {
+		for item := range strings.SplitSeq(tags, ",") {
+			if item = strings.TrimSpace(item); item == "*" || item == tag && tag != "" {
 				return true
 			}
 		}
 		return false
 	}
-	if e.match != "" && !listed(e.match) {
-		return failure(fault(412, "PreconditionFailed", "the entity has another version"))
+	if req.ifMatch != "" && !matches(req.ifMatch) {
+		return errorResponse(newError(412, "PreconditionFailed", "the entity has another version"))
 	}
-	if e.noneMatch != "" && listed(e.noneMatch) {
-		return tagged(&reply{status: 304}, tag)
+	if req.ifNoneMatch != "" && matches(req.ifNoneMatch) {
+		return withETag(&response{status: 304}, tag)
 	}
 	return nil
 }
 
-// next is the target of the page behind this one, "" where the client wants no more than this.
-func (e *errand) next() string {
-	r := &e.resource
+// nextPage returns the target of the next page, "" if the client wants no more.
+func (req *request) nextPage() string {
+	r := &req.resource
 	left := -1
 	if r.Top >= 0 {
-		if left = r.Top - e.limit(); left <= 0 {
+		if left = r.Top - req.pageSize(); left <= 0 {
 			return ""
 		}
 	}
-	target, query, _ := strings.Cut(e.question.target, "?")
-	var kept []string
-	for part := range strings.SplitSeq(query, "&") {
-		name, _, _ := strings.Cut(part, "=")
+	target, query, _ := strings.Cut(req.http.target, "?")
+	var parts []string
+	for option := range strings.SplitSeq(query, "&") {
+		name, _, _ := strings.Cut(option, "=")
 		name = strings.TrimPrefix(strings.ReplaceAll(name, "%24", "$"), "$")
-		if part != "" && name != "skip" && name != "top" {
-			kept = append(kept, part)
+		if option != "" && name != "skip" && name != "top" {
+			parts = append(parts, option)
 		}
 	}
-	kept = append(kept, "$skip="+strconv.Itoa(r.Skip+e.limit()))
+	parts = append(parts, "$skip="+strconv.Itoa(r.Skip+req.pageSize()))
 	if left > 0 {
-		kept = append(kept, "$top="+strconv.Itoa(left))
+		parts = append(parts, "$top="+strconv.Itoa(left))
 	}
-	return target + "?" + strings.Join(kept, "&")
+	return target + "?" + strings.Join(parts, "&")
 }
 
-// written renders what a write gave: the entity as it is now, or something that only tells that it was done.
-func (f *Front) written(e *errand, value []byte) *reply {
-	res := &e.resource
+// renderWrite returns the response for the value of a write's statement: the entity, or that it was done.
+func (f *Front) renderWrite(req *request, value []byte) *response {
+	res := &req.resource
 	if odata.Nothing(value) {
 		switch {
-		case e.act == odata.Create:
-			return failure(fault(409, "Conflict", "there is an entity of this key"))
-		case e.version != "":
-			return failure(fault(412, "PreconditionFailed", "the entity has another version, or is gone"))
+		case req.act == odata.Create:
+			return errorResponse(newError(409, "Conflict", "there is an entity of this key"))
+		case req.requiredVersion != "":
+			return errorResponse(newError(412, "PreconditionFailed", "the entity has another version, or is gone"))
 		}
-		return failure(fault(404, "NotFound", "there is no such entity"))
+		return errorResponse(newError(404, "NotFound", "there is no such entity"))
 	}
-	if e.act == odata.Delete {
-		return &reply{status: 204}
+	if req.act == odata.Delete {
+		return &response{status: 204}
 	}
-	body, isEntity := res.EntityBody(value, f.offer.Root, e.minimal)
+	body, isEntity := res.EntityBody(value, f.config.Root, req.minimalMetadata)
 	key, hasKey := res.Set.KeyIn(value)
 	if !hasKey {
-		key = e.key
+		key = req.key
 	}
 	tag := ""
 	if isEntity {
 		tag = res.Set.ETagOf(value)
 	}
-	created := e.act == odata.Create
-	if wants := isEntity && (e.returns == "representation" || created && e.returns != "minimal"); wants {
-		r := &reply{status: 200, body: body}
-		r.fields = httpwire.AppendField(nil, "Content-Type", "application/json;odata.metadata="+map[bool]string{true: "minimal", false: "none"}[e.minimal])
+	created := req.act == odata.Create
+	if wants := isEntity && (req.returnPreference == "representation" || created && req.returnPreference != "minimal"); wants {
+		r := &response{status: 200, body: body}
+		r.fields = httpwire.AppendField(nil, "Content-Type", "application/json;odata.metadata="+map[bool]string{true: "minimal", false: "none"}[req.minimalMetadata])
 		if created {
-			r.status, r.fields = 201, f.location(r.fields, e, key, false)
+			r.status, r.fields = 201, f.appendLocation(r.fields, req, key, false)
 		}
-		if e.returns != "" {
+		if req.returnPreference != "" {
 			r.fields = httpwire.AppendField(r.fields, "Preference-Applied", "return=representation")
 		}
-		return tagged(r, tag)
+		return withETag(r, tag)
 	}
-	r := &reply{status: 204}
+	r := &response{status: 204}
 	if created {
-		r.fields = f.location(nil, e, key, true)
+		r.fields = f.appendLocation(nil, req, key, true)
 	}
-	if e.returns != "representation" && e.returns != "" {
+	if req.returnPreference != "representation" && req.returnPreference != "" {
 		r.fields = httpwire.AppendField(r.fields, "Preference-Applied", "return=minimal")
 	}
-	return tagged(r, tag)
+	return withETag(r, tag)
 }
--- /dev/null
+++ b/internal/front/odata/validate.go
@@ -0,0 +1,222 @@
+package odata
+
+import (
+	"fmt"
+	"mime"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/zeebo/xxh3"
+
+	"passtack/internal/httpwire"
+	"passtack/internal/odata"
+)
+
+// httpRequest is one request as received, alone or in a batch.
+type httpRequest struct {
+	verb, target string
+	fields       httpwire.Fields
+	body         []byte
+	receivedAt   time.Duration // its last byte; in a batch, when it was sent
+	inBatch      bool          // of a batch
+}
+
+// newError returns an error for the client.
+func newError(status int, code, format string, args ...any) *odata.Error {
+	return &odata.Error{Status: status, Code: code, Text: fmt.Sprintf(format, args...)}
+}
+
+// validate parses and checks a request. It returns one that may be sent, or the response where nothing has to be sent. The
+// resource of a request may also be a batch.
+func (f *Front) validate(q *httpRequest) (*request, *response) {
+	req := &request{front: f, http: q, minimalMetadata: true, returnPreference: preference(q.fields, "return")}
+	if err := q.checkVersions(); err != nil {
+		return nil, errorResponse(err)
+	}
+	resource, err := f.config.Model.Parse(q.target, f.config.Root)
+	if err != nil {
+		return nil, errorResponse(err)
+	}
+	req.resource = resource
+	if r := f.checkMethod(req); r != nil {
+		return nil, r
+	}
+	if r := f.serveDocument(req); r != nil {
+		return nil, r
+	}
+	if resource.Kind == odata.BatchOf {
+		if q.inBatch {
+			return nil, errorResponse(odata.Missing("", "a batch in a batch"))
+		}
+		return req, nil
+	}
+	if err := req.chooseAct(); err != nil {
+		return nil, errorResponse(err)
+	}
+	if err := req.readBody(); err != nil {
+		return nil, errorResponse(err)
+	}
+	if err := req.readPreconditions(); err != nil {
+		return nil, errorResponse(err)
+	}
+	if err := req.chooseGroup(); err != nil {
+		return nil, errorResponse(err)
+	}
+	if req.operation = req.resource.Set.Operations[req.act]; req.operation == nil {
+		return nil, errorResponse(odata.Missing("", odata.Names[req.act]+" of "+req.resource.Set.Name))
+	}
+	if err := req.checkStatement(); err != nil {
+		return nil, errorResponse(err)
+	}
+	if err := req.readRepeatability(); err != nil {
+		return nil, errorResponse(err)
+	}
+	return req, nil
+}
+
+// checkVersions checks the versions of OData that the client uses and accepts.
+func (q *httpRequest) checkVersions() *odata.Error {
+	if v := q.fields.Text("odata-version"); v != "" && v != "4.0" && v != "4.01" {
+		return newError(400, "BadVersion", "OData-Version %q is neither 4.0 nor 4.01", v)
+	}
+	if v := q.fields.Text("odata-maxversion"); v != "" {
+		if n, err := strconv.ParseFloat(v, 64); err != nil || n < 4 {
+			return newError(400, "BadVersion", "OData-MaxVersion %q is under 4.0", v)
+		}
+	}
+	return nil
+}
+
+// knownVerbs are the methods of HTTP that are known, whether or not a resource allows them.
+var knownVerbs = map[string]bool{"GET": true, "HEAD": true, "POST": true, "PUT": true, "PATCH": true, "DELETE": true, "OPTIONS": true}
+
+// checkMethod rejects a method that the resource does not allow, and answers OPTIONS.
+func (f *Front) checkMethod(req *request) *response {
+	allowed := map[odata.Kind]string{
+		odata.BatchOf: "POST", odata.Collection: "GET, HEAD, POST", odata.Entity: "GET, HEAD, PATCH, PUT, DELETE",
+	}[req.resource.Kind]
+	if allowed == "" {
+		allowed = "GET, HEAD"
+	}
+	verb := req.http.verb
+	for item := range strings.SplitSeq(allowed, ", ") {
+		if item == verb {
+			return nil
+		}
+	}
+	if !knownVerbs[verb] {
+		return errorResponse(odata.Missing("", "the method "+verb))
+	}
+	r := &response{status: 204}
+	if verb != "OPTIONS" {
+		r = errorResponse(newError(405, "MethodNotAllowed", "%s does not fit this resource", verb))
+	}
+	r.fields = httpwire.AppendField(r.fields, "Allow", allowed)
+	return r
+}
+
+// serveDocument answers requests for the service document and the metadata.
+func (f *Front) serveDocument(req *request) *response {
+	r := &response{status: 200}
+	switch req.resource.Kind {
+	case odata.ServiceDocument:
+		if err := req.negotiateFormat("application/json"); err != nil {
+			return errorResponse(err)
+		}
+		r.body = f.config.Model.Service(f.config.Root)
+		r.fields = httpwire.AppendField(nil, "Content-Type", "application/json;odata.metadata=minimal")
+	case odata.Metadata:
+		if err := req.negotiateFormat("application/xml", "application/json"); err != nil {
+			return errorResponse(err)
+		}
+		if req.format == "application/xml" {
+			r.body = f.config.Model.XML()
+		} else {
+			r.body = f.config.Model.JSON()
+		}
+		r.fields = httpwire.AppendField(nil, "Content-Type", req.format)
+	default:
+		return nil
+	}
+	return r
+}
+
+// chooseAct determines what the request does to the resource.
+func (req *request) chooseAct() *odata.Error {
+	formats := []string{"application/json"}
+	switch req.resource.Kind {
+	case odata.Collection:
+		req.act = odata.List
+	case odata.CountOf, odata.ValueOf:
+		req.act = odata.Read
+		if req.resource.Kind == odata.CountOf {
+			req.act = odata.Count
+		}
+		formats = []string{"text/plain"}
+	}
+	switch req.http.verb {
+	case "POST":
+		req.act = odata.Create
+	case "PATCH", "PUT":
+		req.act = map[string]odata.Act{"PATCH": odata.Update, "PUT": odata.Replace}[req.http.verb]
+		if req.resource.Set.Operations[odata.Upsert] != nil && req.http.fields.Text("if-match") == "" {
+			req.act = odata.Upsert
+		}
+	case "DELETE":
+		req.act = odata.Delete
+	}
+	return req.negotiateFormat(formats...)
+}
+
+// readBody reads the body of a write.
+func (req *request) readBody() (err *odata.Error) {
+	req.key = req.resource.Key
+	if !req.act.Writes() || req.act == odata.Delete {
+		if len(req.http.body) > 0 {
+			return newError(400, "BadRequest", "%s brings a body", req.http.verb)
+		}
+		return nil
+	}
+	media, parameters, failed := mime.ParseMediaType(req.http.fields.Text("content-type"))
+	if failed != nil || media != "application/json" {
+		return newError(415, "UnsupportedMediaType", "a body is application/json")
+	}
+	if charset := parameters["charset"]; charset != "" && !strings.EqualFold(charset, "utf-8") {
+		return newError(415, "UnsupportedMediaType", "a body is in UTF-8")
+	}
+	set := req.resource.Set
+	if req.values, err = set.Body(req.http.body, req.act == odata.Create); err != nil {
+		return err
+	}
+	switch key, found := req.values[set.Key.Name]; {
+	case req.act == odata.Create:
+		req.key = key
+	case found && odata.KeyOf(key) != odata.KeyOf(req.key):
+		return newError(400, "BadRequest", "the key of the body is not the one of the path")
+	default:
+		req.values[set.Key.Name] = req.key
+	}
+	if req.act == odata.Replace || req.act == odata.Upsert && req.http.verb == "PUT" {
+		for _, p := range set.Properties {
+			if _, found := req.values[p.Name]; !found && !p.Nullable {
+				return newError(400, "BadRequest", "%s is missing", p.Name)
+			}
+		}
+	}
+	return nil
+}
+
+// chooseGroup determines the group, by the key where the entity set is spread over several.
+func (req *request) chooseGroup() *odata.Error {
+	groups := req.resource.Set.Groups
+	if req.act == odata.List || req.act == odata.Count {
+		if len(groups) > 1 {
+			return odata.Missing("", fmt.Sprintf("a collection over %d groups", len(groups)))
+		}
+		req.group = groups[0]
+		return nil
+	}
+	req.group = groups[xxh3.HashString(req.key.Text)%uint64(len(groups))]
+	return nil
+}
--- a/internal/front/odata/judge_test.go
+++ b/internal/front/odata/validate_test.go
@@ -15,12 +15,12 @@
 	"passtack/internal/pgwire"
 )
 
-// desk is a host that only tells how members are spoken to.
-type desk struct{ driver.Clerk }
+// statementHandler is a driver whose members take statements.
+type statementHandler struct{ driver.Clerk }
 
-func (desk) FormOf(driver.Group) driver.Form { return driver.Statements }
+func (statementHandler) FormOf(driver.Group) driver.Form { return driver.Statements }
 
-func sample(t testing.TB) *Front {
+func newTestFront(t testing.TB) *Front {
 	text, err := os.ReadFile("../../../deploy/passtack.hcl")
 	if err != nil {
 		t.Fatal(err)
@@ -32,62 +32,62 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &Front{clerk: desk{}, offer: f.Listeners[1].OData, methods: []string{"status-read", "own-read", "apply-write"}, chance: pcg.New(1)}
+	return &Front{handler: statementHandler{}, config: f.Listeners[1].OData, methods: []string{"status-read", "own-read", "apply-write"}, random: pcg.New(1)}
 }
 
-func TestPreferencesAndForms(t *testing.T) {
+func TestPreferencesAndFormats(t *testing.T) {
 	fields := httpwire.Fields("Prefer: respond-async, odata.continue-on-error; x=y\r\nPREFER: wait=7 , return=\"minimal\", wait=9\r\n")
 	for name, want := range map[string]string{"wait": "7", "return": "minimal", "continue-on-error": "true", "nothing": ""} {
 		if got := preference(fields, name); got != want {
 			t.Errorf("%s: %q, want %q", name, got, want)
 		}
 	}
-	f := sample(t)
+	f := newTestFront(t)
 	for accept, want := range map[string]string{
 		"": "application/json", "*/*": "application/json", "text/html, application/json;q=0.5": "application/json", "application/*": "application/json",
 		"application/json;odata.metadata=full": "", "application/json;q=0": "", "text/html": "", "nonsense;;": "", "application/json;q=x": "",
 	} {
-		e, done := f.judge(&question{verb: "GET", target: "/odata/Applications('a')", fields: httpwire.AppendField(nil, "Accept", accept)})
-		if want == "" && (done == nil || done.status != 406) || want != "" && (e == nil || e.format != want) {
-			t.Errorf("Accept %q: %v, %v", accept, e, done)
+		req, done := f.validate(&httpRequest{verb: "GET", target: "/odata/Applications('a')", fields: httpwire.AppendField(nil, "Accept", accept)})
+		if want == "" && (done == nil || done.status != 406) || want != "" && (req == nil || req.format != want) {
+			t.Errorf("Accept %q: %v, %v", accept, req, done)
 		}
 	}
-	if e, done := f.judge(&question{verb: "GET", target: "/odata/Applications('a')", fields: httpwire.Fields("Accept: application/json;odata.metadata=none\r\n")}); done != nil || e.minimal {
+	if req, done := f.validate(&httpRequest{verb: "GET", target: "/odata/Applications('a')", fields: httpwire.Fields("Accept: application/json;odata.metadata=none\r\n")}); done != nil || req.minimalMetadata {
 		t.Errorf("no metadata is wanted: %v", done)
 	}
 }
 
-// Whatever a client writes into its request and its fields: it is judged without a panic, an error has its standard form,
-// and what goes to a member is one comment whose fields are the front's own, and one statement.
+// Any request is validated without a panic, an error has the standard form, and what is sent to a member is one comment with the
+// front's own fields and one statement.
 func FuzzHeaders(f *testing.F) {
 	f.Add("POST", "/odata/Applications", "Content-Type: application/json\r\nRepeatability-Request-ID: a*/ b,k=c\r\nRepeatability-First-Sent: Tue, 01 Dec 2026 10:00:00 GMT\r\n", `{"Id":"x"}`)
 	f.Add("PATCH", "/odata/Applications('a')", "Content-Type: application/json\r\nIf-Match: W/\"x\"\r\nPrefer: return=minimal\r\n", `{"Status":"*/"}`)
 	f.Add("GET", "/odata/Applications?$filter=Status%20eq%20'*/'", "Session-Position: 99999999999999999999\r\nSession-Id: */\r\nAccept: */*;q=1\r\n", "")
 	f.Add("GET", "/odata/Applications('a')", "Repeatability-Client-ID: ,\r\nOData-MaxVersion: NaN\r\nDeadline-Ms: -1\r\n", "")
-	front := sample(f)
+	front := newTestFront(f)
 	f.Fuzz(func(t *testing.T, verb, target, fields, body string) {
 		r, fault := httpwire.Next([]byte("GET / HTTP/1.1\r\nHost: x\r\n"+fields+"\r\n"), httpwire.Limits{Target: 100, Head: 4000, Fields: 50, Body: 100})
 		if fault != nil || r.Size == 0 {
 			return
 		}
-		q := &question{verb: verb, target: target, fields: r.Fields, body: []byte(body)}
-		e, done := front.judge(q)
+		q := &httpRequest{verb: verb, target: target, fields: r.Fields, body: []byte(body)}
+		req, done := front.validate(q)
 		if done != nil {
 			if done.status >= 400 && !json.Valid(done.body) {
 				t.Fatalf("%d with %q", done.status, done.body)
 			}
 			return
 		}
-		if e.operation == nil { // a batch
+		if req.operation == nil { // a batch
 			return
 		}
 		token := ""
-		if e.repeatKey != "" {
-			token = tokenOf(e.repeatKey, e.repeatID)
+		if req.idempotencyKey != "" {
+			token = idempotencyToken(req.idempotencyKey, req.repeatabilityID)
 		}
-		e.id = "0123"
-		e.word(e.operation.Method, token, time.Hour)
-		text := string(e.ask.Before) + "100" + string(e.ask.After)
+		req.id = "0123"
+		req.encode(req.operation.Method, token, time.Hour)
+		text := string(req.memberRequest.Before) + "100" + string(req.memberRequest.After)
 		if strings.IndexByte(text, 0) >= 0 || !strings.HasPrefix(text, "/* id=0123,c=") {
 			t.Fatalf("%q", text)
 		}
--- /dev/null
+++ b/internal/front/pg/front.go
@@ -0,0 +1,132 @@
+// Package pg is the listener side of version 3 of PostgreSQL's protocol: simple queries, without passwords.
+package pg
+
+import (
+	"net/netip"
+	"time"
+
+	"passtack/driver"
+	"passtack/internal/front"
+	"passtack/internal/loop"
+	"passtack/internal/pcg"
+	"passtack/internal/pgwire"
+	"passtack/internal/slots"
+)
+
+// Front is one listener. It implements driver.Front.
+type Front struct {
+	loop        *loop.Loop
+	handler     driver.Clerk
+	methods     map[string]driver.Method
+	sessions    map[driver.Method]bool // methods whose quoted key names the session
+	keyed       map[driver.Method]bool // methods that need an idempotency key
+	activeIDs   front.ActiveIDs
+	connections *front.Connections
+	cancelKeys  *pcg.Source
+}
+
+// Listen accepts clients. The slices are indexed by method: its name, whether its key names the session, and whether it needs
+// an idempotency key. The seed is that of the cancel keys.
+func Listen(l *loop.Loop, handler driver.Clerk, address netip.AddrPort, limits loop.Door, activeIDs front.ActiveIDs, methods []string,
+	sessions, keyed []bool, seed uint64) (*Front, error) {
+	f := &Front{cancelKeys: pcg.New(seed), loop: l, handler: handler, activeIDs: activeIDs}
+	f.SetMethods(methods, sessions, keyed)
+	var err error
+	f.connections, err = front.Listen(l, address, pgwire.Most+1, limits, handler.Count, func(s *front.Connection) front.Handler {
+		return &client{Connection: s, front: f, cancelKey: f.cancelKeys.Uint32()}
+	})
+	return f, err
+}
+
+// SetMethods changes the methods that clients may call. One without a name is not served.
+func (f *Front) SetMethods(names []string, sessions, keyed []bool) {
+	f.methods, f.sessions, f.keyed = make(map[string]driver.Method), make(map[driver.Method]bool), make(map[driver.Method]bool)
+	for i, name := range names {
+		if number := driver.Method(i); name != "" {
+			f.methods[name], f.sessions[number], f.keyed[number] = number, sessions[i], keyed[i]
+		}
+	}
+}
+
+// busyClient returns the client whose RPC is in service, nil if there is none.
+func (f *Front) busyClient(id driver.Client) *client {
+	if c, ok := f.connections.Handler(slots.Handle(id)).(*client); ok && c.busy {
+		return c
+	}
+	return nil
+}
+
+// Ask implements driver.Front. It returns the client's statement, before and after the time in its comment.
+func (f *Front) Ask(from driver.Client) *driver.Ask {
+	c := f.busyClient(from)
+	if c == nil {
+		return nil
+	}
+	text := c.Stream.Unread()[c.textOffset : c.messageSize-1]
+	c.request.Before, c.request.After = text[:c.budgetSpan[0]], text[c.budgetSpan[1]:]
+	return &c.request
+}
+
+var readyMessage = pgwire.AppendReady(nil)
+
+// Answer implements driver.Front. It forwards the messages of a member.
+func (f *Front) Answer(to driver.Client, a *driver.Answer) {
+	f.respond(to, append(a.Parts, readyMessage)...)
+}
+
+// PushBack implements driver.Front. The retry delay, if there is one, is the detail of the error, in milliseconds.
+func (f *Front) PushBack(to driver.Client, retryAfter time.Duration) {
+	detail := -1
+	if retryAfter > 0 {
+		detail = int((retryAfter + time.Millisecond - 1) / time.Millisecond)
+	}
+	f.respond(to, pgwire.AppendError(nil, false, codeTooManyConnections, "pushed back", detail), readyMessage)
+}
+
+// Abort implements driver.Front.
+func (f *Front) Abort(to driver.Client) {
+	f.respond(to, pgwire.AppendError(nil, false, codeSystemError, "aborted", -1), readyMessage)
+}
+
+// cancel ends the RPC of a client that requests it over another connection.
+func (f *Front) cancel(id driver.Client, cancelKey uint32) {
+	if c := f.busyClient(id); c != nil && c.cancelKey == cancelKey {
+		f.handler.Count("clients_cancelled")
+		f.respond(id, pgwire.AppendError(nil, false, codeQueryCanceled, "cancelled", -1), readyMessage)
+		f.handler.ClientLeft(c.rpc)
+	}
+}
+
+// respond sends the response to the client's RPC and ends it. If the RPC is still being admitted, Input consumes the message.
+func (f *Front) respond(to driver.Client, parts ...[]byte) {
+	c := f.busyClient(to)
+	if c == nil {
+		return
+	}
+	c.endRPC()
+	c.BeginIdle()
+	c.Stream.Send(parts...)
+	if c.admitting {
+		return
+	}
+	c.Stream.Skip(c.messageSize)
+	c.AfterResponse()
+}
+
+// Connections returns the listener's connections.
+func (f *Front) Connections() *front.Connections { return f.connections }
+
+// Shut implements driver.Front.
+func (f *Front) Shut() { f.connections.StopAccepting() }
+
+// Leave implements driver.Front.
+func (f *Front) Leave() { f.connections.Drain() }
+
+// Sweep implements driver.Front.
+func (f *Front) Sweep(idle time.Duration) int { return f.connections.CloseIdle(idle) }
+
+// Finish implements driver.Front.
+func (f *Front) Finish() { f.connections.CloseAll() }
+
+// Open implements driver.Front.
+func (f *Front) Open() int { return f.connections.Count() }
--- a/internal/member/attempt.go
+++ b/internal/member/attempt.go
@@ -124,7 +124,7 @@
 		return
 	}
 	if a.queued.Value != nil && a.connection == nil {
-		p.ledger.Count("connects_waited_out")
+		p.ledger.Count("connects_wait_expired")
 	}
 	progress, errorReceived, outcome := a.progress(), false, driver.Failed
 	if progress >= FullyWritten && p.loop.Now() < a.deadline {
--- a/internal/node/learned_save.go
+++ b/internal/node/learned_save.go
@@ -180,7 +180,7 @@
 func (l *learnedState) expireRequests() (background.Usage, background.Outcome) {
 	for _, listener := range l.node.listeners.all {
 		if f, ok := listener.front.(*odatafront.Front); ok {
-			f.Repeats().Expire(l.node.loop.Now())
+			f.Registry().Expire(l.node.loop.Now())
 		}
 	}
 	return background.Usage{}, background.Done
--- a/internal/node/listeners.go
+++ b/internal/node/listeners.go
@@ -49,7 +49,7 @@
 func (s *listenerSet) open() error {
 	n := s.node
 	methods := n.site.methods()
-	ids := make(front.Ids)
+	ids := make(front.ActiveIDs)
 	for _, f := range n.config.Listeners {
 		l := &listener{set: s, name: f.Name, quotaID: s.quotas.Add(f.Quota)}
 		address := f.Listen
@@ -66,7 +66,7 @@
 }
 
 // open listens for clients of one front.
-func (l *listener) open(f *config.Listener, address netip.AddrPort, ids front.Ids, methods siteMethods) error {
+func (l *listener) open(f *config.Listener, address netip.AddrPort, ids front.ActiveIDs, methods siteMethods) error {
 	n := l.set.node
 	seed := n.site.Seed + uint64(l.quotaID)
 	switch f.Protocol {
@@ -82,7 +82,7 @@
 			return err
 		}
 		l.front, l.connections = odata, odata.Connections()
-		n.learned.restoreRequests(f.Name, odata.Repeats())
+		n.learned.restoreRequests(f.Name, odata.Registry())
 	}
 	return nil
 }
@@ -99,9 +99,9 @@
 	for _, l := range s.all {
 		switch f := l.front.(type) {
 		case *pgfront.Front:
-			f.Methods(served, methods.inSession, methods.tokened)
+			f.SetMethods(served, methods.inSession, methods.tokened)
 		case *odatafront.Front: // its operations name no retired method
-			f.Methods(methods.names)
+			f.SetMethods(methods.names)
 		}
 	}
 }
@@ -120,7 +120,7 @@
 	s.reportUsage()
 	capacity := s.quotas.Capacity(l.quotaID, kind, total)
 	if l.connections != nil {
-		if open, _ := l.connections.Held(); kind == quota.Connections && open >= capacity {
+		if open, _ := l.connections.Usage(); kind == quota.Connections && open >= capacity {
 			s.quotas.ReportShortage(l.quotaID, kind, s.node.loop.Now())
 		}
 	}
@@ -138,7 +138,7 @@
 // reportUsage reports to the quotas what all listeners use.
 func (s *listenerSet) reportUsage() {
 	for _, l := range s.all {
-		connections, bytes := l.connections.Held()
+		connections, bytes := l.connections.Usage()
 		s.quotas.SetUsage(l.quotaID, quota.Connections, connections)
 		s.quotas.SetUsage(l.quotaID, quota.Bytes, bytes)
 		s.quotas.SetUsage(l.quotaID, quota.RPCs, l.rpcs)
@@ -154,7 +154,7 @@
 	s.rebalanceAt = l.Now() + rebalanceInterval
 	s.reportUsage()
 	for _, each := range s.all {
-		each.connections.Yield(s.quotas.Excess(each.quotaID, quota.Connections, l.Most()*5/8, l.Now()))
+		each.connections.Shed(s.quotas.Excess(each.quotaID, quota.Connections, l.Most()*5/8, l.Now()))
 	}
 }
 
@@ -200,7 +200,7 @@
 // client's, whose descriptor is free a moment later, so that the next need no member's.
 func (n *Node) evictIdle() bool {
 	for _, l := range n.listeners.all {
-		if l.connections.GiveWay() {
+		if l.connections.EvictIdle() {
 			break
 		}
 	}
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -103,7 +103,7 @@
 		s.quotas.Update(s.all[i].quotaID, f.Quota)
 		if odata, ok := s.all[i].front.(*odatafront.Front); ok {
 			inForce[i].OData = f.OData
-			odata.Offer(f.OData)
+			odata.SetConfig(f.OData)
 		}
 	}
 	return restart
