--- /dev/null
+++ b/internal/loop/listener.go
@@ -0,0 +1,156 @@
+package loop
+
+import (
+	"net/netip"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"passtack/internal/slots"
+)
+
+// Listener accepts TCP connections.
+type Listener struct {
+	Door
+	loop        *Loop
+	fd          int
+	handle      slots.Handle
+	maxInput    int
+	accept      func(open func(Handler) *Stream)
+	evict       func(urgent bool)
+	connections int // open streams that it accepted
+	extraBytes  int // bytes that their buffers hold beyond the standard size
+	paused      bool
+	draining    bool // closes once the backlog is empty
+	closed      bool
+}
+
+// Listen accepts connections at the address, each of which may buffer up to maxInput bytes of unread input. It calls accept
+// for each; accept passes its handler to open, which returns the stream, or nil on failure. When the number of connections
+// comes near the limiter's, evict is called and should close one; it is urgent when the limit is reached.
+func (l *Loop) Listen(address netip.AddrPort, maxInput int, limiter Door, accept func(open func(Handler) *Stream),
+	evict func(urgent bool)) (*Listener, error) {
+	fd, err := l.system.Listen(address)
+	if err != nil {
+		return nil, err
+	}
+	n := &Listener{Door: limiter, loop: l, fd: fd, maxInput: maxInput, accept: accept, evict: evict}
+	if n.handle, err = l.register(fd, n, eventReadable); err != nil {
+		l.system.Close(fd)
+		return nil, err
+	}
+	return n, nil
+}
+
+// Limits of one iteration, so that new connections do not delay the others.
+const (
+	maxAcceptsPerIteration = 64
+	maxAcceptFailures      = 16 // the listener then pauses for acceptRetryDelay
+)
+
+// acceptRetryDelay is how long a paused listener waits if no descriptor is freed before.
+const acceptRetryDelay = 100 * time.Millisecond
+
+func (n *Listener) onReady(uint32) { n.acceptPending() }
+
+// acceptPending accepts connections from the backlog and reports whether there may be more.
+func (n *Listener) acceptPending() bool {
+	failed := 0
+	for range maxAcceptsPerIteration {
+		if n.connections >= n.Allowed() {
+			n.evict(true)
+			n.pause()
+			return false
+		}
+		if !n.loop.hasCapacity(n.loop.descriptors.reserved) {
+			n.pause()
+			return false
+		}
+		fd, err := n.loop.system.Accept(n.fd)
+		if err == unix.EAGAIN {
+			if n.draining {
+				n.Close()
+			}
+			return false
+		}
+		if err != nil {
+			if failed++; isPerConnectionError(err) && failed < maxAcceptFailures {
+				continue
+			}
+			n.pause()
+			return false
+		}
+		n.accept(func(handler Handler) *Stream {
+			s, err := n.loop.newStream(fd, handler, n.maxInput, false)
+			if err != nil {
+				return nil
+			}
+			s.listener = n
+			n.connections++
+			return s
+		})
+		if n.connections > n.Allowed()*4/5 { // an evicted connection takes a moment to close
+			n.evict(false)
+		}
+	}
+	return true
+}
+
+func (n *Listener) onPanic(error) {}
+
+// isPerConnectionError reports whether an error of accept belongs to one connection that is gone, by the list in accept(2).
+// Others may be queued behind it.
+func isPerConnectionError(err error) bool {
+	switch err {
+	case unix.ECONNABORTED, unix.EINTR, unix.EPROTO, unix.ENOPROTOOPT, unix.ENETDOWN, unix.ENETUNREACH, unix.EHOSTDOWN,
+		unix.EHOSTUNREACH, unix.ENONET, unix.EOPNOTSUPP, unix.ETIMEDOUT, unix.EPERM:
+		return true
+	}
+	return false
+}
+
+func (n *Listener) updateInterest() {
+	if n.closed {
+		return
+	}
+	events := uint32(eventReadable)
+	if n.paused {
+		events = 0
+	}
+	n.loop.modify(n.fd, n.handle, events)
+}
+
+// pause leaves new connections in the backlog until a descriptor is freed or acceptRetryDelay has passed.
+func (n *Listener) pause() {
+	if n.paused {
+		return
+	}
+	n.paused = true
+	n.updateInterest()
+	resume := func() {
+		if n.paused && !n.closed {
+			n.paused = false
+			n.updateInterest()
+		}
+	}
+	n.loop.descriptors.onFreed = append(n.loop.descriptors.onFreed, resume)
+	n.loop.At(n.loop.now+acceptRetryDelay, resume)
+}
+
+// Close closes the listener. Connections in the backlog are reset.
+func (n *Listener) Close() {
+	if !n.closed {
+		n.closed = true
+		n.loop.unregister(n.fd, n.handle, n.loop.system.Close)
+	}
+}
+
+// Drain accepts the connections in the backlog, as soon as the limits allow, and then closes the listener.
+func (n *Listener) Drain() {
+	n.draining = true
+	for !n.closed && !n.paused && n.acceptPending() {
+	}
+}
+
+// Closed reports whether the listener is closed.
+func (n *Listener) Closed() bool { return n.closed }
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -1,228 +1,130 @@
-// Package loop is the one loop of the program: it waits for sockets and due times and serves each in turn.
-// All that it serves runs on its goroutine and nothing there may block.
+// Package loop is an event loop over sockets and timers. In each iteration it waits for ready sockets, serves each of them
+// once, and then runs the timers that have expired. All handlers and callbacks run on the loop's goroutine and must not
+// block.
 package loop
 
 import (
 	"fmt"
-	"log/slog"
-	"runtime/debug"
 	"time"
 
 	"passtack/internal/due"
 	"passtack/internal/slots"
 )
 
-// source is a descriptor that the loop waits for.
+// source is an open descriptor that the loop watches.
 type source interface {
-	ready(events uint32)
-	broken(cause error) // a panic came while it was served
-	update()            // waits for the events that it needs now
+	onReady(events uint32)
+	onPanic(cause error) // called after a panic in onReady
+	updateInterest()     // registers the events that the source waits for now
 	Close()
 }
 
-// shortage is how long a call is left alone that the system had too little memory for.
-const shortage = 10 * time.Millisecond
-
-// Loop owns the descriptors and the due times.
+// Loop owns the descriptors, the timers and the buffers of its streams. Only Ring may be called from another goroutine.
 type Loop struct {
 	system        System
 	sources       slots.Table[source]
-	dues          due.Queue[func()]
-	now, before   time.Duration // of this turn, and of the one before it
-	events        []Event       // as many as there may be descriptors: all that has closed is heard in one turn
+	timers        due.Queue[func()]
+	now, previous time.Duration // start of the current iteration, and of the one before it
+	events        []Event       // one per possible descriptor, so that one iteration sees every connection that has closed
 	stopped       bool
-	spare         [][]byte  // read buffers of the common size that nobody uses
-	larger        int       // bytes that buffers of both directions take past the common size
-	budget        int       // beyond which no more is read into larger ones
-	starved       []*Stream // which wait for some of them
-	held          int       // descriptors from before
-	most, highest int       // more of them: that may be held, that ever were
-	kept          int       // of most, for DialKept alone
-	freed         []func()  // called when a descriptor is free again
-	// MakeRoom closes something that is idle; it tells whether it found anything.
+	memory        bufferMemory
+	descriptors   descriptorLimits
+
+	// MakeRoom closes an idle connection to free its descriptor; it reports whether it found one.
 	MakeRoom func() bool
 }
 
-// New makes a loop on this machine that holds no more descriptors than most, and no more bytes of long messages than
-// budget.
-func New(most, budget int) (*Loop, error) {
+// New makes a loop on the kernel's sockets. The process may have up to maxDescriptors descriptors open; buffers of long
+// messages may hold up to maxExtraBytes beyond the standard size of a buffer.
+func New(maxDescriptors, maxExtraBytes int) (*Loop, error) {
 	k, err := newKernel()
 	if err != nil {
 		return nil, err
 	}
-	return On(k, most, budget)
+	return On(k, maxDescriptors, maxExtraBytes)
 }
 
-// On is New on another system.
-func On(system System, most, budget int) (*Loop, error) {
-	held, err := system.Held()
+// On makes a loop like New, on another implementation of the system calls.
+func On(system System, maxDescriptors, maxExtraBytes int) (*Loop, error) {
+	inherited, err := system.Held()
 	if err != nil {
 		return nil, err
 	}
-	if most <= held {
-		return nil, fmt.Errorf("%d descriptors are too few: %d are open already", most, held)
+	if maxDescriptors <= inherited {
+		return nil, fmt.Errorf("%d descriptors are too few: %d are open already", maxDescriptors, inherited)
 	}
-	l := &Loop{system: system, held: held}
-	l.Limit(most, budget)
+	l := &Loop{system: system, descriptors: descriptorLimits{inherited: inherited}}
+	l.Limit(maxDescriptors, maxExtraBytes)
 	l.MakeRoom = func() bool { return false }
 	l.now = system.Clock()
-	l.before = l.now
+	l.previous = l.now
 	return l, nil
 }
 
-// Limit changes what New was told. What is held beyond it goes as it ends.
-func (l *Loop) Limit(most, budget int) {
-	l.most, l.budget = max(most-l.held, 1), budget
-	l.kept = min(2, l.most/16)
-	if size := max(512, l.most+1); len(l.events) < size {
-		l.events = make([]Event, size)
-	}
-}
-
-// Most tells how many descriptors may be held.
-func (l *Loop) Most() int { return l.most }
-
-// Now is the time of this turn: all that happens in one turn happens at once.
+// Now returns the time at which this iteration began. It stays the same throughout the iteration.
 func (l *Loop) Now() time.Duration { return l.now }
 
-// Before is the time of the turn before this one. What is heard in this turn may have come at any time since.
-func (l *Loop) Before() time.Duration { return l.before }
+// Before returns the time at which the previous iteration began. Events of the current iteration may have occurred at any
+// time since.
+func (l *Loop) Before() time.Duration { return l.previous }
 
-// Clock is the time this moment, which may be later than that of the turn: for who measures what work takes.
+// Clock returns the current time, which may be later than Now. It serves to measure how long work takes.
 func (l *Loop) Clock() time.Duration { return l.system.Clock() }
 
-// Due is a call that is to come.
-type Due = *due.Item[func()]
-
-// At calls once the time has come, in this turn if it has come already, but never at once.
-func (l *Loop) At(at time.Duration, act func()) Due { return l.dues.Push(at, act) }
-
-// Forget takes a call back that has not come yet.
-func (l *Loop) Forget(d Due) { l.dues.Remove(d) }
-
-// Dues counts the calls that are to come.
-func (l *Loop) Dues() int { return l.dues.Count() }
-
-// Later calls in this turn, after what is being served.
-func (l *Loop) Later(act func()) { l.dues.Push(l.now, act) }
-
-// Ring ends the loop's wait from another goroutine.
+// Ring wakes the loop. It may be called from any goroutine.
 func (l *Loop) Ring() { l.system.Ring() }
 
-// Stop ends the loop after this turn.
+// Stop makes Run return after this iteration.
 func (l *Loop) Stop() { l.stopped = true }
 
-// Close ends all that is open, once the loop has ended. Nobody is told.
+// Close closes all descriptors, once Run has returned. The handlers are not notified.
 func (l *Loop) Close() {
 	l.sources.Each(func(_ slots.Handle, s source) { s.Close() })
 	l.system.End()
 }
 
-// Run serves until Stop. Rung is called after each Ring.
-func (l *Loop) Run(rung func()) error {
+// Run iterates until Stop is called. It calls onWake after each Ring, on the loop's goroutine.
+func (l *Loop) Run(onWake func()) error {
 	for !l.stopped {
 		wait := time.Duration(-1)
-		if at, ok := l.dues.First(); ok {
+		if at, ok := l.timers.First(); ok {
 			wait = max(0, at-l.system.Clock())
 		}
-		if err := l.Turn(wait, rung); err != nil {
+		if err := l.Turn(wait, onWake); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Turn waits no longer than told, serves what is ready once, and then all that is due.
-func (l *Loop) Turn(wait time.Duration, rung func()) error {
-	n, err := l.system.Wait(l.events, wait)
+// Turn runs one iteration: it waits for events up to maxWait (without limit if negative), serves each ready descriptor once
+// and then runs the timers that have expired. It calls onWake if Ring was called.
+func (l *Loop) Turn(maxWait time.Duration, onWake func()) error {
+	n, err := l.system.Wait(l.events, maxWait)
 	if err != nil {
 		return err
 	}
-	l.before, l.now = l.now, l.system.Clock()
-	for _, e := range l.events[:n] { // who has gone is heard before anything that could still be sent for it
-		if s, ok := l.sources.Get(e.Handle).(*Stream); ok && s.leaves(e.Ready) {
-			l.guard(func() { s.ready(e.Ready) }, s.broken)
+	l.previous, l.now = l.now, l.system.Clock()
+	for _, e := range l.events[:n] { // clients that have closed come first, so that nothing more is sent on their behalf
+		if s, ok := l.sources.Get(e.Handle).(*Stream); ok && s.clientClosing(e.Ready) {
+			l.guard(func() { s.onReady(e.Ready) }, s.onPanic)
 		}
 	}
 	for _, e := range l.events[:n] {
 		if s := l.sources.Get(e.Handle); s != nil {
-			if c, ok := s.(*Stream); ok && c.leaves(e.Ready) {
+			if c, ok := s.(*Stream); ok && c.clientClosing(e.Ready) {
 				continue
 			}
-			l.guard(func() { s.ready(e.Ready) }, s.broken)
+			l.guard(func() { s.onReady(e.Ready) }, s.onPanic)
 		} else if e.Handle == 0 {
-			l.guard(rung, nil)
+			l.guard(onWake, nil)
 		}
 	}
-	for act, ok := l.dues.Pop(l.now); ok; act, ok = l.dues.Pop(l.now) {
-		l.guard(act, nil)
+	for callback, ok := l.timers.Pop(l.now); ok; callback, ok = l.timers.Pop(l.now) {
+		l.guard(callback, nil)
 	}
 	return nil
 }
 
-// NextDue tells when something is due next.
-func (l *Loop) NextDue() (at time.Duration, ok bool) { return l.dues.First() }
-
-// Stopped tells whether the loop has ended.
+// Stopped reports whether Stop was called.
 func (l *Loop) Stopped() bool { return l.stopped }
-
-type panicked struct{ cause any }
-
-// Error implements error.
-func (p panicked) Error() string { return "panic while it was served" }
-
-// guard stops a panic at what was being served.
-func (l *Loop) guard(act func(), broken func(error)) {
-	defer func() {
-		if cause := recover(); cause != nil {
-			slog.Error("panic", "cause", cause, "stack", string(debug.Stack()))
-			if broken != nil {
-				l.guard(func() { broken(panicked{cause}) }, nil)
-			}
-		}
-	}()
-	act()
-}
-
-// room tells whether one more descriptor may be opened and so many are left; what is idle goes first.
-func (l *Loop) room(kept int) bool {
-	return l.sources.Count() < l.most-kept || l.MakeRoom() && l.sources.Count() < l.most-kept
-}
-
-// Open counts the descriptors that are held, and the most that ever were.
-func (l *Loop) Open() (now, most int) { return l.sources.Count() + l.held, l.highest + l.held }
-
-func (l *Loop) add(fd int, s source, events uint32) (slots.Handle, error) {
-	h := l.sources.Put(s)
-	l.highest = max(l.highest, l.sources.Count())
-	if err := l.system.Watch(fd, h, events, true); err != nil {
-		l.sources.Drop(h)
-		return 0, err
-	}
-	return h, nil
-}
-
-// change waits for other events of a descriptor. Where the system is short of memory it is tried again: without it the
-// descriptor would never be served again.
-func (l *Loop) change(fd int, h slots.Handle, events uint32) {
-	err := l.system.Watch(fd, h, events, false)
-	if err == nil {
-		return
-	}
-	slog.Warn("poll_change_failed", "cause", err)
-	l.At(l.now+shortage, func() {
-		if s := l.sources.Get(h); s != nil {
-			s.update()
-		}
-	})
-}
-
-func (l *Loop) drop(fd int, h slots.Handle, how func(fd int)) {
-	l.sources.Drop(h)
-	how(fd)
-	waiting := l.freed
-	l.freed = nil
-	for _, act := range waiting {
-		l.Later(act)
-	}
-}
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -13,11 +13,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// echo gives back what it is sent; a text that starts with '!' makes it panic.
+// echo sends its input back; input that starts with '!' makes it panic.
 type echo struct {
-	stream   *Stream
-	panicked bool
-	holds    bool // takes nothing
+	stream       *Stream
+	panicked     bool
+	ignoresInput bool // consumes no input
 }
 
 func (e *echo) Opened()              {}
@@ -28,16 +28,16 @@
 	if in[0] == '!' {
 		panic("as asked")
 	}
-	if e.holds || e.stream.Unsent() > 0 {
+	if e.ignoresInput || e.stream.Unsent() > 0 {
 		return 0
 	}
 	e.stream.Send(in)
 	return len(in)
 }
 
-func run(t *testing.T, most, budget int, holds bool) (l *Loop, at netip.AddrPort, stop func()) {
+func startEchoServer(t *testing.T, maxDescriptors, maxExtraBytes int, ignoresInput bool) (l *Loop, address netip.AddrPort, stop func()) {
 	slog.SetDefault(slog.New(slog.DiscardHandler))
-	l, err := New(most, budget)
+	l, err := New(maxDescriptors, maxExtraBytes)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -45,10 +45,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	at = netip.MustParseAddrPort(probe.Addr().String())
+	address = netip.MustParseAddrPort(probe.Addr().String())
 	probe.Close()
-	if _, err := l.Listen(at, 64<<10, Door{}, func(open func(Handler) *Stream) {
-		e := &echo{holds: holds}
+	if _, err := l.Listen(address, 64<<10, Door{}, func(open func(Handler) *Stream) {
+		e := &echo{ignoresInput: ignoresInput}
 		e.stream = open(e)
 	}, func(bool) {}); err != nil {
 		t.Fatal(err)
@@ -62,11 +62,11 @@
 		}
 	})
 	t.Cleanup(stop)
-	return l, at, stop
+	return l, address, stop
 }
 
-func dial(t *testing.T, at netip.AddrPort) net.Conn {
-	c, err := net.Dial("tcp", at.String())
+func dialTCP(t *testing.T, address netip.AddrPort) net.Conn {
+	c, err := net.Dial("tcp", address.String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -75,27 +75,27 @@
 	return c
 }
 
-func says(t *testing.T, c net.Conn, text string) {
+func expectEcho(t *testing.T, c net.Conn, text string) {
 	c.Write([]byte(text))
 	got := make([]byte, len(text))
 	if _, err := io.ReadFull(c, got); err != nil || string(got) != text {
-		t.Fatalf("%q came back as %q, %v", text, got, err)
+		t.Fatalf("sent %q, got %q, %v", text, got, err)
 	}
 }
 
 func TestPanicEndsOneStreamOnly(t *testing.T) {
-	_, at, _ := run(t, 100, 1<<20, false)
-	other, struck := dial(t, at), dial(t, at)
-	says(t, other, "before")
+	_, at, _ := startEchoServer(t, 100, 1<<20, false)
+	other, struck := dialTCP(t, at), dialTCP(t, at)
+	expectEcho(t, other, "before")
 	struck.Write([]byte("!"))
 	if n, err := struck.Read(make([]byte, 9)); err != io.EOF {
 		t.Fatalf("%d bytes, %v", n, err)
 	}
-	says(t, other, "after")
+	expectEcho(t, other, "after")
 }
 
-// What crosses a goodbye must not be read, or it would pass for taken.
-func TestWhatCrossesAGoodbyeIsLeftUnread(t *testing.T) {
+// Input that crosses a close must not be read, or it would count as accepted.
+func TestInputAfterCloseWhenSentIsNotRead(t *testing.T) {
 	l, err := New(1000, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -105,7 +105,7 @@
 		t.Fatal(err)
 	}
 	e := new(echo)
-	if e.stream, err = l.stream(ends[0], e, 64<<10, false); err != nil {
+	if e.stream, err = l.newStream(ends[0], e, 64<<10, false); err != nil {
 		t.Fatal(err)
 	}
 	unix.Write(ends[1], []byte("!crosses"))
@@ -122,37 +122,37 @@
 	}
 }
 
-func TestSlowReaderSlowsOnlyItself(t *testing.T) {
-	_, at, _ := run(t, 100, 1<<20, false)
-	slow, other := dial(t, at), dial(t, at)
+func TestSlowReaderDelaysOnlyItself(t *testing.T) {
+	_, at, _ := startEchoServer(t, 100, 1<<20, false)
+	slow, other := dialTCP(t, at), dialTCP(t, at)
 	sent := bytes.Repeat([]byte("0123456789abcdef"), 1<<20)
 	go slow.Write(sent)
 	for range 50 {
-		says(t, other, "quick")
+		expectEcho(t, other, "quick")
 	}
 	got := make([]byte, len(sent))
 	if _, err := io.ReadFull(slow, got); err != nil || !bytes.Equal(got, sent) {
-		t.Fatalf("what the slow reader reads in the end differs, %v", err)
+		t.Fatalf("the slow reader read different bytes, %v", err)
 	}
 }
 
-func TestNewcomersWaitForADescriptor(t *testing.T) {
+func TestConnectionsWaitForAFreeDescriptor(t *testing.T) {
 	free, err := New(1000, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	limit := free.held + 2 + 6 // its own two; half of the rest is for clients
-	l, at, stop := run(t, limit, 1<<20, false)
+	limit := free.descriptors.inherited + 2 + 6 // its own two; half of the rest is for clients
+	l, at, stop := startEchoServer(t, limit, 1<<20, false)
 	var clients []net.Conn
 	for range 3 {
-		clients = append(clients, dial(t, at))
-		says(t, clients[len(clients)-1], "in")
+		clients = append(clients, dialTCP(t, at))
+		expectEcho(t, clients[len(clients)-1], "in")
 	}
-	late := dial(t, at)
+	late := dialTCP(t, at)
 	late.Write([]byte("waits"))
 	late.SetReadDeadline(time.Now().Add(300 * time.Millisecond))
 	if n, err := late.Read(make([]byte, 9)); err == nil {
-		t.Fatalf("%d bytes came past the limit", n)
+		t.Fatalf("%d bytes were echoed beyond the limit", n)
 	}
 	late.SetReadDeadline(time.Now().Add(20 * time.Second))
 	clients[0].Close()
@@ -166,31 +166,31 @@
 	}
 }
 
-func TestLongMessagesShareABudget(t *testing.T) {
+func TestLongMessagesShareBufferBudget(t *testing.T) {
 	const budget = 40 << 10
-	l, at, stop := run(t, 100, budget, true)
-	for range 5 { // each would hold 64 KiB
-		c := dial(t, at)
+	l, at, stop := startEchoServer(t, 100, budget, true)
+	for range 5 { // each would buffer 64 KiB
+		c := dialTCP(t, at)
 		c.SetWriteDeadline(time.Now().Add(100 * time.Millisecond))
 		c.Write(make([]byte, 8<<20))
 	}
 	stop()
-	if l.larger > budget/2 || l.larger < budget/4 || len(l.starved) == 0 { // half is for what is asked for
-		t.Fatalf("%d bytes past the common size are held, %d streams wait", l.larger, len(l.starved))
+	if l.memory.extraBytes > budget/2 || l.memory.extraBytes < budget/4 || len(l.memory.starved) == 0 { // half is left for the answers to requests
+		t.Fatalf("%d bytes beyond the standard size are held, %d streams wait", l.memory.extraBytes, len(l.memory.starved))
 	}
-	l.starved[0].Send(make([]byte, 16<<20)) // nobody reads that either
-	if l.larger < 4<<20 {
-		t.Errorf("%d bytes count as held, of which 16 MB wait to be read", l.larger)
+	l.memory.starved[0].Send(make([]byte, 16<<20)) // the client does not read that either
+	if l.memory.extraBytes < 4<<20 {
+		t.Errorf("%d bytes count as held, of which 16 MB wait to be read", l.memory.extraBytes)
 	}
-	for _, s := range l.starved {
+	for _, s := range l.memory.starved {
 		s.Close()
 	}
-	if l.larger != 0 || len(l.starved) != 0 {
-		t.Fatalf("%d bytes are held for nobody, %d streams wait", l.larger, len(l.starved))
+	if l.memory.extraBytes != 0 || len(l.memory.starved) != 0 {
+		t.Fatalf("%d bytes are held for nobody, %d streams wait", l.memory.extraBytes, len(l.memory.starved))
 	}
 }
 
-func TestDueTimesComeInOrder(t *testing.T) {
+func TestTimersFireInOrder(t *testing.T) {
 	l, err := New(100, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -211,20 +211,20 @@
 	}
 }
 
-// keeper takes nothing and notes how its stream ended.
-type keeper struct {
+// silentHandler consumes nothing and notes how its stream ended.
+type silentHandler struct {
 	closed bool
 	cause  error
 }
 
-func (*keeper) Opened()              {}
-func (k *keeper) Closed(cause error) { k.closed, k.cause = true, cause }
-func (*keeper) Panicked(error)       {}
-func (*keeper) Input([]byte) int     { return 0 }
+func (*silentHandler) Opened()              {}
+func (k *silentHandler) Closed(cause error) { k.closed, k.cause = true, cause }
+func (*silentHandler) Panicked(error)       {}
+func (*silentHandler) Input([]byte) int     { return 0 }
 
-// The other side ends while reading rests for want of memory, with more under way: that is no end of what was sent. A close
-// is heard once the rest has been read, a reset at once.
-func TestAnEndBehindUnreadBytesIsNoEnd(t *testing.T) {
+// The peer closes while reading is paused for lack of memory and input waits in the kernel. This is no orderly end yet: a
+// close is reported once the rest has been read, a reset at once.
+func TestCloseIsReportedOnlyAfterUnreadInput(t *testing.T) {
 	for _, reset := range []bool{false, true} {
 		n, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -236,7 +236,7 @@
 			t.Fatal(err)
 		}
 		defer l.Close()
-		k := new(keeper)
+		k := new(silentHandler)
 		s, err := l.Dial(netip.MustParseAddrPort(n.Addr().String()), k, 64<<10)
 		if err != nil {
 			t.Fatal(err)
@@ -245,7 +245,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.Write(make([]byte, 3*common))
+		c.Write(make([]byte, 3*readBufferSize))
 		for !s.Rests() {
 			l.Turn(10*time.Millisecond, func() {})
 		}
@@ -257,13 +257,13 @@
 			l.Turn(10*time.Millisecond, func() {})
 		}
 		if k.closed != reset || k.cause == io.EOF {
-			t.Errorf("reset %t: closed %t with %v after %d of %d bytes", reset, k.closed, k.cause, len(s.Unread()), 3*common)
+			t.Errorf("reset %t: closed %t with %v after %d of %d bytes", reset, k.closed, k.cause, len(s.Unread()), 3*readBufferSize)
 		}
 		if reset {
 			continue
 		}
-		l.Limit(50, 1<<20) // there is memory again
-		l.weigh(-1)
+		l.Limit(50, 1<<20) // the memory is available again
+		l.accountBytes(-1)
 		for range 100 {
 			if l.Turn(10*time.Millisecond, func() {}); k.closed {
 				break
@@ -275,16 +275,17 @@
 	}
 }
 
-type idler struct{}
+// discardHandler consumes all input and ignores it.
+type discardHandler struct{}
 
-func (idler) Opened()             {}
-func (idler) Closed(error)        {}
-func (idler) Panicked(error)      {}
-func (idler) Input(in []byte) int { return len(in) }
+func (discardHandler) Opened()             {}
+func (discardHandler) Closed(error)        {}
+func (discardHandler) Panicked(error)      {}
+func (discardHandler) Input(in []byte) int { return len(in) }
 
-// What everything else waits for gets a descriptor when all others are taken.
-func TestSomeDescriptorsAreKeptBack(t *testing.T) {
-	_, at, stop := run(t, 200, 1<<20, true)
+// DialKept gets a descriptor when all others are in use.
+func TestDialKeptUsesReservedDescriptors(t *testing.T) {
+	_, at, stop := startEchoServer(t, 200, 1<<20, true)
 	defer stop()
 	l, err := New(60, 1<<20)
 	if err != nil {
@@ -293,7 +294,7 @@
 	defer l.Close()
 	opened := 0
 	for ; opened < 100; opened++ {
-		if _, err := l.Dial(at, idler{}, 1<<10); err == ErrNoRoom {
+		if _, err := l.Dial(at, discardHandler{}, 1<<10); err == ErrNoRoom {
 			break
 		} else if err != nil {
 			t.Fatal(err)
@@ -302,13 +303,13 @@
 	if opened < 20 || opened == 100 {
 		t.Fatalf("%d connections were opened", opened)
 	}
-	if _, err := l.DialKept(at, idler{}, 1<<10); err != nil {
-		t.Error("none was kept back:", err)
+	if _, err := l.DialKept(at, discardHandler{}, 1<<10); err != nil {
+		t.Error("no descriptor was reserved:", err)
 	}
 	for range 5 {
-		if _, err = l.DialKept(at, idler{}, 1<<10); err == ErrNoRoom {
+		if _, err = l.DialKept(at, discardHandler{}, 1<<10); err == ErrNoRoom {
 			return
 		}
 	}
-	t.Error("more were opened than may be held")
+	t.Error("more connections were opened than the limit allows")
 }
