--- a/internal/chain/chain.go
+++ b/internal/chain/chain.go
@@ -1,24 +1,24 @@
-// Package chain keeps things in the order in which they came, each of which can leave at any time. A link is part
-// of what it stands for, so that nothing is allocated and leaving costs the same however many there are.
+// Package chain is an intrusive doubly linked list. A link is embedded in the element that it holds, so adding and removing
+// elements allocates nothing and takes constant time. It is not safe for concurrent use.
 package chain
 
-// Link is one place in a chain, in none in its zero value.
+// Link is an element of a chain. Its zero value is in no chain.
 type Link[T any] struct {
-	Value      T
+	Value      T // set by the owner of the link
 	prev, next *Link[T]
-	chain      *Chain[T]
+	owner      *Chain[T]
 }
 
-// Chain is empty in its zero value.
+// Chain is a doubly linked list. Its zero value is empty.
 type Chain[T any] struct {
 	first, last *Link[T]
 	count       int
 }
 
-// Push puts the link behind the others; it leaves where it stood before.
+// Push appends a link, which it first removes from the chain that it is in.
 func (c *Chain[T]) Push(l *Link[T]) {
 	l.Leave()
-	if l.prev, l.chain = c.last, c; c.last == nil {
+	if l.prev, l.owner = c.last, c; c.last == nil {
 		c.first = l
 	} else {
 		c.last.next = l
@@ -27,9 +27,9 @@
 	c.count++
 }
 
-// Leave takes the link out of its chain, if it stands in one.
+// Leave removes the link from its chain, if it is in one.
 func (l *Link[T]) Leave() {
-	c := l.chain
+	c := l.owner
 	if c == nil {
 		return
 	}
@@ -43,18 +43,18 @@
 	} else {
 		l.next.prev = l.prev
 	}
-	l.prev, l.next, l.chain = nil, nil, nil
+	l.prev, l.next, l.owner = nil, nil, nil
 	c.count--
 }
 
-// In tells whether the link stands in the chain.
-func (l *Link[T]) In(c *Chain[T]) bool { return l.chain == c }
+// In reports whether the link is in chain c.
+func (l *Link[T]) In(c *Chain[T]) bool { return l.owner == c }
 
-// First is the one that came first, nil where there is none; Next is the one behind.
+// First returns the first link, nil if the chain is empty.
 func (c *Chain[T]) First() *Link[T] { return c.first }
 
-// Next returns the link behind this one, nil at the end of the chain.
+// Next returns the link after this one, nil at the end of the chain.
 func (l *Link[T]) Next() *Link[T] { return l.next }
 
-// Count tells how many stand in the chain.
+// Count returns the number of links in the chain.
 func (c *Chain[T]) Count() int { return c.count }
--- a/internal/chain/chain_test.go
+++ b/internal/chain/chain_test.go
@@ -9,7 +9,7 @@
 )
 
 // A chain is compared with a slice after every step.
-func TestAgainstASlice(t *testing.T) {
+func TestListAgainstSlice(t *testing.T) {
 	seeded.Check(t, func(t *rapid.T) {
 		chains, want := [2]Chain[int]{}, [2][]int{}
 		links := make([]Link[int], 8)
--- a/internal/due/due.go
+++ b/internal/due/due.go
@@ -1,74 +1,77 @@
-// Package due keeps values in the order of their due times; equal times keep the order they came in.
+// Package due is a timer queue: it holds values by the time at which they are due. Values of equal times keep the order in
+// which they were added. It is not safe for concurrent use.
 package due
 
 import "time"
 
-// Item is one value and its due time, as long as it is in the queue.
+// Item is a value and the time at which it is due.
 type Item[T any] struct {
-	at    time.Duration
-	order uint64
-	place int // in the heap, from 1 on; 0 once it has left
-	value T
+	dueAt    time.Duration // on the clock of the caller
+	sequence uint64        // orders items of the same time
+	position int           // in the heap, counted from 1; 0 once it was removed
+	value    T
 }
 
-// Queue is a binary heap, empty in its zero value.
+// Queue is a binary heap of items. Its zero value is empty.
 type Queue[T any] struct {
-	heap []*Item[T]
-	next uint64
+	heap         []*Item[T]
+	nextSequence uint64
 }
 
 func (q *Queue[T]) less(i, j int) bool {
 	a, b := q.heap[i], q.heap[j]
-	return a.at < b.at || a.at == b.at && a.order < b.order
+	return a.dueAt < b.dueAt || a.dueAt == b.dueAt && a.sequence < b.sequence
 }
 
 func (q *Queue[T]) swap(i, j int) {
 	q.heap[i], q.heap[j] = q.heap[j], q.heap[i]
-	q.heap[i].place, q.heap[j].place = i+1, j+1
+	q.heap[i].position, q.heap[j].position = i+1, j+1
 }
 
-// Push gives the item back, by which the value can be taken out before it is due.
-func (q *Queue[T]) Push(at time.Duration, value T) *Item[T] {
-	item := &Item[T]{at: at, order: q.next, place: len(q.heap) + 1, value: value}
+// Push adds a value and returns its item, with which Remove can take it out.
+func (q *Queue[T]) Push(dueAt time.Duration, value T) *Item[T] {
+	item := &Item[T]{dueAt: dueAt, sequence: q.nextSequence, position: len(q.heap) + 1, value: value}
 	q.heap = append(q.heap, item)
-	q.next++
-	q.rise(len(q.heap) - 1)
+	q.nextSequence++
+	q.siftUp(len(q.heap) - 1)
 	return item
 }
 
-func (q *Queue[T]) rise(i int) {
+// siftUp restores the heap order after the item at i became smaller.
+func (q *Queue[T]) siftUp(i int) {
 	for ; i > 0 && q.less(i, (i-1)/2); i = (i - 1) / 2 {
 		q.swap(i, (i-1)/2)
 	}
 }
 
-func (q *Queue[T]) sink(i int) {
+// siftDown restores the heap order after the item at i became larger.
+func (q *Queue[T]) siftDown(i int) {
 	for {
-		least := i
+		smallest := i
 		for child := 2*i + 1; child <= 2*i+2 && child < len(q.heap); child++ {
-			if q.less(child, least) {
-				least = child
+			if q.less(child, smallest) {
+				smallest = child
 			}
 		}
-		if least == i {
+		if smallest == i {
 			return
 		}
-		q.swap(i, least)
-		i = least
+		q.swap(i, smallest)
+		i = smallest
 	}
 }
 
-// First tells when the first value is due.
+// First returns the earliest due time; ok is false if the queue is empty.
 func (q *Queue[T]) First() (at time.Duration, ok bool) {
 	if len(q.heap) == 0 {
 		return 0, false
 	}
-	return q.heap[0].at, true
+	return q.heap[0].dueAt, true
 }
 
-// Pop takes the first value due at or before now.
+// Pop removes and returns the earliest value if it is due at or before now.
 func (q *Queue[T]) Pop(now time.Duration) (value T, ok bool) {
-	if len(q.heap) == 0 || q.heap[0].at > now {
+	if len(q.heap) == 0 || q.heap[0].dueAt > now {
 		return value, false
 	}
 	value = q.heap[0].value
@@ -76,20 +79,20 @@
 	return value, true
 }
 
-// Remove takes an item out, if it has not left yet; nil is none.
+// Remove removes an item. It does nothing if the item is nil or was removed already.
 func (q *Queue[T]) Remove(item *Item[T]) {
-	if item == nil || item.place == 0 {
+	if item == nil || item.position == 0 {
 		return
 	}
-	i, last := item.place-1, len(q.heap)-1
+	i, last := item.position-1, len(q.heap)-1
 	q.swap(i, last)
 	q.heap[last] = nil
 	q.heap = q.heap[:last]
-	if item.place = 0; i < last {
-		q.sink(i)
-		q.rise(i)
+	if item.position = 0; i < last {
+		q.siftDown(i)
+		q.siftUp(i)
 	}
 }
 
-// Count tells how many values wait.
+// Count returns the number of values in the queue.
 func (q *Queue[T]) Count() int { return len(q.heap) }
--- a/internal/due/due_test.go
+++ b/internal/due/due_test.go
@@ -8,41 +8,41 @@
 	"passtack/internal/pcg"
 )
 
-// Against a plain list: what is taken back never comes, and the rest comes in order.
-func TestRandomQueues(t *testing.T) {
+// The queue is compared with a sorted slice: removed items never come out, the others come out in order.
+func TestQueueAgainstModel(t *testing.T) {
 	for seed := range uint64(50) {
-		chance := pcg.New(seed)
-		var q Queue[int]
+		random := pcg.New(seed)
+		var queue Queue[int]
 		var model []*Item[int] // in order
 		for step := range 2000 {
-			switch chance.Below(4) {
+			switch random.Below(4) {
 			case 0, 1:
-				item := q.Push(time.Duration(chance.Below(100)), step)
-				at, _ := slices.BinarySearchFunc(model, item, func(a, b *Item[int]) int {
-					if a.at != b.at {
-						return int(a.at - b.at)
+				item := queue.Push(time.Duration(random.Below(100)), step)
+				index, _ := slices.BinarySearchFunc(model, item, func(a, b *Item[int]) int {
+					if a.dueAt != b.dueAt {
+						return int(a.dueAt - b.dueAt)
 					}
-					return int(a.order) - int(b.order)
+					return int(a.sequence) - int(b.sequence)
 				})
-				model = slices.Insert(model, at, item)
+				model = slices.Insert(model, index, item)
 			case 2:
 				if len(model) > 0 {
-					i := chance.Below(len(model))
-					q.Remove(model[i])
-					q.Remove(model[i])
+					i := random.Below(len(model))
+					queue.Remove(model[i])
+					queue.Remove(model[i])
 					model = slices.Delete(model, i, i+1)
 				}
 			default:
-				now := time.Duration(chance.Below(100))
-				value, ok := q.Pop(now)
-				if due := len(model) > 0 && model[0].at <= now; ok != due || due && value != model[0].value {
-					t.Fatalf("seed %d: took %d, %t", seed, value, ok)
+				now := time.Duration(random.Below(100))
+				value, ok := queue.Pop(now)
+				if due := len(model) > 0 && model[0].dueAt <= now; ok != due || due && value != model[0].value {
+					t.Fatalf("seed %d: popped %d, %t", seed, value, ok)
 				} else if due {
 					model = model[1:]
 				}
 			}
-			if at, ok := q.First(); q.Count() != len(model) || ok && at != model[0].at {
-				t.Fatalf("seed %d: %d values, the first at %d", seed, q.Count(), at)
+			if index, ok := queue.First(); queue.Count() != len(model) || ok && index != model[0].dueAt {
+				t.Fatalf("seed %d: %d values, the first at %d", seed, queue.Count(), index)
 			}
 		}
 	}
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -1,6 +1,6 @@
-// Package logs writes events as lines of key=value text, by log/slog. Each line has its time (UTC), its level and the
-// event's name. Whoever reads them may stop, and trouble may say the same without end: a goroutine of its own writes
-// them, what it cannot take is left out, and so is what one event says beyond a limit a second. Both are counted.
+// Package logs writes log/slog records as lines of key=value text, each with its time in UTC, its level and its event. A
+// separate goroutine writes the lines, so that a blocked reader of the log does not block the program: lines are dropped
+// while its queue is full. Lines of one event beyond a limit per second are dropped too. Both are counted.
 package logs
 
 import (
@@ -12,21 +12,24 @@
 	"time"
 )
 
-// Lines is where events go.
+// Lines queues log lines for a writer. Its exported fields may be used from any goroutine.
 type Lines struct {
-	Level   slog.LevelVar
-	Sample  atomic.Int64 // lines of one event in a second, errors aside; 0: all
-	Lost    atomic.Int64 // lines that could not be written in time
-	Sampled atomic.Int64 // lines beyond the sample
+	Level   slog.LevelVar // minimum level
+	Sample  atomic.Int64  // maximum lines per event and second, except errors; 0: unlimited
+	Lost    atomic.Int64  // lines dropped because the queue was full
+	Sampled atomic.Int64  // lines dropped beyond Sample
 	queue   chan []byte
-	done    chan struct{}
+	done    chan struct{} // closed once the queue is written
 }
 
-const mostLines = 1024
+const maxQueuedLines = 1024
 
-// To makes the lines go out and be the program's log.
+// flushTimeout is how long End waits for the queued lines to be written.
+const flushTimeout = time.Second
+
+// To starts writing lines to out and makes them the destination of the default slog logger.
 func To(out io.Writer) *Lines {
-	l := &Lines{queue: make(chan []byte, mostLines), done: make(chan struct{})}
+	l := &Lines{queue: make(chan []byte, maxQueuedLines), done: make(chan struct{})}
 	go func() {
 		defer close(l.done)
 		for line := range l.queue {
@@ -37,7 +40,7 @@
 	return l
 }
 
-// Handler writes events as lines to out.
+// Handler returns a handler that formats records as lines, limited by Level and Sample, and writes them to out.
 func (l *Lines) Handler(out io.Writer) slog.Handler {
 	text := slog.NewTextHandler(out, &slog.HandlerOptions{Level: &l.Level, ReplaceAttr: func(groups []string, a slog.Attr) slog.Attr {
 		if len(groups) > 0 {
@@ -51,52 +54,54 @@
 		}
 		return a
 	}})
-	return &sampler{text, l, new(seconds)}
+	return &sampler{text, l, new(rateCounter)}
 }
 
-// seconds counts the lines of each event in this second.
-type seconds struct {
-	mutex sync.Mutex
-	of    int64
-	lines map[string]int64
+// rateCounter counts the lines of each event in the current second.
+type rateCounter struct {
+	mutex  sync.Mutex
+	second int64            // Unix time
+	counts map[string]int64 // by event
 }
 
+// sampler is a handler that drops records beyond the limit of their event.
 type sampler struct {
 	slog.Handler
-	to      *Lines
-	seconds *seconds
+	lines   *Lines
+	counter *rateCounter
 }
 
-// Handle implements slog.Handler: it drops lines over the limit of their event in this second.
-func (s *sampler) Handle(c context.Context, r slog.Record) error {
-	if most := s.to.Sample.Load(); most > 0 && r.Level < slog.LevelError && s.seconds.over(r, most) {
-		s.to.Sampled.Add(1)
+// Handle implements slog.Handler. It drops the record if its event is over the limit in this second.
+func (s *sampler) Handle(ctx context.Context, record slog.Record) error {
+	if limit := s.lines.Sample.Load(); limit > 0 && record.Level < slog.LevelError && s.counter.overLimit(record, limit) {
+		s.lines.Sampled.Add(1)
 		return nil
 	}
-	return s.Handler.Handle(c, r)
+	return s.Handler.Handle(ctx, record)
 }
 
-func (s *seconds) over(r slog.Record, most int64) bool {
+// overLimit counts a record and reports whether its event is over the limit in this second.
+func (s *rateCounter) overLimit(record slog.Record, limit int64) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if now := r.Time.Unix(); now != s.of || s.lines == nil {
-		s.of, s.lines = now, make(map[string]int64)
+	if now := record.Time.Unix(); now != s.second || s.counts == nil {
+		s.second, s.counts = now, make(map[string]int64)
 	}
-	s.lines[r.Message]++
-	return s.lines[r.Message] > most
+	s.counts[record.Message]++
+	return s.counts[record.Message] > limit
 }
 
 // WithAttrs implements slog.Handler.
 func (s *sampler) WithAttrs(attrs []slog.Attr) slog.Handler {
-	return &sampler{s.Handler.WithAttrs(attrs), s.to, s.seconds}
+	return &sampler{s.Handler.WithAttrs(attrs), s.lines, s.counter}
 }
 
 // WithGroup implements slog.Handler.
 func (s *sampler) WithGroup(name string) slog.Handler {
-	return &sampler{s.Handler.WithGroup(name), s.to, s.seconds}
+	return &sampler{s.Handler.WithGroup(name), s.lines, s.counter}
 }
 
-// Write implements io.Writer. It never blocks: a line for which the queue has no place is counted as lost.
+// Write implements io.Writer by queueing a line. It never blocks: if the queue is full, the line is dropped and counted.
 func (l *Lines) Write(line []byte) (int, error) {
 	select {
 	case l.queue <- append([]byte(nil), line...):
@@ -106,12 +111,12 @@
 	return len(line), nil
 }
 
-// End writes what is left, unless nobody reads it.
+// End discards further log records and waits up to flushTimeout for the queued lines to be written.
 func (l *Lines) End() {
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	close(l.queue)
 	select {
 	case <-l.done:
-	case <-time.After(time.Second):
+	case <-time.After(flushTimeout):
 	}
 }
--- a/internal/slots/slots.go
+++ b/internal/slots/slots.go
@@ -1,76 +1,90 @@
-// Package slots keeps things under numbers that are used again. A handle holds the slot's number and its
-// generation, so that what comes late for one owner never meets the next.
+// Package slots is a table of values with reused slots and generation-checked handles: a handle that is used after its value
+// was removed never reaches the next value in that slot. It is not safe for concurrent use.
 package slots
 
-// Handle names one owner of a slot; 0 names none.
+// Handle identifies a value in a table: the index of its slot in the lower 16 bits and the slot's generation in the upper
+// ones. 0 identifies none.
 type Handle uint32
 
-const most = 1<<16 - 1 // slots; half of a handle is the generation
+const generationShift = 16 // bits
 
-type row[T any] struct {
+func newHandle(index, generation uint16) Handle {
+	return Handle(index) | Handle(generation)<<generationShift
+}
+
+func (h Handle) index() uint16 { return uint16(h) }
+
+func (h Handle) generation() uint16 { return uint16(h >> generationShift) }
+
+// maxSlots is the number of slots that the index of a handle can name.
+const maxSlots = 1<<16 - 1
+
+// slot holds one value. Its generation changes with each value and is never 0 while it is occupied.
+type slot[T any] struct {
 	value      T
 	generation uint16
-	taken      bool
+	occupied   bool
 }
 
-// Table is empty in its zero value.
+// Table holds values by handle. Its zero value is empty.
 type Table[T any] struct {
-	rows []row[T]
-	free []uint16
+	slots []slot[T]
+	free  []uint16 // indices
 }
 
-// Put finds a slot; it gives 0 where all are taken.
+// Put adds a value and returns its handle, or 0 if the table is full.
 func (t *Table[T]) Put(value T) Handle {
 	if len(t.free) == 0 {
-		if len(t.rows) == most {
+		if len(t.slots) == maxSlots {
 			return 0
 		}
-		t.free = append(t.free, uint16(len(t.rows)))
-		t.rows = append(t.rows, row[T]{})
+		t.free = append(t.free, uint16(len(t.slots)))
+		t.slots = append(t.slots, slot[T]{})
 	}
-	i := t.free[len(t.free)-1]
+	index := t.free[len(t.free)-1]
 	t.free = t.free[:len(t.free)-1]
-	r := &t.rows[i]
-	r.value, r.taken = value, true
-	if r.generation++; r.generation == 0 {
-		r.generation = 1
+	s := &t.slots[index]
+	s.value, s.occupied = value, true
+	if s.generation++; s.generation == 0 {
+		s.generation = 1
 	}
-	return Handle(i) | Handle(r.generation)<<16
+	return newHandle(index, s.generation)
 }
 
-// Get gives the zero value for a handle whose owner is gone.
-func (t *Table[T]) Get(h Handle) (value T) {
-	if r := t.row(h); r != nil {
-		value = r.value
+// Get returns the value of a handle, or the zero value if it was removed.
+func (t *Table[T]) Get(handle Handle) (value T) {
+	if s := t.lookup(handle); s != nil {
+		value = s.value
 	}
 	return value
 }
 
-// Drop frees the row of a handle; it does nothing where the owner is gone already.
-func (t *Table[T]) Drop(h Handle) {
-	if r := t.row(h); r != nil {
-		var none T
-		r.value, r.taken = none, false
-		t.free = append(t.free, uint16(h))
+// Drop removes the value of a handle. It does nothing if the value was removed already.
+func (t *Table[T]) Drop(handle Handle) {
+	if s := t.lookup(handle); s != nil {
+		var zero T
+		s.value, s.occupied = zero, false
+		t.free = append(t.free, handle.index())
 	}
 }
 
-func (t *Table[T]) row(h Handle) *row[T] {
-	i, generation := int(uint16(h)), uint16(h>>16)
-	if i >= len(t.rows) || !t.rows[i].taken || t.rows[i].generation != generation {
+// lookup returns the slot of a handle, or nil if its value was removed.
+func (t *Table[T]) lookup(handle Handle) *slot[T] {
+	index, generation := int(handle.index()), handle.generation()
+	if index >= len(t.slots) || !t.slots[index].occupied || t.slots[index].generation != generation {
 		return nil
 	}
-	return &t.rows[i]
+	return &t.slots[index]
 }
 
-// Count tells how many slots are taken.
-func (t *Table[T]) Count() int { return len(t.rows) - len(t.free) }
+// Count returns the number of values.
+func (t *Table[T]) Count() int { return len(t.slots) - len(t.free) }
 
-// Each calls for every owner at the start of the round; it may drop them.
-func (t *Table[T]) Each(call func(Handle, T)) {
-	for i := range t.rows {
-		if r := t.rows[i]; r.taken {
-			call(Handle(i)|Handle(r.generation)<<16, r.value)
+// Each calls visit for each value. visit may remove values; values that it adds may be visited or not.
+func (t *Table[T]) Each(visit func(Handle, T)) {
+	for i := range t.slots {
+		if s := t.slots[i]; s.occupied {
+			visit(newHandle(uint16(i), s.generation), s.value)
 		}
 	}
 }
--- a/internal/slots/slots_test.go
+++ b/internal/slots/slots_test.go
@@ -6,16 +6,17 @@
 	"passtack/internal/pcg"
 )
 
-func FuzzLateHandles(f *testing.F) {
+// Handles of removed values are stale: they find nothing and change nothing.
+func FuzzStaleHandles(f *testing.F) {
 	for seed := range uint64(20) {
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, seed uint64) {
-		chance := pcg.New(seed)
+		random := pcg.New(seed)
 		var table Table[int]
-		live, gone := make(map[Handle]int), []Handle{0}
+		live, released := make(map[Handle]int), []Handle{0}
 		for step := 1; step < 500; step++ {
-			if chance.Float() < 0.55 {
+			if random.Float() < 0.55 {
 				h := table.Put(step)
 				if _, taken := live[h]; taken || h == 0 {
 					t.Fatalf("step %d: handle %x was given out twice", step, h)
@@ -25,14 +26,14 @@
 				for h := range live {
 					table.Drop(h)
 					delete(live, h)
-					gone = append(gone, h)
+					released = append(released, h)
 					break
 				}
 			}
-			late := gone[chance.Below(len(gone))]
-			table.Drop(late) // a late event changes nothing
-			if table.Get(late) != 0 {
-				t.Fatalf("step %d: late handle %x meets %d", step, late, table.Get(late))
+			stale := released[random.Below(len(released))]
+			table.Drop(stale) // a stale handle changes nothing
+			if table.Get(stale) != 0 {
+				t.Fatalf("step %d: stale handle %x finds %d", step, stale, table.Get(stale))
 			}
 			for h, value := range live {
 				if table.Get(h) != value {
@@ -46,9 +47,9 @@
 	})
 }
 
-func TestFullTableGivesNoHandle(t *testing.T) {
+func TestFullTableReturnsNoHandle(t *testing.T) {
 	var table Table[int]
-	for i := range most {
+	for i := range maxSlots {
 		if table.Put(i+1) == 0 {
 			t.Fatalf("no slot after %d", i)
 		}
