--- a/internal/chain/chain.go
+++ b/internal/chain/chain.go
@@ -16,14 +16,14 @@
 }
 
 // Push appends a link, which it first removes from the chain that it is in.
-func (c *Chain[T]) Push(l *Link[T]) {
-	l.Leave()
-	if l.prev, l.owner = c.last, c; c.last == nil {
-		c.first = l
+func (c *Chain[T]) Push(link *Link[T]) {
+	link.Leave()
+	if link.prev, link.owner = c.last, c; c.last == nil {
+		c.first = link
 	} else {
-		c.last.next = l
+		c.last.next = link
 	}
-	c.last = l
+	c.last = link
 	c.count++
 }
 
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -85,10 +85,10 @@
 
 func TestPanicEndsOneStreamOnly(t *testing.T) {
 	_, at, _ := startEchoServer(t, 100, 1<<20, false)
-	other, struck := dialTCP(t, at), dialTCP(t, at)
+	other, panicking := dialTCP(t, at), dialTCP(t, at)
 	expectEcho(t, other, "before")
-	struck.Write([]byte("!"))
-	if n, err := struck.Read(make([]byte, 9)); err != io.EOF {
+	panicking.Write([]byte("!"))
+	if n, err := panicking.Read(make([]byte, 9)); err != io.EOF {
 		t.Fatalf("%d bytes, %v", n, err)
 	}
 	expectEcho(t, other, "after")
@@ -284,7 +284,7 @@
 func (discardHandler) Input(in []byte) int { return len(in) }
 
 // DialKept gets a descriptor when all others are in use.
-func TestDialKeptUsesReservedDescriptors(t *testing.T) {
+func TestReservedDescriptors(t *testing.T) {
 	_, at, stop := startEchoServer(t, 200, 1<<20, true)
 	defer stop()
 	l, err := New(60, 1<<20)
