--- a/rules/reasons.go
+++ b/rules/reasons.go
@@ -1,31 +1,24 @@
 package rules
 
-// Reason tells why the router gave an RPC up. Hosts log it; nothing is decided by it.
+// Reason tells why the router gave up an RPC. Hosts log it; no decision depends on it.
 type Reason uint8
 
+// The reasons for which an RPC is given up, NotGivenUp as long as none was.
 const (
-	// NotGivenUp is the reason while no RPC was given up.
-	NotGivenUp Reason = iota
-	// NoTimeLeft means that the RPC could not be whole at a member in time.
-	NoTimeLeft
-	// TooSlow means that the predicted latency was longer than the time left.
-	TooSlow
-	// NoMember means that no member could take the RPC for as long as it could wait.
-	NoMember
-	// NoAnswer means that an attempt timed out or was cancelled.
-	NoAnswer
-	// NoRetry means that the last attempt failed and no other may follow.
-	NoRetry
-	// ClientParted means that the client sends no more and nothing was out for it.
-	ClientParted
-	// ShuttingDown means that the driver ends before the client's deadline.
-	ShuttingDown
+	NotGivenUp   Reason = iota
+	NoTimeLeft          // it could not be completely sent to a member in time
+	TooSlow             // the predicted latency exceeded the time left
+	NoMember            // no member could take it for as long as it could wait
+	NoAnswer            // an attempt timed out or was cancelled
+	NoRetry             // the last attempt failed and no other may follow
+	ClientParted        // the client half-closed its connection while no attempt was in flight
+	ShuttingDown        // the driver ends before the client's deadline
 )
 
 var reasonNames = [...]string{"none", "no_time_left", "too_slow", "no_member", "no_answer", "no_retry", "client_parted", "shutting_down"}
 
-// String gives the reason as logs have it.
+// String returns the reason as logs spell it.
 func (r Reason) String() string { return reasonNames[r] }
 
-// LastReason is why the RPC was given up whose refusal or abort the host is being told.
+// LastReason returns the reason for the rejection or abort that the host is being told of.
 func (r *Router) LastReason() Reason { return r.reason }
