--- a/internal/node/host.go
+++ b/internal/node/host.go
@@ -42,7 +42,7 @@
 
 // Remembered persists the latest write of a session.
 func (h *moduleHost) Remembered(session driver.Session, commit time.Duration) {
-	h.node.Remembered(session, commit)
+	h.node.learned.sessionWrote(session, commit)
 }
 
 // Forget removes a member.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -46,7 +46,8 @@
 	signals   *signals
 
 	memberClock memberclock.Estimator // the members' clock against the loop's
-	background  backgroundJobs
+	background  *backgroundJobs
+	workers     workerPool
 	telemetry
 	features
 }
@@ -57,7 +58,7 @@
 	membership    *fleetMembership
 	leases        *leaseService
 	configuration *configuration
-	learned       *learned
+	learned       *learnedState
 }
 
 // New opens all sockets of a driver on the system's event loop and listens for signals. Run serves.
@@ -120,6 +121,8 @@
 // newNode creates the parts that need no socket, file or setting.
 func newNode(l *loop.Loop, site *Site, config *operator.File, simulated bool) *Node {
 	n := &Node{site: site, config: config, simulated: simulated, loop: l, telemetry: newTelemetry()}
+	n.background = newBackgroundJobs(l, simulated)
+	n.workers.loop = l
 	n.host.node = n
 	n.listeners = newListenerSet(n)
 	n.rpcs.node = n
@@ -152,7 +155,7 @@
 	if n.host.fault != nil {
 		return n.host.fault
 	}
-	n.recall()
+	n.restoreLearned()
 	return nil
 }
 
@@ -163,7 +166,7 @@
 			slog.Warn("known_list_unusable", "cause", err)
 		}
 	}
-	n.recallList()
+	n.learned.restoreList()
 	return nil
 }
 
@@ -203,10 +206,10 @@
 	n.lines.Level.Set(n.config.Level)
 	n.lines.Sample.Store(n.config.Sample)
 	n.signals.forward(n.reread)
-	defer n.work()()
+	defer n.startWorkers()()
 	slog.Info("started", "name", n.site.Name, "listen", n.site.Listen, "discovery", n.site.Discovery)
 	err := n.loop.Run(func() {
-		n.hearWorkers()
+		n.workers.processResults()
 		n.handleSignals()
 	})
 	n.logCounters()
