--- a/internal/lab/capacity/driver_state.go
+++ b/internal/lab/capacity/driver_state.go
@@ -133,7 +133,7 @@
 		m = driver.Member(len(q.ids) + 1)
 		q.ids[uid] = m
 	}
-	q.module.Listed(m, 0, group, state, size, started, primary)
+	q.module.EndpointListed(m, 0, group, state, size, started, primary)
 }
 
 // soft is how long methods may take where RPCs are left under way.
@@ -149,7 +149,7 @@
 	q.module = rules.New(q, 1, terms)
 	q.module.ListBegins(driver.Whole)
 	for n := range members {
-		q.module.Listed(driver.Member(n+1), 0, driver.Group(n/each), driver.Ready, 1, driver.LongAgo, n%each == 0)
+		q.module.EndpointListed(driver.Member(n+1), 0, driver.Group(n/each), driver.Ready, 1, driver.LongAgo, n%each == 0)
 	}
 	q.module.ListEnds(driver.Whole)
 	return q
@@ -167,7 +167,7 @@
 // answer ends all that it has sent.
 func (q *quiet) answer(role func(driver.Member) driver.Role) {
 	for _, s := range q.sent {
-		q.module.Ended(s.rpc, 0, s.to, driver.OK, 2*time.Millisecond, true, q.now, role(s.to), nil)
+		q.module.AttemptEnded(s.rpc, 0, s.to, driver.OK, 2*time.Millisecond, true, q.now, role(s.to), nil)
 	}
 	q.sent = q.sent[:0]
 }
--- a/internal/list/told_test.go
+++ b/internal/list/told_test.go
@@ -27,7 +27,7 @@
 func (r *reader) ListBegins(driver.Listing) {}
 func (r *reader) ListEnds(how driver.Listing) {
 	if how == driver.NoList {
-		r.loop.At(r.loop.Now()+rules.ListPause, func() { r.list.Watch(true) })
+		r.loop.At(r.loop.Now()+rules.MaxListRetryWait, func() { r.list.Watch(true) })
 	}
 }
 func (r *reader) Count(string) {}
--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -72,10 +72,10 @@
 	}
 	q.inFlight--
 	defer t.removeIfDone(id, q)
-	n.module.Ended(id, attempt, from, how, took, q.answered, position, role, report)
+	n.module.AttemptEnded(id, attempt, from, how, took, q.answered, position, role, report)
 }
 
 // Probed passes the result of a health check on to the module.
 func (t *rpcTable) Probed(m driver.Member, ok bool, took time.Duration, report []float64) {
-	t.node.module.Probed(m, ok, took, report)
+	t.node.module.HealthCheckEnded(m, ok, took, report)
 }
--- a/internal/node/configuration.go
+++ b/internal/node/configuration.go
@@ -162,7 +162,7 @@
 	site.Settings, c.published = running, next.limits
 	c.applyLimits()
 	n.applySettings()
-	n.module.Change(running)
+	n.module.ApplySettings(running)
 	c.report.NeedsRestart = append(c.report.NeedsRestart, n.applyConfig(next.operatorFile)...)
 	if drainingRuleChanged { // it decides by the endpoint list which members may be sent to
 		n.list.Fetch()
--- a/internal/node/drain_gossip.go
+++ b/internal/node/drain_gossip.go
@@ -111,7 +111,7 @@
 		m := d.members[notice.Member]
 		n.Count("drain_notices_applied")
 		slog.Info("drain notice applied", "member", n.members.uids[m.member])
-		n.module.Listed(m.member, m.zone, m.group, driver.Draining, m.weight, n.onLocalClock(notice.StartedAt), false)
+		n.module.EndpointListed(m.member, m.zone, m.group, driver.Draining, m.weight, n.onLocalClock(notice.StartedAt), false)
 	}
 	n.module.ListEnds(driver.Changes)
 }
--- a/internal/node/host.go
+++ b/internal/node/host.go
@@ -87,6 +87,6 @@
 func (n *Node) takePeerMessage(from driver.Peer, message []byte) {
 	n.Count("peer_texts_taken")
 	if n.messenger == nil || !n.messenger.receive(from, message) {
-		n.module.Told(from, message)
+		n.module.PeerMessage(from, message)
 	}
 }
--- a/internal/node/learned.go
+++ b/internal/node/learned.go
@@ -57,8 +57,8 @@
 		restored: persist.Restore(store), retainUnlistedUntil: now + unlistedRetention,
 		saver: persist.NewSaver(store, config.Bytes), endpoints: savedEndpoints{uids: make(map[string]bool)},
 	}
-	persist.ForEachSessionWrite(store, n.module.RecallToken)
-	n.module.Usual(l.restored.UsualLatencies...)
+	persist.ForEachSessionWrite(store, n.module.RestoreSessionCommit)
+	n.module.TypicalLatencies(l.restored.UsualLatencies...)
 	l.logRestored(now, len(report.Unreadable))
 	n.list.Keep = l.saveEndpoints
 	l.addJobs(config.Every)
@@ -112,7 +112,7 @@
 		return
 	}
 	if k, found := l.restored.Members[uid]; found {
-		l.node.module.Recall(member, k, l.restored.SavedAt)
+		l.node.module.RestoreMember(member, k, l.restored.SavedAt)
 		delete(l.restored.Members, uid)
 	}
 }
--- a/internal/node/learned_save.go
+++ b/internal/node/learned_save.go
@@ -84,14 +84,14 @@
 		r.begun = true
 		l.saver.BeginRound()
 	}
-	r.next = n.module.Learned(r.next, membersPerSlice, func(m driver.Member, known driver.Known) {
+	r.next = n.module.LearnedMembers(r.next, membersPerSlice, func(m driver.Member, known driver.Known) {
 		l.saver.SaveMember(n.members.uids[m], known)
 	})
 	if r.next > 0 {
 		return false
 	}
 	r.begun = false
-	l.saver.SaveUsualLatencies(n.module.Usual())
+	l.saver.SaveUsualLatencies(n.module.TypicalLatencies())
 	l.retainUnlisted()
 	return true
 }
--- a/internal/node/member_clock.go
+++ b/internal/node/member_clock.go
@@ -27,7 +27,7 @@
 	uncertainty := n.memberClock.Uncertainty()
 	change := n.memberClock.Observe(n.loop.Now(), position)
 	if n.memberClock.Uncertainty() != uncertainty {
-		n.module.DoubtClock(n.memberClock.Uncertainty())
+		n.module.SetClockUncertainty(n.memberClock.Uncertainty())
 	}
 	if change == 0 {
 		return
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -95,7 +95,7 @@
 	if n.membership != nil {
 		n.membership.drainGossip.memberListed(uid, listedMember{id, zoneNumber, group, size}, state, started, r.listKind != driver.Cached)
 	}
-	n.module.Listed(id, zoneNumber, group, state, size, n.onLocalClock(started), primary)
+	n.module.EndpointListed(id, zoneNumber, group, state, size, n.onLocalClock(started), primary)
 }
 
 // ListEnds completes an endpoint list, or reports that none came.
--- a/internal/node/rpcs.go
+++ b/internal/node/rpcs.go
@@ -160,7 +160,7 @@
 		return
 	}
 	t.Count("clients_parted")
-	t.node.module.ClientParts(id)
+	t.node.module.ClientHalfClosed(id)
 	q.withdraw()
 }
 
@@ -200,5 +200,5 @@
 	}
 	q.answerForced = true
 	t.Count("rpcs_cut_off")
-	t.node.module.CutOff(id)
+	t.node.module.AnswerNow(id)
 }
--- a/internal/node/timer.go
+++ b/internal/node/timer.go
@@ -38,7 +38,7 @@
 		n.background.scheduler.ReportLateness(delay, now)
 		n.recovery.check()
 	}
-	if rest := n.module.Rest(); rest > t.interval {
+	if rest := n.module.WakeDelay(); rest > t.interval {
 		t.schedule(now + rest)
 	}
 }
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -228,7 +228,7 @@
 			return fmt.Errorf("outcome %d is unknown", how)
 		}
 		pos := time.Duration(note/4) * time.Millisecond
-		i.module.Ended(rpc, attempt, m, outcome, took, complete, pos, driver.Role(note&3), t.report)
+		i.module.AttemptEnded(rpc, attempt, m, outcome, took, complete, pos, driver.Role(note&3), t.report)
 	case evAbandoned:
 		rpc := driver.RPC(r.u32())
 		if r.short {
@@ -243,14 +243,14 @@
 		if r.short {
 			return errShort
 		}
-		i.module.Probed(m, how == 0, took, t.report)
+		i.module.HealthCheckEnded(m, how == 0, took, t.report)
 	case evPeer:
 		from, length := driver.Peer(r.u32()), r.u16()
 		text := r.counted(int(length))
 		if r.short {
 			return errShort
 		}
-		i.module.Told(from, text)
+		i.module.PeerMessage(from, text)
 	case evAccepted: // no method here streams its answer
 	}
 	return nil
@@ -266,7 +266,7 @@
 			if since != 0 {
 				started = i.since(since)
 			}
-			i.module.Listed(m, zone, group, standing, size, started, r.f32() == 1)
+			i.module.EndpointListed(m, zone, group, standing, size, started, r.f32() == 1)
 		}
 	}
 	i.module.ListEnds(how)
--- a/rules/host_test.go
+++ b/rules/host_test.go
@@ -14,63 +14,63 @@
 
 const ms = time.Millisecond
 
-type node struct {
-	pos, lag            time.Duration
-	told                time.Duration // the position that the driver was last told
-	wasPrimary, toldNot bool          // it has been primary; an answer has said that it is none
-	standing            driver.Standing
-	leftAt, started     time.Duration // leftAt: when the driver was told that it drains or is gone
-	sent                []time.Duration
-	work                []float64
-	done                []time.Duration
-	shown               float64 // the most work that it answered in a window since its latest start
-	shownFor            time.Duration
-	can, credit         float64 // RPCs a second that it can do when it is warm, 0: all; that it can answer now
+type simulatedMember struct {
+	position, lag             time.Duration
+	reportedPosition          time.Duration // the position that the driver was last told
+	wasPrimary, deniedPrimary bool          // it has been primary; an answer has said that it is none
+	state                     driver.Standing
+	leavingSince, startedAt   time.Duration // leftAt: when the driver was told that it drains or is gone
+	attemptTimes              []time.Duration
+	attemptLoads              []float64
+	answerTimes               []time.Duration
+	maxServedLoad             float64 // the most work that it answered in a window since its latest start
+	servedSinceStart          time.Duration
+	capacity, capacityLeft    float64 // RPCs a second that it can do when it is warm, 0: all; that it can answer now
 }
 
-type ask struct {
-	method, group    int
-	arrived, until   time.Duration
-	token            time.Duration
-	open, last       int // attempts still out: at most one here; number of the last
-	to               driver.Member
-	sentAt, over     time.Duration // over: when the latest attempt is waited for no more
-	ran              bool
-	ranIn            driver.Zone
-	ranAt            time.Duration
-	ended, cancelled bool
+type simulatedRPC struct {
+	method, group             int
+	arrivedAt, deadline       time.Duration
+	commit                    time.Duration
+	openAttempts, lastAttempt int // attempts still out: at most one here; number of the last
+	member                    driver.Member
+	sentAt, timeoutAt         time.Duration // over: when the latest attempt is waited for no more
+	mayHaveRun                bool
+	firstRunZone              driver.Zone
+	firstRunAt                time.Duration
+	answered, cancelled       bool
 }
 
-type world struct {
-	t       testing.TB
-	now     time.Duration
-	chance  *pcg.Source
-	r       *Router
-	nodes   map[driver.Member]*node
-	order   []driver.Member
-	primary [2]driver.Member
-	rpcs    map[driver.RPC]*ask
-	open    []driver.RPC
-	next    driver.RPC
-	wake    time.Duration
-	rests   bool // the host leaves out the ticks that it may
-	ticks   int
-	probes  []driver.Member
-	written map[driver.Session]time.Duration
-	forgot  []driver.Member
-	checks  bool
-	mixed   bool // groups have members in both zones
-	lax     bool // only draining binds, until the next start
-	watches int
-	pushed  map[driver.RPC]time.Duration
-	aborted map[driver.RPC]bool
-	calls   int
-	dead    []driver.Member
-	least   int     // milliseconds that a client waits at least
-	most    float64 // work that a warm member was ever sent in eight windows
+type cluster struct {
+	t                     testing.TB
+	now                   time.Duration
+	random                *pcg.Source
+	router                *Router
+	members               map[driver.Member]*simulatedMember
+	ids                   []driver.Member
+	primaries             [2]driver.Member
+	rpcs                  map[driver.RPC]*simulatedRPC
+	openRPCs              []driver.RPC
+	lastRPC               driver.RPC
+	wakeAt                time.Duration
+	skipsTicks            bool // the host leaves out the ticks that it may
+	ticks                 int
+	probes                []driver.Member
+	sessionCommits        map[driver.Session]time.Duration
+	forgotten             []driver.Member
+	membersCheckFreshness bool
+	mixed                 bool // groups have members in both zones
+	onlyDrainingBinds     bool // only draining binds, until the next start
+	watches               int
+	pushedBack            map[driver.RPC]time.Duration
+	aborted               map[driver.RPC]bool
+	attempts              int
+	unreachable           []driver.Member
+	minDeadlineMillis     int     // milliseconds that a client waits at least
+	maxWarmLoad           float64 // work that a warm member was ever sent in eight windows
 }
 
-const grace, window, coldFor = 250 * ms, time.Second, 10 * time.Second
+const drainGrace, loadWindow, slowStartDuration = 250 * ms, time.Second, 10 * time.Second
 
 var testMethods = []struct{ need, effect, repeats string }{
 	{"bounded", "idempotent", "all"}, {"session", "idempotent", "all"}, {"any", "idempotent", "all"},
@@ -78,25 +78,25 @@
 	{"write", "tokened", "all"}, {"write", "tokened", "zone"},
 }
 
-func newWorld(t testing.TB, seed uint64, checks string, more ...string) *world {
-	w := &world{t: t, least: 1000, now: time.Second, chance: pcg.New(seed ^ 0x9e3779b97f4a7c15), checks: checks != "none",
-		nodes: map[driver.Member]*node{}, rpcs: map[driver.RPC]*ask{},
-		pushed: map[driver.RPC]time.Duration{}, aborted: map[driver.RPC]bool{}}
-	settings := settingsOf(checks, more...)
+func newCluster(t testing.TB, seed uint64, checks string, more ...string) *cluster {
+	w := &cluster{t: t, minDeadlineMillis: 1000, now: time.Second, random: pcg.New(seed ^ 0x9e3779b97f4a7c15), membersCheckFreshness: checks != "none",
+		members: map[driver.Member]*simulatedMember{}, rpcs: map[driver.RPC]*simulatedRPC{},
+		pushedBack: map[driver.RPC]time.Duration{}, aborted: map[driver.RPC]bool{}}
+	settings := testSettings(checks, more...)
 	w.mixed = settings["mixed"] == "true"
-	w.lax = settings["rules.only_draining_binds"] == "true"
-	w.r = New(w, seed, settings)
+	w.onlyDrainingBinds = settings["rules.only_draining_binds"] == "true"
+	w.router = New(w, seed, settings)
 	for i := range 8 {
-		w.add(driver.Member(100+i), driver.LongAgo)
+		w.addMember(driver.Member(100+i), driver.LongAgo)
 	}
-	w.primary = [2]driver.Member{100, 101}
-	w.nodes[100].wasPrimary, w.nodes[101].wasPrimary = true, true
-	w.list(driver.Cached)
+	w.primaries = [2]driver.Member{100, 101}
+	w.members[100].wasPrimary, w.members[101].wasPrimary = true, true
+	w.announce(driver.Cached)
 	return w
 }
 
 // settingsOf are those of a world, in which some lines stand over the usual ones.
-func settingsOf(checks string, more ...string) map[string]string {
+func testSettings(checks string, more ...string) map[string]string {
 	settings := map[string]string{
 		"family_info.checks": checks, "family_info.token": "carried", "caps.cancel": "true", "caps.probe": "true",
 		"caps.attempts": "8", "caps.longest_wait": "1000000", "rules.cold_window": "1000000", "drivers": "1",
@@ -120,222 +120,225 @@
 	return settings
 }
 
-func (w *world) add(m driver.Member, started time.Duration) {
-	w.nodes[m] = &node{standing: driver.Ready, started: started, lag: 10 * ms, leftAt: -1}
-	w.order = append(w.order, m)
+func (w *cluster) addMember(m driver.Member, started time.Duration) {
+	w.members[m] = &simulatedMember{state: driver.Ready, startedAt: started, lag: 10 * ms, leavingSince: -1}
+	w.ids = append(w.ids, m)
 }
 
-func (w *world) list(how driver.Listing, only ...driver.Member) {
+func (w *cluster) announce(how driver.Listing, only ...driver.Member) {
 	if how != driver.Changes {
-		only = w.order
+		only = w.ids
 	}
-	w.r.ListBegins(how)
+	w.router.ListBegins(how)
 	for _, m := range only {
-		n := w.nodes[m]
-		if n.standing != driver.Ready && n.leftAt < 0 && (!w.lax || n.standing == driver.Draining) {
-			n.leftAt = w.now
-		} else if n.standing == driver.Ready && !w.lax {
-			n.leftAt = -1
+		n := w.members[m]
+		if n.state != driver.Ready && n.leavingSince < 0 && (!w.onlyDrainingBinds || n.state == driver.Draining) {
+			n.leavingSince = w.now
+		} else if n.state == driver.Ready && !w.onlyDrainingBinds {
+			n.leavingSince = -1
 		}
-		w.r.Listed(m, w.zoneOf(m), driver.Group(m%2), n.standing, 1, n.started, false)
+		w.router.EndpointListed(m, w.zoneOf(m), driver.Group(m%2), n.state, 1, n.startedAt, false)
 	}
-	w.stir()
-	w.r.ListEnds(how)
+	w.resumeTicks()
+	w.router.ListEnds(how)
 }
 
 // zoneOf lets each group be in a zone of its own, or in both where they are mixed.
-func (w *world) zoneOf(m driver.Member) driver.Zone {
+func (w *cluster) zoneOf(m driver.Member) driver.Zone {
 	if w.mixed {
 		m /= 2
 	}
 	return driver.Zone(m % 2)
 }
 
-func (w *world) Now() time.Duration                      { return w.now }
-func (w *world) CloseIdle(driver.Member)                 {}
-func (w *world) Watch(bool)                              { w.watches++ }
-func (w *world) FetchList()                              {}
-func (w *world) Tell(driver.Peer, []byte)                {}
-func (w *world) WakeAfter(d time.Duration)               { w.wake = w.now + d }
-func (w *world) Log(string)                              {}
-func (w *world) Fault(why string)                        { w.t.Fatal("fault: ", why) }
-func (w *world) Probe(m driver.Member)                   { w.probes = append(w.probes, m) }
-func (w *world) PushBack(id driver.RPC, d time.Duration) { w.pushed[id] = d; w.final(id, true) }
-func (w *world) Abort(id driver.RPC)                     { w.aborted[id] = true; w.final(id, false) }
+func (w *cluster) Now() time.Duration        { return w.now }
+func (w *cluster) CloseIdle(driver.Member)   {}
+func (w *cluster) Watch(bool)                { w.watches++ }
+func (w *cluster) FetchList()                {}
+func (w *cluster) Tell(driver.Peer, []byte)  {}
+func (w *cluster) WakeAfter(d time.Duration) { w.wakeAt = w.now + d }
+func (w *cluster) Log(string)                {}
+func (w *cluster) Fault(why string)          { w.t.Fatal("fault: ", why) }
+func (w *cluster) Probe(m driver.Member)     { w.probes = append(w.probes, m) }
+func (w *cluster) PushBack(id driver.RPC, d time.Duration) {
+	w.pushedBack[id] = d
+	w.recordAnswer(id, true)
+}
+func (w *cluster) Abort(id driver.RPC) { w.aborted[id] = true; w.recordAnswer(id, false) }
 
-func (w *world) final(id driver.RPC, harmless bool) {
+func (w *cluster) recordAnswer(id driver.RPC, harmless bool) {
 	q := w.rpcs[id]
-	if q == nil || q.ended {
+	if q == nil || q.answered {
 		w.t.Fatalf("rule 1: second answer to %d", id)
 	}
-	q.ended = true
+	q.answered = true
 	m := testMethods[q.method]
-	if harmless && (q.ran || q.open > 0) && (m.effect == "non-idempotent" || m.effect == "tokened" && m.repeats != "all") {
+	if harmless && (q.mayHaveRun || q.openAttempts > 0) && (m.effect == "non-idempotent" || m.effect == "tokened" && m.repeats != "all") {
 		w.t.Fatalf("rule 2: %d pushed back after it may have run", id)
 	}
 }
 
-func (w *world) Cancel(id driver.RPC, n int) {
+func (w *cluster) Cancel(id driver.RPC, n int) {
 	q := w.rpcs[id]
-	if n > q.last {
+	if n > q.lastAttempt {
 		w.t.Fatalf("cancel of an attempt never sent")
 	}
 	q.cancelled = true
 }
 
-func (w *world) Attempt(id driver.RPC, to driver.Member, by, timeout time.Duration) {
-	w.calls++
-	q, n := w.rpcs[id], w.nodes[to]
+func (w *cluster) Attempt(id driver.RPC, to driver.Member, by, timeout time.Duration) {
+	w.attempts++
+	q, n := w.rpcs[id], w.members[to]
 	if q == nil || n == nil || int(to%2) != q.group {
 		w.t.Fatalf("attempt of %d to %d of another group", id, to)
 	}
-	if q.ended || w.now > q.until {
+	if q.answered || w.now > q.deadline {
 		w.t.Fatalf("rule 1: attempt of %d after its end", id)
 	}
 	m := testMethods[q.method]
-	if q.open > 0 {
+	if q.openAttempts > 0 {
 		w.t.Fatalf("two attempts of %d at once", id)
 	}
-	if q.ran && (m.effect == "non-idempotent" || m.effect == "tokened" && w.now >= q.ranAt+1200*ms) {
+	if q.mayHaveRun && (m.effect == "non-idempotent" || m.effect == "tokened" && w.now >= q.firstRunAt+1200*ms) {
 		w.t.Fatalf("rule 2: %d sent again after it may have run", id)
 	}
-	if q.ran && m.repeats == "zone" && w.zoneOf(to) != q.ranIn {
+	if q.mayHaveRun && m.repeats == "zone" && w.zoneOf(to) != q.firstRunZone {
 		w.t.Fatalf("rule 2: %d sent to another zone after it may have run", id)
 	}
-	if q.ran && m.effect == "tokened" && by >= q.ranAt+1200*ms {
-		w.t.Fatalf("rule 2: %d may reach its member %v after it may have run", id, by-q.ranAt)
+	if q.mayHaveRun && m.effect == "tokened" && by >= q.firstRunAt+1200*ms {
+		w.t.Fatalf("rule 2: %d may reach its member %v after it may have run", id, by-q.firstRunAt)
 	}
-	if by <= w.now || by > q.until {
+	if by <= w.now || by > q.deadline {
 		w.t.Fatalf("%d is to be sent by %v, at %v", id, by, w.now)
 	}
-	if n.leftAt >= 0 && w.now > n.leftAt+grace {
-		w.t.Fatalf("rule 3: attempt to %d, told to be leaving %v ago", to, w.now-n.leftAt)
+	if n.leavingSince >= 0 && w.now > n.leavingSince+drainGrace {
+		w.t.Fatalf("rule 3: attempt to %d, told to be leaving %v ago", to, w.now-n.leavingSince)
 	}
-	if !w.checks && (!n.wasPrimary || n.toldNot) {
-		floor := map[string]time.Duration{"bounded": w.now - 500*ms, "session": q.token, "fresh": q.arrived}[m.need]
-		if n.told < floor {
-			w.t.Fatalf("rule 5: %s read sent to data told to stand at %v, wanted %v", m.need, n.told, floor)
+	if !w.membersCheckFreshness && (!n.wasPrimary || n.deniedPrimary) {
+		floor := map[string]time.Duration{"bounded": w.now - 500*ms, "session": q.commit, "fresh": q.arrivedAt}[m.need]
+		if n.reportedPosition < floor {
+			w.t.Fatalf("rule 5: %s read sent to data told to stand at %v, wanted %v", m.need, n.reportedPosition, floor)
 		}
 	}
-	n.sent, n.work = append(n.sent, w.now), append(n.work, w.r.methods[q.method].usual.Seconds())
-	w.cold(to)
-	q.open, q.last, q.to, q.sentAt, q.over = 1, q.last+1, to, w.now, q.until
+	n.attemptTimes, n.attemptLoads = append(n.attemptTimes, w.now), append(n.attemptLoads, w.router.methods[q.method].typical.Seconds())
+	w.checkSlowStart(to)
+	q.openAttempts, q.lastAttempt, q.member, q.sentAt, q.timeoutAt = 1, q.lastAttempt+1, to, w.now, q.deadline
 	if timeout > 0 {
-		q.over = min(q.until, w.now+timeout)
+		q.timeoutAt = min(q.deadline, w.now+timeout)
 	}
-	w.open = append(w.open, id)
+	w.openRPCs = append(w.openRPCs, id)
 }
 
 // cold checks rule 4 by what warm members bore: the true capacity is at least that.
-func (w *world) cold(to driver.Member) {
-	n := w.nodes[to]
-	age := w.now - n.started
+func (w *cluster) checkSlowStart(to driver.Member) {
+	n := w.members[to]
+	age := w.now - n.startedAt
 	sum := func(since time.Duration) (work float64) {
-		for i, at := range n.sent {
+		for i, at := range n.attemptTimes {
 			if at > since {
-				work += n.work[i]
+				work += n.attemptLoads[i]
 			}
 		}
 		return work
 	}
-	if n.started == driver.LongAgo || age >= coldFor {
-		w.most = max(w.most, sum(w.now-8*window))
+	if n.startedAt == driver.LongAgo || age >= slowStartDuration {
+		w.maxWarmLoad = max(w.maxWarmLoad, sum(w.now-8*loadWindow))
 		return
 	}
-	heaviest := slices.MaxFunc(w.r.methods, func(a, b *method) int { return int(a.usual - b.usual) }).usual.Seconds()
-	share := 0.25 + 0.75*float64(max(0, age-window))/float64(coldFor)
-	if got := sum(w.now - window); got > 3*max(share*w.most, n.shown)+2*heaviest {
-		w.t.Fatalf("rule 4: %.2f s of work in a window to a member %v old, warm ones had %.2f in eight, it showed %.2f", got, age, w.most, n.shown)
+	heaviest := slices.MaxFunc(w.router.methods, func(a, b *method) int { return int(a.typical - b.typical) }).typical.Seconds()
+	share := 0.25 + 0.75*float64(max(0, age-loadWindow))/float64(slowStartDuration)
+	if got := sum(w.now - loadWindow); got > 3*max(share*w.maxWarmLoad, n.maxServedLoad)+2*heaviest {
+		w.t.Fatalf("rule 4: %.2f s of work in a window to a member %v old, warm ones had %.2f in eight, it showed %.2f", got, age, w.maxWarmLoad, n.maxServedLoad)
 	}
 }
 
-func (w *world) take(method int, token time.Duration) driver.RPC {
-	w.next++
-	q := &ask{method: method, group: w.chance.Below(2), arrived: w.now, last: -1, token: driver.LongAgo}
-	q.until = w.now + time.Duration(w.least+w.chance.Below(2000-w.least))*ms
-	w.rpcs[w.next] = q
+func (w *cluster) request(method int, token time.Duration) driver.RPC {
+	w.lastRPC++
+	q := &simulatedRPC{method: method, group: w.random.Below(2), arrivedAt: w.now, lastAttempt: -1, commit: driver.LongAgo}
+	q.deadline = w.now + time.Duration(w.minDeadlineMillis+w.random.Below(2000-w.minDeadlineMillis))*ms
+	w.rpcs[w.lastRPC] = q
 	wrote := time.Duration(0)
 	if token > 0 {
-		q.token, wrote = token, w.now-token
+		q.commit, wrote = token, w.now-token
 	}
-	w.stir()
-	w.r.Take(w.next, driver.Method(method), driver.Group(q.group), 0, 7, w.now, q.until, wrote, false)
-	return w.next
+	w.resumeTicks()
+	w.router.Take(w.lastRPC, driver.Method(method), driver.Group(q.group), 0, 7, w.now, q.deadline, wrote, false)
+	return w.lastRPC
 }
 
-func (w *world) end(id driver.RPC, how driver.Outcome) {
+func (w *cluster) endAttempt(id driver.RPC, how driver.Outcome) {
 	q := w.rpcs[id]
-	n := w.nodes[q.to]
+	n := w.members[q.member]
 	role, pos := driver.Unknown, time.Duration(0)
-	isPrimary := w.primary[q.group] == q.to
+	isPrimary := w.primaries[q.group] == q.member
 	if m := testMethods[q.method]; how == driver.OK && m.need == "write" && !isPrimary {
 		how = driver.Miss
 	}
 	if how == driver.OK || how == driver.Miss || how == driver.Full || how == driver.Failed {
-		role, pos = driver.Replica, n.pos
-		n.toldNot = !isPrimary
+		role, pos = driver.Replica, n.position
+		n.deniedPrimary = !isPrimary
 		if isPrimary {
 			role, pos = driver.Primary, w.now
 		}
-		n.told = max(n.told, pos.Truncate(ms))
+		n.reportedPosition = max(n.reportedPosition, pos.Truncate(ms))
 	}
-	for i, o := range w.open {
+	for i, o := range w.openRPCs {
 		if o == id {
-			w.open = append(w.open[:i], w.open[i+1:]...)
+			w.openRPCs = append(w.openRPCs[:i], w.openRPCs[i+1:]...)
 			break
 		}
 	}
-	q.open = 0
-	if !neverRan(how) && !q.ran {
-		q.ran, q.ranAt, q.ranIn = true, q.sentAt, w.zoneOf(q.to)
+	q.openAttempts = 0
+	if !surelyNotRun(how) && !q.mayHaveRun {
+		q.mayHaveRun, q.firstRunAt, q.firstRunZone = true, q.sentAt, w.zoneOf(q.member)
 	}
-	if n.shownFor != n.started {
-		n.shown, n.shownFor = 0, n.started
+	if n.servedSinceStart != n.startedAt {
+		n.maxServedLoad, n.servedSinceStart = 0, n.startedAt
 	}
 	if how == driver.OK {
-		n.done = append(slices.DeleteFunc(n.done, func(at time.Duration) bool { return at <= w.now-window || at < n.started }), w.now)
-		n.shown = max(n.shown, float64(len(n.done))*w.r.methods[q.method].usual.Seconds())
+		n.answerTimes = append(slices.DeleteFunc(n.answerTimes, func(at time.Duration) bool { return at <= w.now-loadWindow || at < n.startedAt }), w.now)
+		n.maxServedLoad = max(n.maxServedLoad, float64(len(n.answerTimes))*w.router.methods[q.method].typical.Seconds())
 	}
-	complete := q.ended || how == driver.OK
-	q.ended = complete
-	w.r.Ended(id, q.last, q.to, how, w.now-q.sentAt, complete, pos.Truncate(ms), role, nil)
+	complete := q.answered || how == driver.OK
+	q.answered = complete
+	w.router.AttemptEnded(id, q.lastAttempt, q.member, how, w.now-q.sentAt, complete, pos.Truncate(ms), role, nil)
 }
 
-func (w *world) Forget(m driver.Member) { w.forgot = append(w.forgot, m) }
+func (w *cluster) Forget(m driver.Member) { w.forgotten = append(w.forgotten, m) }
 
-func (w *world) Remembered(who driver.Session, commit time.Duration) {
-	if w.written == nil {
-		w.written = make(map[driver.Session]time.Duration)
+func (w *cluster) Remembered(who driver.Session, commit time.Duration) {
+	if w.sessionCommits == nil {
+		w.sessionCommits = make(map[driver.Session]time.Duration)
 	}
-	w.written[who] = commit
+	w.sessionCommits[who] = commit
 }
 
-func (w *world) step(by time.Duration) {
+func (w *cluster) advance(by time.Duration) {
 	for target := w.now + by; w.now < target; {
 		w.now += 5 * ms
-		for _, m := range w.order {
-			if n := w.nodes[m]; w.primary[m%2] == m {
-				n.pos = w.now
+		for _, m := range w.ids {
+			if n := w.members[m]; w.primaries[m%2] == m {
+				n.position = w.now
 			} else {
-				n.pos = max(n.pos, w.now-n.lag)
+				n.position = max(n.position, w.now-n.lag)
 			}
 		}
-		for _, id := range slices.Clone(w.open) {
+		for _, id := range slices.Clone(w.openRPCs) {
 			if q := w.rpcs[id]; q.cancelled {
 				q.cancelled = false
-				w.end(id, driver.Cancelled)
-			} else if w.now >= q.over {
-				w.end(id, driver.TimedOut)
+				w.endAttempt(id, driver.Cancelled)
+			} else if w.now >= q.timeoutAt {
+				w.endAttempt(id, driver.TimedOut)
 			}
 		}
-		if w.now >= w.wake {
+		if w.now >= w.wakeAt {
 			w.ticks++
-			if w.r.Wake(); w.rests {
-				w.wake = w.now + w.r.Rest()
+			if w.router.Wake(); w.skipsTicks {
+				w.wakeAt = w.now + w.router.WakeDelay()
 			}
 		}
 		for id, q := range w.rpcs {
-			if !q.ended && w.now > q.until+20*ms {
+			if !q.answered && w.now > q.deadline+20*ms {
 				w.t.Fatalf("rule 1: %d (method %d) never answered", id, q.method)
 			}
 		}
@@ -343,48 +346,48 @@
 }
 
 // stir ends a rest with the next tick.
-func (w *world) stir() { w.wake = min(w.wake, w.now+5*ms) }
+func (w *cluster) resumeTicks() { w.wakeAt = min(w.wakeAt, w.now+5*ms) }
 
-func (w *world) fated(times int, wait time.Duration, fate func(q *ask) driver.Outcome, methods ...int) {
+func (w *cluster) trafficWithOutcomes(times int, wait time.Duration, fate func(q *simulatedRPC) driver.Outcome, methods ...int) {
 	for range times {
 		for _, method := range methods {
-			w.take(method, 0)
+			w.request(method, 0)
 		}
-		w.step(wait)
-		for _, id := range slices.Clone(w.open) {
-			if how := fate(w.rpcs[id]); how != lost {
-				w.end(id, how)
+		w.advance(wait)
+		for _, id := range slices.Clone(w.openRPCs) {
+			if how := fate(w.rpcs[id]); how != noAnswer {
+				w.endAttempt(id, how)
 			}
 		}
 	}
 }
 
-const lost = driver.Outcome(255) // no answer, until the time-out
+const noAnswer = driver.Outcome(255) // no answer, until the time-out
 
-func (w *world) traffic(times int, wait time.Duration, methods ...int) {
-	w.fated(times, wait, func(*ask) driver.Outcome { return driver.OK }, methods...)
+func (w *cluster) traffic(times int, wait time.Duration, methods ...int) {
+	w.trafficWithOutcomes(times, wait, func(*simulatedRPC) driver.Outcome { return driver.OK }, methods...)
 }
 
 // arrivals lets RPCs of all kinds come at random at a rate a second, each answered after 100 ms.
-func (w *world) arrivals(rate float64, lasts time.Duration) {
+func (w *cluster) randomTraffic(rate float64, lasts time.Duration) {
 	next := func() time.Duration {
-		return time.Duration(-math.Log(1-w.chance.Float()) / rate * float64(time.Second))
+		return time.Duration(-math.Log(1-w.random.Float()) / rate * float64(time.Second))
 	}
 	end, due := w.now+lasts, w.now+next()
 	for w.now < end {
 		for ; due <= w.now; due += next() {
-			w.take([]int{0, 0, 0, 2, 4, 4}[w.chance.Below(6)], 0)
+			w.request([]int{0, 0, 0, 2, 4, 4}[w.random.Below(6)], 0)
 		}
-		w.step(5 * ms)
-		for _, n := range w.nodes {
-			n.credit = min(n.credit+n.can*(0.25+0.75*min(1, (w.now-n.started).Seconds()/coldFor.Seconds()))*0.005, max(1, n.can/10))
+		w.advance(5 * ms)
+		for _, n := range w.members {
+			n.capacityLeft = min(n.capacityLeft+n.capacity*(0.25+0.75*min(1, (w.now-n.startedAt).Seconds()/slowStartDuration.Seconds()))*0.005, max(1, n.capacity/10))
 		}
-		for _, id := range slices.Clone(w.open) {
-			if q := w.rpcs[id]; slices.Contains(w.dead, q.to) {
-				w.end(id, driver.NoConnection)
-			} else if n := w.nodes[q.to]; w.now-q.sentAt >= 100*ms && (n.can == 0 || n.credit >= 1) {
-				n.credit--
-				w.end(id, driver.OK)
+		for _, id := range slices.Clone(w.openRPCs) {
+			if q := w.rpcs[id]; slices.Contains(w.unreachable, q.member) {
+				w.endAttempt(id, driver.NoConnection)
+			} else if n := w.members[q.member]; w.now-q.sentAt >= 100*ms && (n.capacity == 0 || n.capacityLeft >= 1) {
+				n.capacityLeft--
+				w.endAttempt(id, driver.OK)
 			}
 		}
 	}
--- a/rules/recording_test.go
+++ b/rules/recording_test.go
@@ -19,38 +19,38 @@
 var update = flag.Bool("update", false, "rewrite golden files")
 
 // recorder is a host that writes down every action of the router, each with its time.
-type recorder struct {
-	diary
+type recordingHost struct {
+	actionLog
 }
 
-func (r *recorder) PushBack(id driver.RPC, wait time.Duration) {
-	r.note("reason %v", r.r.LastReason())
-	r.diary.PushBack(id, wait)
+func (r *recordingHost) PushBack(id driver.RPC, wait time.Duration) {
+	r.record("reason %v", r.router.LastReason())
+	r.actionLog.PushBack(id, wait)
 }
 
-func (r *recorder) Abort(id driver.RPC) {
-	r.note("reason %v", r.r.LastReason())
-	r.diary.Abort(id)
+func (r *recordingHost) Abort(id driver.RPC) {
+	r.record("reason %v", r.router.LastReason())
+	r.actionLog.Abort(id)
 }
 
-func (r *recorder) Cancel(id driver.RPC, n int) {
-	r.note("cancel %d of %d", n, id)
-	r.diary.Cancel(id, n)
+func (r *recordingHost) Cancel(id driver.RPC, n int) {
+	r.record("cancel %d of %d", n, id)
+	r.actionLog.Cancel(id, n)
 }
 
-func (r *recorder) Remembered(who driver.Session, commit time.Duration) {
-	r.note("remembered %d at %v", who, commit)
-	r.diary.Remembered(who, commit)
+func (r *recordingHost) Remembered(who driver.Session, commit time.Duration) {
+	r.record("remembered %d at %v", who, commit)
+	r.actionLog.Remembered(who, commit)
 }
 
-func (r *recorder) Forget(m driver.Member) {
-	r.note("forget %d", m)
-	r.diary.Forget(m)
+func (r *recordingHost) Forget(m driver.Member) {
+	r.record("forget %d", m)
+	r.actionLog.Forget(m)
 }
 
-func (r *recorder) WakeAfter(wait time.Duration) { r.diary.WakeAfter(wait) }
-func (r *recorder) CloseIdle(m driver.Member)    { r.note("close idle %d", m) }
-func (r *recorder) FetchList()                   { r.note("fetch list") }
+func (r *recordingHost) WakeAfter(wait time.Duration) { r.actionLog.WakeAfter(wait) }
+func (r *recordingHost) CloseIdle(m driver.Member)    { r.record("close idle %d", m) }
+func (r *recordingHost) FetchList()                   { r.record("fetch list") }
 
 // recordedRuns are drawn runs of calls, each with its seed and the settings that differ from the usual ones.
 var recordedRuns = map[string]struct {
@@ -69,15 +69,15 @@
 }
 
 // playRecorded draws a run of requests, lists, faults, halts, reloads and corrections of the clock, and gives every action.
-func playRecorded(t *testing.T, seed uint64, checks string, more []string, rests bool) string {
-	w := newWorld(t, seed, checks, more...)
-	w.least, w.rests = 20, rests
-	r := &recorder{diary{world: w}}
-	w.r.host = r
+func playRun(t *testing.T, seed uint64, checks string, more []string, rests bool) string {
+	w := newCluster(t, seed, checks, more...)
+	w.minDeadlineMillis, w.skipsTicks = 20, rests
+	r := &recordingHost{actionLog{cluster: w}}
+	w.router.host = r
 	chance := pcg.New(seed + 1000)
 	bad := []driver.Outcome{driver.Miss, driver.Full, driver.Failed, driver.NoConnection, driver.Broken, driver.TimedOut, driver.Moot}
-	anyOpen := func() driver.RPC { return w.open[chance.Below(len(w.open))] }
-	anyMember := func() driver.Member { return w.order[chance.Below(len(w.order))] }
+	anyOpen := func() driver.RPC { return w.openRPCs[chance.Below(len(w.openRPCs))] }
+	anyMember := func() driver.Member { return w.ids[chance.Below(len(w.ids))] }
 	for range 2500 {
 		switch draw := chance.Below(1000); {
 		case draw < 400:
@@ -85,75 +85,75 @@
 			if chance.Below(3) > 0 {
 				token = w.now - time.Duration(1+chance.Below(12000))*ms
 			}
-			w.take(chance.Below(len(testMethods)), max(0, token))
-		case draw < 720 && len(w.open) > 0:
-			w.end(anyOpen(), driver.OK)
-		case draw < 780 && len(w.open) > 0:
-			w.end(anyOpen(), bad[chance.Below(len(bad))])
+			w.request(chance.Below(len(testMethods)), max(0, token))
+		case draw < 720 && len(w.openRPCs) > 0:
+			w.endAttempt(anyOpen(), driver.OK)
+		case draw < 780 && len(w.openRPCs) > 0:
+			w.endAttempt(anyOpen(), bad[chance.Below(len(bad))])
 		case draw < 790:
 			m := anyMember()
-			w.nodes[m].standing = driver.Standing(chance.Below(3))
-			w.list(driver.Changes, m)
+			w.members[m].state = driver.Standing(chance.Below(3))
+			w.announce(driver.Changes, m)
 		case draw < 800:
 			m := anyMember()
-			n := w.nodes[m]
-			n.started, n.standing, n.sent, n.work, n.leftAt = w.now, driver.Ready, nil, nil, -1
-			w.list(driver.Changes, m)
+			n := w.members[m]
+			n.startedAt, n.state, n.attemptTimes, n.attemptLoads, n.leavingSince = w.now, driver.Ready, nil, nil, -1
+			w.announce(driver.Changes, m)
 		case draw < 803:
-			w.list([]driver.Listing{driver.Whole, driver.Cached, driver.NoList}[chance.Below(3)])
+			w.announce([]driver.Listing{driver.Whole, driver.Cached, driver.NoList}[chance.Below(3)])
 		case draw < 812:
 			m := anyMember()
-			w.primary[m%2], w.nodes[m].wasPrimary = m, true
+			w.primaries[m%2], w.members[m].wasPrimary = m, true
 		case draw < 820:
-			w.nodes[anyMember()].lag = time.Duration(chance.Below(3000)) * ms
+			w.members[anyMember()].lag = time.Duration(chance.Below(3000)) * ms
 		case draw < 850 && len(w.probes) > 0:
-			m, n := w.probes[0], w.nodes[w.probes[0]]
+			m, n := w.probes[0], w.members[w.probes[0]]
 			w.probes = w.probes[1:]
-			if chance.Below(4) > 0 && w.primary[m%2] != m {
-				n.told = max(n.told, n.pos)
-				w.r.Probed(m, true, ms, []float64{n.pos.Seconds(), 0})
+			if chance.Below(4) > 0 && w.primaries[m%2] != m {
+				n.reportedPosition = max(n.reportedPosition, n.position)
+				w.router.HealthCheckEnded(m, true, ms, []float64{n.position.Seconds(), 0})
 			} else {
-				w.r.Probed(m, false, ms, nil)
+				w.router.HealthCheckEnded(m, false, ms, nil)
 			}
-		case draw < 860 && len(w.open) > 0:
+		case draw < 860 && len(w.openRPCs) > 0:
 			id := anyOpen()
-			w.rpcs[id].ended = true
-			w.r.ClientLeft(id)
-		case draw < 864 && len(w.open) > 0:
-			w.r.ClientParts(anyOpen())
-		case draw < 867 && len(w.open) > 0:
-			if id := anyOpen(); !w.rpcs[id].ended {
-				w.r.CutOff(id)
+			w.rpcs[id].answered = true
+			w.router.ClientLeft(id)
+		case draw < 864 && len(w.openRPCs) > 0:
+			w.router.ClientHalfClosed(anyOpen())
+		case draw < 867 && len(w.openRPCs) > 0:
+			if id := anyOpen(); !w.rpcs[id].answered {
+				w.router.AnswerNow(id)
 			}
 		case draw < 869:
 			w.now += time.Duration(100+chance.Below(900)) * ms // the driver is suspended
 		case draw < 871:
-			w.r.Change(settingsOf(checks, append(more, fmt.Sprintf("methods.%d.utility=%d", chance.Below(len(testMethods)), 1+chance.Below(9)), "caps.attempts=4")...))
+			w.router.ApplySettings(testSettings(checks, append(more, fmt.Sprintf("methods.%d.utility=%d", chance.Below(len(testMethods)), 1+chance.Below(9)), "caps.attempts=4")...))
 		case draw < 873:
-			w.r.DoubtClock(time.Duration(chance.Below(500)) * ms)
-		case draw < 874 && w.checks && !w.lax: // starts that the world lists are not corrected with it
-			w.r.CorrectClock(time.Duration(chance.Below(200)-100) * ms)
-		case draw < 878 && w.checks: // what is restored here was never told
-			w.r.Recall(anyMember(), driver.Known{Position: w.now - 5*time.Second, Replica: w.now - 6*time.Second, Timed: w.now - time.Second, Ratio: 1 + chance.Float()}, w.now-ms)
-		case draw < 880 && w.checks: // it goes over the token that a request carries
-			w.r.RecallToken(7, w.now-time.Duration(chance.Below(3000))*ms)
+			w.router.SetClockUncertainty(time.Duration(chance.Below(500)) * ms)
+		case draw < 874 && w.membersCheckFreshness && !w.onlyDrainingBinds: // starts that the world lists are not corrected with it
+			w.router.CorrectClock(time.Duration(chance.Below(200)-100) * ms)
+		case draw < 878 && w.membersCheckFreshness: // what is restored here was never told
+			w.router.RestoreMember(anyMember(), driver.Known{Position: w.now - 5*time.Second, Replica: w.now - 6*time.Second, Timed: w.now - time.Second, Ratio: 1 + chance.Float()}, w.now-ms)
+		case draw < 880 && w.membersCheckFreshness: // it goes over the token that a request carries
+			w.router.RestoreSessionCommit(7, w.now-time.Duration(chance.Below(3000))*ms)
 		case draw < 882:
-			w.r.Learned(0, 100, func(m driver.Member, k driver.Known) { r.note("learned %d %+v", m, k) })
-			r.note("usual %v", w.r.Usual())
+			w.router.LearnedMembers(0, 100, func(m driver.Member, k driver.Known) { r.record("learned %d %+v", m, k) })
+			r.record("usual %v", w.router.TypicalLatencies())
 		default:
-			w.step(time.Duration(5+chance.Below(40)) * ms)
+			w.advance(time.Duration(5+chance.Below(40)) * ms)
 		}
 	}
-	w.step(3 * time.Second)
+	w.advance(3 * time.Second)
 	return r.lines.String()
 }
 
 // TestDecisionsAreAsRecorded compares every action of drawn runs with recordings of an earlier version: a change of structure changes no
 // decision. A change that is meant to change decisions rewrites them with -update and says why.
-func TestDecisionsAreAsRecorded(t *testing.T) {
+func TestDecisionsMatchRecordings(t *testing.T) {
 	for name, run := range recordedRuns {
 		t.Run(name, func(t *testing.T) {
-			got := playRecorded(t, run.seed, run.checks, run.more, name == "rests")
+			got := playRun(t, run.seed, run.checks, run.more, name == "rests")
 			file := filepath.Join("testdata", name+".txt.gz")
 			if *update {
 				writeRecording(t, file, got)
--- a/rules/rest_test.go
+++ b/rules/rest_test.go
@@ -11,80 +11,80 @@
 )
 
 // diary is a host that writes down what the module has it do.
-type diary struct {
-	*world
+type actionLog struct {
+	*cluster
 	lines strings.Builder
 }
 
-func (d *diary) note(format string, args ...any) {
+func (d *actionLog) record(format string, args ...any) {
 	fmt.Fprintf(&d.lines, "%v %s\n", d.now, fmt.Sprintf(format, args...))
 }
 
-func (d *diary) Attempt(id driver.RPC, to driver.Member, by, timeout time.Duration) {
-	d.note("attempt %d to %d by %v for %v", id, to, by, timeout)
-	d.world.Attempt(id, to, by, timeout)
+func (d *actionLog) Attempt(id driver.RPC, to driver.Member, by, timeout time.Duration) {
+	d.record("attempt %d to %d by %v for %v", id, to, by, timeout)
+	d.cluster.Attempt(id, to, by, timeout)
 }
 
-func (d *diary) PushBack(id driver.RPC, wait time.Duration) {
-	d.note("push back %d for %v", id, wait)
-	d.world.PushBack(id, wait)
+func (d *actionLog) PushBack(id driver.RPC, wait time.Duration) {
+	d.record("push back %d for %v", id, wait)
+	d.cluster.PushBack(id, wait)
 }
 
-func (d *diary) Abort(id driver.RPC) {
-	d.note("abort %d", id)
-	d.world.Abort(id)
+func (d *actionLog) Abort(id driver.RPC) {
+	d.record("abort %d", id)
+	d.cluster.Abort(id)
 }
 
-func (d *diary) Probe(m driver.Member) {
-	d.note("probe %d", m)
-	d.world.Probe(m)
+func (d *actionLog) Probe(m driver.Member) {
+	d.record("probe %d", m)
+	d.cluster.Probe(m)
 }
 
-func (d *diary) Watch(on bool) {
-	d.note("watch %t", on)
-	d.world.Watch(on)
+func (d *actionLog) Watch(on bool) {
+	d.record("watch %t", on)
+	d.cluster.Watch(on)
 }
 
-func (d *diary) Log(line string) { d.note("%s", line) }
+func (d *actionLog) Log(line string) { d.record("%s", line) }
 
 // moods is a day of bursts and rests, with members that fail or start anew, lists, calls for one that fail, and halts.
-func moods(t *testing.T, seed uint64, rests bool) (lines string, ticks int) {
-	w := newWorld(t, seed, "wait", "tenants.count=1", "tenants.0.quota=8", "over_share=0.5")
-	w.rests = rests
-	d := &diary{world: w}
-	w.r.host = d
+func playDay(t *testing.T, seed uint64, rests bool) (lines string, ticks int) {
+	w := newCluster(t, seed, "wait", "tenants.count=1", "tenants.0.quota=8", "over_share=0.5")
+	w.skipsTicks = rests
+	d := &actionLog{cluster: w}
+	w.router.host = d
 	chance := pcg.New(seed)
-	fate := func(*ask) driver.Outcome {
-		return []driver.Outcome{driver.OK, driver.OK, driver.OK, driver.Full, driver.Failed, driver.NoConnection, lost}[chance.Below(7)]
+	fate := func(*simulatedRPC) driver.Outcome {
+		return []driver.Outcome{driver.OK, driver.OK, driver.OK, driver.Full, driver.Failed, driver.NoConnection, noAnswer}[chance.Below(7)]
 	}
 	for round := range 120 {
 		switch chance.Below(8) {
 		case 0:
-			w.list(driver.NoList)
+			w.announce(driver.NoList)
 		case 1:
-			m := w.order[chance.Below(len(w.order))]
-			w.nodes[m].started = w.now
-			w.list(driver.Changes, m)
+			m := w.ids[chance.Below(len(w.ids))]
+			w.members[m].startedAt = w.now
+			w.announce(driver.Changes, m)
 		case 2: // it stands still at work (TestAHaltAtRestIsNoticed has the other)
-			if still := time.Duration(100+5*chance.Below(200)) * ms; len(w.r.rpcs) > 0 {
+			if still := time.Duration(100+5*chance.Below(200)) * ms; len(w.router.rpcs) > 0 {
 				w.now += still
 			}
 		}
 		for range chance.Below(4) {
-			w.fated(1+chance.Below(3), time.Duration(5+5*chance.Below(8))*ms, fate, chance.Below(len(testMethods)), chance.Below(4))
-			d.note("round %d, halted %v", round, w.r.halted)
+			w.trafficWithOutcomes(1+chance.Below(3), time.Duration(5+5*chance.Below(8))*ms, fate, chance.Below(len(testMethods)), chance.Below(4))
+			d.record("round %d, halted %v", round, w.router.resumedAt)
 		}
-		w.step(time.Duration(5*chance.Below(300)) * ms)
+		w.advance(time.Duration(5*chance.Below(300)) * ms)
 	}
-	w.step(3 * time.Second)
+	w.advance(3 * time.Second)
 	return d.lines.String(), w.ticks
 }
 
 // A host that leaves out the ticks that it may has the same decisions, drawn by the same dice, and the same halts.
-func TestTicksThatAreLeftOutChangeNothing(t *testing.T) {
+func TestSkippedTicksChangeNoDecision(t *testing.T) {
 	for seed := range uint64(12) {
-		all, ticks := moods(t, seed, false)
-		some, fewer := moods(t, seed, true)
+		all, ticks := playDay(t, seed, false)
+		some, fewer := playDay(t, seed, true)
 		if all != some {
 			a, b := strings.Split(all, "\n"), strings.Split(some, "\n")
 			for i := range min(len(a), len(b)) {
@@ -103,23 +103,23 @@
 
 // While it rests, too, a driver that stood still notices so, by the RPC that comes first or by the tick; one that only
 // rested does not.
-func TestAHaltAtRestIsNoticed(t *testing.T) {
+func TestPauseDuringSkippedTicksIsDetected(t *testing.T) {
 	for _, still := range []time.Duration{0, 40 * ms, 300 * ms, 2 * time.Second} {
 		for _, how := range []string{"RPC", "tick"} {
-			for phase := time.Duration(0); phase < lull; phase += 5 * ms {
-				w := settled(t, "wait")
-				w.rests = true
-				w.step(3*time.Second + phase)
-				if len(w.r.rpcs) > 0 || w.wake <= w.now && still == 0 {
+			for phase := time.Duration(0); phase < idleScanInterval; phase += 5 * ms {
+				w := newSettledCluster(t, "wait")
+				w.skipsTicks = true
+				w.advance(3*time.Second + phase)
+				if len(w.router.rpcs) > 0 || w.wakeAt <= w.now && still == 0 {
 					t.Fatal("it does not rest")
 				}
-				before := w.r.halted
+				before := w.router.resumedAt
 				if w.now += still; how == "RPC" {
-					w.take(2, 0)
-				} else if w.now >= w.wake {
-					w.r.Wake()
+					w.request(2, 0)
+				} else if w.now >= w.wakeAt {
+					w.router.Wake()
 				}
-				if noticed := w.r.halted != before; noticed != (still >= 300*ms) {
+				if noticed := w.router.resumedAt != before; noticed != (still >= 300*ms) {
 					t.Errorf("%v into a rest, %v long, by %s: a halt was noticed: %t", phase, still, how, noticed)
 				}
 			}
--- a/rules/retries.go
+++ b/rules/retries.go
@@ -7,64 +7,64 @@
 	"passtack/internal/chain"
 )
 
-const way = 20 * time.Millisecond // to a member, from the moment at which an RPC is written
+const deliveryTime = 20 * time.Millisecond // to a member, from the moment at which an RPC is written
 
 type attempt struct {
-	to          *member
-	sent        time.Duration
-	depth       int
-	turned      time.Duration // when it was turned away or found nobody
-	open, scout bool
+	member            *member
+	sentAt            time.Duration
+	depth             int
+	rejectedAt        time.Duration // when it was turned away or found nobody
+	open, exploratory bool
 }
 
 type rpc struct {
-	id                         driver.RPC
-	method                     *method
-	group                      *group
-	session                    driver.Session
-	arrived, until, by         time.Duration // by: when it must be whole at a member, if at any
-	tenant                     driver.Tenant
-	wanted, token              time.Duration // wanted: since when, over all tries
-	calls                      []attempt
-	out                        int           // attempts without an outcome yet
-	ranAt, holdUntil           time.Duration // send of the first attempt that may have run; end of its wait
-	ranIn                      driver.Zone
-	mayHaveRun, held, answered bool
-	place                      chain.Link[*rpc] // among what its member holds
+	id                           driver.RPC
+	method                       *method
+	group                        *group
+	session                      driver.Session
+	arrivedAt, deadline, sendBy  time.Duration // by: when it must be whole at a member, if at any
+	tenant                       driver.Tenant
+	requestedAt, commit          time.Duration // wanted: since when, over all tries
+	attempts                     []attempt
+	openAttempts                 int           // attempts without an outcome yet
+	firstRunAt, queueUntil       time.Duration // send of the first attempt that may have run; end of its wait
+	firstRunZone                 driver.Zone
+	mayHaveRun, queued, answered bool
+	inFlightLink                 chain.Link[*rpc] // among what its member holds
 }
 
-func (q *rpc) lastSent() time.Duration { return q.calls[len(q.calls)-1].sent }
+func (q *rpc) lastSentAt() time.Duration { return q.attempts[len(q.attempts)-1].sentAt }
 
 func (r *Router) send(q *rpc, to *member, timeout time.Duration, scout bool) {
 	now := r.host.Now()
-	if to.out.Count() == 0 {
-		to.heard = max(to.heard, now)
+	if to.inFlight.Count() == 0 {
+		to.lastReplyAt = max(to.lastReplyAt, now)
 	}
-	c := attempt{to: to, sent: now, depth: to.out.Count(), turned: never, open: true, scout: scout}
-	q.calls = append(q.calls, c)
-	q.out++
-	to.out.Push(&q.place)
-	if r.cold(to, now) {
-		to.load, to.loadAt = r.loadOf(to, now)+q.method.usual.Seconds(), now
+	c := attempt{member: to, sentAt: now, depth: to.inFlight.Count(), rejectedAt: unknownTime, open: true, exploratory: scout}
+	q.attempts = append(q.attempts, c)
+	q.openAttempts++
+	to.inFlight.Push(&q.inFlightLink)
+	if r.warmingUp(to, now) {
+		to.recentLoad, to.recentLoadAt = r.memberLoad(to, now)+q.method.typical.Seconds(), now
 	}
 	if scout {
-		q.group.scouts++
+		q.group.exploratoryAttempts++
 	}
-	if len(q.calls) == 1 && int(q.tenant) < len(r.room) {
-		r.room[q.tenant] = max(r.room[q.tenant]-1, 0)
+	if len(q.attempts) == 1 && int(q.tenant) < len(r.quotaLeft) {
+		r.quotaLeft[q.tenant] = max(r.quotaLeft[q.tenant]-1, 0)
 	}
-	r.host.Attempt(q.id, to.id, q.by, timeout)
+	r.host.Attempt(q.id, to.id, q.sendBy, timeout)
 }
 
-func (r *Router) again(q *rpc, how driver.Outcome, now time.Duration) {
+func (r *Router) retry(q *rpc, how driver.Outcome, now time.Duration) {
 	m := q.method
 	switch {
 	case how == driver.TimedOut, how == driver.Cancelled:
-		r.giveUp(q, r.terms.Duration("caps.longest_wait"), NoAnswer)
-	case how != driver.Moot && len(q.calls) < int(r.terms.Number("caps.attempts", 1)) &&
-		(!q.mayHaveRun || m.idempotent || m.tokened):
+		r.giveUp(q, r.settings.Duration("caps.longest_wait"), NoAnswer)
+	case how != driver.Moot && len(q.attempts) < int(r.settings.Number("caps.attempts", 1)) &&
+		(!q.mayHaveRun || m.idempotent || m.keyed):
 		if q.mayHaveRun && !m.idempotent {
-			q.by = min(q.by, q.ranAt+m.window-way)
+			q.sendBy = min(q.sendBy, q.firstRunAt+m.retryWindow-deliveryTime)
 		}
 		r.route(q)
 	default:
@@ -72,21 +72,21 @@
 	}
 }
 
-func neverRan(o driver.Outcome) bool {
+func surelyNotRun(o driver.Outcome) bool {
 	return o == driver.Full || o == driver.NoConnection || o == driver.Moot || o == driver.Miss
 }
 
-func (r *Router) callOff(q *rpc) {
-	q.answered, q.held = true, false
-	for i, c := range q.calls {
-		if c.open && r.terms.Bool("caps.cancel") {
+func (r *Router) cancelAttempts(q *rpc) {
+	q.answered, q.queued = true, false
+	for i, c := range q.attempts {
+		if c.open && r.settings.Bool("caps.cancel") {
 			r.host.Cancel(q.id, i)
 		}
 	}
 }
 
-func (r *Router) forget(q *rpc) {
-	if q.answered && q.out == 0 {
+func (r *Router) removeIfDone(q *rpc) {
+	if q.answered && q.openAttempts == 0 {
 		delete(r.rpcs, q.id)
 	}
 }
--- a/rules/selection.go
+++ b/rules/selection.go
@@ -6,120 +6,122 @@
 )
 
 const (
-	primaryShare = 0.1 // of the reads that a replica could serve
-	atEase       = 1.5 // times the usual latency: the most a primary shows that takes a share
-	exploring    = 0.2 // of the reads that may go to a replica unheard of
+	primaryReadShare   = 0.1 // of the reads that a replica could serve
+	maxPrimarySlowdown = 1.5 // times the usual latency: the most a primary shows that takes a share
+	explorationShare   = 0.2 // of the reads that may go to a replica unheard of
 )
 
-var distance = map[bool]float64{true: 1, false: 1.3} // as it seems, by sharing our zone
+var zoneCost = map[bool]float64{true: 1, false: 1.3} // as it seems, by sharing our zone
 
 // route is the ordinary path: it sends the RPC where the design says, holds it briefly, or gives it up.
 func (r *Router) route(q *rpc) {
 	now, g, m := r.host.Now(), q.group, q.method
-	if now >= q.by-r.tick {
+	if now >= q.sendBy-r.tick {
 		r.giveUp(q, 0, NoTimeLeft)
 		return
 	}
 	primary := g.primary
-	if primary != nil && !r.open(primary, q, now) {
+	if primary != nil && !r.accepts(primary, q, now) {
 		primary = nil
 	}
 	var to *member
-	switch m.need {
+	switch m.freshness {
 	case write:
 		to = primary
-		if to == nil && g.scouts == 0 {
-			to = r.scout(q, now)
+		if to == nil && g.exploratoryAttempts == 0 {
+			to = r.choosePrimaryCandidate(q, now)
 		}
 	case fresh:
 		to = primary
 		if to == nil {
-			to = r.companion(q, q.arrived+early, now)
+			to = r.chooseReplica(q, q.arrivedAt+positionRounding, now)
 		}
 	case session:
-		if now-q.token < pinLimit && !g.allPast(q.token) {
+		if now-q.commit < maxSessionPin && !g.replicasCaughtUp(q.commit) {
 			to = primary
 		}
 		if to == nil {
-			to = r.companion(q, q.token, now)
+			to = r.chooseReplica(q, q.commit, now)
 		}
 	case bounded:
-		to = r.companion(q, now-m.bound+early, now)
-		if primary != nil && (to == nil || r.chance.Float() < primaryShare) && r.slowness(primary, now) < atEase {
+		to = r.chooseReplica(q, now-m.maxStaleness+positionRounding, now)
+		if primary != nil && (to == nil || r.random.Float() < primaryReadShare) && r.slowdown(primary, now) < maxPrimarySlowdown {
 			to = primary
 		}
 	case anyAge:
-		to = r.companion(q, never, now)
+		to = r.chooseReplica(q, unknownTime, now)
 	}
-	if to == nil && (m.need == session || m.need == anyAge) {
+	if to == nil && (m.freshness == session || m.freshness == anyAge) {
 		to = primary
 	}
 	if to == nil {
-		r.hold(q)
+		r.enqueue(q)
 		return
 	}
-	scout := m.need == write && to != primary
-	left, utility := min(q.wanted+m.soft, q.until)-now, m.utility
-	if left <= 0 && m.late > 0 {
-		left, utility = q.until-now, m.late*m.utility
+	scout := m.freshness == write && to != primary
+	left, utility := min(q.requestedAt+m.softDeadline, q.deadline)-now, m.utility
+	if left <= 0 && m.lateUtility > 0 {
+		left, utility = q.deadline-now, m.lateUtility*m.utility
 	}
-	if int(q.tenant) < len(r.room) && r.room[q.tenant] < 1 {
-		utility *= r.terms.Number("over_share", 1)
+	if int(q.tenant) < len(r.quotaLeft) && r.quotaLeft[q.tenant] < 1 {
+		utility *= r.settings.Number("over_share", 1)
 	}
-	if predicted := r.cautious(to, m, utility); predicted > left && !scout {
-		to = r.other(q, to, primary, now)
-		if to == nil || r.cautious(to, m, utility) > left {
-			r.giveUp(q, min(predicted-left, m.soft/4), TooSlow)
+	if predicted := r.requiredTime(to, m, utility); predicted > left && !scout {
+		to = r.chooseAlternative(q, to, primary, now)
+		if to == nil || r.requiredTime(to, m, utility) > left {
+			r.giveUp(q, min(predicted-left, m.softDeadline/4), TooSlow)
 			return
 		}
 	}
 	timeout := time.Duration(0)
-	if m.late == 0 && m.idempotent {
-		timeout = min(q.arrived+m.soft, q.until) - now
+	if m.lateUtility == 0 && m.idempotent {
+		timeout = min(q.arrivedAt+m.softDeadline, q.deadline) - now
 	}
 	r.send(q, to, timeout, scout)
 }
 
 // other is where an RPC may go that would be shed: a pinned read to a replica known past its token, a read
 // for replicas to the primary at ease. It keeps neither from its ordinary path.
-func (r *Router) other(q *rpc, to, primary *member, now time.Duration) *member {
-	need := q.method.need
+func (r *Router) chooseAlternative(q *rpc, to, primary *member, now time.Duration) *member {
+	need := q.method.freshness
 	if need == session && to == primary {
-		return r.companion(q, q.token, now)
+		return r.chooseReplica(q, q.commit, now)
 	}
-	if (need == bounded || need == anyAge) && primary != nil && r.slowness(primary, now) < atEase {
+	if (need == bounded || need == anyAge) && primary != nil && r.slowdown(primary, now) < maxPrimarySlowdown {
 		return primary
 	}
 	return nil
 }
 
 // open tells whether a member may get this RPC now: it is ready, its trickle and its cold budget have room.
-func (r *Router) open(m *member, q *rpc, now time.Duration) bool {
-	if !m.sendable || m.doubted() && m.out.Count() > 0 || q.mayHaveRun && q.method.zoned && m.zone != q.ranIn ||
-		m.trickle > 0 && (m.out.Count() >= m.trickle || now < m.nextTry) {
+func (r *Router) accepts(m *member, q *rpc, now time.Duration) bool {
+	if !m.available || m.presumedGone() && m.inFlight.Count() > 0 || q.mayHaveRun && q.method.zoneDeduplicates && m.zone != q.firstRunZone ||
+		m.allowance > 0 && (m.inFlight.Count() >= m.allowance || now < m.nextAttemptAt) {
 		return false
 	}
-	lately := func(c attempt) bool { return c.to == m && c.turned > now-askAgain*time.Duration(len(q.calls)) }
-	return !slices.ContainsFunc(q.calls, lately) && r.coldRoom(m, q, now)
+	lately := func(c attempt) bool {
+		return c.member == m && c.rejectedAt > now-recheckInterval*time.Duration(len(q.attempts))
+	}
+	return !slices.ContainsFunc(q.attempts, lately) && r.slowStartAdmits(m, q, now)
 }
 
 // companion picks the replica for a read: the quickest known past the floor, but one idle and unheard of goes
 // first, or what it knows would be forgotten; after some seconds even unproven, where it checks by itself.
-func (r *Router) companion(q *rpc, floor, now time.Duration) *member {
+func (r *Router) chooseReplica(q *rpc, floor, now time.Duration) *member {
 	var best *member
 	all := q.group.members
-	for n, start := 0, r.chance.Below(len(all)+1); n < len(all); n++ {
+	for n, start := 0, r.random.Below(len(all)+1); n < len(all); n++ {
 		m := all[(start+n)%len(all)]
-		unheard := m.out.Count() == 0 && now-m.posAt > askAgain
-		mayAsk := r.checks && unheard && now-m.posAt > lastPause
-		reach := m.pos
-		if r.checks && m.posAt != never { // it turns the read away if it fell behind meanwhile
-			reach += now - m.posAt
+		unheard := m.inFlight.Count() == 0 && now-m.positionAt > recheckInterval
+		mayAsk := r.membersCheckFreshness && unheard && now-m.positionAt > maxProbationBackoff
+		reach := m.position
+		if r.membersCheckFreshness && m.positionAt != unknownTime { // it turns the read away if it fell behind meanwhile
+			reach += now - m.positionAt
 		}
-		if m == q.group.primary || reach < floor && !mayAsk || !r.open(m, q, now) {
+		if m == q.group.primary || reach < floor && !mayAsk || !r.accepts(m, q, now) {
 			continue
 		}
-		if unheard && r.chance.Float() < exploring && 2*r.predict(m, q.method) < q.method.soft {
+		if unheard && r.random.Float() < explorationShare && 2*r.predictLatency(m, q.method) < q.method.softDeadline {
 			return m
 		}
 		if best == nil || r.cost(m, q.method) < r.cost(best, q.method) {
@@ -130,15 +132,15 @@
 }
 
 func (r *Router) cost(m *member, meth *method) float64 {
-	return float64(r.predict(m, meth)) * distance[m.zone == r.zone]
+	return float64(r.predictLatency(m, meth)) * zoneCost[m.zone == r.zone]
 }
 
 // scout picks the member most likely to be the primary that nobody has told of yet.
-func (r *Router) scout(q *rpc, now time.Duration) *member {
+func (r *Router) choosePrimaryCandidate(q *rpc, now time.Duration) *member {
 	var best *member
 	for _, m := range q.group.members {
-		if m != q.group.primary && now-m.replicaAt >= askAgain && r.open(m, q, now) &&
-			(best == nil || m.replicaAt < best.replicaAt) {
+		if m != q.group.primary && now-m.replicaProvenAt >= recheckInterval && r.accepts(m, q, now) &&
+			(best == nil || m.replicaProvenAt < best.replicaProvenAt) {
 			best = m
 		}
 	}
--- a/rules/sessions.go
+++ b/rules/sessions.go
@@ -8,25 +8,25 @@
 )
 
 const (
-	pinLimit = 10 * time.Second // a session stays on the primary no longer after its last write
-	kept     = 5 * time.Minute  // in which a session's write is remembered
+	maxSessionPin   = 10 * time.Second // a session stays on the primary no longer after its last write
+	commitRetention = 5 * time.Minute  // in which a session's write is remembered
 )
 
 // allPast tells whether every replica of the group is known to have applied past the token.
-func (g *group) allPast(token time.Duration) bool {
+func (g *group) replicasCaughtUp(token time.Duration) bool {
 	return !slices.ContainsFunc(g.members, func(m *member) bool {
-		return m.sendable && m != g.primary && m.pos < token && !m.doubted()
+		return m.available && m != g.primary && m.position < token && !m.presumedGone()
 	})
 }
 
-func (r *Router) remember(who driver.Session, commit time.Duration) {
-	r.tokens[who] = max(commit, r.tokens[who])
-	r.host.Remembered(who, r.tokens[who])
+func (r *Router) rememberCommit(who driver.Session, commit time.Duration) {
+	r.sessionCommits[who] = max(commit, r.sessionCommits[who])
+	r.host.Remembered(who, r.sessionCommits[who])
 }
 
 // RecallToken takes the write of a session back into memory, for what is left of the time it is kept.
-func (r *Router) RecallToken(who driver.Session, commit time.Duration) {
-	if now := r.host.Now(); commit <= now && now-commit < kept {
-		r.remember(who, commit)
+func (r *Router) RestoreSessionCommit(who driver.Session, commit time.Duration) {
+	if now := r.host.Now(); commit <= now && now-commit < commitRetention {
+		r.rememberCommit(who, commit)
 	}
 }
