--- a/internal/lab/capacity/driver_state.go
+++ b/internal/lab/capacity/driver_state.go
@@ -160,7 +160,10 @@
 // take hands it RPCs of a method, each of a session of its own, spread over the groups.
 func (q *quiet) take(from, count, groups int, method driver.Method) {
 	for n := from; n < from+count; n++ {
-		q.module.Take(driver.RPC(n+1), method, driver.Group(n%groups), 0, driver.Session(n+1), q.now, q.now+2*soft, 0, false)
+		q.module.Take(rules.Request{
+			ID: driver.RPC(n + 1), Method: method, Group: driver.Group(n % groups), Session: driver.Session(n + 1),
+			ArrivedAt: q.now, Deadline: q.now + 2*soft,
+		})
 	}
 }
 
--- a/internal/node/rpcs.go
+++ b/internal/node/rpcs.go
@@ -7,6 +7,7 @@
 	"passtack/driver"
 	"passtack/internal/loop"
 	"passtack/internal/slots"
+	"passtack/rules"
 )
 
 // rpc is one RPC of a client, from its arrival until it is answered and all its attempts have ended.
@@ -65,7 +66,7 @@
 
 // Take admits an RPC and hands it to the module. It returns 0 for an RPC that was rejected.
 func (t *rpcTable) Take(by driver.Front, from driver.Client, method driver.Method, group driver.Group,
-	session driver.Session, arrivedAt, deadline, wroteAt time.Duration, repeat bool) driver.RPC {
+	session driver.Session, arrivedAt, deadline, sinceWrite time.Duration, repeat bool) driver.RPC {
 	n := t.node
 	n.Count("rpcs_taken")
 	deadline, accepts := n.shutdown.bound(deadline)
@@ -88,7 +89,10 @@
 	q.overdueTimer = n.loop.At(deadline+t.tick, func() { t.answerOverdue(id) })
 	n.traceTaken(id, from, deadline)
 	n.timer.resume()
-	n.module.Take(id, method, group, 0, session, arrivedAt, deadline, wroteAt, repeat)
+	n.module.Take(rules.Request{
+		ID: id, Method: method, Group: group, Session: session,
+		ArrivedAt: arrivedAt, Deadline: deadline, SinceWrite: sinceWrite, ClientRetry: repeat,
+	})
 	return id
 }
 
--- /dev/null
+++ b/internal/settings/methods.go
@@ -0,0 +1,80 @@
+package settings
+
+import (
+	"strconv"
+	"time"
+)
+
+// Freshness is what a method requires of the data of the member that serves it.
+type Freshness string
+
+// All values of Freshness. No member qualifies for another.
+const (
+	FreshnessAny     Freshness = "any"
+	FreshnessBounded Freshness = "bounded" // not older than the method's maximum staleness
+	FreshnessSession Freshness = "session" // includes the session's latest write
+	FreshnessLatest  Freshness = "fresh"   // includes all that was committed before the RPC arrived
+	FreshnessWrite   Freshness = "write"   // a write, for the primary
+)
+
+// PrefersPrimary reports whether the primary usually serves such methods.
+func (f Freshness) PrefersPrimary() bool { return f == FreshnessWrite || f == FreshnessLatest }
+
+// Effect tells whether a method may run more than once.
+type Effect string
+
+// All values of Effect. A method with another is taken for non-idempotent.
+const (
+	NonIdempotent Effect = "non-idempotent"
+	Idempotent    Effect = "idempotent"
+	Keyed         Effect = "tokened" // may be repeated with its idempotency key
+)
+
+// DuplicateScope tells which members drop a duplicate of an RPC that has run. Another value than these stands for the members of
+// the group.
+type DuplicateScope string
+
+// The values of DuplicateScope besides the group.
+const (
+	DuplicatesInZone   DuplicateScope = "zone" // the members in the zone of the one that it ran at
+	DuplicatesAnywhere DuplicateScope = "all"
+)
+
+// Method is what the settings say of one method.
+type Method struct {
+	Freshness    Freshness
+	MaxStaleness time.Duration // of the data, for FreshnessBounded
+	Effect       Effect
+	Duplicates   DuplicateScope
+	RetryWindow  time.Duration // after the first run, in which members recognize duplicates
+	SoftDeadline time.Duration // later answers are worth less
+	TotalLimit   time.Duration // of the client, for all its tries
+	Utility      float64       // of an answer
+	LateUtility  float64       // the part of Utility that is left past the soft deadline
+}
+
+// Methods returns the methods in the order of their numbers, including retired ones.
+func (s Settings) Methods() []Method {
+	methods := make([]Method, 0, s.methodCount())
+	for i := range s.methodCount() {
+		path := methodPath(i)
+		m := Method{
+			Freshness: Freshness(s.ListItem("family_info.needs", i)), Effect: Effect(s.Text(path + "effect")),
+			Duplicates: DuplicateScope(s.Text(path + "repeats")), RetryWindow: s.Duration(path + "window"),
+			SoftDeadline: s.Duration(path + "soft_deadline"), TotalLimit: s.Duration(path + "limit"),
+			Utility: s.Number(path+"utility", 1), LateUtility: s.Number(path+"late_utility", 0),
+		}
+		m.MaxStaleness, _ = time.ParseDuration(s.ListItem("family_info.bounds", i) + "us") // 0 where the list is shorter
+		methods = append(methods, m)
+	}
+	return methods
+}
+
+// TenantQuotas returns this driver's parts of the tenants' quotas in RPCs a second, in the order of the tenants' numbers.
+func (s Settings) TenantQuotas() []float64 {
+	var quotas []float64
+	for i := range int(s.Number("tenants.count", 0)) {
+		quotas = append(quotas, s.Number("tenants."+strconv.Itoa(i)+".quota", 0)/s.Number("drivers", 1))
+	}
+	return quotas
+}
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -215,7 +215,10 @@
 			return errShort
 		}
 		wrote := time.Duration(ago * float64(time.Millisecond))
-		i.module.Take(rpc, method, group, tenant, session, i.Now(), i.since(until), wrote, options&2 != 0)
+		i.module.Take(rules.Request{
+			ID: rpc, Method: method, Group: group, Tenant: tenant, Session: session,
+			ArrivedAt: i.Now(), Deadline: i.since(until), SinceWrite: wrote, ClientRetry: options&2 != 0,
+		})
 	case evEnded:
 		rpc, how, attempt, took := driver.RPC(r.u32()), r.u8(), int(r.u16()), r.span()
 		complete, note, m := r.u8() != 0, r.u32(), r.member()
--- a/rules/change_test.go
+++ b/rules/change_test.go
@@ -25,7 +25,7 @@
 			t.Errorf("window %s: it may be sent until %v, %v is wanted", text, by, want)
 		}
 		w.endAttempt(id, driver.OK)
-		if got := w.router.methods[4].retryWindow; got != window {
+		if got := w.router.methods[4].RetryWindow; got != window {
 			t.Errorf("what comes later has %v", got)
 		}
 	}
@@ -65,7 +65,7 @@
 	if got := w.router.TypicalLatencies(); !slices.Equal(got[:8], usual) || got[8] != 200*ms {
 		t.Errorf("latencies were %v and are %v", usual, got)
 	}
-	if m := w.router.methods[0]; m.softDeadline != 100*ms || m.freshness != "bounded" || m.maxStaleness != 500*ms {
+	if m := w.router.methods[0]; m.SoftDeadline != 100*ms || m.Freshness != "bounded" || m.MaxStaleness != 500*ms {
 		t.Errorf("%+v", m)
 	}
 	if !slices.Equal(w.router.quotas, []float64{10}) || !slices.Equal(w.router.quotaLeft, w.router.quotas) || w.router.settings.Number("rules.cold_multiple", 0) != 7 {
--- a/rules/clock.go
+++ b/rules/clock.go
@@ -6,38 +6,45 @@
 )
 
 const (
-	scanInterval     = 50 * time.Millisecond // between two looks at every member; later means a halt of this driver
-	idleScanInterval = 5 * scanInterval      // between them while nothing is under way
+	minTick          = 5 * time.Millisecond
+	scanInterval     = 50 * time.Millisecond // between scans of all members; a timer later than this shows a pause of the driver
+	idleScanInterval = 5 * scanInterval      // while nothing is in flight and no health check may be sent
 )
 
-// noticeHalt tells a halt of this driver by its late timer. What came meanwhile is handled all at once:
-// neither the members' silence nor the latencies of that moment mean anything.
+// ticks is the state of the driver's one periodic timer.
+type ticks struct {
+	interval, lastWakeAt, nextScanAt time.Duration
+	resumedAt, wakeDueAt             time.Duration // end of the latest pause of this driver; ticks before may be skipped, 0: none
+}
+
+// detectPause notices a pause of the driver by its late timer. Neither silence nor latencies of members mean anything at its end.
 func (r *Router) detectPause(now time.Duration) {
-	r.lastWakeAt, r.wakeDueAt = max(r.lastWakeAt, min(now, r.wakeDueAt-r.tick)), 0 // what was left out counts as come
-	if now-r.lastWakeAt > scanInterval {
-		r.resumedAt = now
+	t := &r.ticks
+	t.lastWakeAt, t.wakeDueAt = max(t.lastWakeAt, min(now, t.wakeDueAt-t.interval)), 0 // skipped ticks count as taken
+	if now-t.lastWakeAt > scanInterval {
+		t.resumedAt = now
 	}
 }
 
-// Wake is the one periodic timer.
+// Wake is called on each tick. Hundreds of members are too many to scan on each one.
 func (r *Router) Wake() {
-	now := r.host.Now()
-	r.runSkippedScans(now - r.tick)
+	now, t := r.host.Now(), &r.ticks
+	r.runSkippedScans(now - t.interval)
 	r.detectPause(now)
-	r.lastWakeAt = now
-	r.host.WakeAfter(r.tick)
+	t.lastWakeAt = now
+	r.host.WakeAfter(t.interval)
 	for act, ok := r.timers.Pop(now); ok; act, ok = r.timers.Pop(now) {
 		act()
 	}
-	if now >= r.nextScanAt { // with hundreds of drivers and members a look at each at every tick takes too long
-		r.nextScanAt = now + scanInterval
+	if now >= t.nextScanAt {
+		t.nextScanAt = now + scanInterval
 		r.measureMembers(now)
 		for i, first := 0, r.random.Below(len(r.memberList)+1); i < len(r.memberList); i++ {
 			r.checkHealth(r.memberList[(first+i)%len(r.memberList)], now)
 		}
 	}
-	for i, quota := range r.quotas {
-		r.quotaLeft[i] = min(r.quotaLeft[i]+quota*r.tick.Seconds(), quota)
+	for i, rate := range r.quotas {
+		r.quotaLeft[i] = min(r.quotaLeft[i]+rate*t.interval.Seconds(), rate)
 	}
 	waiting := r.queue
 	r.queue = nil
@@ -49,47 +56,41 @@
 	}
 }
 
-// Rest tells after its call of Wake how long a host may leave the ticks out unless an RPC or a list comes:
-// they would do nothing before the next look at every member, which itself may wait where nobody is watched
-// over. A later tick still tells a halt.
+// WakeDelay returns, after a call of Wake, for how long a host may skip ticks unless an RPC or a list comes: until the next scan, or longer
+// if that could send no health check. A later tick still shows a pause.
 func (r *Router) WakeDelay() time.Duration {
-	if r.wakeDueAt = r.lastWakeAt + r.tick; len(r.rpcs) == 0 && slices.Equal(r.quotaLeft, r.quotas) {
-		if r.wakeDueAt = max(r.wakeDueAt, r.nextScanAt); r.idle() {
-			r.wakeDueAt += idleScanInterval - scanInterval
+	t := &r.ticks
+	if t.wakeDueAt = t.lastWakeAt + t.interval; len(r.rpcs) == 0 && slices.Equal(r.quotaLeft, r.quotas) {
+		if t.wakeDueAt = max(t.wakeDueAt, t.nextScanAt); r.healthCheckBudget < 1 || !r.settings.Bool("caps.probe") {
+			t.wakeDueAt += idleScanInterval - scanInterval
 		}
 		if at, ok := r.timers.First(); ok {
-			r.wakeDueAt = min(r.wakeDueAt, max(at, r.lastWakeAt+r.tick))
+			t.wakeDueAt = min(t.wakeDueAt, max(at, t.lastWakeAt+t.interval))
 		}
 	}
-	return r.wakeDueAt - r.lastWakeAt
-}
-
-// idle tells that no member holds anything, and that none may be probed: what was learned only fades.
-func (r *Router) idle() bool {
-	return len(r.rpcs) == 0 && (r.healthCheckBudget < 1 || !r.settings.Bool("caps.probe"))
+	return t.wakeDueAt - t.lastWakeAt
 }
 
-// catchUp takes the latest of the looks that were left out, before what ends the rest changes anything.
+// runSkippedScans makes the latest of the scans that were skipped, and the random draws of all, before an event changes anything.
 func (r *Router) runSkippedScans(now time.Duration) {
-	if now = min(now, r.wakeDueAt-r.tick); r.wakeDueAt > 0 && now >= r.nextScanAt {
-		for ; now >= r.nextScanAt; r.nextScanAt += scanInterval {
-			r.random.Below(len(r.memberList) + 1) // the dice of each
+	t := &r.ticks
+	if now = min(now, t.wakeDueAt-t.interval); t.wakeDueAt > 0 && now >= t.nextScanAt {
+		for ; now >= t.nextScanAt; t.nextScanAt += scanInterval {
+			r.random.Below(len(r.memberList) + 1)
 		}
-		r.measureMembers(r.nextScanAt - scanInterval)
+		r.measureMembers(t.nextScanAt - scanInterval)
 	}
 }
 
-// DoubtClock tells how far the clock by which members' starts are told may be behind what the host takes it for. Until that
-// is known, members count as younger by as much: none that has just started is taken for warm.
+// SetClockUncertainty tells by how much the members' clock may be behind what the host takes it for. Members count as younger by as much.
 func (r *Router) SetClockUncertainty(behind time.Duration) { r.clockUncertainty = behind }
 
-// CorrectClock tells that the members' clock is further ahead of the host's than it was taken for, or less where that is
-// below 0. What was told by it before is set right: starts, positions and commits.
+// CorrectClock tells that the members' clock is further ahead of the host's than it was taken for, and corrects the times told by it.
 func (r *Router) CorrectClock(ahead time.Duration) {
 	r.clockOffset += ahead
 	for _, m := range r.memberList {
 		m.startedAt = shifted(m.startedAt, ahead)
-		m.position = shifted(m.position, ahead)
+		m.replication.position = shifted(m.replication.position, ahead)
 	}
 	for session, commit := range r.sessionCommits {
 		r.sessionCommits[session] = shifted(commit, ahead)
@@ -99,7 +100,7 @@
 	}
 }
 
-// corrected leaves alone what stands for no time.
+// shifted leaves alone what stands for no time.
 func shifted(at, ahead time.Duration) time.Duration {
 	if at == unknownTime || at == 0 {
 		return at
--- a/rules/clock_test.go
+++ b/rules/clock_test.go
@@ -13,7 +13,7 @@
 	w := newSettledCluster(t, "none")
 	fresh, old := w.router.members[102], w.router.members[103]
 	fresh.startedAt = w.now - time.Hour
-	pos, session, commit := fresh.position, driver.Session(7), w.now-time.Hour-ms
+	pos, session, commit := fresh.replication.position, driver.Session(7), w.now-time.Hour-ms
 	w.router.sessionCommits[session] = commit
 	if w.router.warmingUp(fresh, w.now) {
 		t.Fatal("the case is none: it is cold before")
@@ -27,7 +27,7 @@
 	if !w.router.warmingUp(fresh, w.now) || w.router.warmingUp(old, w.now) || fresh.startedAt != w.now || old.startedAt != unknownTime {
 		t.Errorf("corrected: started %v before now, the other at %v", w.now-fresh.startedAt, old.startedAt)
 	}
-	if fresh.position != pos+time.Hour || w.router.sessionCommits[session] != commit+time.Hour {
-		t.Errorf("position %v, want %v; commit %v, want %v", fresh.position, pos+time.Hour, w.router.sessionCommits[session], commit+time.Hour)
+	if fresh.replication.position != pos+time.Hour || w.router.sessionCommits[session] != commit+time.Hour {
+		t.Errorf("position %v, want %v; commit %v, want %v", fresh.replication.position, pos+time.Hour, w.router.sessionCommits[session], commit+time.Hour)
 	}
 }
--- a/rules/endpoints.go
+++ b/rules/endpoints.go
@@ -7,41 +7,39 @@
 
 	"passtack/driver"
 	"passtack/internal/chain"
+	"passtack/internal/decay"
 )
 
-// ListPause is the longest until discovery is asked again after a failed call: internal/list has the sum.
+// MaxListRetryWait is the longest wait until discovery is asked again after a failed call; internal/list relies on it.
 const MaxListRetryWait = 500 * time.Millisecond
 
-var delistedRetention = map[bool]time.Duration{true: commitRetention, false: maxSessionPin} // of one off the list, by its use
+// endpoint is what the endpoint list says of a member.
+type endpoint struct {
+	zone                        driver.Zone
+	listed, draining, available bool          // draining: since its latest start; available: may be sent to
+	startedAt, delistedAt       time.Duration // latest start listed; when it left the list, unknownTime while it is listed
+}
 
+// member is a database process.
 type member struct {
-	id                                 driver.Member
-	zone                               driver.Zone
-	group                              *group
-	listed, draining, available        bool              // drains: seen draining since its latest start
-	lostReply                          bool              // its latest single RPC got no answer in time
-	startedAt, delistedAt, ejectedAt   time.Duration     // latest start listed; when it was dropped, set aside
-	position, positionAt               time.Duration     // it has applied all commits up to pos; when that was told
-	replicaProvenAt                    time.Duration     // latest proof that it is a replica
-	lastReplyAt                        time.Duration     // latest answer, or start of being busy
-	ratio, typicalDepth                float64           // its latencies against the usual; attempts out then
-	failureRate                        float64           // part of its latest attempts without a connection
-	recentLoad, servedLoad             float64           // recent work: load is sent while cold, else answered
-	inFlight                           chain.Chain[*rpc] // in the order in which they were sent
-	ratioDecay                         decayCache
-	allowance                          int           // attempts it may hold, 0: trusted
-	backoff, nextAttemptAt             time.Duration // between trickles that fail
-	sampledAt, recentLoadAt, checkedAt time.Duration // latest latency, work and probe
-	servedLoadAt                       time.Duration
+	endpoint
+	id          driver.Member
+	group       *group
+	replication replicationState
+	health      health
+	latency     latencyEstimate
+	load        decay.Sum         // sent while it warms up, else answered
+	servedLoad  decay.Sum         // answered while it warms up
+	inFlight    chain.Chain[*rpc] // in the order in which they were sent
 }
 
+// group is a primary and its replicas.
 type group struct {
-	members             []*member // in the order in which they were first listed
-	primary             *member
-	primaryProvenAt     time.Duration // when the primary was proven so
-	exploratoryAttempts int
-	draw                float64 // which RPCs go to its cold members now: one for all, as each RPC goes to one of them
-	drawnAt             time.Duration
+	members                  []*member // in the order in which they were first listed
+	primary                  *member   // nil: not known
+	primaryProvenAt, drawnAt time.Duration
+	exploratoryAttempts      int     // writes in flight at members that may be the primary
+	draw                     float64 // rounds the slow-start budgets to whole RPCs; one for all members, since each RPC goes to one of them
 }
 
 func (r *Router) groupOf(id driver.Group) *group {
@@ -53,43 +51,41 @@
 	return g
 }
 
-// ListBegins starts an update of the endpoint list; Listed follows for each entry, then ListEnds.
-func (r *Router) ListBegins(how driver.Listing) {
+// ListBegins starts an update of the endpoint list; EndpointListed follows for each entry, then ListEnds.
+func (r *Router) ListBegins(kind driver.Listing) {
 	r.runSkippedScans(r.host.Now())
 	for _, m := range r.memberList {
-		m.listed = m.listed && how != driver.Whole && how != driver.Cached
+		m.listed = m.listed && kind != driver.Whole && kind != driver.Cached
 	}
 }
 
-// Listed takes one entry of the endpoint list.
+// EndpointListed takes one entry of the endpoint list.
 func (r *Router) EndpointListed(id driver.Member, zone driver.Zone, in driver.Group, state driver.Standing,
-	size float64, started time.Duration, primary bool) {
-	m := r.members[id]
-	g := r.groupOf(in)
+	weight float64, startedAt time.Duration, primary bool) {
+	m, g := r.members[id], r.groupOf(in)
 	if m == nil {
 		m = &member{
-			id: id, zone: zone, group: g, position: unknownTime, positionAt: unknownTime, replicaProvenAt: unknownTime, lastReplyAt: unknownTime,
-			ratio: 1, sampledAt: r.host.Now(), backoff: recheckInterval, checkedAt: unknownTime, recentLoadAt: unknownTime / 2,
-			startedAt: started, delistedAt: unknownTime,
+			id: id, group: g, endpoint: endpoint{zone: zone, startedAt: startedAt, delistedAt: unknownTime},
+			replication: replicationState{position: unknownTime, reportedAt: unknownTime, replicaProvenAt: unknownTime},
+			health:      health{lastReplyAt: unknownTime, checkedAt: unknownTime, backoff: recheckInterval},
+			latency:     latencyEstimate{ratio: 1, sampledAt: r.host.Now()},
 		}
-		r.members[id] = m
-		r.memberList = append(r.memberList, m)
-		g.members = append(g.members, m)
+		r.members[id], r.memberList, g.members = m, append(r.memberList, m), append(g.members, m)
 	}
-	if started > m.startedAt {
-		m.ratio, m.typicalDepth, m.recentLoad, m.servedLoad, m.draining = 1, 0, 0, 0, false
+	if startedAt > m.startedAt {
+		m.latency.ratio, m.latency.depth, m.load, m.servedLoad, m.draining = 1, 0, decay.Sum{}, decay.Sum{}, false
 	}
-	m.startedAt = max(m.startedAt, started)
+	m.startedAt = max(m.startedAt, startedAt)
 	m.draining = state == driver.Draining || m.draining && (r.onlyDrainingBinds || state == driver.Gone)
 	m.listed = state != driver.Gone
-	if primary && m.listed && !m.draining && g.primary == nil && m.replicaProvenAt == unknownTime {
+	if primary && m.listed && !m.draining && g.primary == nil && m.replication.replicaProvenAt == unknownTime {
 		g.primary = m
 	}
 }
 
-// ListEnds judges who may be sent to. Where only draining binds, being left out proves nothing: such a member
-// gets one RPC at a time until it says something. So an empty, shrunken or old list stops no service.
-func (r *Router) ListEnds(how driver.Listing) {
+// ListEnds decides which members may be sent to. Where only draining binds, one that is off the list gets one RPC at a time until it
+// answers, so that a wrong list stops no service.
+func (r *Router) ListEnds(kind driver.Listing) {
 	for _, m := range r.memberList {
 		if m.listed {
 			m.delistedAt = unknownTime
@@ -103,20 +99,47 @@
 	r.memberList = slices.DeleteFunc(r.memberList, r.removeIfExpired)
 	maps.DeleteFunc(r.groups, func(_ driver.Group, g *group) bool { return len(g.members) == 0 })
 	maps.DeleteFunc(r.sessionCommits, func(_ driver.Session, at time.Duration) bool { return r.host.Now()-at >= commitRetention })
-	if how == driver.NoList {
+	if kind == driver.NoList {
 		wait := time.Duration((1 + r.random.Float()) / 2 * float64(MaxListRetryWait))
 		r.timers.Push(r.host.Now()+wait, func() { r.host.Watch(true) })
 	}
 }
 
-// forgotten drops a member that was off the list and silent for long, but no drain that may still bind.
+// removeIfExpired removes a member that was off the list and silent for long, unless its drain may still bind; from memberList, if true.
 func (r *Router) removeIfExpired(m *member) bool {
-	silent := r.host.Now() - max(m.delistedAt, m.positionAt)
-	if m.listed || m.inFlight.Count() > 0 || r.onlyDrainingBinds && m.draining || silent < delistedRetention[r.onlyDrainingBinds] {
+	silent := r.host.Now() - max(m.delistedAt, m.replication.reportedAt)
+	if m.listed || m.inFlight.Count() > 0 || silent < maxSessionPin || r.onlyDrainingBinds && (m.draining || silent < commitRetention) {
 		return false
 	}
 	delete(r.members, m.id)
 	r.host.Forget(m.id)
-	m.group.members = slices.DeleteFunc(m.group.members, func(o *member) bool { return o == m })
+	m.group.members = slices.DeleteFunc(m.group.members, func(other *member) bool { return other == m })
 	return true
 }
+
+// presumedGone reports whether the member left the list and has not answered since.
+func (m *member) presumedGone() bool { return m.delistedAt > m.replication.reportedAt }
+
+// LearnedMembers visits at most limit members from an index on, with what may outlast this driver. It returns the next index, 0 at the end.
+func (r *Router) LearnedMembers(from, limit int, visit func(driver.Member, driver.Known)) (next int) {
+	end := min(from+limit, len(r.memberList))
+	for _, m := range r.memberList[min(from, end):end] {
+		s, l := &m.replication, &m.latency
+		visit(m.id, driver.Known{Position: s.position, Replica: s.replicaProvenAt, Timed: l.sampledAt, Ratio: l.ratio})
+	}
+	return end % max(len(r.memberList), 1)
+}
+
+// RestoreMember restores what a previous process learned of a member, unless the member has started since it was saved or the clock went
+// back. It proves no role: a former replica is the last candidate for primary, a former primary the first, with one exploratory write.
+func (r *Router) RestoreMember(id driver.Member, k driver.Known, savedAt time.Duration) {
+	m, now := r.members[id], r.host.Now()
+	if m == nil || m.startedAt >= savedAt || max(savedAt, k.Position, k.Replica, k.Timed) > now {
+		return
+	}
+	s := &m.replication
+	s.position, s.replicaProvenAt = max(s.position, k.Position), max(s.replicaProvenAt, k.Replica)
+	if m.health.lastReplyAt == unknownTime {
+		m.latency.ratio, m.latency.sampledAt = k.Ratio, k.Timed
+	}
+}
--- a/rules/host_test.go
+++ b/rules/host_test.go
@@ -220,7 +220,7 @@
 			w.t.Fatalf("rule 5: %s read sent to data told to stand at %v, wanted %v", m.need, n.reportedPosition, floor)
 		}
 	}
-	n.attemptTimes, n.attemptLoads = append(n.attemptTimes, w.now), append(n.attemptLoads, w.router.methods[q.method].typical.Seconds())
+	n.attemptTimes, n.attemptLoads = append(n.attemptTimes, w.now), append(n.attemptLoads, w.router.methods[q.method].typical.value.Seconds())
 	w.checkSlowStart(to)
 	q.openAttempts, q.lastAttempt, q.member, q.sentAt, q.timeoutAt = 1, q.lastAttempt+1, to, w.now, q.deadline
 	if timeout > 0 {
@@ -245,7 +245,7 @@
 		w.maxWarmLoad = max(w.maxWarmLoad, sum(w.now-8*loadWindow))
 		return
 	}
-	heaviest := slices.MaxFunc(w.router.methods, func(a, b *method) int { return int(a.typical - b.typical) }).typical.Seconds()
+	heaviest := slices.MaxFunc(w.router.methods, func(a, b *method) int { return int(a.typical.value - b.typical.value) }).typical.value.Seconds()
 	share := 0.25 + 0.75*float64(max(0, age-loadWindow))/float64(slowStartDuration)
 	if got := sum(w.now - loadWindow); got > 3*max(share*w.maxWarmLoad, n.maxServedLoad)+2*heaviest {
 		w.t.Fatalf("rule 4: %.2f s of work in a window to a member %v old, warm ones had %.2f in eight, it showed %.2f", got, age, w.maxWarmLoad, n.maxServedLoad)
@@ -257,12 +257,15 @@
 	q := &simulatedRPC{method: method, group: w.random.Below(2), arrivedAt: w.now, lastAttempt: -1, commit: driver.LongAgo}
 	q.deadline = w.now + time.Duration(w.minDeadlineMillis+w.random.Below(2000-w.minDeadlineMillis))*ms
 	w.rpcs[w.lastRPC] = q
-	wrote := time.Duration(0)
+	sinceWrite := time.Duration(0)
 	if token > 0 {
-		q.commit, wrote = token, w.now-token
+		q.commit, sinceWrite = token, w.now-token
 	}
 	w.resumeTicks()
-	w.router.Take(w.lastRPC, driver.Method(method), driver.Group(q.group), 0, 7, w.now, q.deadline, wrote, false)
+	w.router.Take(Request{
+		ID: w.lastRPC, Method: driver.Method(method), Group: driver.Group(q.group), Session: 7,
+		ArrivedAt: w.now, Deadline: q.deadline, SinceWrite: sinceWrite,
+	})
 	return w.lastRPC
 }
 
@@ -297,7 +300,7 @@
 	}
 	if how == driver.OK {
 		n.answerTimes = append(slices.DeleteFunc(n.answerTimes, func(at time.Duration) bool { return at <= w.now-loadWindow || at < n.startedAt }), w.now)
-		n.maxServedLoad = max(n.maxServedLoad, float64(len(n.answerTimes))*w.router.methods[q.method].typical.Seconds())
+		n.maxServedLoad = max(n.maxServedLoad, float64(len(n.answerTimes))*w.router.methods[q.method].typical.value.Seconds())
 	}
 	complete := q.answered || how == driver.OK
 	q.answered = complete
--- a/rules/latency.go
+++ b/rules/latency.go
@@ -1,66 +1,87 @@
 package rules
 
 import (
-	"math"
 	"time"
+
+	"passtack/internal/decay"
 )
 
 const (
-	latencyDecayTime = 3 * time.Second // in which a latency that was not seen again loses its meaning
-	maxSampleRatio   = 3               // times the predicted latency: more counts no more
-	sampleWeight     = 0.1             // weight of the newest latency
+	latencyDecayTime  = 3 * time.Second  // time constant by which a latency that is not observed again loses weight
+	maxSampleRatio    = 3                // a sample counts for at most this many times the expected latency
+	sampleWeight      = 0.1              // least weight of the newest sample of a member; half of it for all members together
+	minTypicalLatency = time.Millisecond // of a method
+	minLatencyRatio   = 0.2              // of a member
 )
 
+// latencyEstimate compares a member's latencies with the typical ones.
+type latencyEstimate struct {
+	ratio     float64 // member's latency / typical latency
+	depth     float64 // attempts in flight at the member when its samples were sent, smoothed
+	sampledAt time.Duration
+	decay     decay.Cache
+}
+
+// typicalLatency is the latency of a method at a typical member.
+type typicalLatency struct {
+	value, sampledAt time.Duration
+	decay            decay.Cache
+}
+
+// paceEstimate compares the latest latencies of all methods with the typical ones.
+type paceEstimate struct {
+	value               float64       // latest latencies / typical latencies
+	interval, sampledAt time.Duration // interval: between samples, smoothed
+	decay               decay.Cache
+}
+
+// recordLatency learns from the duration of an attempt. Samples taken just after a pause of the driver mean nothing.
 func (r *Router) recordLatency(meth *method, m *member, took time.Duration) {
-	now := r.host.Now()
-	if r.resumedAt == now {
+	now, typical, p, l := r.host.Now(), &meth.typical, &r.pace, &m.latency
+	if r.ticks.resumedAt == now {
 		return
 	}
-	took = min(took, time.Duration(maxSampleRatio*m.ratio*float64(meth.typical)))
-	part := float64(took) / float64(meth.typical)
-	r.sampleInterval += time.Duration(sampleWeight / 2 * float64(now-r.paceSampledAt-r.sampleInterval))
-	r.pace, r.paceSampledAt = r.pace+max(sampleWeight/2, 1-decayFactor(now-r.paceSampledAt))*(part/max(m.ratio, 1)-r.pace), now
-	meth.typical += time.Duration(sampleWeight / 2 * (float64(took)/max(m.ratio, 1) - float64(meth.typical)))
-	meth.typical, meth.typicalAt = max(meth.typical, time.Millisecond), now
-	weight := max(sampleWeight, (1-decayFactor(now-m.sampledAt))/2)
-	m.ratio, m.sampledAt = max(0.2, m.ratio+weight*(part-m.ratio)), now
+	took = min(took, time.Duration(maxSampleRatio*l.ratio*float64(typical.value)))
+	ratio := float64(took) / float64(typical.value)
+	p.interval += time.Duration(sampleWeight / 2 * float64(now-p.sampledAt-p.interval))
+	paceWeight := max(sampleWeight/2, 1-decay.Factor(now-p.sampledAt, latencyDecayTime))
+	p.value, p.sampledAt = p.value+paceWeight*(ratio/max(l.ratio, 1)-p.value), now
+	typical.value += time.Duration(sampleWeight / 2 * (float64(took)/max(l.ratio, 1) - float64(typical.value)))
+	typical.value, typical.sampledAt = max(typical.value, minTypicalLatency), now
+	weight := max(sampleWeight, (1-decay.Factor(now-l.sampledAt, latencyDecayTime))/2)
+	l.ratio, l.sampledAt = max(minLatencyRatio, l.ratio+weight*(ratio-l.ratio)), now
 }
 
-// predict tells how long the method would take at the member, fuller now or emptier than it was.
+// predictLatency predicts how long the method would take at the member with what is in flight there now.
 func (r *Router) predictLatency(m *member, meth *method) time.Duration {
 	return r.predictLatencyAt(meth, r.slowdown(m, r.host.Now()), r.host.Now())
 }
 
-func (r *Router) predictLatencyAt(meth *method, slowness float64, now time.Duration) time.Duration {
-	pace := 1 + (r.pace-1)*r.paceDecay.factor(now-r.paceSampledAt)
-	return time.Duration(float64(meth.typical) * pace * meth.typicalDecay.factor(now-meth.typicalAt-latencyDecayTime) * slowness)
+// predictLatencyAt predicts how long the method would take at a member with this slowdown.
+func (r *Router) predictLatencyAt(meth *method, slowdown float64, now time.Duration) time.Duration {
+	pace := 1 + (r.pace.value-1)*r.pace.decay.Factor(now-r.pace.sampledAt, latencyDecayTime)
+	methodDecay := meth.typical.decay.Factor(now-meth.typical.sampledAt-latencyDecayTime, latencyDecayTime)
+	return time.Duration(float64(meth.typical.value) * pace * methodDecay * slowdown)
 }
 
+// slowdown returns the member's expected latency / typical latency with what is in flight there now.
 func (r *Router) slowdown(m *member, now time.Duration) float64 {
-	return r.latencyRatio(m, now) * (float64(m.inFlight.Count()) + 1) / (m.typicalDepth + 1)
+	return r.latencyRatio(m, now) * (float64(m.inFlight.Count()) + 1) / (m.latency.depth + 1)
 }
 
-// usually is the member's ratio, of which an old one fades into 1, more slowly where members are met seldom:
-// the longest unseen would look best otherwise, and no jam would show.
+// latencyRatio returns the member's ratio. It decays to 1, more slowly where samples are rare: else who was not used for longest looks best.
 func (r *Router) latencyRatio(m *member, now time.Duration) float64 {
-	longer := max(1, float64(2*len(r.memberList))*r.sampleInterval.Seconds()/latencyDecayTime.Seconds())
-	return 1 + (m.ratio-1)*m.ratioDecay.factor(time.Duration(float64(now-m.sampledAt)/longer))
-}
-
-// faded is what is left of an old latency: without it a small driver sheds for good after a short jam.
-func decayFactor(age time.Duration) float64 {
-	return math.Exp(-float64(max(age, 0)) / float64(latencyDecayTime))
-}
-
-// fade keeps what is left at the age that was asked for last: one RPC asks for the same several times.
-type decayCache struct {
-	age  time.Duration
-	left float64 // 0: not yet asked for
+	stretch := max(1, float64(2*len(r.memberList))*r.pace.interval.Seconds()/latencyDecayTime.Seconds())
+	return 1 + (m.latency.ratio-1)*m.latency.decay.Factor(time.Duration(float64(now-m.latency.sampledAt)/stretch), latencyDecayTime)
 }
 
-func (f *decayCache) factor(age time.Duration) float64 {
-	if f.left == 0 || f.age != age {
-		f.age, f.left = age, decayFactor(age)
+// TypicalLatencies returns the methods' typical latencies, after restoring those of a previous process if one is given for each.
+func (r *Router) TypicalLatencies(restored ...time.Duration) (all []time.Duration) {
+	for i, m := range r.methods {
+		if len(restored) == len(r.methods) {
+			m.typical.value = max(restored[i], minTypicalLatency)
+		}
+		all = append(all, m.typical.value)
 	}
-	return f.left
+	return all
 }
--- a/rules/outlier.go
+++ b/rules/outlier.go
@@ -9,98 +9,117 @@
 )
 
 const (
-	silenceLatencies      = 4                      // usual latencies without any answer make a busy member suspect
-	failureWeight         = 0.25                   // weight of the newest of a member's connections
-	ejectionFailureRate   = 0.65                   // part of the connections that fail at a member that is down
-	recheckInterval       = 200 * time.Millisecond // before a member that failed, said replica or is unheard of is asked
-	maxProbationBackoff   = 2 * time.Second        // between trickles to a member set aside, which double up to this
-	maxProbationAllowance = 16                     // a trickle that has doubled past this is no longer held back
-	healthChecksPerRPC    = 0.25                   // probes for each RPC taken
-	maxHealthCheckBudget  = 20.0                   // probes that may be saved up, and sent at the start
+	silenceLatencies      = 4                      // typical latencies without an answer after which a busy member is ejected
+	failureWeight         = 0.25                   // weight of the newest attempt in a member's failure rate
+	ejectionFailureRate   = 0.65                   // failure rate from which a member is ejected
+	maxFailingShare       = 0.5                    // share of failing members from which failures are blamed on none
+	recheckInterval       = 200 * time.Millisecond // until a member that rejected an RPC, or did not report, is tried again
+	maxProbationBackoff   = 2 * time.Second        // between failed attempts in probation
+	maxProbationAllowance = 16                     // attempts in flight, past which probation ends
+	healthChecksPerRPC    = 0.25                   // added to the budget of health checks
+	maxHealthCheckBudget  = 20.0                   // also the budget at the start
 )
 
-// learn keeps the member's latencies and health.
-func (r *Router) recordOutcome(q *rpc, c *attempt, how driver.Outcome, lost bool, took, now time.Duration) {
-	m := c.member
-	switch how {
+// health tells whether a member answers. An ejected member is in probation: it may have a few attempts in flight.
+type health struct {
+	failureRate            float64       // smoothed
+	lastReplyAt, checkedAt time.Duration // latest answer, or start of a busy period; latest health check sent
+	lostReply              bool          // its latest single attempt got no answer in time
+	ejectedAt              time.Duration
+	allowance              int           // attempts that it may have in flight in probation; 0: not ejected
+	backoff, nextAttemptAt time.Duration // backoff: after the next failure in probation
+}
+
+func (h *health) ejected() bool { return h.allowance > 0 }
+
+// recordSuccess raises the allowance. The answer to an attempt from before the ejection ends probation: the member had only paused.
+func (h *health) recordSuccess(sentAt, now time.Duration) {
+	h.lastReplyAt, h.lostReply, h.failureRate, h.backoff = now, false, h.failureRate*(1-failureWeight), recheckInterval
+	if !h.ejected() {
+		return
+	}
+	if h.allowance++; h.allowance > maxProbationAllowance || sentAt < h.ejectedAt {
+		h.allowance = 0
+	}
+}
+
+// eject ejects the member, or halves its allowance if it is ejected already.
+func (r *Router) eject(m *member, now time.Duration, why string) {
+	h := &m.health
+	if !h.ejected() {
+		h.ejectedAt = now
+		r.host.Log(fmt.Sprintf("member %012x set aside: it %s", uint64(m.id), why))
+	}
+	if h.allowance /= 2; h.allowance == 0 {
+		h.allowance, h.nextAttemptAt = 1, now+h.backoff
+		h.backoff = min(2*h.backoff, maxProbationBackoff)
+	}
+}
+
+// recordOutcome learns from an attempt. An overtaken one no longer counts as in flight.
+func (r *Router) recordOutcome(q *rpc, a *attempt, outcome driver.Outcome, overtaken bool, took, now time.Duration) {
+	m := a.member
+	switch outcome {
 	case driver.OK:
-		// What others overtook by far was probably lost on its way back: it is neither slow nor held any more.
-		r.releaseOvertaken(m, c.sentAt, now)
+		r.releaseOvertaken(m, a.sentAt, now)
 		r.recordLatency(q.method, m, took)
-		m.typicalDepth += sampleWeight * (float64(c.depth) - m.typicalDepth)
-		m.lastReplyAt, m.lostReply, m.failureRate, m.backoff = now, false, m.failureRate*(1-failureWeight), recheckInterval
-		if work := q.method.typical.Seconds(); r.warmingUp(m, now) {
-			m.servedLoad, m.servedLoadAt = r.decayedLoad(m.servedLoad, now-m.servedLoadAt)+work, now
-		} else {
-			m.recentLoad, m.recentLoadAt = r.memberLoad(m, now)+work, now
-		}
-		if m.allowance > 0 { // one more for each that goes well doubles it each time around
-			if m.allowance++; m.allowance > maxProbationAllowance || c.sentAt < m.ejectedAt {
-				m.allowance = 0 // what it held is answered after all: it had only paused
-			}
+		m.latency.depth += sampleWeight * (float64(a.depth) - m.latency.depth)
+		m.health.recordSuccess(a.sentAt, now)
+		load := &m.load
+		if r.warmingUp(m, now) {
+			load = &m.servedLoad
 		}
+		load.Add(q.method.typical.value.Seconds(), now, r.loadWindow())
 	case driver.Miss, driver.Full:
-		m.lastReplyAt = now
+		m.health.lastReplyAt = now
 	case driver.Failed, driver.Broken, driver.NoConnection:
-		// Now and then it is the network's doing, or the RPC's, which then fails elsewhere too; quick errors draw
-		// RPCs. Where most members fail it is the fault of none, and a trickle for each would make it worse.
-		if m.failureRate += failureWeight / float64(len(q.attempts)) * (1 - m.failureRate); m.failureRate > ejectionFailureRate && r.failingShare < 0.5 {
+		// It counts less for an RPC that failed before, which may be the cause itself.
+		m.health.failureRate += failureWeight / float64(len(q.attempts)) * (1 - m.health.failureRate)
+		if m.health.failureRate > ejectionFailureRate && r.load.failingShare < maxFailingShare {
 			r.eject(m, now, "fails or takes no connections")
 		}
 	case driver.TimedOut, driver.Cancelled:
-		// It would have taken longer still. With the quick ones alone a jam would look like a fair day.
-		if float64(took) > float64(q.method.typical)*m.ratio && !lost {
+		// It would have taken even longer. Without these samples an overloaded member would look fast.
+		if float64(took) > float64(q.method.typical.value)*m.latency.ratio && !overtaken {
 			r.recordLatency(q.method, m, took)
 		}
-		if m.allowance > 0 && m.lastReplyAt <= c.sentAt {
+		if m.health.ejected() && m.health.lastReplyAt <= a.sentAt {
 			r.eject(m, now, "still silent")
 		}
 	}
 }
 
-// overtaken lets go what was sent to the member long before what it has just answered.
-func (r *Router) releaseOvertaken(m *member, sent, now time.Duration) {
-	slowness, least := r.slowdown(m, now), time.Duration(math.MaxInt64)
+// releaseOvertaken stops counting as in flight what was sent long before the attempt that the member has just answered: it was probably lost.
+func (r *Router) releaseOvertaken(m *member, sentAt, now time.Duration) {
+	slowdown, shortest := r.slowdown(m, now), time.Duration(math.MaxInt64)
 	for _, meth := range r.methods {
-		least = min(least, r.predictLatencyAt(meth, slowness, now))
+		shortest = min(shortest, r.predictLatencyAt(meth, slowdown, now))
 	}
-	for at := m.inFlight.First(); at != nil && at.Value.lastSentAt()+2*least < sent; {
-		q, next := at.Value, at.Next()
-		if q.lastSentAt()+2*r.predictLatencyAt(q.method, slowness, now) < sent {
-			at.Leave()
+	for link := m.inFlight.First(); link != nil && link.Value.lastSentAt()+2*shortest < sentAt; {
+		q, next := link.Value, link.Next()
+		if q.lastSentAt()+2*r.predictLatencyAt(q.method, slowdown, now) < sentAt {
+			link.Leave()
 		}
-		at = next
-	}
-}
-
-// setAside leaves a member that does not answer a trickle, which finds the first one back of a whole group.
-func (r *Router) eject(m *member, now time.Duration, why string) {
-	if m.allowance == 0 {
-		m.ejectedAt = now
-		r.host.Log(fmt.Sprintf("member %012x set aside: it %s", uint64(m.id), why))
-	}
-	if m.allowance /= 2; m.allowance == 0 {
-		m.allowance, m.nextAttemptAt = 1, now+m.backoff
-		m.backoff = min(2*m.backoff, maxProbationBackoff)
+		link = next
 	}
 }
 
-// watchOver sets aside a member that has gone silent: with what it holds, answers should have come several
-// times over. A single RPC may be slow or its answer lost: it no longer counts, and the next one must tell.
-// It also probes what was not heard of, for a part of the RPCs taken: many drivers' probes would add up.
+// checkHealth ejects a member that is silent with attempts in flight; a single one is released, as its answer may be lost, and the next
+// one decides. It also sends a health check, within the budget, where no report is recent.
 func (r *Router) checkHealth(m *member, now time.Duration) {
-	if m.available && now-max(m.positionAt, m.checkedAt) > recheckInterval && r.healthCheckBudget >= 1 && r.settings.Bool("caps.probe") {
+	h := &m.health
+	if m.available && now-max(m.replication.reportedAt, h.checkedAt) > recheckInterval && r.healthCheckBudget >= 1 && r.settings.Bool("caps.probe") {
 		r.healthCheckBudget--
-		m.checkedAt = now
+		h.checkedAt = now
 		r.host.Probe(m.id)
 	}
 	patience := time.Duration(0)
-	for at := m.inFlight.First(); at != nil; at = at.Next() {
-		patience = max(patience, silenceLatencies*at.Value.method.typical)
+	for link := m.inFlight.First(); link != nil; link = link.Next() {
+		patience = max(patience, silenceLatencies*link.Value.method.typical.value)
 	}
-	silent := m.allowance == 0 && now-max(m.lastReplyAt, r.resumedAt) > patience
-	if silent && m.inFlight.Count() == 1 && !m.lostReply {
-		m.lostReply = true
+	silent := !h.ejected() && now-max(h.lastReplyAt, r.ticks.resumedAt) > patience
+	if silent && m.inFlight.Count() == 1 && !h.lostReply {
+		h.lostReply = true
 		m.inFlight.First().Leave()
 	} else if silent && m.inFlight.Count() > 0 {
 		r.eject(m, now, "has gone silent")
--- a/rules/replication.go
+++ b/rules/replication.go
@@ -8,20 +8,28 @@
 	"passtack/driver"
 )
 
-const positionRounding = 5 * time.Millisecond // rounding of positions and late ticks
+const (
+	positionRounding = 5 * time.Millisecond // by which rounding and late ticks may shift positions
+	maxSessionPin    = 10 * time.Second     // after its last write a session's reads stay on the primary no longer than this
+	commitRetention  = 5 * time.Minute      // for which a session's write is remembered
+)
 
-// doubted tells of a member that the list dropped and that has said nothing since.
-func (m *member) presumedGone() bool { return m.delistedAt > m.positionAt }
+// replicationState is what a member has said of its position and role.
+type replicationState struct {
+	position        time.Duration // it has applied all commits up to here
+	reportedAt      time.Duration // when it last reported
+	replicaProvenAt time.Duration // latest proof that it is a replica
+}
 
-// toldRole keeps the newest proof of who is primary.
+// recordRole keeps the newest proof of which member is primary.
 func (r *Router) recordRole(m *member, role driver.Role, at time.Duration) {
 	g := m.group
 	if role == driver.Replica {
-		m.replicaProvenAt = max(m.replicaProvenAt, at)
+		m.replication.replicaProvenAt = max(m.replication.replicaProvenAt, at)
 		if g.primary == m && at >= g.primaryProvenAt {
 			g.primary = nil
 		}
-	} else if at >= g.primaryProvenAt && at >= m.replicaProvenAt {
+	} else if at >= g.primaryProvenAt && at >= m.replication.replicaProvenAt {
 		if g.primary != m {
 			r.host.Log(fmt.Sprintf("member %012x is primary of its group", uint64(m.id)))
 		}
@@ -29,19 +37,38 @@
 	}
 }
 
-// reported reads a load report. Its position is also how old it is at most as a proof of the role.
+// applyReport reads position (x0) and role (x1) from a load report. The role is proven as of the position.
 func (r *Router) applyReport(m *member, report []float64) {
 	x0, x1 := slices.Index(r.reportColumns, "x0"), slices.Index(r.reportColumns, "x1")
 	if x0 < 0 || max(x0, x1) >= len(report) || report[x0] <= 0 || report[x0] > (r.host.Now()+r.clockOffset).Seconds()+1 {
-		return // nobody has applied what was not written yet
+		return // a position in the future cannot be true
 	}
-	pos := time.Duration(report[x0]*float64(time.Second)) - time.Millisecond - r.clockOffset
-	m.position = max(m.position, pos)
+	position := time.Duration(report[x0]*float64(time.Second)) - time.Millisecond - r.clockOffset
+	m.replication.position = max(m.replication.position, position)
 	if x1 >= 0 {
 		role := driver.Replica
 		if report[x1] == 1 {
 			role = driver.Primary
 		}
-		r.recordRole(m, role, pos)
+		r.recordRole(m, role, position)
+	}
+}
+
+// replicasCaughtUp reports whether every replica of the group is known to have applied the commit.
+func (g *group) replicasCaughtUp(commit time.Duration) bool {
+	return !slices.ContainsFunc(g.members, func(m *member) bool {
+		return m.available && m != g.primary && m.replication.position < commit && !m.presumedGone()
+	})
+}
+
+func (r *Router) rememberCommit(session driver.Session, commit time.Duration) {
+	r.sessionCommits[session] = max(commit, r.sessionCommits[session])
+	r.host.Remembered(session, r.sessionCommits[session])
+}
+
+// RestoreSessionCommit restores a session's write for the rest of its retention.
+func (r *Router) RestoreSessionCommit(session driver.Session, commit time.Duration) {
+	if now := r.host.Now(); commit <= now && now-commit < commitRetention {
+		r.rememberCommit(session, commit)
 	}
 }
--- a/rules/rest_test.go
+++ b/rules/rest_test.go
@@ -72,7 +72,7 @@
 		}
 		for range chance.Below(4) {
 			w.trafficWithOutcomes(1+chance.Below(3), time.Duration(5+5*chance.Below(8))*ms, fate, chance.Below(len(testMethods)), chance.Below(4))
-			d.record("round %d, halted %v", round, w.router.resumedAt)
+			d.record("round %d, halted %v", round, w.router.ticks.resumedAt)
 		}
 		w.advance(time.Duration(5*chance.Below(300)) * ms)
 	}
@@ -113,13 +113,13 @@
 				if len(w.router.rpcs) > 0 || w.wakeAt <= w.now && still == 0 {
 					t.Fatal("it does not rest")
 				}
-				before := w.router.resumedAt
+				before := w.router.ticks.resumedAt
 				if w.now += still; how == "RPC" {
 					w.request(2, 0)
 				} else if w.now >= w.wakeAt {
 					w.router.Wake()
 				}
-				if noticed := w.router.resumedAt != before; noticed != (still >= 300*ms) {
+				if noticed := w.router.ticks.resumedAt != before; noticed != (still >= 300*ms) {
 					t.Errorf("%v into a rest, %v long, by %s: a halt was noticed: %t", phase, still, how, noticed)
 				}
 			}
--- a/rules/retries.go
+++ b/rules/retries.go
@@ -5,66 +5,70 @@
 
 	"passtack/driver"
 	"passtack/internal/chain"
+	"passtack/internal/settings"
 )
 
-const deliveryTime = 20 * time.Millisecond // to a member, from the moment at which an RPC is written
+const deliveryTime = 20 * time.Millisecond // allowed between writing an RPC and its arrival at the member
 
+// rpc is a client's request until it is answered and no attempt is in flight.
+type rpc struct {
+	Request
+	method               *method
+	group                *group
+	takenAt, requestedAt time.Duration // when it was taken; since when the client has wanted the answer, over all its tries
+	sendBy               time.Duration // when it must be completely sent to a member, if at all
+	commit               time.Duration // position of the session's latest write
+	attempts             []attempt
+	openAttempts         int           // without an outcome yet
+	mayHaveRun           bool          // at a member
+	firstRunAt           time.Duration // when the first attempt was sent that may have run
+	firstRunZone         driver.Zone
+	queueUntil           time.Duration // 0: it was not queued yet
+	queued, answered     bool
+	inFlightLink         chain.Link[*rpc] // in member.inFlight
+}
+
+// attempt is one sending of an RPC to a member.
 type attempt struct {
 	member            *member
 	sentAt            time.Duration
-	depth             int
-	rejectedAt        time.Duration // when it was turned away or found nobody
-	open, exploratory bool
-}
-
-type rpc struct {
-	id                           driver.RPC
-	method                       *method
-	group                        *group
-	session                      driver.Session
-	arrivedAt, deadline, sendBy  time.Duration // by: when it must be whole at a member, if at any
-	tenant                       driver.Tenant
-	requestedAt, commit          time.Duration // wanted: since when, over all tries
-	attempts                     []attempt
-	openAttempts                 int           // attempts without an outcome yet
-	firstRunAt, queueUntil       time.Duration // send of the first attempt that may have run; end of its wait
-	firstRunZone                 driver.Zone
-	mayHaveRun, queued, answered bool
-	inFlightLink                 chain.Link[*rpc] // among what its member holds
+	depth             int           // attempts in flight at the member when it was sent
+	rejectedAt        time.Duration // when the member rejected it or was not reached
+	open, exploratory bool          // open: without an outcome yet; exploratory: a write to a member that may be the primary
 }
 
 func (q *rpc) lastSentAt() time.Duration { return q.attempts[len(q.attempts)-1].sentAt }
 
-func (r *Router) send(q *rpc, to *member, timeout time.Duration, scout bool) {
-	now := r.host.Now()
-	if to.inFlight.Count() == 0 {
-		to.lastReplyAt = max(to.lastReplyAt, now)
+// send makes an attempt. Timeout 0 means that it lasts until the client stops waiting.
+func (r *Router) send(q *rpc, to *member, timeout time.Duration, exploratory bool) {
+	now, depth := r.host.Now(), to.inFlight.Count()
+	if depth == 0 {
+		to.health.lastReplyAt = max(to.health.lastReplyAt, now)
 	}
-	c := attempt{member: to, sentAt: now, depth: to.inFlight.Count(), rejectedAt: unknownTime, open: true, exploratory: scout}
-	q.attempts = append(q.attempts, c)
+	q.attempts = append(q.attempts, attempt{member: to, sentAt: now, depth: depth, rejectedAt: unknownTime, open: true, exploratory: exploratory})
 	q.openAttempts++
 	to.inFlight.Push(&q.inFlightLink)
 	if r.warmingUp(to, now) {
-		to.recentLoad, to.recentLoadAt = r.memberLoad(to, now)+q.method.typical.Seconds(), now
+		to.load.Add(q.method.typical.value.Seconds(), now, r.loadWindow())
 	}
-	if scout {
+	if exploratory {
 		q.group.exploratoryAttempts++
 	}
-	if len(q.attempts) == 1 && int(q.tenant) < len(r.quotaLeft) {
-		r.quotaLeft[q.tenant] = max(r.quotaLeft[q.tenant]-1, 0)
+	if len(q.attempts) == 1 && int(q.Tenant) < len(r.quotaLeft) {
+		r.quotaLeft[q.Tenant] = max(r.quotaLeft[q.Tenant]-1, 0)
 	}
-	r.host.Attempt(q.id, to.id, q.sendBy, timeout)
+	r.host.Attempt(q.ID, to.id, q.sendBy, timeout)
 }
 
-func (r *Router) retry(q *rpc, how driver.Outcome, now time.Duration) {
-	m := q.method
+// retry makes another attempt if that is safe after this outcome, else gives the RPC up.
+func (r *Router) retry(q *rpc, outcome driver.Outcome) {
+	repeatable := q.method.Effect == settings.Idempotent || q.method.Effect == settings.Keyed
 	switch {
-	case how == driver.TimedOut, how == driver.Cancelled:
+	case outcome == driver.TimedOut, outcome == driver.Cancelled:
 		r.giveUp(q, r.settings.Duration("caps.longest_wait"), NoAnswer)
-	case how != driver.Moot && len(q.attempts) < int(r.settings.Number("caps.attempts", 1)) &&
-		(!q.mayHaveRun || m.idempotent || m.keyed):
-		if q.mayHaveRun && !m.idempotent {
-			q.sendBy = min(q.sendBy, q.firstRunAt+m.retryWindow-deliveryTime)
+	case outcome != driver.Moot && len(q.attempts) < int(r.settings.Number("caps.attempts", 1)) && (!q.mayHaveRun || repeatable):
+		if q.mayHaveRun && q.method.Effect == settings.Keyed {
+			q.sendBy = min(q.sendBy, q.firstRunAt+q.method.RetryWindow-deliveryTime)
 		}
 		r.route(q)
 	default:
@@ -76,17 +80,18 @@
 	return o == driver.Full || o == driver.NoConnection || o == driver.Moot || o == driver.Miss
 }
 
+// cancelAttempts marks an RPC as answered and cancels its attempts in flight where the host can.
 func (r *Router) cancelAttempts(q *rpc) {
 	q.answered, q.queued = true, false
-	for i, c := range q.attempts {
-		if c.open && r.settings.Bool("caps.cancel") {
-			r.host.Cancel(q.id, i)
+	for i, a := range q.attempts {
+		if a.open && r.settings.Bool("caps.cancel") {
+			r.host.Cancel(q.ID, i)
 		}
 	}
 }
 
 func (r *Router) removeIfDone(q *rpc) {
 	if q.answered && q.openAttempts == 0 {
-		delete(r.rpcs, q.id)
+		delete(r.rpcs, q.ID)
 	}
 }
--- a/rules/router.go
+++ b/rules/router.go
@@ -1,9 +1,7 @@
 // Package rules is passtack's decision module: every decision of a driver is made here.
 //
-// A host (internal/node on sockets, cmd/simhost on the bench) makes one Router per driver with New and calls
-// one method for each thing that happens: ListBegins, Listed, ListEnds, Take, Ended, Probed, Told,
-// ClientLeft, ClientParts and Wake. The Router acts by calling the host (driver.Host). Rest tells a host
-// which ticks it may leave out. docs/design.md explains the design.
+// A host (internal/node on sockets, cmd/simhost on the bench) makes one Router per driver with New and calls a method for each
+// event. The Router acts by calling the host (driver.Host). docs/design.md explains the design.
 package rules
 
 import (
@@ -16,55 +14,74 @@
 	"passtack/internal/settings"
 )
 
-const unknownTime = driver.LongAgo // before all other times
+const unknownTime = driver.LongAgo // lies before all other times
 
-// Router is the decision module of one driver.
+// method is one method of the settings and what was learned of it.
+type method struct {
+	settings.Method
+	typical       typicalLatency
+	clientTimeout time.Duration // for which clients usually wait for one try
+	timeoutVotes  int           // tries with this timeout less those with another
+}
+
+// Router is the decision module of one driver. Its methods are called from one goroutine.
 type Router struct {
-	host                                          driver.Host
-	random                                        *pcg.Source
-	settings                                      settings.Settings
-	methods                                       []*method
-	groups                                        map[driver.Group]*group
-	members                                       map[driver.Member]*member
-	memberList                                    []*member // as first heard of
-	rpcs                                          map[driver.RPC]*rpc
-	quotas, quotaLeft                             []float64 // by tenant: RPCs a second in its share here; those it may send now
-	sessionCommits                                map[driver.Session]time.Duration
-	timers                                        due.Queue[func()]
-	reportColumns                                 []string // of load reports
-	zone                                          driver.Zone
-	membersCheckFreshness, onlyDrainingBinds      bool // members turn away reads that they are too far behind for; only draining binds
-	tick                                          time.Duration
-	lastWakeAt, resumedAt, sampleInterval         time.Duration // latest timer; latest end of a halt of this driver; between latencies
-	nextScanAt, paceSampledAt                     time.Duration // next look at every member; when pace was learned
-	wakeDueAt                                     time.Duration // ticks before that may be left out
-	paceDecay                                     decayCache
-	pace, failingShare                            float64 // latest latencies against the usual; part of the members that fail
-	healthCheckBudget, carriedLoad                float64 // that may be sent now; what warm members bear from here, as member.load
-	requestedLoad, firstTryLoad, availableMembers float64 // recent work asked for, of it by first tries; members to send to
-	requestedLoadAt                               time.Duration
-	queue                                         []*rpc
-	lastReason                                    Reason        // of the latest RPC that was given up
-	clockOffset, clockUncertainty                 time.Duration // of the members' clock: ahead of the host's, and perhaps behind that
+	host                                     driver.Host
+	random                                   *pcg.Source
+	settings                                 settings.Settings
+	methods                                  []*method // by driver.Method
+	quotas, quotaLeft                        []float64 // this driver's parts of the tenants' quotas: RPCs a second; RPCs that may be sent now
+	membersCheckFreshness, onlyDrainingBinds bool      // members reject reads for which they lag too far; members off the list may be used
+	zone                                     driver.Zone
+	reportColumns                            []string // of load reports
+	groups                                   map[driver.Group]*group
+	members                                  map[driver.Member]*member
+	memberList                               []*member // in the order in which they were first listed
+	rpcs                                     map[driver.RPC]*rpc
+	queue                                    []*rpc                           // wait for a member
+	sessionCommits                           map[driver.Session]time.Duration // position of each session's latest write
+	timers                                   due.Queue[func()]
+	ticks                                    ticks
+	clockOffset, clockUncertainty            time.Duration // of the members' clock: ahead of the host's; by how much it may be behind that
+	pace                                     paceEstimate
+	load                                     driverLoad
+	healthCheckBudget                        float64 // health checks that may be sent now
+	lastReason                               Reason  // of the latest RPC that was given up
 }
 
 // New returns a router that acts through the host and decides by the settings.
 func New(host driver.Host, seed uint64, values map[string]string) *Router {
 	r := &Router{
-		host: host, random: pcg.New(seed), healthCheckBudget: maxHealthCheckBudget, pace: 1,
+		host: host, random: pcg.New(seed), healthCheckBudget: maxHealthCheckBudget,
 		groups: make(map[driver.Group]*group), members: make(map[driver.Member]*member),
 		rpcs: make(map[driver.RPC]*rpc), sessionCommits: make(map[driver.Session]time.Duration),
-		reportColumns: strings.Split(values["report.columns"], ","),
+		pace: paceEstimate{value: 1, sampledAt: host.Now()},
 	}
 	r.ApplySettings(values)
-	r.zone, r.tick = driver.Zone(r.settings.Number("zone", 0)), max(r.settings.Duration("tick"), 5*time.Millisecond)
+	r.zone, r.reportColumns = driver.Zone(r.settings.Number("zone", 0)), strings.Split(values["report.columns"], ",")
+	r.ticks = ticks{interval: max(r.settings.Duration("tick"), minTick), lastWakeAt: host.Now(), resumedAt: unknownTime}
 	if err := r.settings.Validate(); err != nil {
 		host.Fault(err.Error())
 	}
-	r.lastWakeAt, r.resumedAt, r.paceSampledAt = host.Now(), unknownTime, host.Now()
-	host.WakeAfter(r.tick)
+	host.WakeAfter(r.ticks.interval)
 	if values["list"] == "asked" {
 		host.Watch(true)
 	}
 	return r
 }
+
+// ApplySettings replaces the settings but for those that need a restart: the driver's zone, its tick, the report columns and the way
+// endpoint lists arrive. Methods keep their number and what was learned; RPCs in flight keep the method that they began with.
+func (r *Router) ApplySettings(values map[string]string) {
+	before, s := r.methods, settings.New(values)
+	r.settings, r.methods, r.quotas, r.quotaLeft = s, nil, s.TenantQuotas(), s.TenantQuotas()
+	r.membersCheckFreshness, r.onlyDrainingBinds = s.Text("family_info.checks") != "none", s.Bool("rules.only_draining_binds")
+	for i, configured := range s.Methods() {
+		m := &method{typical: typicalLatency{value: configured.SoftDeadline / 4}}
+		if i < len(before) {
+			*m = *before[i]
+		}
+		m.Method = configured
+		r.methods = append(r.methods, m)
+	}
+}
--- a/rules/rules_test.go
+++ b/rules/rules_test.go
@@ -110,7 +110,7 @@
 func TestTimeoutsRaisePredictionButOneOutlierDoesNot(t *testing.T) {
 	w := newSettledCluster(t, "wait")
 	m, meth := w.router.members[w.ids[4]], w.router.methods[0]
-	m.ratio, meth.typical, m.sampledAt, meth.typicalAt = 1, 80*ms, w.now, w.now
+	m.latency.ratio, meth.typical.value, m.latency.sampledAt, meth.typical.sampledAt = 1, 80*ms, w.now, w.now
 	for n := range 9 {
 		w.router.recordOutcome(&rpc{method: meth}, &attempt{member: m}, driver.TimedOut, false, 3*time.Second, w.now)
 		if got := w.router.predictLatency(m, meth); n == 0 && got > 150*ms || n == 8 && got < 300*ms {
@@ -120,15 +120,15 @@
 	if w.advance(10 * time.Second); w.router.predictLatency(m, meth) > 50*ms || w.router.latencyRatio(m, w.now) < 0.9 {
 		t.Fatalf("predicted %v, ratio %v ten seconds on", w.router.predictLatency(m, meth), w.router.latencyRatio(m, w.now))
 	}
-	if meth.typical = ms; w.router.requiredTime(m, meth, meth.utility) > w.router.predictLatency(m, meth) {
+	if meth.typical.value = ms; w.router.requiredTime(m, meth, meth.Utility) > w.router.predictLatency(m, meth) {
 		t.Fatal("time to spare is asked of what brings most at a member that holds nothing")
 	}
 	for i := range 4000 { // members met seldom look quick or slow by chance, which must not raise the usual
 		w.now += 300 * ms
 		w.router.recordLatency(meth, w.router.memberList[i%8], time.Duration(w.random.Below(200))*ms)
 	}
-	if meth.typical > 120*ms {
-		t.Fatalf("the usual latency is %v where the mean is 100 ms", meth.typical)
+	if meth.typical.value > 120*ms {
+		t.Fatalf("the usual latency is %v where the mean is 100 ms", meth.typical.value)
 	}
 }
 
@@ -143,11 +143,11 @@
 			}
 			return driver.OK
 		}, 2)
-		if w.router.members[dead].allowance == 0 {
+		if w.router.members[dead].health.allowance == 0 {
 			t.Fatalf("a dead member is still trusted, its answers: %d", how)
 		}
 		w.traffic(2000, 5*ms, 2)
-		if w.router.members[dead].allowance != 0 {
+		if w.router.members[dead].health.allowance != 0 {
 			t.Fatalf("a member that answers again is still set aside, its answers: %d", how)
 		}
 	}
@@ -157,7 +157,7 @@
 func TestPausedMemberIsReinstatedByAnEarlierAttemptsAnswer(t *testing.T) {
 	w := newSettledCluster(t, "wait")
 	m := w.router.members[w.ids[4]]
-	for i := 0; i < 400 && m.allowance == 0; i++ {
+	for i := 0; i < 400 && m.health.allowance == 0; i++ {
 		w.trafficWithOutcomes(1, 5*ms, func(q *simulatedRPC) driver.Outcome {
 			if q.member == m.id {
 				return noAnswer
@@ -166,11 +166,11 @@
 		}, 2)
 	}
 	held := slices.Clone(w.openRPCs)
-	if m.allowance == 0 || w.rpcs[held[0]].member != m.id {
+	if m.health.allowance == 0 || w.rpcs[held[0]].member != m.id {
 		t.Fatal("it is not set aside")
 	}
-	if w.endAttempt(held[0], driver.OK); m.allowance != 0 {
-		t.Fatalf("it gets %d RPCs at a time", m.allowance)
+	if w.endAttempt(held[0], driver.OK); m.health.allowance != 0 {
+		t.Fatalf("it gets %d RPCs at a time", m.health.allowance)
 	}
 }
 
@@ -276,7 +276,7 @@
 	w := newSettledCluster(t, "none")
 	id := w.request(4, 0)
 	q := w.rpcs[id]
-	w.router.rpcs[id].deadline, q.deadline = w.now+3*time.Second, w.now+3*time.Second
+	w.router.rpcs[id].Deadline, q.deadline = w.now+3*time.Second, w.now+3*time.Second
 	w.advance(1100 * ms)
 	w.endAttempt(id, driver.Broken)
 	w.primaries[q.group] = 0 // nobody takes over before the window ends
@@ -300,7 +300,7 @@
 				return driver.OK
 			}, 2, 2, 2, 2)
 			for _, m := range w.router.memberList {
-				if m.allowance > 0 && m.allowance < 4 {
+				if m.health.allowance > 0 && m.health.allowance < 4 {
 					aside++
 				}
 			}
@@ -318,7 +318,7 @@
 	w.advance(time.Second)
 	w.traffic(60, 5*ms, 1, 2)
 	for _, p := range w.primaries {
-		w.router.members[p].ratio, w.router.members[p].sampledAt = 1e6, w.now
+		w.router.members[p].latency.ratio, w.router.members[p].latency.sampledAt = 1e6, w.now
 	}
 	token := w.now - 300*ms
 	if to := w.sentTo(t, 1, token); to == w.primaries[to%2] || to < 104 {
@@ -342,7 +342,7 @@
 	if after := w.router.predictLatency(w.router.members[w.ids[4]], w.router.methods[2]); after > 2*before {
 		t.Fatalf("predicted %v after a halt, %v before", after, before)
 	}
-	if slices.ContainsFunc(w.router.memberList, func(m *member) bool { return m.allowance > 0 }) {
+	if slices.ContainsFunc(w.router.memberList, func(m *member) bool { return m.health.allowance > 0 }) {
 		t.Fatal("a member was set aside for the driver's halt")
 	}
 }
@@ -350,13 +350,12 @@
 // A try cut short by the client's limit is not the first: the soft deadline has run since that one.
 func TestClientRetryCountsFromTheFirstTry(t *testing.T) {
 	w := newCluster(t, 1, "wait", "methods.0.limit=2000000")
-	m := w.router.methods[0]
 	for range 5 {
-		if got := w.router.requestedSince(m, w.now, w.now, w.now+1500*ms, false); got != w.now {
+		if got := w.router.requestedSince(Request{ArrivedAt: w.now, Deadline: w.now + 1500*ms}, w.now); got != w.now {
 			t.Fatalf("a first try counts from %v, came at %v", got, w.now)
 		}
 	}
-	if got := w.router.requestedSince(m, w.now, w.now, w.now+1200*ms, true); got != w.now-800*ms {
+	if got := w.router.requestedSince(Request{ArrivedAt: w.now, Deadline: w.now + 1200*ms, ClientRetry: true}, w.now); got != w.now-800*ms {
 		t.Fatalf("a try that ends 1.2 s from now counts from %v, now is %v", got, w.now)
 	}
 }
@@ -367,9 +366,9 @@
 	taken := 0
 	for range 20 {
 		for _, m := range w.router.memberList {
-			m.ratio, m.typicalDepth, m.sampledAt, w.router.pace = 350, 0, w.now, 1
+			m.latency.ratio, m.latency.depth, m.latency.sampledAt, w.router.pace.value = 350, 0, w.now, 1
 		}
-		w.router.methods[2].typical, w.router.methods[4].typical = ms, ms
+		w.router.methods[2].typical.value, w.router.methods[4].typical.value = ms, ms
 		if id := w.request(2, 0); w.rpcs[id].lastAttempt >= 0 {
 			taken++
 		}
@@ -388,7 +387,7 @@
 	for seed := range uint64(drivers) {
 		w := newCluster(t, seed, "wait")
 		w.traffic(7, 150*ms, 2) // it asks for over twice as much
-		w.router.carriedLoad = borne
+		w.router.load.carried = borne
 		for _, m := range w.ids {
 			w.members[m].attemptTimes, w.members[m].attemptLoads, w.members[m].startedAt = nil, nil, w.now
 		}
@@ -409,9 +408,9 @@
 func TestLastWarmingMembersGetNoLargerBudget(t *testing.T) {
 	w := newCluster(t, 1, "wait")
 	w.traffic(100, 10*ms, 0, 2) // a second's
-	asked, heaviest := w.router.firstTryLoad, 0.0
+	asked, heaviest := w.router.load.firstTries.At(w.now-10*ms, loadWindow), 0.0
 	for _, m := range w.router.methods {
-		heaviest = max(heaviest, m.typical.Seconds())
+		heaviest = max(heaviest, m.typical.value.Seconds())
 	}
 	for _, m := range w.ids[2:] {
 		w.members[m].state = driver.Gone
@@ -419,7 +418,7 @@
 	for _, m := range w.ids[:2] {
 		w.members[m].startedAt, w.members[m].attemptTimes, w.members[m].attemptLoads = w.now, nil, nil
 	}
-	w.router.carriedLoad, w.maxWarmLoad = 0, math.Inf(1) // nothing was ever known of warm ones
+	w.router.load.carried, w.maxWarmLoad = 0, math.Inf(1) // nothing was ever known of warm ones
 	w.announce(driver.Changes, w.ids...)
 	w.advance(2 * scanInterval)
 	for range 100 {
@@ -555,10 +554,10 @@
 				t.Fatal("a recalled primary is taken for proven")
 			}
 		}
-		if m := w.router.members[104]; m.replicaProvenAt != unknownTime || m.position != unknownTime {
+		if m := w.router.members[104]; m.replication.replicaProvenAt != unknownTime || m.replication.position != unknownTime {
 			t.Error("what is recalled of a member that has started since is believed")
 		}
-		if m := w.router.members[106]; m.position == unknownTime || m.replicaProvenAt == unknownTime {
+		if m := w.router.members[106]; m.replication.position == unknownTime || m.replication.replicaProvenAt == unknownTime {
 			t.Error("what is recalled of a member that has not is lost")
 		}
 		first := make(map[int]driver.Member)
@@ -578,7 +577,7 @@
 	}
 	w := newCluster(t, 3, "none")
 	w.router.RestoreMember(102, driver.Known{Position: w.now - ms, Replica: w.now - ms, Timed: w.now, Ratio: 2}, w.now+time.Hour)
-	if w.router.members[102].position != unknownTime {
+	if w.router.members[102].replication.position != unknownTime {
 		t.Error("what was saved after now is believed")
 	}
 	w.router.RestoreSessionCommit(9, w.now-time.Second)
@@ -598,17 +597,17 @@
 		w.request(0, 0)
 	}
 	m := w.router.methods[0]
-	lasts := m.attemptTimeout
+	lasts := m.clientTimeout
 	for id, waited := range []time.Duration{0, 300 * ms, 900 * ms, 1500 * ms} {
-		before := w.router.firstTryLoad
+		before := w.router.load.firstTries.At(w.now, loadWindow)
 		w.lastRPC++
 		w.rpcs[w.lastRPC] = &simulatedRPC{group: 0, arrivedAt: w.now, lastAttempt: -1, commit: driver.LongAgo, deadline: w.now - waited + lasts}
-		w.router.Take(w.lastRPC, 0, 0, 0, 7, w.now-waited, w.now-waited+lasts, 0, false)
+		w.router.Take(Request{ID: w.lastRPC, Session: 7, ArrivedAt: w.now - waited, Deadline: w.now - waited + lasts})
 		if q := w.router.rpcs[w.lastRPC]; q != nil && q.requestedAt != w.now-waited {
 			t.Errorf("%d waited %v and is wanted since %v ago", id, waited, w.now-q.requestedAt)
 		}
-		if w.router.firstTryLoad <= before || m.attemptTimeout != lasts {
-			t.Errorf("%d waited %v: counted as first try %v, tries last %v, before %v", id, waited, w.router.firstTryLoad > before, m.attemptTimeout, lasts)
+		if w.router.load.firstTries.At(w.now, loadWindow) <= before || m.clientTimeout != lasts {
+			t.Errorf("%d waited %v: counted as first try %v, tries last %v, before %v", id, waited, w.router.load.firstTries.At(w.now, loadWindow) > before, m.clientTimeout, lasts)
 		}
 	}
 }
--- a/rules/selection.go
+++ b/rules/selection.go
@@ -1,127 +1,128 @@
 package rules
 
 import (
+	"cmp"
 	"slices"
 	"time"
+
+	"passtack/internal/settings"
 )
 
 const (
-	primaryReadShare   = 0.1 // of the reads that a replica could serve
-	maxPrimarySlowdown = 1.5 // times the usual latency: the most a primary shows that takes a share
-	explorationShare   = 0.2 // of the reads that may go to a replica unheard of
+	primaryReadShare   = 0.1 // of bounded reads that a replica could serve
+	maxPrimarySlowdown = 1.5 // up to which the primary takes reads that replicas could serve
+	explorationShare   = 0.2 // of reads that go to an idle replica with no recent report
+	otherZoneCost      = 1.3 // by which a latency in another zone is multiplied for comparison
 )
 
-var zoneCost = map[bool]float64{true: 1, false: 1.3} // as it seems, by sharing our zone
-
-// route is the ordinary path: it sends the RPC where the design says, holds it briefly, or gives it up.
+// route sends the RPC to a member, queues it briefly, or gives it up.
 func (r *Router) route(q *rpc) {
-	now, g, m := r.host.Now(), q.group, q.method
-	if now >= q.sendBy-r.tick {
+	now, m, primary := r.host.Now(), q.method, q.group.primary
+	if now >= q.sendBy-r.ticks.interval {
 		r.giveUp(q, 0, NoTimeLeft)
 		return
 	}
-	primary := g.primary
 	if primary != nil && !r.accepts(primary, q, now) {
 		primary = nil
 	}
-	var to *member
-	switch m.freshness {
-	case write:
-		to = primary
-		if to == nil && g.exploratoryAttempts == 0 {
-			to = r.choosePrimaryCandidate(q, now)
-		}
-	case fresh:
-		to = primary
-		if to == nil {
-			to = r.chooseReplica(q, q.arrivedAt+positionRounding, now)
-		}
-	case session:
-		if now-q.commit < maxSessionPin && !g.replicasCaughtUp(q.commit) {
-			to = primary
-		}
-		if to == nil {
-			to = r.chooseReplica(q, q.commit, now)
-		}
-	case bounded:
-		to = r.chooseReplica(q, now-m.maxStaleness+positionRounding, now)
-		if primary != nil && (to == nil || r.random.Float() < primaryReadShare) && r.slowdown(primary, now) < maxPrimarySlowdown {
-			to = primary
-		}
-	case anyAge:
-		to = r.chooseReplica(q, unknownTime, now)
-	}
-	if to == nil && (m.freshness == session || m.freshness == anyAge) {
-		to = primary
-	}
-	if to == nil {
+	target := r.chooseMember(q, primary, now)
+	if target == nil {
 		r.enqueue(q)
 		return
 	}
-	scout := m.freshness == write && to != primary
-	left, utility := min(q.requestedAt+m.softDeadline, q.deadline)-now, m.utility
-	if left <= 0 && m.lateUtility > 0 {
-		left, utility = q.deadline-now, m.lateUtility*m.utility
+	exploratory := m.Freshness == settings.FreshnessWrite && target != primary
+	left, utility := min(q.requestedAt+m.SoftDeadline, q.Deadline)-now, m.Utility
+	if left <= 0 && m.LateUtility > 0 {
+		left, utility = q.Deadline-now, m.LateUtility*m.Utility
 	}
-	if int(q.tenant) < len(r.quotaLeft) && r.quotaLeft[q.tenant] < 1 {
+	if int(q.Tenant) < len(r.quotaLeft) && r.quotaLeft[q.Tenant] < 1 {
 		utility *= r.settings.Number("over_share", 1)
 	}
-	if predicted := r.requiredTime(to, m, utility); predicted > left && !scout {
-		to = r.chooseAlternative(q, to, primary, now)
-		if to == nil || r.requiredTime(to, m, utility) > left {
-			r.giveUp(q, min(predicted-left, m.softDeadline/4), TooSlow)
+	if required := r.requiredTime(target, m, utility); required > left && !exploratory {
+		target = r.chooseAlternative(q, target, primary, now)
+		if target == nil || r.requiredTime(target, m, utility) > left {
+			r.giveUp(q, min(required-left, m.SoftDeadline/4), TooSlow)
 			return
 		}
 	}
 	timeout := time.Duration(0)
-	if m.lateUtility == 0 && m.idempotent {
-		timeout = min(q.arrivedAt+m.softDeadline, q.deadline) - now
+	if m.LateUtility == 0 && m.Effect == settings.Idempotent {
+		timeout = min(q.takenAt+m.SoftDeadline, q.Deadline) - now
 	}
-	r.send(q, to, timeout, scout)
+	r.send(q, target, timeout, exploratory)
 }
 
-// other is where an RPC may go that would be shed: a pinned read to a replica known past its token, a read
-// for replicas to the primary at ease. It keeps neither from its ordinary path.
-func (r *Router) chooseAlternative(q *rpc, to, primary *member, now time.Duration) *member {
-	need := q.method.freshness
-	if need == session && to == primary {
+// chooseMember returns the member for an RPC, nil if none qualifies. The primary is nil if it is unknown or takes no RPC now.
+func (r *Router) chooseMember(q *rpc, primary *member, now time.Duration) *member {
+	switch q.method.Freshness {
+	case settings.FreshnessWrite:
+		if primary == nil && q.group.exploratoryAttempts == 0 {
+			return r.choosePrimaryCandidate(q, now)
+		}
+		return primary
+	case settings.FreshnessLatest:
+		if primary == nil {
+			return r.chooseReplica(q, q.takenAt+positionRounding, now)
+		}
+		return primary
+	case settings.FreshnessSession:
+		if primary != nil && now-q.commit < maxSessionPin && !q.group.replicasCaughtUp(q.commit) {
+			return primary
+		}
+		return cmp.Or(r.chooseReplica(q, q.commit, now), primary)
+	case settings.FreshnessBounded:
+		replica := r.chooseReplica(q, now-q.method.MaxStaleness+positionRounding, now)
+		if primary != nil && (replica == nil || r.random.Float() < primaryReadShare) && r.slowdown(primary, now) < maxPrimarySlowdown {
+			return primary
+		}
+		return replica
+	case settings.FreshnessAny:
+		return cmp.Or(r.chooseReplica(q, unknownTime, now), primary)
+	}
+	return nil
+}
+
+// chooseAlternative returns another member for an RPC that would be shed: a caught-up replica for a pinned read, the primary, unless slow,
+// for a read that replicas serve.
+func (r *Router) chooseAlternative(q *rpc, target, primary *member, now time.Duration) *member {
+	f := q.method.Freshness
+	if f == settings.FreshnessSession && target == primary {
 		return r.chooseReplica(q, q.commit, now)
 	}
-	if (need == bounded || need == anyAge) && primary != nil && r.slowdown(primary, now) < maxPrimarySlowdown {
+	if (f == settings.FreshnessBounded || f == settings.FreshnessAny) && primary != nil && r.slowdown(primary, now) < maxPrimarySlowdown {
 		return primary
 	}
 	return nil
 }
 
-// open tells whether a member may get this RPC now: it is ready, its trickle and its cold budget have room.
+// accepts reports whether the member may get this RPC now.
 func (r *Router) accepts(m *member, q *rpc, now time.Duration) bool {
-	if !m.available || m.presumedGone() && m.inFlight.Count() > 0 || q.mayHaveRun && q.method.zoneDeduplicates && m.zone != q.firstRunZone ||
-		m.allowance > 0 && (m.inFlight.Count() >= m.allowance || now < m.nextAttemptAt) {
+	inFlight := m.inFlight.Count()
+	if !m.available || m.presumedGone() && inFlight > 0 || m.health.ejected() && (inFlight >= m.health.allowance || now < m.health.nextAttemptAt) ||
+		q.mayHaveRun && q.method.Duplicates == settings.DuplicatesInZone && m.zone != q.firstRunZone {
 		return false
 	}
-	lately := func(c attempt) bool {
-		return c.member == m && c.rejectedAt > now-recheckInterval*time.Duration(len(q.attempts))
-	}
-	return !slices.ContainsFunc(q.attempts, lately) && r.slowStartAdmits(m, q, now)
+	retryAfter := recheckInterval * time.Duration(len(q.attempts))
+	rejected := func(a attempt) bool { return a.member == m && a.rejectedAt > now-retryAfter }
+	return !slices.ContainsFunc(q.attempts, rejected) && r.slowStartAdmits(m, q, now)
 }
 
-// companion picks the replica for a read: the quickest known past the floor, but one idle and unheard of goes
-// first, or what it knows would be forgotten; after some seconds even unproven, where it checks by itself.
-func (r *Router) chooseReplica(q *rpc, floor, now time.Duration) *member {
-	var best *member
+// chooseReplica returns the replica of lowest cost among those known to have reached a position. An idle one with no recent report is
+// explored now and then, so that its state stays known; if it checks reads itself, after some seconds even before the position.
+func (r *Router) chooseReplica(q *rpc, required, now time.Duration) (best *member) {
 	all := q.group.members
 	for n, start := 0, r.random.Below(len(all)+1); n < len(all); n++ {
 		m := all[(start+n)%len(all)]
-		unheard := m.inFlight.Count() == 0 && now-m.positionAt > recheckInterval
-		mayAsk := r.membersCheckFreshness && unheard && now-m.positionAt > maxProbationBackoff
-		reach := m.position
-		if r.membersCheckFreshness && m.positionAt != unknownTime { // it turns the read away if it fell behind meanwhile
-			reach += now - m.positionAt
+		sinceReport, position := now-m.replication.reportedAt, m.replication.position
+		unheard := m.inFlight.Count() == 0 && sinceReport > recheckInterval
+		mayAsk := r.membersCheckFreshness && unheard && sinceReport > maxProbationBackoff
+		if r.membersCheckFreshness && m.replication.reportedAt != unknownTime { // if it has not advanced, it rejects the read
+			position += sinceReport
 		}
-		if m == q.group.primary || reach < floor && !mayAsk || !r.accepts(m, q, now) {
+		if m == q.group.primary || position < required && !mayAsk || !r.accepts(m, q, now) {
 			continue
 		}
-		if unheard && r.random.Float() < explorationShare && 2*r.predictLatency(m, q.method) < q.method.softDeadline {
+		if unheard && r.random.Float() < explorationShare && 2*r.predictLatency(m, q.method) < q.method.SoftDeadline {
 			return m
 		}
 		if best == nil || r.cost(m, q.method) < r.cost(best, q.method) {
@@ -132,15 +133,18 @@
 }
 
 func (r *Router) cost(m *member, meth *method) float64 {
-	return float64(r.predictLatency(m, meth)) * zoneCost[m.zone == r.zone]
+	cost := float64(r.predictLatency(m, meth))
+	if m.zone != r.zone {
+		cost *= otherZoneCost
+	}
+	return cost
 }
 
-// scout picks the member most likely to be the primary that nobody has told of yet.
-func (r *Router) choosePrimaryCandidate(q *rpc, now time.Duration) *member {
-	var best *member
+// choosePrimaryCandidate returns the member whose last proof of being a replica is oldest.
+func (r *Router) choosePrimaryCandidate(q *rpc, now time.Duration) (best *member) {
 	for _, m := range q.group.members {
-		if m != q.group.primary && now-m.replicaProvenAt >= recheckInterval && r.accepts(m, q, now) &&
-			(best == nil || m.replicaProvenAt < best.replicaProvenAt) {
+		if m != q.group.primary && now-m.replication.replicaProvenAt >= recheckInterval && r.accepts(m, q, now) &&
+			(best == nil || m.replication.replicaProvenAt < best.replication.replicaProvenAt) {
 			best = m
 		}
 	}
