--- a/cmd/passtack/control.go
+++ b/cmd/passtack/control.go
@@ -8,8 +8,8 @@
 	"syscall"
 	"time"
 
+	"passtack/internal/config"
 	"passtack/internal/loop"
-	"passtack/internal/operator"
 	"passtack/internal/rollout/server"
 )
 
@@ -29,7 +29,7 @@
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	signal.Ignore(syscall.SIGHUP)
-	config, err := operator.ReadMachine(c.Operator)
+	config, err := config.ReadMachine(c.Operator)
 	if err != nil {
 		return err
 	}
--- a/internal/operator/operator_test.go
+++ b/internal/config/config_test.go
@@ -1,6 +1,7 @@
-package operator
+package config
 
 import (
+	"errors"
 	"net/netip"
 	"os"
 	"strings"
@@ -15,8 +16,8 @@
 var (
 	platform = netip.MustParseAddrPort("127.0.0.1:6543")
 	methods  = []Method{
-		{Name: "status-read", Need: "bounded", Idempotent: true, Soft: time.Second, Limit: 2 * time.Second},
-		{Name: "own-read", Need: "session", Idempotent: true}, {Name: "apply-write", Need: "write", Tokened: true, Window: time.Second},
+		{Name: "status-read", Need: "bounded", Idempotent: true, SoftDeadline: time.Second, MaxDeadline: 2 * time.Second},
+		{Name: "own-read", Need: "session", Idempotent: true}, {Name: "apply-write", Need: "write", HasIdempotencyKey: true, Window: time.Second},
 	}
 )
 
@@ -33,30 +34,30 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(f.Fronts) != 2 || f.Fronts[0].Name != "portal" || f.Fronts[0].Share.Weight != 2 || f.Sample != 50 {
+	if len(f.Listeners) != 2 || f.Listeners[0].Name != "portal" || f.Listeners[0].Quota.Weight != 2 || f.LogSample != 50 {
 		t.Fatalf("read as %+v", f)
 	}
-	if st := f.State; st == nil || st.Folder != "/var/lib/passtack/n0" || st.Every != time.Second || st.Bytes != 32<<20 {
+	if st := f.State; st == nil || st.DataDir != "/var/lib/passtack/n0" || st.SaveInterval != time.Second || st.MaxBytes != 32<<20 {
 		t.Errorf("state is read as %+v", st)
 	}
-	o := f.Fronts[1]
+	o := f.Listeners[1]
 	s := o.OData.Model.Set("Applications")
-	if o.Share.Limits[quota.RPCs] != 500 || o.OData.Repeats.Kept != 5*time.Minute || o.OData.HTTP.Body != 262144 || s.Page != 100 ||
+	if o.Quota.Limits[quota.RPCs] != 500 || o.OData.Idempotency.TTL != 5*time.Minute || o.OData.HTTP.Body != 262144 || s.Page != 100 ||
 		s.ETag.Name != "Version" || s.Operations[odata.Read].AfterWrite != 1 || !s.Operations[odata.Create].Tokened ||
 		s.Operations[odata.Create].Window != time.Second || s.Operations[odata.Count] != nil {
 		t.Errorf("read as %+v, %+v", o, s)
 	}
 }
 
-func TestWithoutAFileThePlatformHasAll(t *testing.T) {
-	f := None()
-	if len(f.Fronts) != 1 || f.Fronts[0].Listen.IsValid() || f.Forms[driver.Group(3)] != driver.Statements {
+func TestDefaultHasThePlatformsListener(t *testing.T) {
+	f := Default()
+	if len(f.Listeners) != 1 || f.Listeners[0].Listen.IsValid() || f.Forms[driver.Group(3)] != driver.Statements {
 		t.Errorf("%+v", f)
 	}
 }
 
-// Each mistake alone is told in one line, with its place and value.
-func TestMistakesAreNamed(t *testing.T) {
+// Each error alone is reported in one line, with its place and value.
+func TestEachErrorHasItsPlaceAndValue(t *testing.T) {
 	good := sample(t)
 	for _, m := range []struct{ old, new, want string }{
 		{"weight = 2", "wieght = 2", `:11:3: unsupported argument`},
@@ -99,15 +100,15 @@
 	}
 }
 
-// The sample of leases is read, and each mistake in it is named.
-func TestMistakesInLeasesAreNamed(t *testing.T) {
+// The sample for leases is read, and each error in it is reported.
+func TestEachErrorInLeasesIsReported(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/leases.hcl")
 	if err != nil {
 		t.Fatal(err)
 	}
 	good := string(text)
 	f, err := Parse(text, "leases.hcl", platform, methods)
-	if err != nil || len(f.Leases.Tasks) != 2 || f.Leases.Lasts != 5*time.Second || len(f.Leases.Set().All()) != 3 || f.Control.Port() != 7070 {
+	if err != nil || len(f.Leases.Tasks) != 2 || f.Leases.TTL != 5*time.Second || len(f.Leases.VoterSet().All()) != 3 || f.Control.Port() != 7070 {
 		t.Fatalf("%+v, %v", f, err)
 	}
 	for _, m := range []struct{ old, new, want string }{
@@ -138,7 +139,7 @@
 	}
 }
 
-func TestAllMistakesAreToldInOneGo(t *testing.T) {
+func TestAllErrorsAreReportedAtOnce(t *testing.T) {
 	text := strings.NewReplacer("weight = 2", "wieght = 2", `"Edm.Int64"`, `"Edm.Int65"`, "{Status}", "{Stats}", `= "5m"`, `= 5`).Replace(sample(t))
 	_, err := Parse([]byte(text), "passtack.hcl", platform, methods)
 	if lines := strings.Count(err.Error(), "\n") + 1; lines != 4 {
@@ -149,6 +150,19 @@
 	}
 }
 
+// An error can be examined without its text.
+func TestErrorsAreTyped(t *testing.T) {
+	_, err := Parse([]byte("log {\n  sample = 1.5\n}\n"), "passtack.hcl", platform, methods)
+	var all ValidationErrors
+	var one *ValidationError
+	if !errors.As(err, &all) || len(all) != 1 || !errors.As(err, &one) || one.File != "passtack.hcl" || one.Line != 2 || one.Column != 12 {
+		t.Errorf("%#v, %+v", err, one)
+	}
+	if _, err := ReadMachine("../../deploy/passtack.hcl"); err == nil || errors.Is(err, ErrNoControlMachine) {
+		t.Errorf("a file that cannot be read without methods: %v", err)
+	}
+}
+
 func TestMembersOfTwoProtocols(t *testing.T) {
 	text := strings.Replace(sample(t), "groups = [0]", "groups = [0, 1]", 1) + "members \"odata\" {\ngroups = [1]\nroot = \"/v4/\"\n}\n"
 	if _, err := Parse([]byte(text), "passtack.hcl", platform, methods); err == nil || !strings.Contains(err.Error(), "speak two protocols") {
@@ -165,7 +179,7 @@
 		}
 	}
 	f, err := Parse([]byte(strings.Join(kept, "")), "passtack.hcl", platform, methods)
-	if err != nil || f.Forms[1] != driver.Requests || f.Forms[0] != driver.Statements || f.Root != "/v4/" {
+	if err != nil || f.Forms[1] != driver.Requests || f.Forms[0] != driver.Statements || f.MemberRoot != "/v4/" {
 		t.Errorf("%v, %+v", err, f)
 	}
 }
--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -17,46 +17,34 @@
 	"passtack/internal/pgwire"
 )
 
-// quickMember is one that answers as soon as it is asked.
-func quickMember(b testing.TB, role, speaks string) net.Addr {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		b.Fatal(err)
-	}
-	b.Cleanup(func() { l.Close() })
-	go func() {
+// quickMember is a member that answers at once.
+func quickMember(b testing.TB, role, protocol string) net.Addr {
+	l := listenLocal(b)
+	go serveConnections(l, func(c net.Conn) {
+		defer c.Close()
+		in, began := make([]byte, 4096), false
 		for {
-			c, err := l.Accept()
-			if err != nil {
+			if _, err := c.Read(in); err != nil {
 				return
 			}
-			go func() {
-				defer c.Close()
-				in, began := make([]byte, 4096), false
-				for {
-					if _, err := c.Read(in); err != nil {
-						return
-					}
-					if speaks == "odata" {
-						fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nNode-Role: %s\r\nReplay-Position: %d\r\nContent-Type: application/json\r\n"+
-							"Content-Length: 10\r\n\r\n{\"Id\":\"k\"}", role, time.Now().UnixMilli())
-						continue
-					}
-					if !began {
-						began = true
-						c.Write(pgwire.AppendWelcome(nil, 1, 1))
-						continue
-					}
-					c.Write(pgwire.AppendReady(note(rows(`{"Id":"k"}`), role)))
-				}
-			}()
+			if protocol == "odata" {
+				fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nNode-Role: %s\r\nReplay-Position: %d\r\nContent-Type: application/json\r\n"+
+					"Content-Length: 10\r\n\r\n{\"Id\":\"k\"}", role, time.Now().UnixMilli())
+				continue
+			}
+			if !began {
+				began = true
+				c.Write(pgwire.AppendWelcome(nil, 1, 1))
+				continue
+			}
+			c.Write(pgwire.AppendReady(appendReport(rowResponse(`{"Id":"k"}`), role)))
 		}
-	}()
+	})
 	return l.Addr()
 }
 
-// spent is the CPU time of a thread of this process.
-func spent(b *testing.B, thread int) time.Duration {
+// cpuTime is the CPU time of a thread of this process.
+func cpuTime(b *testing.B, thread int) time.Duration {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/self/task/%d/schedstat", thread))
 	if err != nil {
 		b.Skip("the system does not tell a thread's CPU time")
@@ -102,18 +90,18 @@
 func serveAll(b *testing.B, clients int, front, members string) {
 	var targets []string
 	for i := range 4 {
-		role := map[bool]string{true: "leader", false: "follower"}[i == 0]
-		targets = append(targets, target(i, 0, quickMember(b, role, members), "in_service"))
+		role := roleName(i == 0)
+		targets = append(targets, endpointEntry(i, 0, quickMember(b, role, members), "in_service"))
 	}
 	offered := ""
 	var wanted func(string) string
 	if front == "odata" {
 		wanted = func(at string) string {
 			offered = at
-			return offices(at, "", members == "pg")
+			return officesConfig(at, "", members == "pg")
 		}
 	}
-	n := buildWith(b, "", 8192, listOf(1, true, targets...), testSettings, wanted)
+	n := buildDriverWithConfig(b, "", 8192, endpointList(1, true, targets...), testSettings, wanted)
 	thread := serveOnThread(b, n)
 	var ready, all sync.WaitGroup
 	start := make(chan bool)
@@ -126,14 +114,14 @@
 			write := i%4 == 0 && clients > 1
 			if front == "odata" {
 				c = dialHTTP(b, offered).Conn
-				if query, end = request("GET", "Applications('k')", ""), []byte("}"); write {
-					query = request("POST", "Applications", `{"Id":"k"}`)
+				if query, end = httpRequest("GET", "Applications('k')", ""), []byte("}"); write {
+					query = httpRequest("POST", "Applications", `{"Id":"k"}`)
 				}
 			} else {
 				method := map[bool]string{true: "order", false: "look"}[write]
-				c, end = dial(b, n.site.Listen.String()).Conn, pgwire.AppendReady(nil)
-				query = asQuery(statement(fmt.Sprintf("b%d", i), method, 2000, 0))
-				c.Write(asQuery(""))
+				c, end = dialPG(b, n.site.Listen.String()).Conn, pgwire.AppendReady(nil)
+				query = queryMessage(taggedStatement(fmt.Sprintf("b%d", i), method, 2000, 0))
+				c.Write(queryMessage(""))
 				for in := make([]byte, 4096); ; {
 					if k, _ := c.Read(in); bytes.HasSuffix(in[:k], append(pgwire.AppendHead(nil, 'I', 0), end...)) {
 						break
@@ -163,14 +151,14 @@
 		})
 	}
 	ready.Wait()
-	before, began := spent(b, thread), time.Now()
+	before, began := cpuTime(b, thread), time.Now()
 	b.ReportAllocs()
 	b.ResetTimer()
 	close(start)
 	all.Wait()
 	b.StopTimer()
 	total := float64(share * clients)
-	b.ReportMetric(float64(spent(b, thread)-before)/total/1000, "cpu_µs/RPC")
+	b.ReportMetric(float64(cpuTime(b, thread)-before)/total/1000, "cpu_µs/RPC")
 	b.ReportMetric(total/time.Since(began).Seconds(), "RPC/s")
 	if n.counters["rpcs_ok"] < int(total) {
 		b.Errorf("%d of %.0f RPCs are ok", n.counters["rpcs_ok"], total)
--- a/internal/node/configuration.go
+++ b/internal/node/configuration.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"passtack/internal/operator"
+	"passtack/internal/config"
 	"passtack/internal/rollout"
 	watch "passtack/internal/rollout/client"
 	"passtack/internal/settings"
@@ -51,10 +51,10 @@
 		inForceSince: n.loop.Now(),
 	}
 	n.configuration = c
-	if w.Folder == "" {
+	if w.DataDir == "" {
 		return
 	}
-	storage := n.openConfigurationStorage(w.Folder)
+	storage := n.openConfigurationStorage(w.DataDir)
 	if storage == nil {
 		return
 	}
@@ -186,7 +186,7 @@
 }
 
 // reloadLocal takes over what needs no restart from the driver's own files, after a reload. A version that was rejected may go with them now.
-func (c *configuration) reloadLocal(fresh *Site, file *operator.File) {
+func (c *configuration) reloadLocal(fresh *Site, file *config.File) {
 	c.local.memoryBytes, c.local.descriptors, c.local.operatorFile = fresh.Memory, fresh.Descriptors, file
 	c.report.RejectedVersion, c.report.RejectReason = 0, ""
 	c.applyLimits()
--- a/internal/node/hostile_clients_test.go
+++ b/internal/node/hostile_clients_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"io"
 	"net"
 	"runtime"
 	"strings"
@@ -16,47 +17,43 @@
 func TestConnectionFloodLeavesOtherListenerItsQuota(t *testing.T) {
 	for _, flooded := range []string{"odata", "pg"} {
 		t.Run(flooded, func(t *testing.T) {
-			g := startCluster(t, "pg", 2, always(fine))
+			g := startFakeCluster(t, "pg", 2, alwaysFault(faultNone))
 			d, at := serveOData(t, "", 120, g, "")
-			dial(t, d.at).ask(t, statement("first", "order", 5000, 0))
+			dialPG(t, d.address).query(t, taggedStatement("first", "order", 5000, 0))
 			end := make(chan bool)
 			var flood sync.WaitGroup
 			g.mutex.Lock()
 			g.wait = 40 * time.Millisecond
 			g.mutex.Unlock()
+			ended := func() bool {
+				select {
+				case <-end:
+					return true
+				default:
+					return false
+				}
+			}
+			connect := func(i int) (request func() bool, connection io.Closer) {
+				if flooded == "odata" {
+					c := dialHTTP(t, at)
+					return func() bool { return c.do("GET", "Applications('x')", "").status != 0 }, c
+				}
+				c := dialPG(t, d.address)
+				statement := taggedStatement(fmt.Sprintf("f%d", i), "look", 500, 0)
+				return func() bool { return !strings.Contains(c.query(t, statement), "closed") }, c
+			}
 			for i := range 200 {
 				flood.Go(func() { // most send requests without end, some are silent
-					for {
-						select {
-						case <-end:
-							return
-						default:
-						}
-						if flooded == "odata" {
-							c := dialHTTP(t, at)
-							for i%8 > 0 && c.ask("GET", "Applications('x')", "").status != 0 {
-								select {
-								case <-end:
-									c.Close()
-									return
-								default:
-								}
-							}
-							time.Sleep(20 * time.Millisecond)
-							c.Close()
-						} else {
-							c := dial(t, d.at)
-							for i%8 > 0 && !strings.Contains(c.ask(t, statement(fmt.Sprintf("f%d", i), "look", 500, 0)), "closed") {
-								select {
-								case <-end:
-									c.Close()
-									return
-								default:
-								}
+					for !ended() {
+						request, connection := connect(i)
+						for i%8 > 0 && request() {
+							if ended() {
+								connection.Close()
+								return
 							}
-							time.Sleep(20 * time.Millisecond)
-							c.Close()
 						}
+						time.Sleep(20 * time.Millisecond)
+						connection.Close()
 					}
 				})
 			}
@@ -65,10 +62,10 @@
 			for i := range 40 {
 				began := time.Now()
 				if flooded == "odata" {
-					if got := dial(t, d.at).ask(t, statement(fmt.Sprintf("o%d", i), "order", 2000, 0)); strings.HasPrefix(got, "ok") {
+					if got := dialPG(t, d.address).query(t, taggedStatement(fmt.Sprintf("o%d", i), "order", 2000, 0)); strings.HasPrefix(got, "ok") {
 						answered++
 					}
-				} else if got := dialHTTP(t, at).ask("POST", "Applications", fmt.Sprintf(`{"Id":"o%d"}`, i), "Deadline-Ms: 2000"); got.status == 201 {
+				} else if got := dialHTTP(t, at).do("POST", "Applications", fmt.Sprintf(`{"Id":"o%d"}`, i), "Deadline-Ms: 2000"); got.status == 201 {
 					answered++
 				}
 				slowest = max(slowest, time.Since(began))
@@ -87,7 +84,7 @@
 // TestHostileRequestsAreRejected sends ten thousand hostile requests to the OData listener: each is answered with an error or a close, none
 // reaches a member, and the memory that they leave behind is bounded.
 func TestHostileRequestsAreRejected(t *testing.T) {
-	g := startCluster(t, "pg", 1, always(fine))
+	g := startFakeCluster(t, "pg", 1, alwaysFault(faultNone))
 	d, at := serveOData(t, "", 300, g, "")
 	chance := pcg.New(7)
 	head := "POST /odata/Applications HTTP/1.1\r\nHost: x\r\nContent-Type: application/json\r\n"
@@ -152,10 +149,10 @@
 	if after > before+16<<20 {
 		t.Errorf("heap in use grew from %d to %d KB", before>>10, after>>10)
 	}
-	if got := dialHTTP(t, at).ask("GET", "Applications('a')", ""); got.status != 200 {
+	if got := dialHTTP(t, at).do("GET", "Applications('a')", ""); got.status != 200 {
 		t.Errorf("afterwards: %d %s", got.status, got.body)
 	}
-	if calls := len(g.seen()); calls != 1 {
+	if calls := len(g.receivedCalls()); calls != 1 {
 		t.Errorf("a member saw %d attempts", calls)
 	}
 	d.stop()
--- a/internal/node/learned.go
+++ b/internal/node/learned.go
@@ -45,7 +45,7 @@
 		return
 	}
 	store, report := n.openDataDirectory(dataDirectory{
-		path: config.Folder, maxSize: config.Bytes,
+		path: config.DataDir, maxSize: config.MaxBytes,
 		unusableEvent: "learned state unusable", damagedEvent: "learned state damaged", unusableCounter: "state_unusable",
 	})
 	if store == nil {
@@ -55,13 +55,13 @@
 	l := &learnedState{
 		node: n, store: store,
 		restored: persist.Restore(store), retainUnlistedUntil: now + unlistedRetention,
-		saver: persist.NewSaver(store, config.Bytes), endpoints: savedEndpoints{uids: make(map[string]bool)},
+		saver: persist.NewSaver(store, config.MaxBytes), endpoints: savedEndpoints{uids: make(map[string]bool)},
 	}
 	persist.ForEachSessionWrite(store, n.module.RestoreSessionCommit)
 	n.module.TypicalLatencies(l.restored.UsualLatencies...)
 	l.logRestored(now, len(report.Unreadable))
 	n.list.Keep = l.saveEndpoints
-	l.addJobs(config.Every)
+	l.addJobs(config.SaveInterval)
 	n.learned = l // from now on writes of sessions are saved: the restored ones are stored already
 }
 
--- a/internal/node/listeners.go
+++ b/internal/node/listeners.go
@@ -3,14 +3,15 @@
 import (
 	"fmt"
 	"net/netip"
+	"slices"
 	"time"
 
 	"passtack/driver"
+	"passtack/internal/config"
 	"passtack/internal/front"
 	odatafront "passtack/internal/front/odata"
 	pgfront "passtack/internal/front/pg"
 	"passtack/internal/loop"
-	"passtack/internal/operator"
 	"passtack/internal/quota"
 	"passtack/internal/shutdown"
 )
@@ -49,8 +50,8 @@
 	n := s.node
 	methods := n.site.methods()
 	ids := make(front.Ids)
-	for _, f := range n.config.Fronts {
-		l := &listener{set: s, name: f.Name, quotaID: s.quotas.Add(f.Share)}
+	for _, f := range n.config.Listeners {
+		l := &listener{set: s, name: f.Name, quotaID: s.quotas.Add(f.Quota)}
 		address := f.Listen
 		if !address.IsValid() {
 			address = n.site.Listen
@@ -65,7 +66,7 @@
 }
 
 // open listens for clients of one front.
-func (l *listener) open(f *operator.Front, address netip.AddrPort, ids front.Ids, methods siteMethods) error {
+func (l *listener) open(f *config.Listener, address netip.AddrPort, ids front.Ids, methods siteMethods) error {
 	n := l.set.node
 	seed := n.site.Seed + uint64(l.quotaID)
 	switch f.Protocol {
@@ -76,7 +77,7 @@
 		}
 		l.front, l.connections = pg, pg.Connections()
 	case "odata":
-		odata, err := odatafront.Listen(n.loop, &n.rpcs, address, l.limits(), ids, f.OData, methods.names, n.config.Root, seed)
+		odata, err := odatafront.Listen(n.loop, &n.rpcs, address, l.limits(), ids, f.OData, methods.names, n.config.MemberRoot, seed)
 		if err != nil {
 			return err
 		}
@@ -86,6 +87,25 @@
 	return nil
 }
 
+// applySettings takes the methods of the site's settings. Retired ones are not served any more.
+func (s *listenerSet) applySettings(site *Site) {
+	methods := site.methods()
+	served := slices.Clone(methods.names)
+	for i := range served {
+		if methods.retired[i] {
+			served[i] = ""
+		}
+	}
+	for _, l := range s.all {
+		switch f := l.front.(type) {
+		case *pgfront.Front:
+			f.Methods(served, methods.inSession, methods.tokened)
+		case *odatafront.Front: // its operations name no retired method
+			f.Methods(methods.names)
+		}
+	}
+}
+
 // limits bounds what the listener's connections use to its quota.
 func (l *listener) limits() loop.Door {
 	capacity := func(kind quota.Resource) func(int) int {
@@ -109,13 +129,13 @@
 
 // admits reports whether the listener may have one more RPC in service.
 func (l *listener) admits() bool {
-	if len(l.set.all) == 1 && l.set.node.config.Fronts[0].Share.Limits[quota.RPCs] == 0 {
+	if len(l.set.all) == 1 && l.set.node.config.Listeners[0].Quota.Limits[quota.RPCs] == 0 {
 		return true
 	}
 	return l.rpcs < l.capacity(quota.RPCs, maxRPCs)
 }
 
-// reportUsage tells the quotas what all listeners have in use.
+// reportUsage reports to the quotas what all listeners use.
 func (s *listenerSet) reportUsage() {
 	for _, l := range s.all {
 		connections, bytes := l.connections.Held()
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -5,6 +5,7 @@
 	"log/slog"
 	"net/netip"
 	"slices"
+	"strings"
 	"time"
 
 	"passtack/driver"
@@ -21,8 +22,8 @@
 	defaultIdleTimeout    = time.Hour
 )
 
-// memberRegistry numbers the members of the endpoint list and has the connections to them. It is told of the list by
-// package list, and passes it on to the module.
+// memberRegistry numbers the members of the endpoint list and owns the pools of connections to them. It is the list.Host: it
+// receives the endpoint list, and passes it on to the module.
 type memberRegistry struct {
 	node           *Node
 	pools          [driver.Forms]*member.Pool // by the protocol of the members
@@ -45,7 +46,7 @@
 func (r *memberRegistry) openPools() {
 	n := r.node
 	load := member.Load{Columns: n.site.reportColumns(), Word: settings.ProjectName}
-	host := n.config.Host
+	host := n.config.MemberHost
 	if host == "" {
 		host = n.site.Name
 	}
@@ -58,6 +59,17 @@
 	r.pools[form] = member.New(n.loop, &n.rpcs, protocol, &r.connectLimiter, defaultConnectTimeout, defaultIdleTimeout)
 }
 
+// applySettings takes what the site's settings say of zones and of connections to members.
+func (r *memberRegistry) applySettings(site *Site) {
+	r.zones = strings.Split(site.Settings["zones"], ",")
+	connectTimeout := site.duration("caps.connect_timeout", defaultConnectTimeout)
+	idleTimeout := site.duration("caps.idle_close", defaultIdleTimeout)
+	r.connectLimiter.SetTimeout(connectTimeout)
+	for _, p := range r.pools {
+		p.Within(connectTimeout, idleTimeout)
+	}
+}
+
 // poolOf returns the pool for the protocol that the members of a group speak.
 func (r *memberRegistry) poolOf(group driver.Group) *member.Pool {
 	return r.pools[r.node.formOf(group)]
@@ -85,7 +97,7 @@
 		r.lastID++
 		id = r.lastID
 		r.ids[uid], r.uids[id] = id, uid
-		slog.Info("member_listed", "member", fmt.Sprintf("%012x", uint64(id)), "uid", uid, "endpoint", address, "group", group)
+		slog.Info("member added", "member", fmt.Sprintf("%012x", uint64(id)), "uid", uid, "endpoint", address, "group", group)
 		defer func() { n.learned.restoreMember(id, uid) }()
 	}
 	if address.IsValid() {
--- a/internal/node/rpcs.go
+++ b/internal/node/rpcs.go
@@ -6,6 +6,7 @@
 
 	"passtack/driver"
 	"passtack/internal/loop"
+	"passtack/internal/settings"
 	"passtack/internal/slots"
 	"passtack/rules"
 )
@@ -20,7 +21,7 @@
 	attempts     []uint32 // the pool's handles, by number of the attempt
 	inFlight     int      // attempts that have not ended
 	answered     bool
-	answerForced bool           // the module was told to answer it now
+	answerForced bool           // the module was asked to answer it before its deadline
 	lastOutcome  driver.Outcome // of the attempt that ended last
 	overdueTimer loop.Due
 }
@@ -52,6 +53,11 @@
 	tick        time.Duration // between two ticks of the module, in which it answers what is at its deadline
 }
 
+// applySettings takes what the site's settings say of RPCs. The module's tick changes with a restart only.
+func (t *rpcTable) applySettings(site *Site) {
+	t.maxAttempts = int(settings.New(site.Settings).Number("caps.attempts", 1))
+}
+
 // Len returns how many RPCs are being served.
 func (t *rpcTable) Len() int { return t.table.Count() }
 
@@ -71,17 +77,17 @@
 	n.Count("rpcs_taken")
 	deadline, accepts := n.shutdown.bound(deadline)
 	if !accepts {
-		return t.reject(by, from, "rpcs_refused_in_stop", "shutdown")
+		return t.reject(by, from, "rpcs_rejected_in_shutdown", "shutdown")
 	}
 	l := n.listeners.byFront[by]
 	n.recovery.GroupUsed(uint16(group))
 	if !l.admits() {
-		return t.reject(by, from, "rpcs_over_share", "over_share")
+		return t.reject(by, from, "rpcs_over_quota", "over_quota")
 	}
 	q := &rpc{listener: l, client: from, pool: n.members.poolOf(group), deadline: deadline, group: group}
 	handle := t.table.Put(q)
 	if handle == 0 {
-		return t.reject(by, from, "rpcs_no_room", "no_room")
+		return t.reject(by, from, "rpcs_table_full", "table_full")
 	}
 	id := driver.RPC(handle)
 	l.rpcsTaken++
@@ -99,7 +105,7 @@
 // reject answers an RPC that is not handed to the module.
 func (t *rpcTable) reject(by driver.Front, from driver.Client, counter, reason string) driver.RPC {
 	t.Count(counter)
-	slog.Debug("rpc_refused", "client", from, "reason", reason)
+	slog.Debug("RPC rejected", "client", from, "reason", reason)
 	by.PushBack(from, 0)
 	return 0
 }
@@ -113,7 +119,7 @@
 		return
 	}
 	t.Count("rpcs_overdue")
-	slog.Error("overdue", "rpc", id, "attempts", len(q.attempts))
+	slog.Error("RPC overdue", "rpc", id, "attempts", len(q.attempts))
 	t.abort(id)
 	t.node.module.ClientLeft(id)
 }
@@ -163,7 +169,7 @@
 	if q == nil || q.answered {
 		return
 	}
-	t.Count("clients_parted")
+	t.Count("clients_half_closed")
 	t.node.module.ClientHalfClosed(id)
 	q.withdraw()
 }
@@ -203,6 +209,6 @@
 		return
 	}
 	q.answerForced = true
-	t.Count("rpcs_cut_off")
+	t.Count("rpcs_answer_forced")
 	t.node.module.AnswerNow(id)
 }
--- a/internal/node/site.go
+++ b/internal/node/site.go
@@ -11,11 +11,11 @@
 	"strings"
 	"time"
 
-	"passtack/internal/operator"
+	"passtack/internal/config"
 	"passtack/internal/settings"
 )
 
-// Site is what the platform tells a driver about the place where it runs: the deploy file, and the environment over it.
+// Site is the platform's configuration of a driver: its file, overridden by variables of the environment.
 type Site struct {
 	Name                      string
 	Listen, Discovery         netip.AddrPort
@@ -51,7 +51,7 @@
 // requiredSettings are those without which no driver can serve.
 var requiredSettings = []string{"methods.count", "methods.0.name", "family_info.needs", "tick"}
 
-// ReadSite reads the platform's file. Variables of the environment go over it.
+// ReadSite reads the platform's file. Variables of the environment override it.
 func ReadSite(file string, environment func(string) string) (*Site, error) {
 	var text []byte
 	err := retryOnResourceShortage(func() (err error) {
@@ -152,26 +152,26 @@
 }
 
 // ReadConfig reads the operator's file. Without one it returns the default.
-func (s *Site) ReadConfig() (config *operator.File, err error) {
+func (s *Site) ReadConfig() (cfg *config.File, err error) {
 	if s.ConfigFile == "" {
-		return operator.None(), nil
+		return config.Default(), nil
 	}
 	err = retryOnResourceShortage(func() (err error) {
-		config, err = operator.Read(s.ConfigFile, s.Listen, methodsOf(s.Settings))
+		cfg, err = config.Read(s.ConfigFile, s.Listen, methodsOf(s.Settings))
 		return err
 	})
-	return config, err
+	return cfg, err
 }
 
 // ParseConfig reads the text of an operator's file. Errors name it by the name given.
-func (s *Site) ParseConfig(text []byte, name string) (*operator.File, error) {
-	return operator.Parse(text, name, s.Listen, methodsOf(s.Settings))
+func (s *Site) ParseConfig(text []byte, name string) (*config.File, error) {
+	return config.Parse(text, name, s.Listen, methodsOf(s.Settings))
 }
 
 // methodsOf returns the methods of the settings, which the operator's file is checked against. Retired ones have no name.
-func methodsOf(values map[string]string) []operator.Method {
+func methodsOf(values map[string]string) []config.Method {
 	t := settings.New(values)
-	var methods []operator.Method
+	var methods []config.Method
 	for i := range int(t.Number("methods.count", 0)) {
 		at := "methods." + strconv.Itoa(i) + "."
 		name := t.Text(at + "name")
@@ -179,10 +179,10 @@
 			name = ""
 		}
 		effect := t.Text(at + "effect")
-		methods = append(methods, operator.Method{
+		methods = append(methods, config.Method{
 			Name: name, Need: t.ListItem("family_info.needs", i), Idempotent: effect == "idempotent",
-			Tokened: effect == "tokened", Window: t.Duration(at + "window"), Soft: t.Duration(at + "soft_deadline"),
-			Limit: t.Duration(at + "limit"),
+			HasIdempotencyKey: effect == "tokened", Window: t.Duration(at + "window"), SoftDeadline: t.Duration(at + "soft_deadline"),
+			MaxDeadline: t.Duration(at + "limit"),
 		})
 	}
 	return methods
