--- /dev/null
+++ b/rules/cluster_test.go
@@ -0,0 +1,428 @@
+package rules
+
+import (
+	"fmt"
+	"math"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"passtack/driver"
+	"passtack/internal/pcg"
+)
+
+func newSettledCluster(t *testing.T, checks string, more ...string) *cluster {
+	c := newCluster(t, 1, checks, more...)
+	c.traffic(60, 5*ms, 2, 4)
+	if c.router.groups[0].primary == nil || c.router.groups[1].primary == nil {
+		t.Fatal("no primary found without a hint")
+	}
+	return c
+}
+
+func (c *cluster) sentTo(t *testing.T, method int, commit time.Duration) driver.Member {
+	t.Helper()
+	id := c.request(method, commit)
+	if c.rpcs[id].lastAttempt < 0 {
+		t.Fatalf("RPC of method %d was not sent at once", method)
+	}
+	return c.rpcs[id].member
+}
+
+const ms = time.Millisecond
+
+// simulatedMember is a member of the cluster as it is, whatever the router knows of it.
+type simulatedMember struct {
+	position, lag             time.Duration
+	reportedPosition          time.Duration // the position that the router was last told
+	wasPrimary, deniedPrimary bool          // it has been primary; its latest answer said that it is not
+	state                     driver.Standing
+	leavingSince, startedAt   time.Duration // when the router was told that it drains or is gone, -1: it was not; its start
+	attemptTimes              []time.Duration
+	attemptLoads              []float64
+	answerTimes               []time.Duration
+	maxServedLoad             float64 // most work that it answered in a window since its latest start
+	servedSinceStart          time.Duration
+	capacity, capacityLeft    float64 // RPCs a second that it serves when it is warm, 0: any number; RPCs that it can answer now
+}
+
+// simulatedRPC is an RPC as the host sees it.
+type simulatedRPC struct {
+	method, group             int
+	arrivedAt, deadline       time.Duration
+	commit                    time.Duration
+	openAttempts, lastAttempt int // in flight, one at most; number of the latest one
+	member                    driver.Member
+	sentAt, timeoutAt         time.Duration // of the latest attempt
+	mayHaveRun                bool
+	firstRunZone              driver.Zone
+	firstRunAt                time.Duration
+	answered, cancelled       bool
+}
+
+// cluster is a simulated host with eight members in two groups. It checks the rules of the protocol at each action of the router.
+type cluster struct {
+	t                     testing.TB
+	now                   time.Duration
+	random                *pcg.Source
+	router                *Router
+	members               map[driver.Member]*simulatedMember
+	ids                   []driver.Member
+	primaries             [2]driver.Member
+	rpcs                  map[driver.RPC]*simulatedRPC
+	openRPCs              []driver.RPC
+	lastRPC               driver.RPC
+	wakeAt                time.Duration
+	skipsTicks            bool // the host skips ticks as WakeDelay permits
+	ticks                 int
+	probes                []driver.Member
+	sessionCommits        map[driver.Session]time.Duration
+	forgotten             []driver.Member
+	membersCheckFreshness bool
+	mixed                 bool // groups have members in both zones
+	onlyDrainingBinds     bool // a member that was listed as draining stays so until its next start
+	watches               int
+	pushedBack            map[driver.RPC]time.Duration
+	aborted               map[driver.RPC]bool
+	attempts              int
+	unreachable           []driver.Member
+	minDeadlineMillis     int     // shortest time for which a client waits
+	maxWarmLoad           float64 // most work that a warm member was sent in eight windows
+}
+
+const drainGrace, loadWindow, slowStartDuration = 250 * ms, time.Second, 10 * time.Second
+
+var testMethods = []struct{ need, effect, repeats string }{
+	{"bounded", "idempotent", "all"}, {"session", "idempotent", "all"}, {"any", "idempotent", "all"},
+	{"fresh", "idempotent", "all"}, {"write", "tokened", "group"}, {"write", "non-idempotent", "all"},
+	{"write", "tokened", "all"}, {"write", "tokened", "zone"},
+}
+
+func newCluster(t testing.TB, seed uint64, checks string, more ...string) *cluster {
+	c := &cluster{t: t, minDeadlineMillis: 1000, now: time.Second, random: pcg.New(seed ^ 0x9e3779b97f4a7c15), membersCheckFreshness: checks != "none",
+		members: map[driver.Member]*simulatedMember{}, rpcs: map[driver.RPC]*simulatedRPC{},
+		pushedBack: map[driver.RPC]time.Duration{}, aborted: map[driver.RPC]bool{}}
+	settings := testSettings(checks, more...)
+	c.mixed = settings["mixed"] == "true"
+	c.onlyDrainingBinds = settings["rules.only_draining_binds"] == "true"
+	c.router = New(c, seed, settings)
+	for i := range 8 {
+		c.addMember(driver.Member(100+i), driver.LongAgo)
+	}
+	c.primaries = [2]driver.Member{100, 101}
+	c.members[100].wasPrimary, c.members[101].wasPrimary = true, true
+	c.announce(driver.Cached)
+	return c
+}
+
+// testSettings returns the settings of a cluster, of which more replaces some.
+func testSettings(checks string, more ...string) map[string]string {
+	settings := map[string]string{
+		"family_info.checks": checks, "family_info.token": "carried", "caps.cancel": "true", "caps.probe": "true",
+		"caps.attempts": "8", "caps.longest_wait": "1000000", "rules.cold_window": "1000000", "drivers": "1",
+		"rules.cold_lasts": "10000000", "rules.cold_share": "0.25", "rules.cold_multiple": "3", "tick": "5000",
+		"report.columns": "x0,x1", "rules.drain_grace": "250000", "list": "pushed",
+	}
+	var needs, bounds []string
+	for i, m := range testMethods {
+		at := fmt.Sprintf("methods.%d.", i)
+		needs, bounds = append(needs, m.need), append(bounds, "500000")
+		settings[at+"effect"], settings[at+"repeats"], settings[at+"utility"] = m.effect, m.repeats, "2"
+		settings[at+"soft_deadline"], settings[at+"window"] = "600000", "1200000"
+		settings[at+"late_utility"] = fmt.Sprint(0.3 * float64(i%2))
+	}
+	settings["methods.count"] = fmt.Sprint(len(testMethods))
+	settings["family_info.needs"], settings["family_info.bounds"] = strings.Join(needs, ","), strings.Join(bounds, ",")
+	for _, line := range more {
+		name, value, _ := strings.Cut(line, "=")
+		settings[name] = value
+	}
+	return settings
+}
+
+func (c *cluster) addMember(m driver.Member, started time.Duration) {
+	c.members[m] = &simulatedMember{state: driver.Ready, startedAt: started, lag: 10 * ms, leavingSince: -1}
+	c.ids = append(c.ids, m)
+}
+
+func (c *cluster) announce(how driver.Listing, only ...driver.Member) {
+	if how != driver.Changes {
+		only = c.ids
+	}
+	c.router.ListBegins(how)
+	for _, m := range only {
+		n := c.members[m]
+		if n.state != driver.Ready && n.leavingSince < 0 && (!c.onlyDrainingBinds || n.state == driver.Draining) {
+			n.leavingSince = c.now
+		} else if n.state == driver.Ready && !c.onlyDrainingBinds {
+			n.leavingSince = -1
+		}
+		c.router.EndpointListed(m, c.zoneOf(m), driver.Group(m%2), n.state, 1, n.startedAt, false)
+	}
+	c.resumeTicks()
+	c.router.ListEnds(how)
+}
+
+// zoneOf puts each group into a zone of its own, or into both zones if they are mixed.
+func (c *cluster) zoneOf(m driver.Member) driver.Zone {
+	if c.mixed {
+		m /= 2
+	}
+	return driver.Zone(m % 2)
+}
+
+func (c *cluster) Now() time.Duration { return c.now }
+
+func (c *cluster) CloseIdle(driver.Member) {}
+
+func (c *cluster) Watch(bool) { c.watches++ }
+
+func (c *cluster) FetchList() {}
+
+func (c *cluster) Tell(driver.Peer, []byte) {}
+
+func (c *cluster) WakeAfter(d time.Duration) { c.wakeAt = c.now + d }
+
+func (c *cluster) Log(string) {}
+
+func (c *cluster) Fault(why string) { c.t.Fatal("fault: ", why) }
+
+func (c *cluster) Probe(m driver.Member) { c.probes = append(c.probes, m) }
+
+func (c *cluster) PushBack(id driver.RPC, d time.Duration) {
+	c.pushedBack[id] = d
+	c.recordAnswer(id, true)
+}
+
+func (c *cluster) Abort(id driver.RPC) { c.aborted[id] = true; c.recordAnswer(id, false) }
+
+func (c *cluster) recordAnswer(id driver.RPC, harmless bool) {
+	q := c.rpcs[id]
+	if q == nil || q.answered {
+		c.t.Fatalf("rule 1: second answer to %d", id)
+	}
+	q.answered = true
+	m := testMethods[q.method]
+	if harmless && (q.mayHaveRun || q.openAttempts > 0) && (m.effect == "non-idempotent" || m.effect == "tokened" && m.repeats != "all") {
+		c.t.Fatalf("rule 2: %d pushed back after it may have run", id)
+	}
+}
+
+func (c *cluster) Cancel(id driver.RPC, n int) {
+	q := c.rpcs[id]
+	if n > q.lastAttempt {
+		c.t.Fatalf("cancel of an attempt never sent")
+	}
+	q.cancelled = true
+}
+
+func (c *cluster) Attempt(id driver.RPC, to driver.Member, by, timeout time.Duration) {
+	c.attempts++
+	q, n := c.rpcs[id], c.members[to]
+	if q == nil || n == nil || int(to%2) != q.group {
+		c.t.Fatalf("attempt of %d to %d of another group", id, to)
+	}
+	if q.answered || c.now > q.deadline {
+		c.t.Fatalf("rule 1: attempt of %d after its end", id)
+	}
+	m := testMethods[q.method]
+	if q.openAttempts > 0 {
+		c.t.Fatalf("two attempts of %d at once", id)
+	}
+	if q.mayHaveRun && (m.effect == "non-idempotent" || m.effect == "tokened" && c.now >= q.firstRunAt+1200*ms) {
+		c.t.Fatalf("rule 2: %d sent again after it may have run", id)
+	}
+	if q.mayHaveRun && m.repeats == "zone" && c.zoneOf(to) != q.firstRunZone {
+		c.t.Fatalf("rule 2: %d sent to another zone after it may have run", id)
+	}
+	if q.mayHaveRun && m.effect == "tokened" && by >= q.firstRunAt+1200*ms {
+		c.t.Fatalf("rule 2: %d may reach its member %v after it may have run", id, by-q.firstRunAt)
+	}
+	if by <= c.now || by > q.deadline {
+		c.t.Fatalf("%d is to be sent by %v, at %v", id, by, c.now)
+	}
+	if n.leavingSince >= 0 && c.now > n.leavingSince+drainGrace {
+		c.t.Fatalf("rule 3: attempt to %d, which was listed as leaving %v ago", to, c.now-n.leavingSince)
+	}
+	if !c.membersCheckFreshness && (!n.wasPrimary || n.deniedPrimary) {
+		floor := map[string]time.Duration{"bounded": c.now - 500*ms, "session": q.commit, "fresh": q.arrivedAt}[m.need]
+		if n.reportedPosition < floor {
+			c.t.Fatalf("rule 5: %s read sent to a member at position %v, needs %v", m.need, n.reportedPosition, floor)
+		}
+	}
+	n.attemptTimes, n.attemptLoads = append(n.attemptTimes, c.now), append(n.attemptLoads, c.router.methods[q.method].typical.value.Seconds())
+	c.checkSlowStart(to)
+	q.openAttempts, q.lastAttempt, q.member, q.sentAt, q.timeoutAt = 1, q.lastAttempt+1, to, c.now, q.deadline
+	if timeout > 0 {
+		q.timeoutAt = min(q.deadline, c.now+timeout)
+	}
+	c.openRPCs = append(c.openRPCs, id)
+}
+
+// checkSlowStart checks rule 4 by what warm members carried, which is no more than their capacity.
+func (c *cluster) checkSlowStart(to driver.Member) {
+	n := c.members[to]
+	age := c.now - n.startedAt
+	sum := func(since time.Duration) (work float64) {
+		for i, at := range n.attemptTimes {
+			if at > since {
+				work += n.attemptLoads[i]
+			}
+		}
+		return work
+	}
+	if n.startedAt == driver.LongAgo || age >= slowStartDuration {
+		c.maxWarmLoad = max(c.maxWarmLoad, sum(c.now-8*loadWindow))
+		return
+	}
+	heaviest := slices.MaxFunc(c.router.methods, func(a, b *method) int { return int(a.typical.value - b.typical.value) }).typical.value.Seconds()
+	share := 0.25 + 0.75*float64(max(0, age-loadWindow))/float64(slowStartDuration)
+	if got := sum(c.now - loadWindow); got > 3*max(share*c.maxWarmLoad, n.maxServedLoad)+2*heaviest {
+		c.t.Fatalf("rule 4: %.2f s of work in a window to a member %v old, warm ones had %.2f in eight, it served %.2f", got, age, c.maxWarmLoad, n.maxServedLoad)
+	}
+}
+
+func (c *cluster) request(method int, commit time.Duration) driver.RPC {
+	c.lastRPC++
+	q := &simulatedRPC{method: method, group: c.random.Below(2), arrivedAt: c.now, lastAttempt: -1, commit: driver.LongAgo}
+	q.deadline = c.now + time.Duration(c.minDeadlineMillis+c.random.Below(2000-c.minDeadlineMillis))*ms
+	c.rpcs[c.lastRPC] = q
+	sinceWrite := time.Duration(0)
+	if commit > 0 {
+		q.commit, sinceWrite = commit, c.now-commit
+	}
+	c.resumeTicks()
+	c.router.Take(Request{
+		ID: c.lastRPC, Method: driver.Method(method), Group: driver.Group(q.group), Session: 7,
+		ArrivedAt: c.now, Deadline: q.deadline, SinceWrite: sinceWrite,
+	})
+	return c.lastRPC
+}
+
+func (c *cluster) endAttempt(id driver.RPC, how driver.Outcome) {
+	q := c.rpcs[id]
+	n := c.members[q.member]
+	role, pos := driver.Unknown, time.Duration(0)
+	isPrimary := c.primaries[q.group] == q.member
+	if m := testMethods[q.method]; how == driver.OK && m.need == "write" && !isPrimary {
+		how = driver.Miss
+	}
+	if how == driver.OK || how == driver.Miss || how == driver.Full || how == driver.Failed {
+		role, pos = driver.Replica, n.position
+		n.deniedPrimary = !isPrimary
+		if isPrimary {
+			role, pos = driver.Primary, c.now
+		}
+		n.reportedPosition = max(n.reportedPosition, pos.Truncate(ms))
+	}
+	for i, o := range c.openRPCs {
+		if o == id {
+			c.openRPCs = append(c.openRPCs[:i], c.openRPCs[i+1:]...)
+			break
+		}
+	}
+	q.openAttempts = 0
+	if !surelyNotRun(how) && !q.mayHaveRun {
+		q.mayHaveRun, q.firstRunAt, q.firstRunZone = true, q.sentAt, c.zoneOf(q.member)
+	}
+	if n.servedSinceStart != n.startedAt {
+		n.maxServedLoad, n.servedSinceStart = 0, n.startedAt
+	}
+	if how == driver.OK {
+		n.answerTimes = append(slices.DeleteFunc(n.answerTimes, func(at time.Duration) bool { return at <= c.now-loadWindow || at < n.startedAt }), c.now)
+		n.maxServedLoad = max(n.maxServedLoad, float64(len(n.answerTimes))*c.router.methods[q.method].typical.value.Seconds())
+	}
+	complete := q.answered || how == driver.OK
+	q.answered = complete
+	c.router.AttemptEnded(id, q.lastAttempt, q.member, how, c.now-q.sentAt, complete, pos.Truncate(ms), role, nil)
+}
+
+func (c *cluster) Forget(m driver.Member) { c.forgotten = append(c.forgotten, m) }
+
+func (c *cluster) Remembered(who driver.Session, commit time.Duration) {
+	if c.sessionCommits == nil {
+		c.sessionCommits = make(map[driver.Session]time.Duration)
+	}
+	c.sessionCommits[who] = commit
+}
+
+func (c *cluster) advance(by time.Duration) {
+	for target := c.now + by; c.now < target; {
+		c.now += 5 * ms
+		for _, m := range c.ids {
+			if n := c.members[m]; c.primaries[m%2] == m {
+				n.position = c.now
+			} else {
+				n.position = max(n.position, c.now-n.lag)
+			}
+		}
+		for _, id := range slices.Clone(c.openRPCs) {
+			if q := c.rpcs[id]; q.cancelled {
+				q.cancelled = false
+				c.endAttempt(id, driver.Cancelled)
+			} else if c.now >= q.timeoutAt {
+				c.endAttempt(id, driver.TimedOut)
+			}
+		}
+		if c.now >= c.wakeAt {
+			c.ticks++
+			if c.router.Wake(); c.skipsTicks {
+				c.wakeAt = c.now + c.router.WakeDelay()
+			}
+		}
+		for id, q := range c.rpcs {
+			if !q.answered && c.now > q.deadline+20*ms {
+				c.t.Fatalf("rule 1: %d (method %d) never answered", id, q.method)
+			}
+		}
+	}
+}
+
+// resumeTicks ends the skipping of ticks with the next one.
+func (c *cluster) resumeTicks() { c.wakeAt = min(c.wakeAt, c.now+5*ms) }
+
+func (c *cluster) trafficWithOutcomes(times int, wait time.Duration, outcomeOf func(q *simulatedRPC) driver.Outcome, methods ...int) {
+	for range times {
+		for _, method := range methods {
+			c.request(method, 0)
+		}
+		c.advance(wait)
+		for _, id := range slices.Clone(c.openRPCs) {
+			if how := outcomeOf(c.rpcs[id]); how != noAnswer {
+				c.endAttempt(id, how)
+			}
+		}
+	}
+}
+
+const noAnswer = driver.Outcome(255) // no answer until the timeout
+
+func (c *cluster) traffic(times int, wait time.Duration, methods ...int) {
+	c.trafficWithOutcomes(times, wait, func(*simulatedRPC) driver.Outcome { return driver.OK }, methods...)
+}
+
+// randomTraffic sends RPCs of several methods at random times, rate a second. Each is answered after 100 ms.
+func (c *cluster) randomTraffic(rate float64, lasts time.Duration) {
+	next := func() time.Duration {
+		return time.Duration(-math.Log(1-c.random.Float()) / rate * float64(time.Second))
+	}
+	end, due := c.now+lasts, c.now+next()
+	for c.now < end {
+		for ; due <= c.now; due += next() {
+			c.request([]int{0, 0, 0, 2, 4, 4}[c.random.Below(6)], 0)
+		}
+		c.advance(5 * ms)
+		for _, n := range c.members {
+			n.capacityLeft = min(n.capacityLeft+n.capacity*(0.25+0.75*min(1, (c.now-n.startedAt).Seconds()/slowStartDuration.Seconds()))*0.005, max(1, n.capacity/10))
+		}
+		for _, id := range slices.Clone(c.openRPCs) {
+			if q := c.rpcs[id]; slices.Contains(c.unreachable, q.member) {
+				c.endAttempt(id, driver.NoConnection)
+			} else if n := c.members[q.member]; c.now-q.sentAt >= 100*ms && (n.capacity == 0 || n.capacityLeft >= 1) {
+				n.capacityLeft--
+				c.endAttempt(id, driver.OK)
+			}
+		}
+	}
+}
--- /dev/null
+++ b/rules/endpoints_test.go
@@ -0,0 +1,62 @@
+package rules
+
+import (
+	"testing"
+	"time"
+
+	"passtack/driver"
+)
+
+// An empty list is followed by a stale one with a member that has drained since. The cluster checks rule 3.
+func TestStaleEndpointListDoesNotStopServiceWhenOnlyDrainingBinds(t *testing.T) {
+	c := newSettledCluster(t, "none", "rules.only_draining_binds=true")
+	c.members[104].state = driver.Draining
+	c.announce(driver.Changes, 104)
+	c.router.ListBegins(driver.Whole)
+	c.router.ListEnds(driver.Whole)
+	c.members[104].state = driver.Ready
+	c.announce(driver.Changes, 104)
+	c.advance(drainGrace)
+	before := c.attempts
+	c.traffic(50, 5*ms, 2, 4)
+	if sent := c.attempts - before; sent < 95 {
+		t.Fatalf("%d of 100 RPCs sent while the list had no members", sent)
+	}
+}
+
+// Where members are replaced all day, the router's state does not grow, and the host is told to forget them.
+func TestReplacedMembersAreRemoved(t *testing.T) {
+	c := newSettledCluster(t, "none")
+	kept := len(c.router.memberList)
+	for i := range 50 {
+		old, fresh := c.ids[i], driver.Member(1000+i)
+		n := *c.members[old]
+		n.startedAt, n.state = c.now, driver.Ready
+		c.members[fresh], c.members[old].state = &n, driver.Gone
+		c.ids = append(c.ids, fresh)
+		c.announce(driver.Changes, old, fresh)
+		c.router.groupOf(driver.Group(1000 + i)) // as an RPC for this group does
+		c.advance(15 * time.Second)
+	}
+	c.announce(driver.Changes)
+	if len(c.router.memberList) != kept || len(c.router.members) != kept || len(c.forgotten) != 50 || len(c.router.groups) != 2 {
+		t.Errorf("%d members instead of %d, %d forgotten, %d groups", len(c.router.memberList), kept, len(c.forgotten), len(c.router.groups))
+	}
+}
+
+func TestFailedWatchIsRetriedOnceAfterBackoff(t *testing.T) {
+	c := newCluster(t, 1, "wait", "list=asked")
+	for range 50 {
+		c.watches = 0
+		c.router.ListEnds(driver.NoList)
+		if c.advance(MaxListRetryWait / 2); c.watches != 0 {
+			t.Fatal("the watch was retried in less than half of the longest wait")
+		}
+		if c.advance(MaxListRetryWait/2 + 5*ms); c.watches != 1 {
+			t.Fatalf("%d watches after the longest wait", c.watches)
+		}
+		if c.advance(2 * time.Second); c.watches != 1 {
+			t.Fatalf("%d watches after one failure", c.watches)
+		}
+	}
+}
--- a/rules/recording_test.go
+++ b/rules/recording_test.go
@@ -18,7 +18,7 @@
 
 var update = flag.Bool("update", false, "rewrite golden files")
 
-// recorder is a host that writes down every action of the router, each with its time.
+// recordingHost is a host that records every action of the router with its time.
 type recordingHost struct {
 	actionLog
 }
@@ -52,7 +52,7 @@
 func (r *recordingHost) CloseIdle(m driver.Member)    { r.record("close idle %d", m) }
 func (r *recordingHost) FetchList()                   { r.record("fetch list") }
 
-// recordedRuns are drawn runs of calls, each with its seed and the settings that differ from the usual ones.
+// recordedRuns are random sequences of calls, each with its seed and the settings that differ from testSettings.
 var recordedRuns = map[string]struct {
 	seed   uint64
 	checks string
@@ -68,83 +68,83 @@
 	"rests":          {8, "wait", nil},
 }
 
-// playRecorded draws a run of requests, lists, faults, halts, reloads and corrections of the clock, and gives every action.
+// playRun plays a random sequence of requests, endpoint lists, faults, pauses, reloads and clock corrections, and returns every action.
 func playRun(t *testing.T, seed uint64, checks string, more []string, rests bool) string {
-	w := newCluster(t, seed, checks, more...)
-	w.minDeadlineMillis, w.skipsTicks = 20, rests
-	r := &recordingHost{actionLog{cluster: w}}
-	w.router.host = r
-	chance := pcg.New(seed + 1000)
+	c := newCluster(t, seed, checks, more...)
+	c.minDeadlineMillis, c.skipsTicks = 20, rests
+	r := &recordingHost{actionLog{cluster: c}}
+	c.router.host = r
+	random := pcg.New(seed + 1000)
 	bad := []driver.Outcome{driver.Miss, driver.Full, driver.Failed, driver.NoConnection, driver.Broken, driver.TimedOut, driver.Moot}
-	anyOpen := func() driver.RPC { return w.openRPCs[chance.Below(len(w.openRPCs))] }
-	anyMember := func() driver.Member { return w.ids[chance.Below(len(w.ids))] }
+	anyOpen := func() driver.RPC { return c.openRPCs[random.Below(len(c.openRPCs))] }
+	anyMember := func() driver.Member { return c.ids[random.Below(len(c.ids))] }
 	for range 2500 {
-		switch draw := chance.Below(1000); {
+		switch draw := random.Below(1000); {
 		case draw < 400:
-			token := time.Duration(0)
-			if chance.Below(3) > 0 {
-				token = w.now - time.Duration(1+chance.Below(12000))*ms
+			commit := time.Duration(0)
+			if random.Below(3) > 0 {
+				commit = c.now - time.Duration(1+random.Below(12000))*ms
 			}
-			w.request(chance.Below(len(testMethods)), max(0, token))
-		case draw < 720 && len(w.openRPCs) > 0:
-			w.endAttempt(anyOpen(), driver.OK)
-		case draw < 780 && len(w.openRPCs) > 0:
-			w.endAttempt(anyOpen(), bad[chance.Below(len(bad))])
+			c.request(random.Below(len(testMethods)), max(0, commit))
+		case draw < 720 && len(c.openRPCs) > 0:
+			c.endAttempt(anyOpen(), driver.OK)
+		case draw < 780 && len(c.openRPCs) > 0:
+			c.endAttempt(anyOpen(), bad[random.Below(len(bad))])
 		case draw < 790:
 			m := anyMember()
-			w.members[m].state = driver.Standing(chance.Below(3))
-			w.announce(driver.Changes, m)
+			c.members[m].state = driver.Standing(random.Below(3))
+			c.announce(driver.Changes, m)
 		case draw < 800:
 			m := anyMember()
-			n := w.members[m]
-			n.startedAt, n.state, n.attemptTimes, n.attemptLoads, n.leavingSince = w.now, driver.Ready, nil, nil, -1
-			w.announce(driver.Changes, m)
+			n := c.members[m]
+			n.startedAt, n.state, n.attemptTimes, n.attemptLoads, n.leavingSince = c.now, driver.Ready, nil, nil, -1
+			c.announce(driver.Changes, m)
 		case draw < 803:
-			w.announce([]driver.Listing{driver.Whole, driver.Cached, driver.NoList}[chance.Below(3)])
+			c.announce([]driver.Listing{driver.Whole, driver.Cached, driver.NoList}[random.Below(3)])
 		case draw < 812:
 			m := anyMember()
-			w.primaries[m%2], w.members[m].wasPrimary = m, true
+			c.primaries[m%2], c.members[m].wasPrimary = m, true
 		case draw < 820:
-			w.members[anyMember()].lag = time.Duration(chance.Below(3000)) * ms
-		case draw < 850 && len(w.probes) > 0:
-			m, n := w.probes[0], w.members[w.probes[0]]
-			w.probes = w.probes[1:]
-			if chance.Below(4) > 0 && w.primaries[m%2] != m {
+			c.members[anyMember()].lag = time.Duration(random.Below(3000)) * ms
+		case draw < 850 && len(c.probes) > 0:
+			m, n := c.probes[0], c.members[c.probes[0]]
+			c.probes = c.probes[1:]
+			if random.Below(4) > 0 && c.primaries[m%2] != m {
 				n.reportedPosition = max(n.reportedPosition, n.position)
-				w.router.HealthCheckEnded(m, true, ms, []float64{n.position.Seconds(), 0})
+				c.router.HealthCheckEnded(m, true, ms, []float64{n.position.Seconds(), 0})
 			} else {
-				w.router.HealthCheckEnded(m, false, ms, nil)
+				c.router.HealthCheckEnded(m, false, ms, nil)
 			}
-		case draw < 860 && len(w.openRPCs) > 0:
+		case draw < 860 && len(c.openRPCs) > 0:
 			id := anyOpen()
-			w.rpcs[id].answered = true
-			w.router.ClientLeft(id)
-		case draw < 864 && len(w.openRPCs) > 0:
-			w.router.ClientHalfClosed(anyOpen())
-		case draw < 867 && len(w.openRPCs) > 0:
-			if id := anyOpen(); !w.rpcs[id].answered {
-				w.router.AnswerNow(id)
+			c.rpcs[id].answered = true
+			c.router.ClientLeft(id)
+		case draw < 864 && len(c.openRPCs) > 0:
+			c.router.ClientHalfClosed(anyOpen())
+		case draw < 867 && len(c.openRPCs) > 0:
+			if id := anyOpen(); !c.rpcs[id].answered {
+				c.router.AnswerNow(id)
 			}
 		case draw < 869:
-			w.now += time.Duration(100+chance.Below(900)) * ms // the driver is suspended
+			c.now += time.Duration(100+random.Below(900)) * ms // the driver is suspended
 		case draw < 871:
-			w.router.ApplySettings(testSettings(checks, append(more, fmt.Sprintf("methods.%d.utility=%d", chance.Below(len(testMethods)), 1+chance.Below(9)), "caps.attempts=4")...))
+			c.router.ApplySettings(testSettings(checks, append(more, fmt.Sprintf("methods.%d.utility=%d", random.Below(len(testMethods)), 1+random.Below(9)), "caps.attempts=4")...))
 		case draw < 873:
-			w.router.SetClockUncertainty(time.Duration(chance.Below(500)) * ms)
-		case draw < 874 && w.membersCheckFreshness && !w.onlyDrainingBinds: // starts that the world lists are not corrected with it
-			w.router.CorrectClock(time.Duration(chance.Below(200)-100) * ms)
-		case draw < 878 && w.membersCheckFreshness: // what is restored here was never told
-			w.router.RestoreMember(anyMember(), driver.Known{Position: w.now - 5*time.Second, Replica: w.now - 6*time.Second, Timed: w.now - time.Second, Ratio: 1 + chance.Float()}, w.now-ms)
-		case draw < 880 && w.membersCheckFreshness: // it goes over the token that a request carries
-			w.router.RestoreSessionCommit(7, w.now-time.Duration(chance.Below(3000))*ms)
+			c.router.SetClockUncertainty(time.Duration(random.Below(500)) * ms)
+		case draw < 874 && c.membersCheckFreshness && !c.onlyDrainingBinds: // the starts that the cluster lists are not corrected with it
+			c.router.CorrectClock(time.Duration(random.Below(200)-100) * ms)
+		case draw < 878 && c.membersCheckFreshness: // what is restored here was never told
+			c.router.RestoreMember(anyMember(), driver.Known{Position: c.now - 5*time.Second, Replica: c.now - 6*time.Second, Timed: c.now - time.Second, Ratio: 1 + random.Float()}, c.now-ms)
+		case draw < 880 && c.membersCheckFreshness: // it takes precedence over the commit that a request carries
+			c.router.RestoreSessionCommit(7, c.now-time.Duration(random.Below(3000))*ms)
 		case draw < 882:
-			w.router.LearnedMembers(0, 100, func(m driver.Member, k driver.Known) { r.record("learned %d %+v", m, k) })
-			r.record("usual %v", w.router.TypicalLatencies())
+			c.router.LearnedMembers(0, 100, func(m driver.Member, k driver.Known) { r.record("learned %d %+v", m, k) })
+			r.record("usual %v", c.router.TypicalLatencies())
 		default:
-			w.advance(time.Duration(5+chance.Below(40)) * ms)
+			c.advance(time.Duration(5+random.Below(40)) * ms)
 		}
 	}
-	w.advance(3 * time.Second)
+	c.advance(3 * time.Second)
 	return r.lines.String()
 }
 
