--- a/internal/discovery/delay_test.go
+++ b/internal/discovery/delay_test.go
@@ -27,7 +27,7 @@
 func (r *watcher) ListBegins(driver.Listing) {}
 func (r *watcher) ListEnds(how driver.Listing) {
 	if how == driver.NoList {
-		r.loop.At(r.loop.Now()+rules.ListPause, func() { r.client.SetWatching(true) })
+		r.loop.At(r.loop.Now()+rules.MaxListRetryWait, func() { r.client.SetWatching(true) })
 	}
 }
 func (r *watcher) Count(string) {}
--- /dev/null
+++ b/rules/events.go
@@ -0,0 +1,122 @@
+package rules
+
+import (
+	"time"
+
+	"passtack/driver"
+	"passtack/internal/settings"
+)
+
+// Request is a client's RPC as a host takes it. Times are as by Host.Now.
+type Request struct {
+	ID          driver.RPC
+	Method      driver.Method
+	Group       driver.Group
+	Tenant      driver.Tenant
+	Session     driver.Session
+	ArrivedAt   time.Duration // of its last byte
+	Deadline    time.Duration // when the client stops waiting
+	SinceWrite  time.Duration // since the write of the session that a read must include; 0: none
+	ClientRetry bool          // the client says that it has tried before
+}
+
+// Take starts a client's RPC, which gets exactly one final answer.
+func (r *Router) Take(request Request) {
+	now := r.host.Now()
+	if int(request.Method) >= len(r.methods) {
+		r.host.PushBack(request.ID, 0)
+		return
+	}
+	q := &rpc{Request: request, method: r.methods[request.Method], group: r.groupOf(request.Group), takenAt: now, sendBy: request.Deadline, commit: unknownTime}
+	r.rpcs[q.ID], q.inFlightLink.Value = q, q
+	r.runSkippedScans(now)
+	r.detectPause(now)
+	r.healthCheckBudget = min(r.healthCheckBudget+healthChecksPerRPC, maxHealthCheckBudget)
+	q.requestedAt = r.requestedSince(request, now)
+	work := q.method.typical.value.Seconds()
+	r.load.requested.Add(work, now, r.loadWindow())
+	if q.requestedAt != request.ArrivedAt {
+		work = 0
+	}
+	r.load.firstTries.Add(work, now, r.loadWindow())
+	if commit, ok := r.sessionCommits[q.Session]; ok {
+		q.commit = commit
+	} else if q.SinceWrite > 0 {
+		q.commit = now - q.SinceWrite + time.Millisecond
+	}
+	r.route(q)
+}
+
+// AttemptEnded reports how an attempt ended, and what the member said of itself.
+func (r *Router) AttemptEnded(id driver.RPC, n int, from driver.Member, outcome driver.Outcome, took time.Duration,
+	complete bool, position time.Duration, role driver.Role, report []float64) {
+	now := r.host.Now()
+	q := r.rpcs[id]
+	if q == nil || n >= len(q.attempts) || !q.attempts[n].open {
+		return
+	}
+	r.detectPause(now)
+	a := &q.attempts[n]
+	m := a.member
+	a.open = false
+	q.openAttempts--
+	overtaken := !q.inFlightLink.In(&m.inFlight) && !m.health.lostReply
+	q.inFlightLink.Leave()
+	if a.exploratory {
+		q.group.exploratoryAttempts--
+	}
+	r.recordOutcome(q, a, outcome, overtaken, took, now)
+	if role != driver.Unknown {
+		m.replication.position, m.replication.reportedAt = max(m.replication.position, position), now
+		r.recordRole(m, role, now)
+	}
+	r.applyReport(m, report)
+	if outcome == driver.OK && q.method.Freshness == settings.FreshnessWrite && r.settings.Text("family_info.token") == "remembered" {
+		r.rememberCommit(q.Session, max(position, a.sentAt))
+	}
+	q.answered = q.answered || complete
+	if surelyNotRun(outcome) {
+		a.rejectedAt = now
+	} else if !q.mayHaveRun {
+		q.mayHaveRun, q.firstRunAt, q.firstRunZone = true, a.sentAt, m.zone
+	}
+	r.removeIfDone(q)
+	if !q.answered {
+		r.retry(q, outcome)
+	}
+}
+
+// HealthCheckEnded reports the result of a health check.
+func (r *Router) HealthCheckEnded(id driver.Member, ok bool, took time.Duration, report []float64) {
+	if m := r.members[id]; m != nil && ok {
+		m.replication.reportedAt = r.host.Now()
+		r.applyReport(m, report)
+	}
+}
+
+// PeerMessage takes a message of another driver. No decision depends on one.
+func (r *Router) PeerMessage(from driver.Peer, text []byte) {}
+
+// ClientLeft ends an RPC whose client waits no longer.
+func (r *Router) ClientLeft(id driver.RPC) {
+	if q := r.rpcs[id]; q != nil {
+		r.cancelAttempts(q)
+		r.removeIfDone(q)
+	}
+}
+
+// AnswerNow gives an RPC its final answer: the driver ends before the client's deadline.
+func (r *Router) AnswerNow(id driver.RPC) {
+	if q := r.rpcs[id]; q != nil && !q.answered {
+		r.giveUp(q, 0, ShuttingDown)
+	}
+}
+
+// ClientHalfClosed makes the attempt in flight the last one of an RPC.
+func (r *Router) ClientHalfClosed(id driver.RPC) {
+	if q := r.rpcs[id]; q != nil {
+		if q.sendBy = r.host.Now(); q.queued {
+			r.giveUp(q, 0, ClientHalfClosed)
+		}
+	}
+}
