--- a/rules/admission.go
+++ b/rules/admission.go
@@ -21,24 +21,24 @@
 // requestedSince returns since when the client has wanted the answer. A client waits as long as usual for a try, or until its limit for all
 // tries: a try with another timeout is a retry. What waited during a pause of this driver is older.
 func (r *Router) requestedSince(q Request, now time.Duration) time.Duration {
-	m, patience, resumed := r.methods[q.Method], q.Deadline-q.ArrivedAt, now == r.ticks.resumedAt
-	usual := (patience - m.clientTimeout).Abs() < 2*r.ticks.interval
+	meth, patience, resumed := r.methods[q.Method], q.Deadline-q.ArrivedAt, now == r.ticks.resumedAt
+	usual := (patience - meth.clientTimeout).Abs() < 2*r.ticks.interval
 	if !usual && !resumed {
-		if m.timeoutVotes--; m.timeoutVotes < 0 {
-			m.clientTimeout, m.timeoutVotes, usual = patience, 1, true
+		if meth.timeoutVotes--; meth.timeoutVotes < 0 {
+			meth.clientTimeout, meth.timeoutVotes, usual = patience, 1, true
 		}
 	} else if usual {
-		m.timeoutVotes = min(m.timeoutVotes+1, maxTimeoutVotes)
+		meth.timeoutVotes = min(meth.timeoutVotes+1, maxTimeoutVotes)
 	}
 	switch {
 	case usual && q.ClientRetry:
-		return q.ArrivedAt - m.SoftDeadline/4 // the longest wait that giveUp tells a client
+		return q.ArrivedAt - meth.SoftDeadline/4 // the longest wait that giveUp tells a client
 	case usual:
 		return q.ArrivedAt
 	case resumed:
-		return min(q.ArrivedAt, q.Deadline-m.clientTimeout)
+		return min(q.ArrivedAt, q.Deadline-meth.clientTimeout)
 	}
-	return min(q.ArrivedAt, q.Deadline-m.TotalLimit)
+	return min(q.ArrivedAt, q.Deadline-meth.TotalLimit)
 }
 
 // requiredTime returns the time that must be left for an RPC to be sent: more for less utility per work, so that it is shed first. The most
@@ -73,10 +73,10 @@
 
 // giveUp gives an RPC its final answer without a member's: an abort, or a rejection with the time to retry after if that can do no harm.
 func (r *Router) giveUp(q *rpc, wait time.Duration, why Reason) {
-	m := q.method
+	meth := q.method
 	r.lastReason = why
 	r.cancelAttempts(q)
-	if m.Effect == settings.Idempotent || !q.mayHaveRun && q.openAttempts == 0 || m.Effect == settings.Keyed && m.Duplicates == settings.DuplicatesAnywhere {
+	if meth.Effect == settings.Idempotent || !q.mayHaveRun && q.openAttempts == 0 || meth.Effect == settings.Keyed && meth.Duplicates == settings.DuplicatesAnywhere {
 		r.host.PushBack(q.ID, min(max(wait, 0), r.settings.Duration("caps.longest_wait")))
 	} else {
 		r.host.Abort(q.ID)
--- a/rules/events.go
+++ b/rules/events.go
@@ -13,11 +13,11 @@
 	Method      driver.Method
 	Group       driver.Group
 	Tenant      driver.Tenant
+	ClientRetry bool // the client says that it has tried before
 	Session     driver.Session
 	ArrivedAt   time.Duration // of its last byte
 	Deadline    time.Duration // when the client stops waiting
 	SinceWrite  time.Duration // since the write of the session that a read must include; 0: none
-	ClientRetry bool          // the client says that it has tried before
 }
 
 // Take starts a client's RPC, which gets exactly one final answer.
--- a/rules/latency.go
+++ b/rules/latency.go
@@ -77,11 +77,11 @@
 
 // TypicalLatencies returns the methods' typical latencies, after restoring those of a previous process if one is given for each.
 func (r *Router) TypicalLatencies(restored ...time.Duration) (all []time.Duration) {
-	for i, m := range r.methods {
+	for i, meth := range r.methods {
 		if len(restored) == len(r.methods) {
-			m.typical.value = max(restored[i], minTypicalLatency)
+			meth.typical.value = max(restored[i], minTypicalLatency)
 		}
-		all = append(all, m.typical.value)
+		all = append(all, meth.typical.value)
 	}
 	return all
 }
--- a/rules/retries.go
+++ b/rules/retries.go
@@ -20,10 +20,10 @@
 	commit               time.Duration // position of the session's latest write
 	attempts             []attempt
 	openAttempts         int           // without an outcome yet
-	mayHaveRun           bool          // at a member
-	firstRunAt           time.Duration // when the first attempt was sent that may have run
-	firstRunZone         driver.Zone
+	firstRunAt           time.Duration // when the first attempt was sent that may have run at a member
 	queueUntil           time.Duration // 0: it was not queued yet
+	firstRunZone         driver.Zone
+	mayHaveRun           bool // at a member
 	queued, answered     bool
 	inFlightLink         chain.Link[*rpc] // in member.inFlight
 }
--- a/rules/router.go
+++ b/rules/router.go
@@ -77,11 +77,11 @@
 	r.settings, r.methods, r.quotas, r.quotaLeft = s, nil, s.TenantQuotas(), s.TenantQuotas()
 	r.membersCheckFreshness, r.onlyDrainingBinds = s.Text("family_info.checks") != "none", s.Bool("rules.only_draining_binds")
 	for i, configured := range s.Methods() {
-		m := &method{typical: typicalLatency{value: configured.SoftDeadline / 4}}
+		meth := &method{typical: typicalLatency{value: configured.SoftDeadline / 4}}
 		if i < len(before) {
-			*m = *before[i]
+			*meth = *before[i]
 		}
-		m.Method = configured
-		r.methods = append(r.methods, m)
+		meth.Method = configured
+		r.methods = append(r.methods, meth)
 	}
 }
--- a/rules/selection.go
+++ b/rules/selection.go
@@ -17,7 +17,7 @@
 
 // route sends the RPC to a member, queues it briefly, or gives it up.
 func (r *Router) route(q *rpc) {
-	now, m, primary := r.host.Now(), q.method, q.group.primary
+	now, meth, primary := r.host.Now(), q.method, q.group.primary
 	if now >= q.sendBy-r.ticks.interval {
 		r.giveUp(q, 0, NoTimeLeft)
 		return
@@ -30,24 +30,24 @@
 		r.enqueue(q)
 		return
 	}
-	exploratory := m.Freshness == settings.FreshnessWrite && target != primary
-	left, utility := min(q.requestedAt+m.SoftDeadline, q.Deadline)-now, m.Utility
-	if left <= 0 && m.LateUtility > 0 {
-		left, utility = q.Deadline-now, m.LateUtility*m.Utility
+	exploratory := meth.Freshness == settings.FreshnessWrite && target != primary
+	left, utility := min(q.requestedAt+meth.SoftDeadline, q.Deadline)-now, meth.Utility
+	if left <= 0 && meth.LateUtility > 0 {
+		left, utility = q.Deadline-now, meth.LateUtility*meth.Utility
 	}
 	if int(q.Tenant) < len(r.quotaLeft) && r.quotaLeft[q.Tenant] < 1 {
 		utility *= r.settings.Number("over_share", 1)
 	}
-	if required := r.requiredTime(target, m, utility); required > left && !exploratory {
+	if required := r.requiredTime(target, meth, utility); required > left && !exploratory {
 		target = r.chooseAlternative(q, target, primary, now)
-		if target == nil || r.requiredTime(target, m, utility) > left {
-			r.giveUp(q, min(required-left, m.SoftDeadline/4), TooSlow)
+		if target == nil || r.requiredTime(target, meth, utility) > left {
+			r.giveUp(q, min(required-left, meth.SoftDeadline/4), TooSlow)
 			return
 		}
 	}
 	timeout := time.Duration(0)
-	if m.LateUtility == 0 && m.Effect == settings.Idempotent {
-		timeout = min(q.takenAt+m.SoftDeadline, q.Deadline) - now
+	if meth.LateUtility == 0 && meth.Effect == settings.Idempotent {
+		timeout = min(q.takenAt+meth.SoftDeadline, q.Deadline) - now
 	}
 	r.send(q, target, timeout, exploratory)
 }
