--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -31,7 +31,7 @@
 
 // A change is reported within 6 s after discovery has it, whatever requests fail meanwhile. In the worst case it comes just
 // after the last response, and the watch that was opened then gets none: it is given up after watchHold + responseSlack, the
-// next request follows rules.ListPause later at most, and is answered within responseSlack: 2.5 + 1 + 0.5 + 1 = 5 s. If that
+// next request follows rules.MaxListRetryWait later at most, and is answered within responseSlack: 2.5 + 1 + 0.5 + 1 = 5 s. If that
 // request fails too, and responses come at once, the one after it is answered after 5.5 s at most.
 const (
 	watchHold     = 2500 * time.Millisecond // for which discovery may hold a watch without a change
