--- a/internal/front/odata/preferences.go
+++ b/internal/front/odata/preferences.go
@@ -52,7 +52,7 @@
 }
 
 // maxWait bounds how long a client may ask to wait.
-const maxWait = time.Minute // that a client may ask to wait
+const maxWait = time.Minute
 
 // deadline returns when the client stops waiting: by the preference wait (seconds), by Deadline-Ms, else after otherwise.
 func (f *Front) deadline(q *httpRequest, otherwise time.Duration) time.Duration {
--- a/internal/front/odata/request.go
+++ b/internal/front/odata/request.go
@@ -18,35 +18,46 @@
 
 // request is one RPC in service, or one that waits for the response to another.
 type request struct {
-	front            *Front
-	http             *httpRequest
-	exchange         *exchange // nil once its client has disconnected
-	batchIndex       int       // in the batch of the exchange
-	handle           slots.Handle
-	rpc              driver.RPC
-	id               string
-	resource         odata.Resource
-	act              odata.Act
-	operation        *odata.Operation
-	group            driver.Group
-	form             driver.Form
-	memberRequest    driver.Ask
-	key              odata.Value
-	values           map[string]odata.Value
-	format           string
-	minimalMetadata  bool
-	ifMatch          string
-	ifNoneMatch      string
-	requiredVersion  string // by If-Match, for the statement
+	front         *Front
+	http          *httpRequest
+	exchange      *exchange // nil once its client has disconnected
+	batchIndex    int       // in the batch of the exchange
+	handle        slots.Handle
+	rpc           driver.RPC
+	id            string
+	memberRequest driver.Ask
+	ended         bool
+	operationRequest
+	repeatability
+}
+
+// operationRequest is what a request asks for, by its target, header fields and body.
+type operationRequest struct {
+	resource  odata.Resource
+	act       odata.Act
+	operation *odata.Operation
+	group     driver.Group
+	form      driver.Form // of the group's members
+	key       odata.Value
+	values    map[string]odata.Value // by property
+
+	ifMatch         string
+	ifNoneMatch     string
+	requiredVersion string // by If-Match, for the statement
+
+	format           string // the media type of the response
+	minimalMetadata  bool   // rather than none
 	returnPreference string // of a write: minimal, representation or none
+}
 
+// repeatability is what the client says of repeats of a request, and their state.
+type repeatability struct {
 	idempotencyKey  string // "": not repeatable
 	repeatabilityID string
 	firstSent       time.Duration
 	entry           *idempotency.Entry // of this request, if it is repeatable
 	joinedEntry     *idempotency.Entry // of the request whose response it waits for
 	joinTimeout     loop.Due
-	ended           bool
 }
 
 // send hands the request to the driver, unless it can be answered here. A read must see what was committed up to minPosition.
@@ -69,16 +80,7 @@
 		token = req.id
 	}
 	f.activeIDs[req.id] = true
-	session := front.SessionOf([]byte(req.key.Text))
-	if name := req.http.fields.Text("session-id"); name != "" {
-		session = front.SessionOf([]byte(name))
-	} else if req.key.Text == "" {
-		session = 0
-	}
-	position := member.PlausiblePosition([]byte(req.http.fields.Text("session-position")), f.handler.MembersNow(), 0)
-	if position = max(position, minPosition); req.act.Writes() {
-		position = 0
-	}
+	position := req.requiredPosition(minPosition)
 	if slog.Default().Enabled(context.Background(), slog.LevelDebug) {
 		slog.Debug("request received", "id", req.id, "client", req.handle, "method", f.methods[method], "left_ms", (deadline - now).Milliseconds())
 	}
@@ -87,7 +89,27 @@
 	if position > 0 {
 		sinceCommit = max(1, f.handler.MembersNow()-position)
 	}
-	req.rpc = f.handler.Take(f, driver.Client(req.handle), method, req.group, session, req.http.receivedAt, deadline, sinceCommit, false)
+	req.rpc = f.handler.Take(f, driver.Client(req.handle), method, req.group, req.session(), req.http.receivedAt, deadline, sinceCommit, false)
+}
+
+// session returns the client's session: the one that it names, else that of the entity's key, 0 without either.
+func (req *request) session() driver.Session {
+	if name := req.http.fields.Text("session-id"); name != "" {
+		return front.SessionOf([]byte(name))
+	}
+	if req.key.Text == "" {
+		return 0
+	}
+	return front.SessionOf([]byte(req.key.Text))
+}
+
+// requiredPosition returns the position that a read must see: the client's or minPosition. It is 0 for a write.
+func (req *request) requiredPosition(minPosition time.Duration) time.Duration {
+	if req.act.Writes() {
+		return 0
+	}
+	text := req.http.fields.Text("session-position")
+	return max(member.PlausiblePosition([]byte(text), req.front.handler.MembersNow(), 0), minPosition)
 }
 
 // newID returns an id that no RPC in service has.
--- a/internal/front/odata/validate.go
+++ b/internal/front/odata/validate.go
@@ -19,7 +19,7 @@
 	fields       httpwire.Fields
 	body         []byte
 	receivedAt   time.Duration // its last byte; in a batch, when it was sent
-	inBatch      bool          // of a batch
+	inBatch      bool
 }
 
 // newError returns an error for the client.
@@ -30,7 +30,8 @@
 // validate parses and checks a request. It returns one that may be sent, or the response where nothing has to be sent. The
 // resource of a request may also be a batch.
 func (f *Front) validate(q *httpRequest) (*request, *response) {
-	req := &request{front: f, http: q, minimalMetadata: true, returnPreference: preference(q.fields, "return")}
+	req := &request{front: f, http: q}
+	req.minimalMetadata, req.returnPreference = true, preference(q.fields, "return")
 	if err := q.checkVersions(); err != nil {
 		return nil, errorResponse(err)
 	}
