--- a/rules/endpoints.go
+++ b/rules/endpoints.go
@@ -10,7 +10,7 @@
 	"passtack/internal/decay"
 )
 
-// MaxListRetryWait is the longest wait until discovery is asked again after a failed call; internal/list relies on it.
+// MaxListRetryWait is the longest wait until discovery is asked again after a failed call; internal/discovery relies on it.
 const MaxListRetryWait = 500 * time.Millisecond
 
 // endpoint is what the endpoint list says of a member.
