--- a/cmd/passtack/control.go
+++ b/cmd/passtack/control.go
@@ -38,7 +38,7 @@
 		return err
 	}
 	defer l.Close()
-	storage, persisted, err := server.OpenFileStorage(config.DataDir, config.Name, l.Ring)
+	storage, persisted, err := server.OpenFileStorage(config.DataDir, config.Name, l.Wake)
 	if err != nil {
 		return err
 	}
@@ -51,7 +51,7 @@
 	go func() {
 		<-signals
 		shutdown <- struct{}{}
-		l.Ring()
+		l.Wake()
 	}()
 	s.LogStarted()
 	return l.Run(func() {
--- a/cmd/passtack/main.go
+++ b/cmd/passtack/main.go
@@ -33,7 +33,7 @@
 }
 
 func main() {
-	slog.SetDefault(slog.New(new(logs.Lines).Handler(os.Stderr)))
+	slog.SetDefault(slog.New(new(logs.LineWriter).Handler(os.Stderr)))
 	var command struct {
 		Serve    serveCommand    `cmd:"" help:"Serve clients until SIGTERM."`
 		Check    checkCommand    `cmd:"" help:"Read what a driver would be told, and name what is wrong with it."`
--- a/internal/chain/chain.go
+++ b/internal/chain/chain.go
@@ -1,23 +1,23 @@
-// Package chain is an intrusive doubly linked list. A link is embedded in the element that it holds, so adding and removing
+// Package chain is an intrusive doubly linked list. A list element is embedded in the element that it holds, so adding and removing
 // elements allocates nothing and takes constant time. It is not safe for concurrent use.
 package chain
 
-// Link is an element of a chain. Its zero value is in no chain.
-type Link[T any] struct {
-	Value      T // set by the owner of the link
-	prev, next *Link[T]
-	owner      *Chain[T]
+// Element is an element of a list. Its zero value is in no list.
+type Element[T any] struct {
+	Value      T // set by the owner of the element
+	prev, next *Element[T]
+	owner      *List[T]
 }
 
-// Chain is a doubly linked list. Its zero value is empty.
-type Chain[T any] struct {
-	first, last *Link[T]
+// List is a doubly linked list. Its zero value is empty.
+type List[T any] struct {
+	first, last *Element[T]
 	count       int
 }
 
-// Push appends a link, which it first removes from the chain that it is in.
-func (c *Chain[T]) Push(link *Link[T]) {
-	link.Leave()
+// PushBack appends an element, which it first removes from the list that it is in.
+func (c *List[T]) PushBack(link *Element[T]) {
+	link.Remove()
 	if link.prev, link.owner = c.last, c; c.last == nil {
 		c.first = link
 	} else {
@@ -27,8 +27,8 @@
 	c.count++
 }
 
-// Leave removes the link from its chain, if it is in one.
-func (l *Link[T]) Leave() {
+// Remove removes the element from its list, if it is in one.
+func (l *Element[T]) Remove() {
 	c := l.owner
 	if c == nil {
 		return
@@ -47,14 +47,14 @@
 	c.count--
 }
 
-// In reports whether the link is in chain c.
-func (l *Link[T]) In(c *Chain[T]) bool { return l.owner == c }
+// InList reports whether the element is in list c.
+func (l *Element[T]) InList(c *List[T]) bool { return l.owner == c }
 
-// First returns the first link, nil if the chain is empty.
-func (c *Chain[T]) First() *Link[T] { return c.first }
+// Front returns the first element, nil if the list is empty.
+func (c *List[T]) Front() *Element[T] { return c.first }
 
-// Next returns the link after this one, nil at the end of the chain.
-func (l *Link[T]) Next() *Link[T] { return l.next }
+// Next returns the element after this one, nil at the end of the list.
+func (l *Element[T]) Next() *Element[T] { return l.next }
 
-// Count returns the number of links in the chain.
-func (c *Chain[T]) Count() int { return c.count }
+// Len returns the number of elements in the list.
+func (c *List[T]) Len() int { return c.count }
--- a/internal/chain/chain_test.go
+++ b/internal/chain/chain_test.go
@@ -11,8 +11,8 @@
 // A chain is compared with a slice after every step.
 func TestListAgainstSlice(t *testing.T) {
 	seeded.Check(t, func(t *rapid.T) {
-		chains, want := [2]Chain[int]{}, [2][]int{}
-		links := make([]Link[int], 8)
+		chains, want := [2]List[int]{}, [2][]int{}
+		links := make([]Element[int], 8)
 		for i := range links {
 			links[i].Value = i
 		}
@@ -22,18 +22,18 @@
 				want[c] = slices.DeleteFunc(want[c], func(v int) bool { return v == l })
 			}
 			if act < 2 {
-				chains[act].Push(&links[l])
+				chains[act].PushBack(&links[l])
 				want[act] = append(want[act], l)
 			} else {
-				links[l].Leave()
+				links[l].Remove()
 			}
 			for c := range chains {
 				var got []int
-				for at := chains[c].First(); at != nil; at = at.Next() {
+				for at := chains[c].Front(); at != nil; at = at.Next() {
 					got = append(got, at.Value)
 				}
-				if !slices.Equal(got, want[c]) || chains[c].Count() != len(got) ||
-					links[l].In(&chains[c]) != slices.Contains(got, l) {
+				if !slices.Equal(got, want[c]) || chains[c].Len() != len(got) ||
+					links[l].InList(&chains[c]) != slices.Contains(got, l) {
 					t.Fatalf("chain %d holds %v, want %v", c, got, want[c])
 				}
 			}
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -27,12 +27,12 @@
 	loop     *loop.Loop
 	handlers Handlers
 	stream   *loop.Stream
-	timer    loop.Due // closes the connection
+	timer    loop.Timer // closes the connection
 }
 
 // Listen answers questions at the address until the listener is closed.
 func Listen(l *loop.Loop, address netip.AddrPort, handlers Handlers) (*loop.Listener, error) {
-	limiter := loop.Door{Descriptors: func(int) int { return maxConnections }}
+	limiter := loop.AcceptLimiter{Descriptors: func(int) int { return maxConnections }}
 	return l.Listen(address, maxQuestionBytes, limiter, func(open func(loop.Handler) *loop.Stream) {
 		c := &connection{loop: l, handlers: handlers}
 		c.stream = open(c)
@@ -51,7 +51,7 @@
 // Closed implements loop.Handler.
 func (c *connection) Closed(error) { c.stopTimer() }
 
-func (c *connection) stopTimer() { c.loop.Forget(c.timer) }
+func (c *connection) stopTimer() { c.loop.Cancel(c.timer) }
 
 func (c *connection) close() {
 	c.stopTimer()
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -35,7 +35,7 @@
 		close(over)
 	}()
 	t.Cleanup(func() {
-		l.Ring()
+		l.Wake()
 		<-over
 	})
 	return at
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -60,7 +60,7 @@
 	revision    int64        // of the latest list
 	requests    uint64       // sent so far
 	outstanding uint64       // number of the request without a response, 0: none
-	timeout     loop.Due     // of that request
+	timeout     loop.Timer   // of that request
 	fetching    bool         // that request, or the latest, is for the complete list
 	fetchNext   bool         // the next request is for the complete list
 	pollNext    bool         // the next request does not wait for a change, as the latest failed or the watch is paused
@@ -126,7 +126,7 @@
 		return
 	}
 	if err := c.connect(); err != nil {
-		c.loop.Later(func() { c.fail(err) })
+		c.loop.Defer(func() { c.fail(err) })
 		return
 	}
 	c.fetching, c.fetchNext = c.fetchNext, false
@@ -161,7 +161,7 @@
 		c.disconnect()
 	}
 	if c.stream == nil {
-		c.stream, err = c.loop.DialKept(c.address, c, maxListBytes)
+		c.stream, err = c.loop.DialReserved(c.address, c, maxListBytes)
 	}
 	return err
 }
@@ -203,7 +203,7 @@
 		c.fail(err)
 		return
 	}
-	c.loop.Forget(c.timeout)
+	c.loop.Cancel(c.timeout)
 	c.outstanding, c.respondedAt, c.pollNext = 0, c.loop.Now(), false
 	if last {
 		c.disconnect()
--- a/internal/discovery/delay_test.go
+++ b/internal/discovery/delay_test.go
@@ -174,13 +174,13 @@
 	r.loop, g.loop = newLoop(t, w, "driver"), newLoop(t, w, "agent")
 	g.listen(t, agentAddress)
 	r.client = discovery.New(r.loop, r, agentAddress)
-	r.loop.Later(func() { r.client.SetWatching(true) })
+	r.loop.Defer(func() { r.client.SetWatching(true) })
 	return w, r, g
 }
 
 func newLoop(t *testing.T, w *sim.World, name string) *loop.Loop {
-	h := w.Host(name)
-	l, err := loop.On(h, 1000, 16<<20)
+	h := w.AddHost(name)
+	l, err := loop.NewWithSystem(h, 1000, 16<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -189,7 +189,7 @@
 }
 
 func (g *agent) listen(t *testing.T, at netip.AddrPort) *loop.Listener {
-	n, err := g.loop.Listen(at, 1<<20, loop.Door{}, func(open func(loop.Handler) *loop.Stream) {
+	n, err := g.loop.Listen(at, 1<<20, loop.AcceptLimiter{}, func(open func(loop.Handler) *loop.Stream) {
 		a := &agentConnection{agent: g}
 		a.stream = open(a)
 	}, func(bool) {})
@@ -253,18 +253,18 @@
 			caller, back := w.Hosts()[0], time.Hour+time.Second+down
 			w.At(time.Hour+time.Second, func() {
 				if cut {
-					gone := sim.Plain
+					gone := sim.LocalLink
 					gone.Cut = true
-					w.Bend(caller, agentAddress, gone, gone)
+					w.SetRoute(caller, agentAddress, gone, gone)
 				} else {
-					gone := sim.Plain
-					gone.Refuse = true
-					w.Bend(caller, agentAddress, gone, gone)
-					w.Break(caller, agentAddress)
+					gone := sim.LocalLink
+					gone.RefuseConnects = true
+					w.SetRoute(caller, agentAddress, gone, gone)
+					w.ResetRoute(caller, agentAddress)
 				}
 			})
 			w.At(time.Hour+time.Second+down/2, g.change)
-			w.At(back, func() { w.Straighten(caller, agentAddress) })
+			w.At(back, func() { w.ClearRoute(caller, agentAddress) })
 			w.Run(back + 20*time.Second)
 			check(t, fmt.Sprintf("down for %v, cut %t", down, cut), r, g, back)
 		}
--- a/internal/due/due.go
+++ b/internal/due/due.go
@@ -61,16 +61,16 @@
 	}
 }
 
-// First returns the earliest due time; ok is false if the queue is empty.
-func (q *Queue[T]) First() (at time.Duration, ok bool) {
+// NextDue returns the earliest due time; ok is false if the queue is empty.
+func (q *Queue[T]) NextDue() (at time.Duration, ok bool) {
 	if len(q.heap) == 0 {
 		return 0, false
 	}
 	return q.heap[0].dueAt, true
 }
 
-// Pop removes and returns the earliest value if it is due at or before now.
-func (q *Queue[T]) Pop(now time.Duration) (value T, ok bool) {
+// PopDue removes and returns the earliest value if it is due at or before now.
+func (q *Queue[T]) PopDue(now time.Duration) (value T, ok bool) {
 	if len(q.heap) == 0 || q.heap[0].dueAt > now {
 		return value, false
 	}
@@ -94,5 +94,5 @@
 	}
 }
 
-// Count returns the number of values in the queue.
-func (q *Queue[T]) Count() int { return len(q.heap) }
+// Len returns the number of values in the queue.
+func (q *Queue[T]) Len() int { return len(q.heap) }
--- a/internal/due/due_test.go
+++ b/internal/due/due_test.go
@@ -34,15 +34,15 @@
 				}
 			default:
 				now := time.Duration(random.Below(100))
-				value, ok := queue.Pop(now)
+				value, ok := queue.PopDue(now)
 				if due := len(model) > 0 && model[0].dueAt <= now; ok != due || due && value != model[0].value {
 					t.Fatalf("seed %d: popped %d, %t", seed, value, ok)
 				} else if due {
 					model = model[1:]
 				}
 			}
-			if index, ok := queue.First(); queue.Count() != len(model) || ok && index != model[0].dueAt {
-				t.Fatalf("seed %d: %d values, the first at %d", seed, queue.Count(), index)
+			if index, ok := queue.NextDue(); queue.Len() != len(model) || ok && index != model[0].dueAt {
+				t.Fatalf("seed %d: %d values, the first at %d", seed, queue.Len(), index)
 			}
 		}
 	}
--- a/internal/emu/emu_test.go
+++ b/internal/emu/emu_test.go
@@ -23,9 +23,9 @@
 func (c *clock) At(at time.Duration, act func()) { c.dues.Push(at, act) }
 func (c *clock) run(d time.Duration) {
 	end := c.now + d
-	for at, ok := c.dues.First(); ok && at <= end; at, ok = c.dues.First() {
+	for at, ok := c.dues.NextDue(); ok && at <= end; at, ok = c.dues.NextDue() {
 		c.now = max(c.now, at)
-		act, _ := c.dues.Pop(c.now)
+		act, _ := c.dues.PopDue(c.now)
 		act()
 	}
 	c.now = end
--- a/internal/emu/member.go
+++ b/internal/emu/member.go
@@ -49,7 +49,7 @@
 	Done    func(Result)  // called once, unless the member dies; never at once
 
 	came  time.Duration
-	place chain.Link[*Job]
+	place chain.Element[*Job]
 	began bool
 	gone  bool
 }
@@ -81,7 +81,7 @@
 	tipped  bool
 	paused  time.Duration // until when it stands still
 	busy    int
-	waiting chain.Chain[*Job]
+	waiting chain.List[*Job]
 	applied time.Duration // position, while it is a replica
 	thread  time.Duration // when the thread that applies is free
 	sent    float64       // seconds of work of the last Tips, fading
@@ -140,7 +140,7 @@
 		return false
 	}
 	switch {
-	case m.busy >= m.Build.Cores && m.waiting.Count() >= m.Build.Queue, m.drains && m.role == driver.Unknown:
+	case m.busy >= m.Build.Cores && m.waiting.Len() >= m.Build.Queue, m.drains && m.role == driver.Unknown:
 		m.say(j, driver.Full, false)
 	case j.Write && m.role != driver.Primary:
 		m.say(j, driver.Miss, false)
@@ -198,7 +198,7 @@
 		m.begin(j)
 		return
 	}
-	m.waiting.Push(&j.place)
+	m.waiting.PushBack(&j.place)
 }
 
 func (m *Member) begin(j *Job) {
@@ -220,8 +220,8 @@
 		}
 		m.busy--
 		m.end(j)
-		if next := m.waiting.First(); next != nil {
-			next.Leave()
+		if next := m.waiting.Front(); next != nil {
+			next.Remove()
 			m.begin(next.Value)
 		}
 	})
@@ -260,7 +260,7 @@
 func (m *Member) Drop(j *Job) {
 	j.gone = true
 	if !j.began {
-		j.place.Leave()
+		j.place.Remove()
 	}
 }
 
@@ -278,7 +278,7 @@
 
 // Die ends the process; whatever it held is gone.
 func (m *Member) Die() {
-	m.up, m.busy, m.waiting = false, 0, chain.Chain[*Job]{}
+	m.up, m.busy, m.waiting = false, 0, chain.List[*Job]{}
 	m.life++
 	m.yield(m.timer.Now())
 	m.Group.lost(m)
--- a/internal/emu/play/clients.go
+++ b/internal/emu/play/clients.go
@@ -65,7 +65,7 @@
 	stream  *loop.Stream
 	wish    *wish
 	id      string
-	due     loop.Due
+	due     loop.Timer
 	until   time.Duration
 	heard   string
 	back    time.Duration
@@ -97,7 +97,7 @@
 	for _, m := range s.Methods {
 		c.total += m.Share
 	}
-	l.Later(c.arrive)
+	l.Defer(c.arrive)
 	return c
 }
 
@@ -187,7 +187,7 @@
 	clients *Clients
 	driver  int
 	stream  *loop.Stream
-	due     loop.Due
+	due     loop.Timer
 }
 
 // Opened implements loop.Handler.
@@ -199,7 +199,7 @@
 // Closed implements loop.Handler.
 func (k *knock) Closed(error) {
 	c := k.clients
-	c.loop.Forget(k.due)
+	c.loop.Cancel(k.due)
 	c.loop.At(c.loop.Now()+knocking, func() { c.knock(k.driver) })
 }
 
@@ -208,7 +208,7 @@
 	kind, _, size, err := pgwire.Next(in)
 	if err != nil || kind == 'I' && size > 0 {
 		k.stream.Close()
-		if k.clients.loop.Forget(k.due); err != nil {
+		if k.clients.loop.Cancel(k.due); err != nil {
 			k.Closed(err)
 		} else {
 			k.clients.mark(k.driver, true)
@@ -300,7 +300,7 @@
 	if n == nil {
 		return false
 	}
-	c.loop.Forget(l.due)
+	c.loop.Cancel(l.due)
 	l.wish.mayRun = true
 	n.wish, n.id, n.text, n.again = l.wish, l.id, l.text, true
 	l.wish = nil
@@ -315,7 +315,7 @@
 		return
 	}
 	l.wish = nil
-	c.loop.Forget(l.due)
+	c.loop.Cancel(l.due)
 	now := c.loop.Now()
 	c.record.Heard(l.id, answer, now)
 	l.tried(w)
--- a/internal/emu/play/clients_test.go
+++ b/internal/emu/play/clients_test.go
@@ -105,7 +105,7 @@
 			t.Fatal(err)
 		}
 		world := sim.New(1, epoch)
-		home, crowd := world.Host("d0"), world.Host("clients")
+		home, crowd := world.AddHost("d0"), world.AddHost("clients")
 		at := netip.MustParseAddrPort("10.0.0.1:6543")
 		l, err := s.on(home)
 		if err != nil {
@@ -117,7 +117,7 @@
 		}
 		record := emu.NewRecord(emu.Allowed{})
 		d := &dying{t: t, loop: l, record: record, window: s.Methods[0].Window, rests: rests, ran: make(map[string]time.Duration)}
-		if _, err := l.Listen(at, 1<<16, loop.Door{Descriptors: func(most int) int { return most }}, func(open func(loop.Handler) *loop.Stream) {
+		if _, err := l.Listen(at, 1<<16, loop.AcceptLimiter{Descriptors: func(most int) int { return most }}, func(open func(loop.Handler) *loop.Stream) {
 			g := &guest{dying: d}
 			g.stream = open(g)
 		}, func(bool) {}); err != nil {
--- a/internal/emu/play/cluster.go
+++ b/internal/emu/play/cluster.go
@@ -56,7 +56,7 @@
 	group    int
 	at       netip.AddrPort
 	listener *loop.Listener
-	conns    chain.Chain[*conn]
+	conns    chain.List[*conn]
 	state    string
 	bootedAt time.Duration
 	listed   int             // rev of its latest change
@@ -91,7 +91,7 @@
 	}
 	for i, at := range agents {
 		a := &agent{cluster: c, number: i, driver: Driver(i)}
-		if _, err := l.Listen(at, 1<<16, loop.Door{}, func(open func(loop.Handler) *loop.Stream) {
+		if _, err := l.Listen(at, 1<<16, loop.AcceptLimiter{}, func(open func(loop.Handler) *loop.Stream) {
 			w := &watcher{agent: a}
 			w.stream = open(w)
 		}, func(bool) {}); err != nil {
@@ -103,24 +103,24 @@
 }
 
 func (m *served) listen() (err error) {
-	m.listener, err = m.cluster.loop.Listen(m.at, pgwire.Most+1, loop.Door{}, func(open func(loop.Handler) *loop.Stream) {
+	m.listener, err = m.cluster.loop.Listen(m.at, pgwire.Most+1, loop.AcceptLimiter{}, func(open func(loop.Handler) *loop.Stream) {
 		k := &conn{member: m}
 		if k.stream = open(k); k.stream == nil {
 			return
 		}
-		if most := m.model.Build.Connections; most > 0 && m.conns.Count() >= most {
+		if most := m.model.Build.Connections; most > 0 && m.conns.Len() >= most {
 			m.count(emu.TurnedAway, 1)
 			k.stream.Send(pgwire.AppendError(nil, true, "53300", "too many connections", -1))
 			k.stream.CloseWhenSent()
 			return
 		}
 		k.place.Value = k
-		m.conns.Push(&k.place)
+		m.conns.PushBack(&k.place)
 		m.count(emu.Connects, 1)
 		if change := m.changeTo(); change != nil && m.cluster.at() < change.At+early {
 			change.Connects++
 		}
-		m.cluster.ledger.Most(emu.OpenMost, m.model.Name, m.cluster.loop.Now(), float64(m.conns.Count()))
+		m.cluster.ledger.Most(emu.OpenMost, m.model.Name, m.cluster.loop.Now(), float64(m.conns.Len()))
 	}, func(bool) {})
 	return err
 }
@@ -158,8 +158,8 @@
 		m.listener.Close()
 		m.listener = nil
 	}
-	for at := m.conns.First(); at != nil; at = m.conns.First() {
-		at.Leave()
+	for at := m.conns.Front(); at != nil; at = m.conns.Front() {
+		at.Remove()
 		at.Value.stream.Close()
 	}
 	if m.model.Up() {
@@ -201,7 +201,7 @@
 	stream  *loop.Stream
 	welcome bool
 	job     *emu.Job
-	place   chain.Link[*conn]
+	place   chain.Element[*conn]
 }
 
 // Opened implements loop.Handler.
@@ -209,7 +209,7 @@
 
 // Closed implements loop.Handler.
 func (k *conn) Closed(error) {
-	k.place.Leave()
+	k.place.Remove()
 	if k.job != nil {
 		k.member.model.Drop(k.job)
 	}
@@ -222,7 +222,7 @@
 func (k *conn) Input(in []byte) int {
 	m := k.member
 	if m.model.Paused() { // it reads when it goes on
-		m.cluster.loop.At(m.cluster.loop.Now()+5*time.Millisecond, k.stream.Look)
+		m.cluster.loop.At(m.cluster.loop.Now()+5*time.Millisecond, k.stream.DeliverInput)
 		return 0
 	}
 	if !k.welcome {
@@ -267,7 +267,7 @@
 			return
 		}
 		k.stream.Send(pgwire.AppendWelcome(nil, 1, 1))
-		m.cluster.loop.Later(k.stream.Look)
+		m.cluster.loop.Defer(k.stream.DeliverInput)
 	}}
 	m.take(k.job)
 }
@@ -363,7 +363,7 @@
 	}
 	out = k.told(out, r.Role, r.Position, r.Load)
 	k.stream.Send(pgwire.AppendReady(out))
-	c.loop.Later(k.stream.Look)
+	c.loop.Defer(k.stream.DeliverInput)
 }
 
 // row is one row of one column.
@@ -390,7 +390,7 @@
 	agent  *agent
 	stream *loop.Stream
 	from   int
-	due    loop.Due
+	due    loop.Timer
 }
 
 // Opened implements loop.Handler.
@@ -403,7 +403,7 @@
 func (w *watcher) Closed(error) { w.leave() }
 
 func (w *watcher) leave() {
-	w.agent.cluster.loop.Forget(w.due)
+	w.agent.cluster.loop.Cancel(w.due)
 	for i, o := range w.agent.waiting {
 		if o == w {
 			w.agent.waiting = append(w.agent.waiting[:i], w.agent.waiting[i+1:]...)
@@ -453,7 +453,7 @@
 	waiting := a.waiting
 	a.waiting = nil
 	for _, w := range waiting {
-		a.cluster.loop.Forget(w.due)
+		a.cluster.loop.Cancel(w.due)
 		w.answer(w.from)
 	}
 }
--- a/internal/emu/play/emulate.go
+++ b/internal/emu/play/emulate.go
@@ -46,7 +46,7 @@
 	go func() {
 		<-signals
 		l.Stop()
-		l.Ring()
+		l.Wake()
 	}()
 	if err := l.Run(func() {}); err != nil {
 		return err
--- a/internal/emu/play/rehearse.go
+++ b/internal/emu/play/rehearse.go
@@ -71,9 +71,9 @@
 		st.agents = append(st.agents, netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 2, byte(i >> 8), byte(i)}), 8500))
 		st.talk = append(st.talk, netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 3, byte(i >> 8), byte(i)}), 7946))
 	}
-	st.world.Crowd(everyPeer, st.talk)
-	st.field = st.world.Host("members")
-	st.field.Cost = 0
+	st.world.SetMulticast(everyPeer, st.talk)
+	st.field = st.world.AddHost("members")
+	st.field.IterationTime = 0
 	field, err := s.on(st.field)
 	if err != nil {
 		return nil, err
@@ -90,13 +90,13 @@
 		}
 	}
 	for i := range s.Drivers {
-		st.hosts = append(st.hosts, st.world.Host(fmt.Sprint("d", i)))
+		st.hosts = append(st.hosts, st.world.AddHost(fmt.Sprint("d", i)))
 		if err := st.drive(i); err != nil {
 			return nil, err
 		}
 	}
-	st.crowd = st.world.Host("clients")
-	st.crowd.Cost = 0
+	st.crowd = st.world.AddHost("clients")
+	st.crowd.IterationTime = 0
 	people, err := s.on(st.crowd)
 	if err != nil {
 		return nil, err
@@ -127,7 +127,7 @@
 
 // on makes a loop for all members, or all clients: it may hold a connection for each driver and member, and some that are about to end.
 func (s *Script) on(h *sim.Host) (*loop.Loop, error) {
-	l, err := loop.On(h, 1<<15+2*s.Drivers*s.Groups*s.Members, 64<<20)
+	l, err := loop.NewWithSystem(h, 1<<15+2*s.Drivers*s.Groups*s.Members, 64<<20)
 	if err == nil {
 		h.Serve(l, func() {})
 	}
@@ -138,7 +138,7 @@
 func (st *stage) drive(i int) error {
 	h := st.hosts[i]
 	h.Start()
-	l, err := loop.On(h, 1024, 48<<20)
+	l, err := loop.NewWithSystem(h, 1024, 48<<20)
 	if err != nil {
 		return err
 	}
@@ -251,12 +251,12 @@
 		}
 		there, back := st.script.Between(at, r.From, r.To), st.script.Between(at, r.To, r.From)
 		if there == (Condition{}) && back == there {
-			st.world.Straighten(caller, place)
+			st.world.ClearRoute(caller, place)
 		} else {
-			st.world.Bend(caller, place, link(there), link(back))
+			st.world.SetRoute(caller, place, link(there), link(back))
 		}
 		if st.script.Resets(at, r) {
-			st.world.Break(caller, place)
+			st.world.ResetRoute(caller, place)
 		}
 	}
 }
@@ -268,9 +268,9 @@
 
 // link adds a condition to what is usual.
 func link(c Condition) sim.Link {
-	l := sim.Plain
-	l.Cut, l.Refuse, l.Delay, l.Jitter, l.Loss = c.Cut, c.Refuse, l.Delay+c.Delay, l.Jitter+c.Jitter, c.Loss
-	l.Double, l.Reorder, l.Late, l.Rate = c.Double, c.Reorder, c.Late, c.Rate
+	l := sim.LocalLink
+	l.Cut, l.RefuseConnects, l.Delay, l.Jitter, l.Loss = c.Cut, c.Refuse, l.Delay+c.Delay, l.Jitter+c.Jitter, c.Loss
+	l.Duplicate, l.Reorder, l.ReorderDelay, l.BytesPerSecond = c.Double, c.Reorder, c.Late, c.Rate
 	return l
 }
 
@@ -311,7 +311,7 @@
 	case "voters":
 		st.fault = errors.New("voters change where drivers are processes only")
 	default:
-		st.field.Do(func() { st.cluster.Trouble(t, until) })
+		st.field.Post(func() { st.cluster.Trouble(t, until) })
 	}
 }
 
--- a/internal/emu/play/witness.go
+++ b/internal/emu/play/witness.go
@@ -35,7 +35,7 @@
 // NewWitness listens at the address.
 func NewWitness(l *loop.Loop, at netip.AddrPort) (*Witness, error) {
 	w := &Witness{loop: l}
-	_, err := l.Listen(at, 64<<10, loop.Door{}, func(open func(loop.Handler) *loop.Stream) {
+	_, err := l.Listen(at, 64<<10, loop.AcceptLimiter{}, func(open func(loop.Handler) *loop.Stream) {
 		c := &caller{witness: w}
 		c.stream = open(c)
 	}, func(bool) {})
--- a/internal/emu/rig/controls.go
+++ b/internal/emu/rig/controls.go
@@ -85,7 +85,7 @@
 	m.process, err = f.run(exec.Command(f.program, "control", "--operator", m.file), func(s said) {
 		s.machine, s.life = m, life
 		f.said <- s
-		f.loop.Ring()
+		f.loop.Wake()
 	})
 	m.running = err == nil
 	return err
@@ -163,7 +163,7 @@
 		out, _ := c.CombinedOutput()
 		first, _, _ := strings.Cut(string(out), "\n")
 		f.said <- said{publisher: who, line: first}
-		f.loop.Ring()
+		f.loop.Wake()
 	})
 }
 
--- a/internal/emu/rig/relay.go
+++ b/internal/emu/rig/relay.go
@@ -27,7 +27,7 @@
 	at, to      netip.AddrPort
 	there, back play.Condition
 	listener    *loop.Listener
-	pairs       chain.Chain[*pair]
+	pairs       chain.List[*pair]
 }
 
 func newRelay(l *loop.Loop, chance *pcg.Source, at, to netip.AddrPort) (*relay, error) {
@@ -36,7 +36,7 @@
 }
 
 func (r *relay) listen() (err error) {
-	r.listener, err = r.loop.Listen(r.at, mostHeld, loop.Door{Descriptors: func(most int) int { return most }}, func(open func(loop.Handler) *loop.Stream) {
+	r.listener, err = r.loop.Listen(r.at, mostHeld, loop.AcceptLimiter{Descriptors: func(most int) int { return most }}, func(open func(loop.Handler) *loop.Stream) {
 		p := &pair{relay: r}
 		p.caller, p.place = &end{pair: p}, &end{pair: p, back: true}
 		p.caller.other, p.place.other = p.place, p.caller
@@ -44,7 +44,7 @@
 			return
 		}
 		p.link.Value = p
-		r.pairs.Push(&p.link)
+		r.pairs.PushBack(&p.link)
 		p.call()
 	}, func(bool) {})
 	return err
@@ -73,7 +73,7 @@
 func (r *relay) reset() { r.each((*pair).reset) }
 
 func (r *relay) each(act func(*pair)) {
-	for at := r.pairs.First(); at != nil; {
+	for at := r.pairs.Front(); at != nil; {
 		next := at.Next()
 		act(at.Value)
 		at = next
@@ -85,7 +85,7 @@
 	relay         *relay
 	caller, place *end
 	called        bool
-	link          chain.Link[*pair]
+	link          chain.Element[*pair]
 }
 
 // call opens the way to the place, once something can go there.
@@ -104,7 +104,7 @@
 }
 
 func (p *pair) reset() {
-	p.link.Leave()
+	p.link.Remove()
 	for _, e := range []*end{p.caller, p.place} {
 		e.pieces, e.over = nil, true
 		if e.stream != nil {
@@ -130,7 +130,7 @@
 	pieces []shipment
 	held   int
 	last   time.Duration // when the latest shipment arrives: order is kept
-	due    loop.Due
+	due    loop.Timer
 	rests  bool // it was not read on for want of room
 	gone   bool // its stream is closed
 	over   bool // nothing more is to go out from it
@@ -200,7 +200,7 @@
 			return
 		}
 		if s.at > l.Now() {
-			l.Forget(e.due)
+			l.Cancel(e.due)
 			e.due = l.At(s.at, e.pump)
 			return
 		}
@@ -214,13 +214,13 @@
 	}
 	if e.rests && !e.gone {
 		e.rests = false
-		l.Later(e.stream.Look)
+		l.Defer(e.stream.DeliverInput)
 	}
 }
 
 // finish ends the other stream, and what the other direction has yet to say with it.
 func (e *end) finish(reset bool) {
-	e.pair.link.Leave()
+	e.pair.link.Remove()
 	e.other.over = true
 	if reset {
 		e.other.stream.Reset()
@@ -233,7 +233,7 @@
 type post struct {
 	loop      *loop.Loop
 	chance    *pcg.Source
-	socket    *loop.Datagrams
+	socket    *loop.DatagramSocket
 	from      *post // where the other addresses this one's user
 	to        netip.AddrPort
 	condition play.Condition
--- a/internal/emu/rig/rig.go
+++ b/internal/emu/rig/rig.go
@@ -65,7 +65,7 @@
 	drivers  []*driver
 	relays   map[play.Road]*relay
 	posts    map[play.Road]*post
-	everyone []*loop.Datagrams // where each driver addresses all others at once
+	everyone []*loop.DatagramSocket // where each driver addresses all others at once
 	falls    play.Falls
 	said     chan said
 	readers  sync.WaitGroup // of the drivers' logs
@@ -274,13 +274,13 @@
 			p := &post{loop: f.loop, chance: f.chance, to: o.told.PeerListen}
 			at := lots.next()
 			var err error
-			if p.socket, err = f.loop.Receive(at, func(_ netip.AddrPort, text []byte) { p.pass(text) }); err != nil {
+			if p.socket, err = f.loop.ListenUDP(at, func(_ netip.AddrPort, text []byte) { p.pass(text) }); err != nil {
 				return err
 			}
 			d.told.Peers[o.number] = at
 			f.posts[play.Road{From: d.name, To: o.name}] = p
 		}
-		every, err := f.loop.Receive(d.told.PeerAll, func(_ netip.AddrPort, text []byte) {
+		every, err := f.loop.ListenUDP(d.told.PeerAll, func(_ netip.AddrPort, text []byte) {
 			for _, o := range f.drivers {
 				if p := f.posts[play.Road{From: d.name, To: o.name}]; p != nil {
 					p.pass(text)
@@ -330,7 +330,7 @@
 	d.process, err = f.run(exec.Command(d.program, args...), func(s said) {
 		s.driver, s.life = d, life
 		f.said <- s
-		f.loop.Ring()
+		f.loop.Wake()
 	})
 	d.running, d.serves = err == nil, false
 	return err
--- a/internal/front/connection.go
+++ b/internal/front/connection.go
@@ -21,11 +21,11 @@
 	hasRequested bool          // it has sent a request already
 	idleSince    time.Duration // or since when part of a message is there
 	unsent       int           // bytes that it had not read at the latest check
-	link         chain.Link[*Connection]
+	link         chain.Element[*Connection]
 }
 
 // idleChain returns the chain for the connection while it is idle.
-func (s *Connection) idleChain() *chain.Chain[*Connection] {
+func (s *Connection) idleChain() *chain.List[*Connection] {
 	if s.hasRequested {
 		return &s.set.recentlyIdle
 	}
@@ -36,13 +36,13 @@
 func (s *Connection) BeginIdle() {
 	r := s.set
 	s.idleSince, s.reading = r.loop.Now(), false
-	s.idleChain().Push(&s.link)
+	s.idleChain().PushBack(&s.link)
 	r.scheduleCheck(s)
 }
 
 // BeginRequest marks the connection as having a request in service.
 func (s *Connection) BeginRequest() {
-	s.link.Leave()
+	s.link.Remove()
 	s.hasRequested = true
 	s.set.busy++
 }
@@ -56,7 +56,7 @@
 // BeginRead reports whether the connection may be read. It may not while the client does not read its responses. A read
 // starts the timeout of the next message.
 func (s *Connection) BeginRead() bool {
-	if s.Stream.Unsent() > 0 || s.Stream.Weighs() {
+	if s.Stream.Unsent() > 0 || s.Stream.ConfirmingHalfClose() {
 		return false
 	}
 	if s.hasRequested && !s.reading {
@@ -72,7 +72,7 @@
 	r := s.set
 	nothingUnread := len(s.Stream.Unread()) == 0
 	switch {
-	case s.Stream.Spent() && nothingUnread: // the client sends no more
+	case s.Stream.InputEnded() && nothingUnread: // the client sends no more
 		s.Close(ClosedByClient)
 		return true
 	case (r.draining || r.toClose > 0) && nothingUnread && s.Stream.Alive():
@@ -84,7 +84,7 @@
 		}
 		return true
 	}
-	r.loop.Later(s.Stream.Look)
+	r.loop.Defer(s.Stream.DeliverInput)
 	r.limitIdle()
 	return false
 }
@@ -93,15 +93,15 @@
 func (s *Connection) Close(reason CloseReason) {
 	s.recordClose(reason)
 	s.Ended = true
-	s.link.Leave()
+	s.link.Remove()
 	s.Stream.CloseWhenSent()
 }
 
 // Release removes a connection that was closed by either side.
 func (s *Connection) Release(cause error) {
 	slog.Debug("client connection ended", "client", s.Handle, "cause", cause)
-	s.set.table.Drop(s.Handle)
-	s.link.Leave()
+	s.set.table.Remove(s.Handle)
+	s.link.Remove()
 	s.Ended = true
 }
 
--- a/internal/front/connections.go
+++ b/internal/front/connections.go
@@ -45,20 +45,20 @@
 	count      func(name string)
 	newHandler func(connection *Connection) Handler
 	listener   *loop.Listener
-	table      slots.Table[*Connection]
+	table      slots.Map[*Connection]
 	busy       int  // connections with a request in service
 	draining   bool // connections are closed after their request
 	toClose    int  // connections that another listener needs, to be closed after their request
 
 	// Connections without a request in service, each the longest idle first.
-	newcomers      chain.Chain[*Connection] // without any request so far
-	recentlyIdle   chain.Chain[*Connection] // for less than clientTimeout
-	dormant        chain.Chain[*Connection] // for longer
-	checkScheduled bool                     // of newcomers and recentlyIdle
+	newcomers      chain.List[*Connection] // without any request so far
+	recentlyIdle   chain.List[*Connection] // for less than clientTimeout
+	dormant        chain.List[*Connection] // for longer
+	checkScheduled bool                    // of newcomers and recentlyIdle
 }
 
 // Listen accepts connections. Each may have maxUnread bytes received and not consumed.
-func Listen(l *loop.Loop, address netip.AddrPort, maxUnread int, limits loop.Door, count func(name string),
+func Listen(l *loop.Loop, address netip.AddrPort, maxUnread int, limits loop.AcceptLimiter, count func(name string),
 	newHandler func(*Connection) Handler) (*Connections, error) {
 	r := &Connections{loop: l, count: count, newHandler: newHandler}
 	var err error
@@ -73,7 +73,7 @@
 	if s.Stream = open(s.handler); s.Stream == nil {
 		return
 	}
-	if s.Handle = r.table.Put(s); s.Handle == 0 {
+	if s.Handle = r.table.Insert(s); s.Handle == 0 {
 		s.Stream.Close()
 		return
 	}
@@ -82,13 +82,13 @@
 }
 
 // SetMaxUnread changes how many bytes each new connection may have received and not consumed.
-func (r *Connections) SetMaxUnread(bytes int) { r.listener.Bear(bytes) }
+func (r *Connections) SetMaxUnread(bytes int) { r.listener.SetMaxInput(bytes) }
 
 // Usage returns the number of connections and the bytes of their buffers beyond the common size.
-func (r *Connections) Usage() (connections, bytes int) { return r.listener.Held() }
+func (r *Connections) Usage() (connections, bytes int) { return r.listener.Usage() }
 
 // Count returns the number of connections.
-func (r *Connections) Count() int { return r.table.Count() }
+func (r *Connections) Count() int { return r.table.Len() }
 
 // Handler returns the handler of a connection, nil if the handle is stale.
 func (r *Connections) Handler(h slots.Handle) Handler {
@@ -107,22 +107,22 @@
 // CloseIdle closes connections that have been idle for the time given, as part of a shutdown. It returns how many remain,
 // counting those in the kernel's queue as one.
 func (r *Connections) CloseIdle(idle time.Duration) int {
-	r.table.Each(func(_ slots.Handle, s *Connection) {
+	r.table.ForEach(func(_ slots.Handle, s *Connection) {
 		if s.evictable() && r.loop.Now()-s.idleSince >= idle {
 			s.Close(ClosedShutdown)
 		}
 	})
 	if !r.listener.Closed() {
-		return r.table.Count() + 1
+		return r.table.Len() + 1
 	}
-	return r.table.Count()
+	return r.table.Len()
 }
 
 // CloseAll closes all connections without a request in service, and reads no more. A request that was received is rejected, as
 // it was not forwarded. What is unread remains so, which tells its client that it may be sent elsewhere.
 func (r *Connections) CloseAll() {
 	r.listener.Close()
-	r.table.Each(func(_ slots.Handle, s *Connection) {
+	r.table.ForEach(func(_ slots.Handle, s *Connection) {
 		switch {
 		case s.Ended || s.handler.Busy():
 		case len(s.Stream.Unread()) > 0:
--- a/internal/front/idle.go
+++ b/internal/front/idle.go
@@ -26,14 +26,14 @@
 	r.checkChain(&r.recentlyIdle)
 }
 
-func (r *Connections) checkChain(idle *chain.Chain[*Connection]) {
-	for link := idle.First(); link != nil; link = idle.First() {
+func (r *Connections) checkChain(idle *chain.List[*Connection]) {
+	for link := idle.Front(); link != nil; link = idle.Front() {
 		s := link.Value
 		if s.idleSince+clientTimeout > r.loop.Now() {
 			r.scheduleCheck(s)
 			return
 		}
-		link.Leave()
+		link.Remove()
 		r.timeOut(s)
 	}
 }
@@ -53,7 +53,7 @@
 		s.handler.RejectIncomplete()
 	case s.Stream.Alive() && s.hasRequested:
 		s.reading = false
-		r.dormant.Push(&s.link)
+		r.dormant.PushBack(&s.link)
 	case s.Stream.Alive():
 		s.Close(ClosedIdle)
 	default: // something has been received just now
@@ -64,11 +64,11 @@
 // maxRequesters returns how many connections that have sent requests may be open before idle ones of them are closed: a fifth
 // of all descriptors if the listener may use all that are for clients. Some clients never close their connections; others that
 // connect at once must still find descriptors.
-func (r *Connections) maxRequesters() int { return r.listener.Allowed() * 8 / 25 }
+func (r *Connections) maxRequesters() int { return r.listener.MaxConnections() * 8 / 25 }
 
 // limitIdle closes the connection that has been idle for longest after a request, if there are too many.
 func (r *Connections) limitIdle() {
-	if r.dormant.Count()+r.recentlyIdle.Count()+r.busy <= r.maxRequesters() {
+	if r.dormant.Len()+r.recentlyIdle.Len()+r.busy <= r.maxRequesters() {
 		return
 	}
 	if !r.closeIdlest(&r.dormant, 0) {
@@ -101,8 +101,8 @@
 
 // closeIdlest closes the connection of a chain that has been idle for longest, if for minIdle at least. It reports whether it
 // closed one.
-func (r *Connections) closeIdlest(idle *chain.Chain[*Connection], minIdle time.Duration) bool {
-	for link := idle.First(); link != nil; link = link.Next() {
+func (r *Connections) closeIdlest(idle *chain.List[*Connection], minIdle time.Duration) bool {
+	for link := idle.Front(); link != nil; link = link.Next() {
 		s := link.Value
 		if r.loop.Now()-s.idleSince < minIdle {
 			return false
--- a/internal/front/odata/batch.go
+++ b/internal/front/odata/batch.go
@@ -19,7 +19,7 @@
 	requests  []*request // nil for those answered without an RPC
 	responses []*response
 	sending   bool
-	timeout   loop.Due
+	timeout   loop.Timer
 }
 
 // maxBatchDefault bounds the duration of a batch whose client sets no deadline.
@@ -123,7 +123,7 @@
 		answers[i] = odata.InnerAnswer{Status: r.status, Fields: r.fields, Body: r.body}
 	}
 	media, body := b.batch.Render(answers)
-	f.loop.Forget(b.timeout)
+	f.loop.Cancel(b.timeout)
 	w := b.exchange
 	b.exchange = nil
 	w.finish(&response{200, httpwire.AppendField(nil, "Content-Type", media), body})
@@ -162,7 +162,7 @@
 // abandon ends a batch whose client has disconnected. What was not sent never is.
 func (b *batchRun) abandon() {
 	b.exchange = nil
-	b.front.loop.Forget(b.timeout)
+	b.front.loop.Cancel(b.timeout)
 	for i, req := range b.requests {
 		if req != nil && b.responses[i] == nil && (req.rpc != 0 || req.joinedEntry != nil) {
 			req.abandon()
--- a/internal/front/odata/connection.go
+++ b/internal/front/odata/connection.go
@@ -112,7 +112,7 @@
 	w := &exchange{connection: c, omitBody: string(r.Verb) == "HEAD", closeAfter: r.Last, version: "4.01", starting: true}
 	c.BeginRequest()
 	c.exchange = w
-	q := &httpRequest{verb: string(r.Verb), target: string(r.Target), fields: r.Fields, body: r.Body, receivedAt: c.Stream.Came(r.Size)}
+	q := &httpRequest{verb: string(r.Verb), target: string(r.Target), fields: r.Fields, body: r.Body, receivedAt: c.Stream.ArrivedAt(r.Size)}
 	if q.fields.Text("odata-maxversion") == "4.0" {
 		w.version = "4.0"
 	}
--- a/internal/front/odata/front.go
+++ b/internal/front/odata/front.go
@@ -23,7 +23,7 @@
 	config      *config.OData
 	methods     []string // the names in statements, by number
 	memberRoot  string   // of the paths at members
-	requests    slots.Table[*request]
+	requests    slots.Map[*request]
 	activeIDs   front.ActiveIDs
 	registry    *idempotency.Registry
 	random      *pcg.Source
@@ -32,7 +32,7 @@
 }
 
 // Listen accepts clients. The methods are named by number. Members serve below memberRoot.
-func Listen(l *loop.Loop, handler driver.Clerk, address netip.AddrPort, limits loop.Door, activeIDs front.ActiveIDs, settings *config.OData,
+func Listen(l *loop.Loop, handler driver.Clerk, address netip.AddrPort, limits loop.AcceptLimiter, activeIDs front.ActiveIDs, settings *config.OData,
 	methods []string, memberRoot string, seed uint64) (*Front, error) {
 	f := &Front{
 		loop: l, handler: handler, activeIDs: activeIDs, methods: methods, memberRoot: memberRoot, registry: idempotency.New(l.Now()), random: pcg.New(seed),
--- a/internal/front/odata/request.go
+++ b/internal/front/odata/request.go
@@ -57,13 +57,13 @@
 	firstSent       time.Duration
 	entry           *idempotency.Entry // of this request, if it is repeatable
 	joinedEntry     *idempotency.Entry // of the request whose response it waits for
-	joinTimeout     loop.Due
+	joinTimeout     loop.Timer
 }
 
 // send hands the request to the driver, unless it can be answered here. A read must see what was committed up to minPosition.
 func (f *Front) send(req *request, deadline, minPosition time.Duration, method driver.Method) {
 	now := f.loop.Now()
-	if req.handle = f.requests.Put(req); req.handle == 0 {
+	if req.handle = f.requests.Insert(req); req.handle == 0 {
 		req.finish(idempotency.NotRun, pushBackResponse(0), 0)
 		return
 	}
@@ -129,8 +129,8 @@
 	}
 	f := req.front
 	req.ended = true
-	f.requests.Drop(req.handle)
-	f.loop.Forget(req.joinTimeout)
+	f.requests.Remove(req.handle)
+	f.loop.Cancel(req.joinTimeout)
 	if req.id != "" {
 		delete(f.activeIDs, req.id)
 	}
@@ -168,8 +168,8 @@
 		return
 	}
 	req.ended = true
-	f.requests.Drop(req.handle)
-	f.loop.Forget(req.joinTimeout)
+	f.requests.Remove(req.handle)
+	f.loop.Cancel(req.joinTimeout)
 	delete(f.activeIDs, req.id)
 	if req.joinedEntry != nil {
 		req.joinedEntry.RemoveWaiter(uint32(req.handle))
--- a/internal/front/pg/client.go
+++ b/internal/front/pg/client.go
@@ -75,7 +75,7 @@
 }
 
 // Parting implements loop.HalfCloser. The result is a parameter status, which clients that still read ignore.
-func (c *client) Parting(pending bool) []byte {
+func (c *client) HalfClosed(pending bool) []byte {
 	if !c.started || c.Ended || !c.busy && !pending && len(c.Stream.Unread()) == 0 {
 		return nil
 	}
--- a/internal/front/pg/front.go
+++ b/internal/front/pg/front.go
@@ -27,7 +27,7 @@
 
 // Listen accepts clients. The slices are indexed by method: its name, whether its key names the session, and whether it needs
 // an idempotency key. The seed is that of the cancel keys.
-func Listen(l *loop.Loop, handler driver.Clerk, address netip.AddrPort, limits loop.Door, activeIDs front.ActiveIDs, methods []string,
+func Listen(l *loop.Loop, handler driver.Clerk, address netip.AddrPort, limits loop.AcceptLimiter, activeIDs front.ActiveIDs, methods []string,
 	sessions, keyed []bool, seed uint64) (*Front, error) {
 	f := &Front{cancelKeys: pcg.New(seed), loop: l, handler: handler, activeIDs: activeIDs}
 	f.SetMethods(methods, sessions, keyed)
--- a/internal/front/pg/query.go
+++ b/internal/front/pg/query.go
@@ -112,7 +112,7 @@
 		sinceCommit = max(1, f.handler.MembersNow()-fields.commit)
 	}
 	// The budget counts from the last byte, also while the RPC waits behind another, as the client waits by its own clock.
-	receivedAt := c.Stream.Came(size)
+	receivedAt := c.Stream.ArrivedAt(size)
 	deadline := receivedAt + fields.budget - front.DeliveryMargin
 	if slog.Default().Enabled(context.Background(), slog.LevelDebug) {
 		slog.Debug("request received", "id", string(h.id), "client", c.Handle, "method", string(h.method),
--- a/internal/idempotency/entry.go
+++ b/internal/idempotency/entry.go
@@ -19,7 +19,7 @@
 	state      state
 	mayHaveRun bool
 	finishedAt time.Duration
-	link       chain.Link[*Entry] // among the finished ones
+	link       chain.Element[*Entry] // among the finished ones
 }
 
 // state is the state of an entry. Its numbers are stored.
--- a/internal/idempotency/registry.go
+++ b/internal/idempotency/registry.go
@@ -70,7 +70,7 @@
 
 	knownSince time.Duration // requests first sent earlier may have been forgotten
 	entries    map[string]*Entry
-	finished   chain.Chain[*Entry] // the oldest first
+	finished   chain.List[*Entry] // the oldest first
 	bytes      int
 	inProgress int
 }
@@ -102,7 +102,7 @@
 	if verdict := r.admit(e, now); verdict != Run {
 		return verdict, nil
 	}
-	e.link.Leave()
+	e.link.Remove()
 	r.run(e)
 	return Run, e
 }
@@ -164,7 +164,7 @@
 		e.state = unresolved
 		e.mayHaveRun = e.mayHaveRun || outcome == Uncertain
 	}
-	r.finished.Push(&e.link)
+	r.finished.PushBack(&e.link)
 	r.persist(e.request.Key, e.encode())
 	r.Expire(now)
 	return waiters
@@ -173,12 +173,12 @@
 // Expire forgets requests whose retention is over, and the oldest finished ones while there is no space for all. Forgotten
 // requests are treated as unknown ones from then on, even if Sticky is set.
 func (r *Registry) Expire(now time.Duration) {
-	for link := r.finished.First(); link != nil; link = r.finished.First() {
+	for link := r.finished.Front(); link != nil; link = r.finished.Front() {
 		e := link.Value
 		if now-e.finishedAt < r.Retention && r.bytes <= r.MaxBytes {
 			return
 		}
-		link.Leave()
+		link.Remove()
 		delete(r.entries, e.request.Key)
 		r.bytes -= e.size()
 		r.knownSince = max(r.knownSince, e.request.FirstSent)
@@ -220,7 +220,7 @@
 	slices.SortFunc(restored, func(a, b *Entry) int { return cmp.Compare(a.finishedAt, b.finishedAt) })
 	for _, e := range restored {
 		e.link.Value = e
-		r.finished.Push(&e.link)
+		r.finished.PushBack(&e.link)
 	}
 	r.Expire(now)
 	return len(restored)
--- a/internal/lab/capacity/configuration.go
+++ b/internal/lab/capacity/configuration.go
@@ -89,20 +89,20 @@
 		published: make(map[uint64]string), refusable: make(map[uint64]bool), has: make([]uint64, drivers), settled: make([]uint64, drivers), able: make([]time.Duration, drivers)}
 	for n := range 3 {
 		c := &controller{rollouts: r, number: n, name: "c" + strconv.Itoa(n), at: placeOf(4, n, 7400), counted: make(map[string]int)}
-		c.host = f.world.Host(c.name)
+		c.host = f.world.AddHost(c.name)
 		r.machines = append(r.machines, c)
 		r.region[c.host] = n / 2
 	}
 	for i, h := range f.hosts {
 		r.region[h] = i % 2
 	}
-	r.publisher = f.world.Host("publisher")
-	if r.posts, err = loop.On(r.publisher, 1000, 64<<20); err != nil {
+	r.publisher = f.world.AddHost("publisher")
+	if r.posts, err = loop.NewWithSystem(r.publisher, 1000, 64<<20); err != nil {
 		return nil, err
 	}
 	r.publisher.Serve(r.posts, func() {})
-	f.world.Between = func(from, to *sim.Host) (sim.Link, bool) {
-		l := sim.Plain
+	f.world.DefaultLink = func(from, to *sim.Host) (sim.Link, bool) {
+		l := sim.LocalLink
 		a, placed := r.region[from]
 		b, other := r.region[to]
 		if !placed || !other {
@@ -126,14 +126,14 @@
 			return
 		}
 		c.persisted = k
-		c.host.Do(func() { then(nil) })
+		c.host.Post(func() { then(nil) })
 	})
 }
 
 func (c *controller) start() error {
 	r := c.rollouts
 	c.host.Start()
-	l, err := loop.On(c.host, 4096, 64<<20)
+	l, err := loop.NewWithSystem(c.host, 4096, 64<<20)
 	if err != nil {
 		return err
 	}
@@ -264,7 +264,7 @@
 	at       int
 	ends     time.Duration
 	stream   *loop.Stream
-	due      loop.Due
+	due      loop.Timer
 }
 
 func (r *rollouts) publish(bad bool) {
@@ -274,7 +274,7 @@
 		text = fmt.Sprintf(`{"settings":{"caps":{"max_retry_after_us":%d},"family_info":{%s}}}`, 1000000+r.asked, unservable)
 	}
 	p := &publication{rollouts: r, text: text, id: r.seed<<20 + uint64(r.asked), base: r.newest, bad: bad, at: r.chance.Below(3), ends: r.world.Now() + 10*time.Second}
-	r.publisher.Do(p.try)
+	r.publisher.Post(p.try)
 }
 
 func (p *publication) try() {
@@ -306,7 +306,7 @@
 
 // Closed implements loop.Handler.
 func (p *publication) Closed(error) {
-	p.rollouts.posts.Forget(p.due)
+	p.rollouts.posts.Cancel(p.due)
 	if p.stream != nil {
 		p.stream.Close()
 		p.stream = nil
@@ -340,7 +340,7 @@
 }
 
 func (p *publication) done() {
-	p.rollouts.posts.Forget(p.due)
+	p.rollouts.posts.Cancel(p.due)
 	p.stream.Close()
 	p.stream = nil
 }
--- a/internal/lab/capacity/driver_ground.go
+++ b/internal/lab/capacity/driver_ground.go
@@ -105,7 +105,7 @@
 	for n := range members {
 		m := &standIn{ground: g, at: place(n), group: n / perGroup, place: n % perGroup, told: -1}
 		g.members = append(g.members, m)
-		if _, err := l.Listen(m.at, pgwire.Most+1, loop.Door{}, func(open func(loop.Handler) *loop.Stream) {
+		if _, err := l.Listen(m.at, pgwire.Most+1, loop.AcceptLimiter{}, func(open func(loop.Handler) *loop.Stream) {
 			c := &served{member: m}
 			if c.stream = open(c); c.stream == nil {
 				return
@@ -119,7 +119,7 @@
 			return fmt.Errorf("member %d: %w", n, err)
 		}
 	}
-	_, err := l.Listen(discovery, 1<<16, loop.Door{}, func(open func(loop.Handler) *loop.Stream) {
+	_, err := l.Listen(discovery, 1<<16, loop.AcceptLimiter{}, func(open func(loop.Handler) *loop.Stream) {
 		c := &asked{ground: g}
 		c.stream = open(c)
 	}, func(bool) {})
--- a/internal/lab/capacity/driver_met.go
+++ b/internal/lab/capacity/driver_met.go
@@ -31,11 +31,11 @@
 // play plays it to its end, unless it is told to stop.
 func (m *met) play(stop context.Context, seed uint64) error {
 	world := sim.New(seed, simulatedFrom)
-	field, crowd, host := world.Host("members"), world.Host("clients"), world.Host("d0")
-	field.Cost, crowd.Cost = 0, 0
+	field, crowd, host := world.AddHost("members"), world.AddHost("clients"), world.AddHost("d0")
+	field.IterationTime, crowd.IterationTime = 0, 0
 	loops := make([]*loop.Loop, 3)
 	for i, h := range []*sim.Host{field, crowd, host} {
-		l, err := loop.On(h, 1<<16, 1<<28)
+		l, err := loop.NewWithSystem(h, 1<<16, 1<<28)
 		if err != nil {
 			return err
 		}
--- a/internal/lab/capacity/driver_process.go
+++ b/internal/lab/capacity/driver_process.go
@@ -203,7 +203,7 @@
 	p, err := start(stop, Program, file)
 	if err != nil {
 		close(stops)
-		field.Ring()
+		field.Wake()
 		<-served
 		return nil, err
 	}
@@ -229,8 +229,8 @@
 		}
 	}
 	close(stops)
-	field.Ring()
-	people.Ring()
+	field.Wake()
+	people.Wake()
 	if err = errors.Join(err, <-served, <-served); err != nil {
 		return nil, err
 	}
--- a/internal/lab/capacity/driver_state.go
+++ b/internal/lab/capacity/driver_state.go
@@ -240,7 +240,7 @@
 
 // pools makes the side of the members, none of which is connected.
 func pools(members int) (any, error) {
-	l, err := loop.On(sim.New(1, simulatedFrom).Host("d0"), 1<<15, 1<<20)
+	l, err := loop.NewWithSystem(sim.New(1, simulatedFrom).AddHost("d0"), 1<<15, 1<<20)
 	if err != nil {
 		return nil, err
 	}
@@ -255,7 +255,7 @@
 // simulatedDriver makes a whole driver that has heard a list and served nobody.
 func simulatedDriver(view bool) func(members int) (any, error) {
 	return func(members int) (any, error) {
-		l, err := loop.On(sim.New(1, simulatedFrom).Host("d0"), 1<<15, 1<<20)
+		l, err := loop.NewWithSystem(sim.New(1, simulatedFrom).AddHost("d0"), 1<<15, 1<<20)
 		if err != nil {
 			return nil, err
 		}
@@ -305,7 +305,7 @@
 func listCost(members int, point func(measure, unit string, value float64)) error {
 	const times = 20
 	q := module(0, perGroup, false)
-	l, err := loop.On(sim.New(1, simulatedFrom).Host("d0"), 1<<10, 1<<20)
+	l, err := loop.NewWithSystem(sim.New(1, simulatedFrom).AddHost("d0"), 1<<10, 1<<20)
 	if err != nil {
 		return err
 	}
@@ -424,7 +424,7 @@
 		if so() {
 			return nil
 		}
-		if err := r.loop.Turn(time.Millisecond, func() {}); err != nil {
+		if err := r.loop.RunOnce(time.Millisecond, func() {}); err != nil {
 			return err
 		}
 	}
@@ -444,7 +444,7 @@
 		if err := unix.Connect(fd, &r.at); err != nil && err != unix.EINPROGRESS {
 			return err
 		}
-		if err := r.loop.Turn(0, func() {}); err != nil {
+		if err := r.loop.RunOnce(0, func() {}); err != nil {
 			return err
 		}
 		unix.Write(fd, first)
--- a/internal/lab/capacity/growth_test.go
+++ b/internal/lab/capacity/growth_test.go
@@ -160,7 +160,7 @@
 
 // Reading a list twice takes as much as twice reading it: nothing stays of the first.
 func TestListsLeaveNothingBehind(t *testing.T) {
-	l, err := loop.On(sim.New(1, epoch).Host("one"), 16, 1<<20)
+	l, err := loop.NewWithSystem(sim.New(1, epoch).AddHost("one"), 16, 1<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/capacity/hollow.go
+++ b/internal/lab/capacity/hollow.go
@@ -105,10 +105,10 @@
 	f := &hollow{stop: stop, world: sim.New(seed, epoch), seed: seed, terms: s.Terms(0), wants: wants, numbers: make(map[*sim.Host]int), nodes: make([]*node.Node, drivers),
 		sent: make([]traffic, drivers), taken: make([]traffic, drivers), crowds: make([]traffic, drivers)}
 	f.terms["tick"] = hollowTick
-	f.world.Posted = f.posted
-	field := f.world.Host("discovery")
-	field.Cost = 0
-	l, err := loop.On(field, 2*drivers+100, 64<<20)
+	f.world.OnDatagram = f.posted
+	field := f.world.AddHost("discovery")
+	field.IterationTime = 0
+	l, err := loop.NewWithSystem(field, 2*drivers+100, 64<<20)
 	if err != nil {
 		return nil, err
 	}
@@ -121,11 +121,11 @@
 			return nil, err
 		}
 		f.agents = append(f.agents, a)
-		h := f.world.Host(driverName(i))
+		h := f.world.AddHost(driverName(i))
 		f.hosts = append(f.hosts, h)
 		f.numbers[h] = i
 	}
-	f.world.Crowd(everyPeer, f.talk)
+	f.world.SetMulticast(everyPeer, f.talk)
 	return f, nil
 }
 
@@ -163,7 +163,7 @@
 func (f *hollow) start(i int) error {
 	h := f.hosts[i]
 	h.Start()
-	l, err := loop.On(h, 64, 1<<20)
+	l, err := loop.NewWithSystem(h, 64, 1<<20)
 	if err != nil {
 		return err
 	}
@@ -283,7 +283,7 @@
 func (d *discoveryAgent) agent(l *loop.Loop, at netip.AddrPort) (*agent, error) {
 	a := &agent{discovery: d, loop: l, at: at}
 	d.agents = append(d.agents, a)
-	_, err := l.Listen(at, 1<<16, loop.Door{}, func(open func(loop.Handler) *loop.Stream) {
+	_, err := l.Listen(at, 1<<16, loop.AcceptLimiter{}, func(open func(loop.Handler) *loop.Stream) {
 		k := &asker{agent: a}
 		k.stream = open(k)
 	}, func(bool) {})
@@ -295,7 +295,7 @@
 	d.rev, d.drains, d.only = d.rev+1, member, only
 	for _, a := range d.agents {
 		if k := a.waiting; k != nil && (only == nil || a == only) {
-			a.loop.Forget(k.due)
+			a.loop.Cancel(k.due)
 			k.answer()
 		}
 	}
@@ -331,7 +331,7 @@
 	agent  *agent
 	stream *loop.Stream
 	from   int
-	due    loop.Due
+	due    loop.Timer
 }
 
 // Opened implements loop.Handler.
@@ -342,7 +342,7 @@
 
 // Closed implements loop.Handler.
 func (k *asker) Closed(error) {
-	k.agent.loop.Forget(k.due)
+	k.agent.loop.Cancel(k.due)
 	if k.agent.waiting == k {
 		k.agent.waiting = nil
 	}
--- a/internal/lab/capacity/lists.go
+++ b/internal/lab/capacity/lists.go
@@ -66,8 +66,8 @@
 	}
 	world := sim.New(seed, epoch)
 	serve := func(name string, descriptors int) (*loop.Loop, error) {
-		h := world.Host(name)
-		l, err := loop.On(h, descriptors, 8<<20)
+		h := world.AddHost(name)
+		l, err := loop.NewWithSystem(h, descriptors, 8<<20)
 		if err == nil {
 			h.Serve(l, func() {})
 		}
@@ -90,7 +90,7 @@
 		}
 		r := &reader{now: world.Now}
 		r.list = discovery.New(l, r, at)
-		l.Later(func() {
+		l.Defer(func() {
 			r.list.Fetch()
 			r.list.SetWatching(true)
 		})
@@ -177,7 +177,7 @@
 	}
 	whole := d.list(true)
 	one("whole", "B of a whole list, as JSON", float64(len(whole)))
-	l, err := loop.On(sim.New(1, epoch).Host("one"), 16, 1<<20)
+	l, err := loop.NewWithSystem(sim.New(1, epoch).AddHost("one"), 16, 1<<20)
 	if err != nil {
 		return err
 	}
--- a/internal/lab/capacity/processes.go
+++ b/internal/lab/capacity/processes.go
@@ -146,7 +146,7 @@
 	}()
 	defer func() {
 		over.Store(true)
-		l.Ring()
+		l.Wake()
 		<-served
 		l.Close()
 	}()
--- a/internal/lab/capacity/views.go
+++ b/internal/lab/capacity/views.go
@@ -161,7 +161,7 @@
 		return err
 	}
 	leaves := size / 2
-	f.hosts[leaves].Do(func() { f.nodes[leaves].Membership().Leave() })
+	f.hosts[leaves].Post(func() { f.nodes[leaves].Membership().Leave() })
 	from = f.world.Now()
 	if err := f.run(100 * time.Millisecond); err != nil { // it goes on for a while to answer what it has taken
 		return err
@@ -218,13 +218,13 @@
 		return nil, nil, err
 	}
 	apart = new(bool)
-	f.world.Between = func(from, to *sim.Host) (sim.Link, bool) {
+	f.world.DefaultLink = func(from, to *sim.Host) (sim.Link, bool) {
 		a, known := f.numbers[from]
 		b, both := f.numbers[to]
 		if !known || !both {
 			return sim.Link{}, false
 		}
-		l := sim.Plain
+		l := sim.LocalLink
 		switch {
 		case regionOf(a) != regionOf(b):
 			l.Delay, l.Jitter, l.Cut = 30*time.Millisecond, 3*time.Millisecond, *apart
--- a/internal/lease/simulation_test.go
+++ b/internal/lease/simulation_test.go
@@ -70,13 +70,13 @@
 
 func (s *simulation) run(until time.Duration) {
 	for {
-		at, ok := s.queue.First()
+		at, ok := s.queue.NextDue()
 		if !ok || at > until {
 			s.now = until
 			return
 		}
 		s.now = max(s.now, at)
-		action, _ := s.queue.Pop(s.now)
+		action, _ := s.queue.PopDue(s.now)
 		action()
 	}
 }
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -12,24 +12,24 @@
 	"time"
 )
 
-// Lines queues log lines for a writer. Its exported fields may be used from any goroutine.
-type Lines struct {
-	Level   slog.LevelVar // minimum level
-	Sample  atomic.Int64  // maximum lines per event and second, except errors; 0: unlimited
-	Lost    atomic.Int64  // lines dropped because the queue was full
-	Sampled atomic.Int64  // lines dropped beyond Sample
-	queue   chan []byte
-	done    chan struct{} // closed once the queue is written
+// LineWriter queues log lines for a writer. Its exported fields may be used from any goroutine.
+type LineWriter struct {
+	Level       slog.LevelVar // minimum level
+	RateLimit   atomic.Int64  // maximum lines per event and second, except errors; 0: unlimited
+	Dropped     atomic.Int64  // lines dropped because the queue was full
+	RateLimited atomic.Int64  // lines dropped beyond RateLimit
+	queue       chan []byte
+	done        chan struct{} // closed once the queue is written
 }
 
 const maxQueuedLines = 1024
 
-// flushTimeout is how long End waits for the queued lines to be written.
+// flushTimeout is how long Close waits for the queued lines to be written.
 const flushTimeout = time.Second
 
-// To starts writing lines to out and makes them the destination of the default slog logger.
-func To(out io.Writer) *Lines {
-	l := &Lines{queue: make(chan []byte, maxQueuedLines), done: make(chan struct{})}
+// Start starts writing lines to out and makes them the destination of the default slog logger.
+func Start(out io.Writer) *LineWriter {
+	l := &LineWriter{queue: make(chan []byte, maxQueuedLines), done: make(chan struct{})}
 	go func() {
 		defer close(l.done)
 		for line := range l.queue {
@@ -40,8 +40,8 @@
 	return l
 }
 
-// Handler returns a handler that formats records as lines, limited by Level and Sample, and writes them to out.
-func (l *Lines) Handler(out io.Writer) slog.Handler {
+// Handler returns a handler that formats records as lines, limited by Level and RateLimit, and writes them to out.
+func (l *LineWriter) Handler(out io.Writer) slog.Handler {
 	text := slog.NewTextHandler(out, &slog.HandlerOptions{Level: &l.Level, ReplaceAttr: func(groups []string, a slog.Attr) slog.Attr {
 		if len(groups) > 0 {
 			return a
@@ -67,14 +67,14 @@
 // sampler is a handler that drops records beyond the limit of their event.
 type sampler struct {
 	slog.Handler
-	lines   *Lines
+	lines   *LineWriter
 	counter *rateCounter
 }
 
 // Handle implements slog.Handler. It drops the record if its event is over the limit in this second.
 func (s *sampler) Handle(ctx context.Context, record slog.Record) error {
-	if limit := s.lines.Sample.Load(); limit > 0 && record.Level < slog.LevelError && s.counter.overLimit(record, limit) {
-		s.lines.Sampled.Add(1)
+	if limit := s.lines.RateLimit.Load(); limit > 0 && record.Level < slog.LevelError && s.counter.overLimit(record, limit) {
+		s.lines.RateLimited.Add(1)
 		return nil
 	}
 	return s.Handler.Handle(ctx, record)
@@ -102,17 +102,17 @@
 }
 
 // Write implements io.Writer by queueing a line. It never blocks: if the queue is full, the line is dropped and counted.
-func (l *Lines) Write(line []byte) (int, error) {
+func (l *LineWriter) Write(line []byte) (int, error) {
 	select {
 	case l.queue <- append([]byte(nil), line...):
 	default:
-		l.Lost.Add(1)
+		l.Dropped.Add(1)
 	}
 	return len(line), nil
 }
 
-// End discards further log records and waits up to flushTimeout for the queued lines to be written.
-func (l *Lines) End() {
+// Close discards further log records and waits up to flushTimeout for the queued lines to be written.
+func (l *LineWriter) Close() {
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	close(l.queue)
 	select {
--- a/internal/loop/admission.go
+++ b/internal/loop/admission.go
@@ -1,9 +1,9 @@
 package loop
 
-// Door limits the resources that the connections of one listener hold. Each function is given the listeners' part of the
+// AcceptLimiter limits the resources that the connections of one listener hold. Each function is given the listeners' part of the
 // loop's limit and returns how much of it this listener may use now; nil stands for all of it. The listeners' part leaves
 // the rest for connections to members.
-type Door struct {
+type AcceptLimiter struct {
 	Descriptors func(limit int) int // number of connections
 	Bytes       func(limit int) int // bytes of buffers beyond the standard size
 }
@@ -12,8 +12,8 @@
 // need descriptors of their own.
 func listenerDescriptors(total int) int { return total * 5 / 8 }
 
-// Allowed returns how many connections the listener may have open now.
-func (n *Listener) Allowed() int {
+// MaxConnections returns how many connections the listener may have open now.
+func (n *Listener) MaxConnections() int {
 	if n.Descriptors != nil {
 		return n.Descriptors(listenerDescriptors(n.loop.descriptors.max))
 	}
@@ -30,8 +30,8 @@
 	return n.Bytes == nil || n.extraBytes+more <= n.Bytes(half)
 }
 
-// Bear sets how many bytes of unread input each new stream may buffer.
-func (n *Listener) Bear(maxInput int) { n.maxInput = maxInput }
+// SetMaxInput sets how many bytes of unread input each new stream may buffer.
+func (n *Listener) SetMaxInput(maxInput int) { n.maxInput = maxInput }
 
-// Held returns how many connections are open and how many bytes their buffers hold beyond the standard size.
-func (n *Listener) Held() (descriptors, bytes int) { return n.connections, n.extraBytes }
+// Usage returns how many connections are open and how many bytes their buffers hold beyond the standard size.
+func (n *Listener) Usage() (descriptors, bytes int) { return n.connections, n.extraBytes }
--- a/internal/loop/arrivals.go
+++ b/internal/loop/arrivals.go
@@ -27,7 +27,7 @@
 	log.discard(log.received - int64(len(s.Unread())))
 	// Without a time from the kernel: the previous iteration would have read anything that arrived before it.
 	at := s.loop.previous
-	if age, ok := s.loop.system.Arrived(s.fd); ok {
+	if age, ok := s.loop.system.LastReceiveAge(s.fd); ok {
 		at = s.loop.now - age
 	}
 	if log.delayedSince > 0 {
@@ -83,9 +83,9 @@
 	}
 }
 
-// Came returns when the last of the first n bytes of Unread arrived in the kernel. For input that arrived while reading was
+// ArrivedAt returns when the last of the first n bytes of Unread arrived in the kernel. For input that arrived while reading was
 // paused it returns when the pause began. Only accepted streams record this; others get the time of this iteration.
-func (s *Stream) Came(n int) time.Duration {
+func (s *Stream) ArrivedAt(n int) time.Duration {
 	offset := s.arrivals.received - int64(len(s.Unread())-n)
 	for _, a := range s.arrivals.entries {
 		if offset <= a.upTo {
--- a/internal/loop/close.go
+++ b/internal/loop/close.go
@@ -25,7 +25,7 @@
 
 // shutdownWrite shuts down the sending side and closes the stream after closeLinger.
 func (s *Stream) shutdownWrite() {
-	s.loop.system.Goodbye(s.fd)
+	s.loop.system.ShutdownWrite(s.fd)
 	s.loop.At(s.loop.now+closeLinger, func() { s.fail(nil) })
 }
 
--- a/internal/loop/datagrams.go
+++ b/internal/loop/datagrams.go
@@ -6,8 +6,8 @@
 	"passtack/internal/slots"
 )
 
-// Datagrams is a UDP socket.
-type Datagrams struct {
+// DatagramSocket is a UDP socket.
+type DatagramSocket struct {
 	loop       *Loop
 	fd         int
 	handle     slots.Handle
@@ -18,13 +18,13 @@
 // maxDatagramSize is the longest payload that is received, in bytes; the rest of a longer one is cut off.
 const maxDatagramSize = 512
 
-// Receive opens a UDP socket at the address and calls onDatagram for each datagram. The payload is valid during the call.
-func (l *Loop) Receive(address netip.AddrPort, onDatagram func(from netip.AddrPort, payload []byte)) (*Datagrams, error) {
-	fd, err := l.system.Receive(address)
+// ListenUDP opens a UDP socket at the address and calls onDatagram for each datagram. The payload is valid during the call.
+func (l *Loop) ListenUDP(address netip.AddrPort, onDatagram func(from netip.AddrPort, payload []byte)) (*DatagramSocket, error) {
+	fd, err := l.system.ListenUDP(address)
 	if err != nil {
 		return nil, err
 	}
-	d := &Datagrams{loop: l, fd: fd, onDatagram: onDatagram}
+	d := &DatagramSocket{loop: l, fd: fd, onDatagram: onDatagram}
 	if d.handle, err = l.register(fd, d, eventReadable); err != nil {
 		l.system.Close(fd)
 		return nil, err
@@ -35,9 +35,9 @@
 // maxDatagramsPerIteration keeps a busy socket from delaying the others.
 const maxDatagramsPerIteration = 64
 
-func (d *Datagrams) onReady(uint32) {
+func (d *DatagramSocket) onReady(uint32) {
 	for range maxDatagramsPerIteration {
-		n, sender, err := d.loop.system.Take(d.fd, d.buffer[:])
+		n, sender, err := d.loop.system.ReceiveFrom(d.fd, d.buffer[:])
 		if err != nil {
 			return
 		}
@@ -45,14 +45,14 @@
 	}
 }
 
-func (d *Datagrams) onPanic(error) {}
+func (d *DatagramSocket) onPanic(error) {}
 
-func (d *Datagrams) updateInterest() { d.loop.modify(d.fd, d.handle, eventReadable) }
+func (d *DatagramSocket) updateInterest() { d.loop.modify(d.fd, d.handle, eventReadable) }
 
 // Close closes the socket.
-func (d *Datagrams) Close() { d.loop.unregister(d.fd, d.handle, d.loop.system.Close) }
+func (d *DatagramSocket) Close() { d.loop.unregister(d.fd, d.handle, d.loop.system.Close) }
 
 // Send sends one datagram. It may be lost, and errors are ignored.
-func (d *Datagrams) Send(address netip.AddrPort, payload []byte) {
-	d.loop.system.Send(d.fd, address, payload)
+func (d *DatagramSocket) Send(address netip.AddrPort, payload []byte) {
+	d.loop.system.SendTo(d.fd, address, payload)
 }
--- a/internal/loop/descriptors.go
+++ b/internal/loop/descriptors.go
@@ -12,16 +12,16 @@
 	inherited int      // open before the loop was made
 	max       int      // that the loop may open
 	peak      int      // the most that the loop ever had open
-	reserved  int      // part of max that only DialKept may use
+	reserved  int      // part of max that only DialReserved may use
 	onFreed   []func() // run once, after the next descriptor is closed
 }
 
 // watchRetryDelay is how long the loop waits before it repeats a Watch for which the kernel lacked memory.
 const watchRetryDelay = 10 * time.Millisecond
 
-// Limit replaces the limits that New was given. Descriptors and buffers beyond the new limits stay until they are closed or
+// SetLimits replaces the limits that New was given. Descriptors and buffers beyond the new limits stay until they are closed or
 // released.
-func (l *Loop) Limit(maxDescriptors, maxExtraBytes int) {
+func (l *Loop) SetLimits(maxDescriptors, maxExtraBytes int) {
 	l.descriptors.max, l.memory.maxExtraBytes = max(maxDescriptors-l.descriptors.inherited, 1), maxExtraBytes
 	l.descriptors.reserved = min(2, l.descriptors.max/16)
 	if size := max(512, l.descriptors.max+1); len(l.events) < size {
@@ -29,26 +29,26 @@
 	}
 }
 
-// Most returns how many descriptors the loop may have open.
-func (l *Loop) Most() int { return l.descriptors.max }
+// MaxDescriptors returns how many descriptors the loop may have open.
+func (l *Loop) MaxDescriptors() int { return l.descriptors.max }
 
 // hasCapacity reports whether one more descriptor may be opened while the given number stays reserved. If none is free, it
 // tries to close an idle connection.
 func (l *Loop) hasCapacity(reserved int) bool {
-	return l.sources.Count() < l.descriptors.max-reserved || l.MakeRoom() && l.sources.Count() < l.descriptors.max-reserved
+	return l.sources.Len() < l.descriptors.max-reserved || l.EvictIdle() && l.sources.Len() < l.descriptors.max-reserved
 }
 
-// Open returns how many descriptors the process has open, and the most that it ever had.
-func (l *Loop) Open() (now, peak int) {
-	return l.sources.Count() + l.descriptors.inherited, l.descriptors.peak + l.descriptors.inherited
+// DescriptorCounts returns how many descriptors the process has open, and the most that it ever had.
+func (l *Loop) DescriptorCounts() (now, peak int) {
+	return l.sources.Len() + l.descriptors.inherited, l.descriptors.peak + l.descriptors.inherited
 }
 
 // register starts to watch a descriptor.
 func (l *Loop) register(fd int, s source, events uint32) (slots.Handle, error) {
-	h := l.sources.Put(s)
-	l.descriptors.peak = max(l.descriptors.peak, l.sources.Count())
+	h := l.sources.Insert(s)
+	l.descriptors.peak = max(l.descriptors.peak, l.sources.Len())
 	if err := l.system.Watch(fd, h, events, true); err != nil {
-		l.sources.Drop(h)
+		l.sources.Remove(h)
 		return 0, err
 	}
 	return h, nil
@@ -71,11 +71,11 @@
 
 // unregister closes a descriptor with closeFD and resumes the listeners that waited for a free one.
 func (l *Loop) unregister(fd int, h slots.Handle, closeFD func(fd int)) {
-	l.sources.Drop(h)
+	l.sources.Remove(h)
 	closeFD(fd)
 	waiting := l.descriptors.onFreed
 	l.descriptors.onFreed = nil
 	for _, resume := range waiting {
-		l.Later(resume)
+		l.Defer(resume)
 	}
 }
--- a/internal/loop/dial.go
+++ b/internal/loop/dial.go
@@ -3,20 +3,20 @@
 import "net/netip"
 
 // Dial starts a connect; the handler is notified of the result. The stream buffers up to maxInput bytes of unread input. It
-// returns ErrNoRoom if no descriptor is free.
+// returns ErrNoDescriptors if no descriptor is free.
 func (l *Loop) Dial(address netip.AddrPort, handler Handler, maxInput int) (*Stream, error) {
 	return l.dial(address, handler, maxInput, l.descriptors.reserved)
 }
 
-// DialKept is like Dial but may use the reserved descriptors. It is for connections without which the process cannot
+// DialReserved is like Dial but may use the reserved descriptors. It is for connections without which the process cannot
 // continue.
-func (l *Loop) DialKept(address netip.AddrPort, handler Handler, maxInput int) (*Stream, error) {
+func (l *Loop) DialReserved(address netip.AddrPort, handler Handler, maxInput int) (*Stream, error) {
 	return l.dial(address, handler, maxInput, 0)
 }
 
 func (l *Loop) dial(address netip.AddrPort, handler Handler, maxInput, reserved int) (*Stream, error) {
 	if !l.hasCapacity(reserved) {
-		return nil, ErrNoRoom
+		return nil, ErrNoDescriptors
 	}
 	fd, err := l.system.Dial(address)
 	if err != nil {
@@ -27,7 +27,7 @@
 
 // finishConnect notifies the handler of the result of a connect.
 func (s *Stream) finishConnect() {
-	err := s.loop.system.Outcome(s.fd)
+	err := s.loop.system.ConnectError(s.fd)
 	if err != nil {
 		s.fail(err)
 		return
--- a/internal/loop/halfclose.go
+++ b/internal/loop/halfclose.go
@@ -31,7 +31,7 @@
 		return
 	}
 	if halfCloser, ok := s.handler.(HalfCloser); ok && !s.halfClose.peerEnded && !s.closing && events&eventHangup == 0 {
-		if filler := halfCloser.Parting(s.loop.system.Pending(s.fd)); filler != nil {
+		if filler := halfCloser.HalfClosed(s.loop.system.Pending(s.fd)); filler != nil {
 			s.halfClose.peerEnded = true
 			s.Send(filler)
 			s.updateInterest()
@@ -46,12 +46,12 @@
 func (s *Stream) confirmHalfClose() {
 	s.halfClose.confirmed = true
 	s.updateInterest()
-	s.Look()
+	s.DeliverInput()
 }
 
-// Weighs reports that the client has shut down its sending side and it is not yet known whether it still reads. No new
+// ConfirmingHalfClose reports that the client has shut down its sending side and it is not yet known whether it still reads. No new
 // request is begun for it.
-func (s *Stream) Weighs() bool { return s.halfClose.peerEnded && !s.halfClose.confirmed }
+func (s *Stream) ConfirmingHalfClose() bool { return s.halfClose.peerEnded && !s.halfClose.confirmed }
 
-// Spent reports that the client has shut down its sending side and that all its input was read.
-func (s *Stream) Spent() bool { return s.halfClose.inputEnded }
+// InputEnded reports that the client has shut down its sending side and that all its input was read.
+func (s *Stream) InputEnded() bool { return s.halfClose.inputEnded }
--- a/internal/loop/handler.go
+++ b/internal/loop/handler.go
@@ -14,8 +14,8 @@
 
 // HalfCloser is a Handler that may still owe an answer after the peer has shut down its sending side.
 type HalfCloser interface {
-	// Parting tells the handler that the peer sends no more; pending reports that input has arrived that was not read. The
+	// HalfClosed tells the handler that the peer sends no more; pending reports that input has arrived that was not read. The
 	// handler begins nothing new for the peer and returns bytes that are harmless to send: a peer that has closed answers
 	// them with a reset, one that still reads ignores them. Nil means that nothing is owed, or that there are no such bytes.
-	Parting(pending bool) []byte
+	HalfClosed(pending bool) []byte
 }
--- a/internal/loop/kernel.go
+++ b/internal/loop/kernel.go
@@ -36,9 +36,9 @@
 // Clock implements System with the monotonic clock, offset to Unix time.
 func (k *kernel) Clock() time.Duration { return k.unixStart + time.Since(k.started) }
 
-// Held implements System by the entries of /proc/self/fd: descriptors of the runtime and inherited ones. The count includes
+// OpenDescriptors implements System by the entries of /proc/self/fd: descriptors of the runtime and inherited ones. The count includes
 // the descriptor used to read the directory, which leaves a margin of one.
-func (k *kernel) Held() (int, error) {
+func (k *kernel) OpenDescriptors() (int, error) {
 	entries, err := os.ReadDir("/proc/self/fd")
 	return len(entries), err
 }
@@ -65,8 +65,8 @@
 	return max(n, 0), err
 }
 
-// Ring implements System with an eventfd.
-func (k *kernel) Ring() {
+// Wake implements System with an eventfd.
+func (k *kernel) Wake() {
 	one := [8]byte{1}
 	unix.Write(k.wakeFD, one[:])
 }
@@ -80,8 +80,8 @@
 	return unix.EpollCtl(k.epollFD, operation, fd, &event)
 }
 
-// End implements System.
-func (k *kernel) End() {
+// Release implements System.
+func (k *kernel) Release() {
 	unix.Close(k.epollFD)
 	unix.Close(k.wakeFD)
 }
--- a/internal/loop/kernel_sockets.go
+++ b/internal/loop/kernel_sockets.go
@@ -58,8 +58,8 @@
 	return k.bind(address, unix.SOCK_STREAM)
 }
 
-// Receive implements System with a UDP socket.
-func (k *kernel) Receive(address netip.AddrPort) (int, error) {
+// ListenUDP implements System with a UDP socket.
+func (k *kernel) ListenUDP(address netip.AddrPort) (int, error) {
 	return k.bind(address, unix.SOCK_DGRAM)
 }
 
@@ -83,8 +83,8 @@
 	return unix.Writev(fd, parts)
 }
 
-// Outcome implements System with SO_ERROR.
-func (k *kernel) Outcome(fd int) error {
+// ConnectError implements System with SO_ERROR.
+func (k *kernel) ConnectError(fd int) error {
 	code, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ERROR)
 	if err == nil && code != 0 {
 		err = unix.Errno(code)
@@ -92,8 +92,8 @@
 	return err
 }
 
-// Quiet implements System with MSG_PEEK.
-func (k *kernel) Quiet(fd int) bool {
+// Idle implements System with MSG_PEEK.
+func (k *kernel) Idle(fd int) bool {
 	_, err := peek(fd)
 	return err == unix.EAGAIN
 }
@@ -113,8 +113,8 @@
 	return n, err
 }
 
-// Arrived implements System with TCP_INFO.
-func (k *kernel) Arrived(fd int) (ago time.Duration, ok bool) {
+// LastReceiveAge implements System with TCP_INFO.
+func (k *kernel) LastReceiveAge(fd int) (ago time.Duration, ok bool) {
 	info, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO)
 	if err != nil {
 		return 0, false
@@ -122,11 +122,11 @@
 	return time.Duration(info.Last_data_recv) * time.Millisecond, true
 }
 
-// Goodbye implements System with shutdown(SHUT_WR).
-func (k *kernel) Goodbye(fd int) { unix.Shutdown(fd, unix.SHUT_WR) }
+// ShutdownWrite implements System with shutdown(SHUT_WR).
+func (k *kernel) ShutdownWrite(fd int) { unix.Shutdown(fd, unix.SHUT_WR) }
 
-// Take implements System with recvfrom.
-func (k *kernel) Take(fd int, buffer []byte) (n int, sender netip.AddrPort, err error) {
+// ReceiveFrom implements System with recvfrom.
+func (k *kernel) ReceiveFrom(fd int, buffer []byte) (n int, sender netip.AddrPort, err error) {
 	n, from, err := unix.Recvfrom(fd, buffer, 0)
 	switch a := from.(type) {
 	case *unix.SockaddrInet4:
@@ -137,8 +137,8 @@
 	return n, sender, err
 }
 
-// Send implements System with sendto.
-func (k *kernel) Send(fd int, address netip.AddrPort, payload []byte) {
+// SendTo implements System with sendto.
+func (k *kernel) SendTo(fd int, address netip.AddrPort, payload []byte) {
 	sockAddress, _ := toSockaddr(address)
 	unix.Sendto(fd, payload, unix.MSG_DONTWAIT, sockAddress)
 }
--- a/internal/loop/listener.go
+++ b/internal/loop/listener.go
@@ -11,7 +11,7 @@
 
 // Listener accepts TCP connections.
 type Listener struct {
-	Door
+	AcceptLimiter
 	loop        *Loop
 	fd          int
 	handle      slots.Handle
@@ -28,13 +28,13 @@
 // Listen accepts connections at the address, each of which may buffer up to maxInput bytes of unread input. It calls accept
 // for each; accept passes its handler to open, which returns the stream, or nil on failure. When the number of connections
 // comes near the limiter's, evict is called and should close one; it is urgent when the limit is reached.
-func (l *Loop) Listen(address netip.AddrPort, maxInput int, limiter Door, accept func(open func(Handler) *Stream),
+func (l *Loop) Listen(address netip.AddrPort, maxInput int, limiter AcceptLimiter, accept func(open func(Handler) *Stream),
 	evict func(urgent bool)) (*Listener, error) {
 	fd, err := l.system.Listen(address)
 	if err != nil {
 		return nil, err
 	}
-	n := &Listener{Door: limiter, loop: l, fd: fd, maxInput: maxInput, accept: accept, evict: evict}
+	n := &Listener{AcceptLimiter: limiter, loop: l, fd: fd, maxInput: maxInput, accept: accept, evict: evict}
 	if n.handle, err = l.register(fd, n, eventReadable); err != nil {
 		l.system.Close(fd)
 		return nil, err
@@ -57,7 +57,7 @@
 func (n *Listener) acceptPending() bool {
 	failed := 0
 	for range maxAcceptsPerIteration {
-		if n.connections >= n.Allowed() {
+		if n.connections >= n.MaxConnections() {
 			n.evict(true)
 			n.pause()
 			return false
@@ -89,7 +89,7 @@
 			n.connections++
 			return s
 		})
-		if n.connections > n.Allowed()*4/5 { // an evicted connection takes a moment to close
+		if n.connections > n.MaxConnections()*4/5 { // an evicted connection takes a moment to close
 			n.evict(false)
 		}
 	}
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -19,10 +19,10 @@
 	Close()
 }
 
-// Loop owns the descriptors, the timers and the buffers of its streams. Only Ring may be called from another goroutine.
+// Loop owns the descriptors, the timers and the buffers of its streams. Only Wake may be called from another goroutine.
 type Loop struct {
 	system        System
-	sources       slots.Table[source]
+	sources       slots.Map[source]
 	timers        due.Queue[func()]
 	now, previous time.Duration // start of the current iteration, and of the one before it
 	events        []Event       // one per possible descriptor, so that one iteration sees every connection that has closed
@@ -30,8 +30,8 @@
 	memory        bufferMemory
 	descriptors   descriptorLimits
 
-	// MakeRoom closes an idle connection to free its descriptor; it reports whether it found one.
-	MakeRoom func() bool
+	// EvictIdle closes an idle connection to free its descriptor; it reports whether it found one.
+	EvictIdle func() bool
 }
 
 // New makes a loop on the kernel's sockets. The process may have up to maxDescriptors descriptors open; buffers of long
@@ -41,12 +41,12 @@
 	if err != nil {
 		return nil, err
 	}
-	return On(k, maxDescriptors, maxExtraBytes)
+	return NewWithSystem(k, maxDescriptors, maxExtraBytes)
 }
 
-// On makes a loop like New, on another implementation of the system calls.
-func On(system System, maxDescriptors, maxExtraBytes int) (*Loop, error) {
-	inherited, err := system.Held()
+// NewWithSystem makes a loop like New, on another implementation of the system calls.
+func NewWithSystem(system System, maxDescriptors, maxExtraBytes int) (*Loop, error) {
+	inherited, err := system.OpenDescriptors()
 	if err != nil {
 		return nil, err
 	}
@@ -54,8 +54,8 @@
 		return nil, fmt.Errorf("%d descriptors are too few: %d are open already", maxDescriptors, inherited)
 	}
 	l := &Loop{system: system, descriptors: descriptorLimits{inherited: inherited}}
-	l.Limit(maxDescriptors, maxExtraBytes)
-	l.MakeRoom = func() bool { return false }
+	l.SetLimits(maxDescriptors, maxExtraBytes)
+	l.EvictIdle = func() bool { return false }
 	l.now = system.Clock()
 	l.previous = l.now
 	return l, nil
@@ -64,42 +64,42 @@
 // Now returns the time at which this iteration began. It stays the same throughout the iteration.
 func (l *Loop) Now() time.Duration { return l.now }
 
-// Before returns the time at which the previous iteration began. Events of the current iteration may have occurred at any
+// PreviousNow returns the time at which the previous iteration began. Events of the current iteration may have occurred at any
 // time since.
-func (l *Loop) Before() time.Duration { return l.previous }
+func (l *Loop) PreviousNow() time.Duration { return l.previous }
 
 // Clock returns the current time, which may be later than Now. It serves to measure how long work takes.
 func (l *Loop) Clock() time.Duration { return l.system.Clock() }
 
-// Ring wakes the loop. It may be called from any goroutine.
-func (l *Loop) Ring() { l.system.Ring() }
+// Wake wakes the loop. It may be called from any goroutine.
+func (l *Loop) Wake() { l.system.Wake() }
 
 // Stop makes Run return after this iteration.
 func (l *Loop) Stop() { l.stopped = true }
 
 // Close closes all descriptors, once Run has returned. The handlers are not notified.
 func (l *Loop) Close() {
-	l.sources.Each(func(_ slots.Handle, s source) { s.Close() })
-	l.system.End()
+	l.sources.ForEach(func(_ slots.Handle, s source) { s.Close() })
+	l.system.Release()
 }
 
-// Run iterates until Stop is called. It calls onWake after each Ring, on the loop's goroutine.
+// Run iterates until Stop is called. It calls onWake after each Wake, on the loop's goroutine.
 func (l *Loop) Run(onWake func()) error {
 	for !l.stopped {
 		wait := time.Duration(-1)
-		if at, ok := l.timers.First(); ok {
+		if at, ok := l.timers.NextDue(); ok {
 			wait = max(0, at-l.system.Clock())
 		}
-		if err := l.Turn(wait, onWake); err != nil {
+		if err := l.RunOnce(wait, onWake); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Turn runs one iteration: it waits for events up to maxWait (without limit if negative), serves each ready descriptor once
-// and then runs the timers that have expired. It calls onWake if Ring was called.
-func (l *Loop) Turn(maxWait time.Duration, onWake func()) error {
+// RunOnce runs one iteration: it waits for events up to maxWait (without limit if negative), serves each ready descriptor once
+// and then runs the timers that have expired. It calls onWake if Wake was called.
+func (l *Loop) RunOnce(maxWait time.Duration, onWake func()) error {
 	n, err := l.system.Wait(l.events, maxWait)
 	if err != nil {
 		return err
@@ -120,7 +120,7 @@
 			l.guard(onWake, nil)
 		}
 	}
-	for callback, ok := l.timers.Pop(l.now); ok; callback, ok = l.timers.Pop(l.now) {
+	for callback, ok := l.timers.PopDue(l.now); ok; callback, ok = l.timers.PopDue(l.now) {
 		l.guard(callback, nil)
 	}
 	return nil
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -47,7 +47,7 @@
 	}
 	address = netip.MustParseAddrPort(probe.Addr().String())
 	probe.Close()
-	if _, err := l.Listen(address, 64<<10, Door{}, func(open func(Handler) *Stream) {
+	if _, err := l.Listen(address, 64<<10, AcceptLimiter{}, func(open func(Handler) *Stream) {
 		e := &echo{ignoresInput: ignoresInput}
 		e.stream = open(e)
 	}, func(bool) {}); err != nil {
@@ -56,7 +56,7 @@
 	done := make(chan error)
 	go func() { done <- l.Run(l.Stop) }()
 	stop = sync.OnceFunc(func() {
-		l.Ring()
+		l.Wake()
 		if err := <-done; err != nil {
 			t.Error(err)
 		}
@@ -161,7 +161,7 @@
 		t.Fatalf("%q, %v", got, err)
 	}
 	stop()
-	if _, most := l.Open(); most > limit {
+	if _, most := l.DescriptorCounts(); most > limit {
 		t.Fatalf("%d descriptors were open", most)
 	}
 }
@@ -201,10 +201,10 @@
 	l.At(now+20*time.Millisecond, add("d"))
 	l.At(now+5*time.Millisecond, func() {
 		order += "b"
-		l.Later(add("c"))
+		l.Defer(add("c"))
 		panic("as asked")
 	})
-	l.Later(add("a"))
+	l.Defer(add("a"))
 	l.At(now+30*time.Millisecond, l.Stop)
 	if err := l.Run(func() {}); err != nil || order != "abcd" {
 		t.Fatalf("order %s, %v", order, err)
@@ -246,15 +246,15 @@
 			t.Fatal(err)
 		}
 		c.Write(make([]byte, 3*readBufferSize))
-		for !s.Rests() {
-			l.Turn(10*time.Millisecond, func() {})
+		for !s.ReadPaused() {
+			l.RunOnce(10*time.Millisecond, func() {})
 		}
 		if reset {
 			c.(*net.TCPConn).SetLinger(0)
 		}
 		c.Close()
 		for range 20 {
-			l.Turn(10*time.Millisecond, func() {})
+			l.RunOnce(10*time.Millisecond, func() {})
 		}
 		if k.closed != reset || k.cause == io.EOF {
 			t.Errorf("reset %t: closed %t with %v after %d of %d bytes", reset, k.closed, k.cause, len(s.Unread()), 3*readBufferSize)
@@ -262,10 +262,10 @@
 		if reset {
 			continue
 		}
-		l.Limit(50, 1<<20) // the memory is available again
+		l.SetLimits(50, 1<<20) // the memory is available again
 		l.accountBytes(-1)
 		for range 100 {
-			if l.Turn(10*time.Millisecond, func() {}); k.closed {
+			if l.RunOnce(10*time.Millisecond, func() {}); k.closed {
 				break
 			}
 		}
@@ -283,7 +283,7 @@
 func (discardHandler) Panicked(error)      {}
 func (discardHandler) Input(in []byte) int { return len(in) }
 
-// DialKept gets a descriptor when all others are in use.
+// DialReserved gets a descriptor when all others are in use.
 func TestReservedDescriptors(t *testing.T) {
 	_, at, stop := startEchoServer(t, 200, 1<<20, true)
 	defer stop()
@@ -294,7 +294,7 @@
 	defer l.Close()
 	opened := 0
 	for ; opened < 100; opened++ {
-		if _, err := l.Dial(at, discardHandler{}, 1<<10); err == ErrNoRoom {
+		if _, err := l.Dial(at, discardHandler{}, 1<<10); err == ErrNoDescriptors {
 			break
 		} else if err != nil {
 			t.Fatal(err)
@@ -303,11 +303,11 @@
 	if opened < 20 || opened == 100 {
 		t.Fatalf("%d connections were opened", opened)
 	}
-	if _, err := l.DialKept(at, discardHandler{}, 1<<10); err != nil {
+	if _, err := l.DialReserved(at, discardHandler{}, 1<<10); err != nil {
 		t.Error("no descriptor was reserved:", err)
 	}
 	for range 5 {
-		if _, err = l.DialKept(at, discardHandler{}, 1<<10); err == ErrNoRoom {
+		if _, err = l.DialReserved(at, discardHandler{}, 1<<10); err == ErrNoDescriptors {
 			return
 		}
 	}
--- a/internal/loop/read.go
+++ b/internal/loop/read.go
@@ -42,7 +42,7 @@
 		return
 	case n == 0 && s.halfClose.peerEnded:
 		s.halfClose.inputEnded = true
-		if s.updateInterest(); s.handler.(HalfCloser).Parting(false) == nil {
+		if s.updateInterest(); s.handler.(HalfCloser).HalfClosed(false) == nil {
 			s.fail(io.EOF)
 		}
 		return
@@ -54,7 +54,7 @@
 	if s.listener != nil {
 		s.recordArrival(n)
 	}
-	s.Look()
+	s.DeliverInput()
 }
 
 // ensureSpace makes space in the buffer. It reports false if all of it is used and it may not grow.
@@ -82,8 +82,8 @@
 	return true
 }
 
-// Look calls the handler's Input with the unread input until it consumes no more of it.
-func (s *Stream) Look() {
+// DeliverInput calls the handler's Input with the unread input until it consumes no more of it.
+func (s *Stream) DeliverInput() {
 	in := &s.input
 	if in.delivering || s.closed {
 		return
@@ -111,13 +111,13 @@
 	}
 }
 
-// Rests reports that reading is paused, although input may have arrived.
-func (s *Stream) Rests() bool { return s.input.full || s.input.starved }
+// ReadPaused reports that reading is paused, although input may have arrived.
+func (s *Stream) ReadPaused() bool { return s.input.full || s.input.starved }
 
 // Unread returns the input that was read and not consumed.
 func (s *Stream) Unread() []byte { return s.input.buffer[s.input.consumed:] }
 
-// Skip consumes n bytes of Unread that Input had left. Call Look to continue with the rest.
+// Skip consumes n bytes of Unread that Input had left. Call DeliverInput to continue with the rest.
 func (s *Stream) Skip(n int) { s.input.consumed += n }
 
 // releaseBuffer gives the input buffer back; its content is discarded.
--- a/internal/loop/sim/arrivals_test.go
+++ b/internal/loop/sim/arrivals_test.go
@@ -20,7 +20,7 @@
 	return n
 }
 
-// However input arrives, is paused and consumed, Came is never later than the true arrival of a byte. Where reading was never
+// However input arrives, is paused and consumed, ArrivedAt is never later than the true arrival of a byte. Where reading was never
 // paused, it is not much earlier than the byte was sent.
 func TestArrivalTimesAreNeverTooLate(t *testing.T) {
 	for name, c := range map[string]struct{ pieces, longest, bears int }{
@@ -38,8 +38,8 @@
 				w := New(seed, start)
 				var loops [2]*loop.Loop
 				for i, host := range []string{"client", "driver"} {
-					h := w.Host(host)
-					l, err := loop.On(h, 100, 8<<20)
+					h := w.AddHost(host)
+					l, err := loop.NewWithSystem(h, 100, 8<<20)
 					if err != nil {
 						t.Fatal(err)
 					}
@@ -47,7 +47,7 @@
 					loops[i] = l
 				}
 				k := &limitedHandler{endpoint: endpoint{loop: loops[1]}}
-				if _, err := loops[1].Listen(serverAddress, c.bears, loop.Door{}, func(open func(loop.Handler) *loop.Stream) { k.stream = open(k) }, func(bool) {}); err != nil {
+				if _, err := loops[1].Listen(serverAddress, c.bears, loop.AcceptLimiter{}, func(open func(loop.Handler) *loop.Stream) { k.stream = open(k) }, func(bool) {}); err != nil {
 					t.Fatal(err)
 				}
 				var from *loop.Stream
@@ -72,9 +72,9 @@
 						w.At(after+time.Millisecond/2, func() {
 							loops[1].At(w.Now(), func() {
 								unread := len(k.stream.Unread())
-								paused = paused || k.stream.Rests()
+								paused = paused || k.stream.ReadPaused()
 								for n := 1; n <= unread; n += 1 + chance.Below(20) {
-									came, was := k.stream.Came(n), sent[taken+n-1]
+									came, was := k.stream.ArrivedAt(n), sent[taken+n-1]
 									if came > was+2*time.Millisecond {
 										t.Fatalf("seed %d: byte %d arrived %v after it was sent", seed, taken+n, came-was)
 									}
@@ -84,7 +84,7 @@
 								}
 								before := len(k.stream.Unread())
 								k.remaining = chance.Below(unread + 1)
-								k.stream.Look()
+								k.stream.DeliverInput()
 								taken += before - len(k.stream.Unread())
 							})
 						})
--- a/internal/loop/sim/connect.go
+++ b/internal/loop/sim/connect.go
@@ -18,7 +18,7 @@
 	fd := h.open(s)
 	target := w.bound[address]
 	if target == nil { // nothing listens there
-		w.schedule(w.now+2*Plain.Delay, func() { s.failConnect(unix.ECONNREFUSED) })
+		w.schedule(w.now+2*LocalLink.Delay, func() { s.failConnect(unix.ECONNREFUSED) })
 		return fd, nil
 	}
 	s.path = path{route: route{h, address}, from: h, to: target.host}
@@ -34,7 +34,7 @@
 	}
 	current := w.bound[address]
 	reply := path{route: s.path.route, from: target.host, to: s.host, isReply: true}
-	if current == nil || current.kind != listenerSocket || len(current.pending) >= maxQueued || w.link(s.path).Refuse {
+	if current == nil || current.kind != listenerSocket || len(current.pending) >= maxQueued || w.link(s.path).RefuseConnects {
 		w.transmit(reply, 0, always, 0, func() { s.failConnect(unix.ECONNREFUSED) })
 		return
 	}
--- a/internal/loop/sim/datagrams.go
+++ b/internal/loop/sim/datagrams.go
@@ -12,8 +12,8 @@
 	payload []byte
 }
 
-// Take implements loop.System.
-func (h *Host) Take(fd int, buffer []byte) (int, netip.AddrPort, error) {
+// ReceiveFrom implements loop.System.
+func (h *Host) ReceiveFrom(fd int, buffer []byte) (int, netip.AddrPort, error) {
 	s := h.sockets[fd]
 	if s == nil || len(s.datagrams) == 0 {
 		return 0, netip.AddrPort{}, unix.EAGAIN
@@ -23,10 +23,10 @@
 	return copy(buffer, d.payload), d.from, nil
 }
 
-// Send implements loop.System.
-func (h *Host) Send(fd int, address netip.AddrPort, payload []byte) {
-	if h.world.Posted != nil {
-		h.world.Posted(h, address, payload)
+// SendTo implements loop.System.
+func (h *Host) SendTo(fd int, address netip.AddrPort, payload []byte) {
+	if h.world.OnDatagram != nil {
+		h.world.OnDatagram(h, address, payload)
 	}
 	if s := h.sockets[fd]; s != nil {
 		for _, member := range h.world.multicast[address] {
@@ -53,7 +53,7 @@
 	})
 }
 
-// Crowd makes an address a multicast address: datagrams to it go to each member but the sender.
-func (w *World) Crowd(address netip.AddrPort, members []netip.AddrPort) {
+// SetMulticast makes an address a multicast address: datagrams to it go to each member but the sender.
+func (w *World) SetMulticast(address netip.AddrPort, members []netip.AddrPort) {
 	w.multicast[address] = members
 }
--- a/internal/loop/sim/drain_test.go
+++ b/internal/loop/sim/drain_test.go
@@ -40,8 +40,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := New(1, start)
-			system := &failingAccept{w.Host("driver"), cause}
-			l, err := loop.On(system, 100, 1<<20)
+			system := &failingAccept{w.AddHost("driver"), cause}
+			l, err := loop.NewWithSystem(system, 100, 1<<20)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -50,7 +50,7 @@
 			if cause != nil {
 				allowed = 50
 			}
-			door := loop.Door{Descriptors: func(int) int { return allowed }}
+			door := loop.AcceptLimiter{Descriptors: func(int) int { return allowed }}
 			listener, err := l.Listen(at, 1<<10, door, func(open func(loop.Handler) *loop.Stream) {
 				open(discardHandler{})
 				accepted++
@@ -58,12 +58,12 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			clients, err := loop.On(w.Host("clients"), 100, 1<<20)
+			clients, err := loop.NewWithSystem(w.AddHost("clients"), 100, 1<<20)
 			if err != nil {
 				t.Fatal(err)
 			}
 			w.Hosts()[1].Serve(clients, func() {})
-			clients.Later(func() {
+			clients.Defer(func() {
 				for range 8 {
 					clients.Dial(at, discardHandler{}, 1<<10)
 				}
@@ -86,7 +86,7 @@
 // The same seed makes the same calls fail.
 func TestFaultsAreReproducible(t *testing.T) {
 	draw := func() (all []error) {
-		f := &Faults{Chance: pcg.New(3), Part: 0.3, Failed: make(map[string]int)}
+		f := &Faults{Random: pcg.New(3), Rate: 0.3, Counts: make(map[string]int)}
 		for range 50 {
 			all = append(all, f.inject("read", unix.EINTR, unix.ENOMEM))
 		}
--- a/internal/loop/sim/faults.go
+++ b/internal/loop/sim/faults.go
@@ -14,9 +14,9 @@
 // accepted ones only get transient errors.
 type Faults struct {
 	loop.System
-	Chance *pcg.Source
-	Part   float64        // probability that a call fails
-	Failed map[string]int // number of failures by call and error name
+	Random *pcg.Source
+	Rate   float64        // probability that a call fails
+	Counts map[string]int // number of failures by call and error name
 	dialed map[int]bool   // descriptors of dialed streams
 }
 
@@ -27,16 +27,16 @@
 
 // NewFaults wraps a system so that its calls fail with the given probability.
 func NewFaults(system loop.System, seed uint64, rate float64) *Faults {
-	return &Faults{System: system, Chance: pcg.New(seed), Part: rate, Failed: make(map[string]int), dialed: make(map[int]bool)}
+	return &Faults{System: system, Random: pcg.New(seed), Rate: rate, Counts: make(map[string]int), dialed: make(map[int]bool)}
 }
 
 // inject draws whether a call fails, and with which of the candidates. It returns nil if the call succeeds.
 func (f *Faults) inject(call string, candidates ...unix.Errno) error {
-	if f.Chance.Float() >= f.Part {
+	if f.Random.Float() >= f.Rate {
 		return nil
 	}
-	err := candidates[f.Chance.Below(len(candidates))]
-	f.Failed[call+" "+unix.ErrnoName(err)]++
+	err := candidates[f.Random.Below(len(candidates))]
+	f.Counts[call+" "+unix.ErrnoName(err)]++
 	return err
 }
 
@@ -67,17 +67,17 @@
 	return fd, err
 }
 
-// Outcome implements loop.System: a connect may fail.
-func (f *Faults) Outcome(fd int) error {
+// ConnectError implements loop.System: a connect may fail.
+func (f *Faults) ConnectError(fd int) error {
 	if err := f.inject("connect", unix.ETIMEDOUT, unix.EHOSTUNREACH, unix.ECONNREFUSED); err != nil {
 		return err
 	}
-	return f.System.Outcome(fd)
+	return f.System.ConnectError(fd)
 }
 
 // Read implements loop.System: it may be interrupted, return fewer bytes than there are, or break a dialed stream.
 func (f *Faults) Read(fd int, buffer []byte) (int, error) {
-	if f.dialed[fd] && f.Chance.Float() < breakShare {
+	if f.dialed[fd] && f.Random.Float() < breakShare {
 		if err := f.inject("read", unix.ETIMEDOUT, unix.EHOSTUNREACH, unix.ECONNRESET); err != nil {
 			return 0, err
 		}
@@ -85,15 +85,15 @@
 	if err := f.inject("read", unix.EINTR, unix.ENOMEM, unix.ENOBUFS); err != nil {
 		return 0, err
 	}
-	if f.Chance.Float() < f.Part {
-		buffer = buffer[:min(len(buffer), 1+f.Chance.Below(maxShortTransfer))]
+	if f.Random.Float() < f.Rate {
+		buffer = buffer[:min(len(buffer), 1+f.Random.Below(maxShortTransfer))]
 	}
 	return f.System.Read(fd, buffer)
 }
 
 // Write implements loop.System: it may be interrupted, accept fewer bytes than given, or break a dialed stream.
 func (f *Faults) Write(fd int, parts [][]byte) (int, error) {
-	if f.dialed[fd] && f.Chance.Float() < breakShare {
+	if f.dialed[fd] && f.Random.Float() < breakShare {
 		if err := f.inject("write", unix.ETIMEDOUT, unix.EHOSTUNREACH, unix.EPIPE); err != nil {
 			return 0, err
 		}
@@ -101,9 +101,9 @@
 	if err := f.inject("write", unix.EINTR, unix.ENOBUFS, unix.ENOMEM, unix.EAGAIN); err != nil {
 		return 0, err
 	}
-	if f.Chance.Float() < f.Part {
+	if f.Random.Float() < f.Rate {
 		first := parts[0]
-		return f.System.Write(fd, [][]byte{first[:min(len(first), 1+f.Chance.Below(maxShortTransfer))]})
+		return f.System.Write(fd, [][]byte{first[:min(len(first), 1+f.Random.Below(maxShortTransfer))]})
 	}
 	return f.System.Write(fd, parts)
 }
--- a/internal/loop/sim/host.go
+++ b/internal/loop/sim/host.go
@@ -10,21 +10,21 @@
 // firstFD is the first descriptor that a host opens. A new process has three open.
 const firstFD = 3
 
-// defaultCost is the Cost of a new host.
+// defaultCost is the IterationTime of a new host.
 const defaultCost = 20 * time.Microsecond
 
 // Hosts returns the hosts in the order in which they were added.
 func (w *World) Hosts() []*Host { return w.hosts }
 
-// Host adds a host.
-func (w *World) Host(name string) *Host {
+// AddHost adds a host.
+func (w *World) AddHost(name string) *Host {
 	h := &Host{
-		Name:    name,
-		world:   w,
-		number:  len(w.hosts),
-		sockets: make(map[int]*socket),
-		nextFD:  firstFD,
-		Cost:    defaultCost,
+		Name:          name,
+		world:         w,
+		number:        len(w.hosts),
+		sockets:       make(map[int]*socket),
+		nextFD:        firstFD,
+		IterationTime: defaultCost,
 	}
 	w.hosts = append(w.hosts, h)
 	return h
@@ -32,10 +32,10 @@
 
 // Host is one machine that runs one program on a loop. It implements loop.System.
 type Host struct {
-	Name  string
-	Cost  time.Duration // duration of each iteration of the loop, during which the host does nothing else
-	Turns int           // number of iterations so far
-	Ahead time.Duration // offset of the host's clock from the world's; set it before the loop is made
+	Name          string
+	IterationTime time.Duration // duration of each iteration of the loop, during which the host does nothing else
+	Iterations    int           // number of iterations so far
+	ClockOffset   time.Duration // offset of the host's clock from the world's; set it before the loop is made
 
 	world       *World
 	number      int
@@ -43,7 +43,7 @@
 	stale       bool             // the host is in World.stale
 	loop        *loop.Loop       // nil while no program runs
 	onWake      func()
-	wakePending bool // Ring was called
+	wakePending bool // Wake was called
 	sockets     map[int]*socket
 	nextFD      int
 	active      []*socket     // that may be ready, in the order in which they became so
@@ -52,16 +52,16 @@
 	down        bool
 }
 
-// Serve runs the iterations of a loop that was made on this host. It calls onWake after each Ring.
+// Serve runs the iterations of a loop that was made on this host. It calls onWake after each Wake.
 func (h *Host) Serve(l *loop.Loop, onWake func()) {
 	h.loop, h.onWake = l, onWake
 	h.touch()
 }
 
-// Do runs callback in the next iteration of the host's loop. It does nothing if no program runs.
-func (h *Host) Do(callback func()) {
+// Post runs callback in the next iteration of the host's loop. It does nothing if no program runs.
+func (h *Host) Post(callback func()) {
 	if h.loop != nil {
-		h.loop.At(h.world.now+h.Ahead, callback)
+		h.loop.At(h.world.now+h.ClockOffset, callback)
 		h.touch()
 	}
 }
@@ -102,10 +102,10 @@
 	}
 	if h.wakePending || h.anyReady() {
 		at, ok = h.world.now, true
-	} else if at, ok = h.loop.NextDue(); !ok {
+	} else if at, ok = h.loop.NextTimer(); !ok {
 		return 0, false
 	} else {
-		at -= h.Ahead
+		at -= h.ClockOffset
 	}
 	return max(at, h.busyUntil, h.pausedUntil), true
 }
@@ -125,7 +125,7 @@
 	if at, ok := h.nextWakeup(); !ok || at > h.world.now {
 		return
 	}
-	h.busyUntil = h.world.now + h.Cost
-	h.Turns++
-	h.loop.Turn(0, h.onWake)
+	h.busyUntil = h.world.now + h.IterationTime
+	h.Iterations++
+	h.loop.RunOnce(0, h.onWake)
 }
--- a/internal/loop/sim/links.go
+++ b/internal/loop/sim/links.go
@@ -7,22 +7,22 @@
 
 // Link describes how bytes travel from one host to another.
 type Link struct {
-	Delay  time.Duration // one way
-	Jitter time.Duration // maximum of a random delay added for each segment
-	Loss   float64       // probability that a segment or datagram is lost; a stream sends the segment again
-	Resend time.Duration // delay after which a stream resends a lost segment
-	Piece  int           // maximum bytes of a segment; 0: no maximum
-	Cut    bool          // nothing arrives; streams resend until the link is restored
+	Delay       time.Duration // one way
+	Jitter      time.Duration // maximum of a random delay added for each segment
+	Loss        float64       // probability that a segment or datagram is lost; a stream sends the segment again
+	ResendDelay time.Duration // delay after which a stream resends a lost segment
+	MaxSegment  int           // maximum bytes of a segment; 0: no maximum
+	Cut         bool          // nothing arrives; streams resend until the link is restored
 
-	Double  float64       // probability that a datagram arrives twice
-	Reorder float64       // probability that a datagram is delayed further, so that later ones overtake it
-	Late    time.Duration // maximum of that delay
-	Rate    int           // bytes per second of a stream; 0: unlimited
-	Refuse  bool          // connects are refused
+	Duplicate      float64       // probability that a datagram arrives twice
+	Reorder        float64       // probability that a datagram is delayed further, so that later ones overtake it
+	ReorderDelay   time.Duration // maximum of that delay
+	BytesPerSecond int           // bytes per second of a stream; 0: unlimited
+	RefuseConnects bool          // connects are refused
 }
 
-// Plain is a link within one data centre.
-var Plain = Link{Delay: 200 * time.Microsecond, Jitter: 100 * time.Microsecond, Resend: 200 * time.Millisecond, Piece: 16 << 10}
+// LocalLink is a link within one data centre.
+var LocalLink = Link{Delay: 200 * time.Microsecond, Jitter: 100 * time.Microsecond, ResendDelay: 200 * time.Millisecond, MaxSegment: 16 << 10}
 
 // route is the connection between a host and an address at which another host listens.
 type route struct {
@@ -37,27 +37,27 @@
 	isReply  bool // from the listening host to the caller
 }
 
-// Join sets the link between two hosts, in both directions.
-func (w *World) Join(a, b *Host, link Link) {
+// SetLink sets the link between two hosts, in both directions.
+func (w *World) SetLink(a, b *Host, link Link) {
 	w.links[[2]*Host{a, b}], w.links[[2]*Host{b, a}] = link, link
 }
 
-// OneWay sets the link from one host to another.
-func (w *World) OneWay(from, to *Host, link Link) { w.links[[2]*Host{from, to}] = link }
+// SetLinkOneWay sets the link from one host to another.
+func (w *World) SetLinkOneWay(from, to *Host, link Link) { w.links[[2]*Host{from, to}] = link }
 
-// Bend sets the links between a host and an address at which another host listens, one for each direction. It overrides Join
-// and OneWay.
-func (w *World) Bend(caller *Host, address netip.AddrPort, request, reply Link) {
+// SetRoute sets the links between a host and an address at which another host listens, one for each direction. It overrides SetLink
+// and SetLinkOneWay.
+func (w *World) SetRoute(caller *Host, address netip.AddrPort, request, reply Link) {
 	w.routes[route{caller, address}] = [2]Link{request, reply}
 }
 
-// Straighten removes the links that Bend set.
-func (w *World) Straighten(caller *Host, address netip.AddrPort) {
+// ClearRoute removes the links that SetRoute set.
+func (w *World) ClearRoute(caller *Host, address netip.AddrPort) {
 	delete(w.routes, route{caller, address})
 }
 
-// Break resets the established streams between a host and an address.
-func (w *World) Break(caller *Host, address netip.AddrPort) {
+// ResetRoute resets the established streams between a host and an address.
+func (w *World) ResetRoute(caller *Host, address netip.AddrPort) {
 	for fd := firstFD; fd < caller.nextFD; fd++ {
 		if s := caller.sockets[fd]; s != nil && s.kind == streamSocket && s.path.route == (route{caller, address}) && !s.connecting {
 			if p := s.peer; p != nil {
@@ -78,10 +78,10 @@
 	if l, found := w.links[[2]*Host{path.from, path.to}]; found {
 		return l
 	}
-	if w.Between != nil {
-		if l, found := w.Between(path.from, path.to); found {
+	if w.DefaultLink != nil {
+		if l, found := w.DefaultLink(path.from, path.to); found {
 			return l
 		}
 	}
-	return Plain
+	return LocalLink
 }
--- a/internal/loop/sim/schedule.go
+++ b/internal/loop/sim/schedule.go
@@ -9,12 +9,12 @@
 func (w *World) Run(until time.Duration) {
 	w.touchAll() // the caller may have changed any host
 	for {
-		for callback, ok := w.callbacks.Pop(w.now); ok; callback, ok = w.callbacks.Pop(w.now) {
+		for callback, ok := w.callbacks.PopDue(w.now); ok; callback, ok = w.callbacks.PopDue(w.now) {
 			callback()
 		}
 		w.runHosts()
-		next, pending := w.callbacks.First()
-		if at, ok := w.wakeups.First(); ok && (!pending || at < next) {
+		next, pending := w.callbacks.NextDue()
+		if at, ok := w.wakeups.NextDue(); ok && (!pending || at < next) {
 			next, pending = at, true
 		}
 		if !pending || next > until {
@@ -31,7 +31,7 @@
 	w.collectTouched(nil)
 	w.updateWakeups()
 	w.runnable = w.runnable[:0]
-	for h, ok := w.wakeups.Pop(w.now); ok; h, ok = w.wakeups.Pop(w.now) {
+	for h, ok := w.wakeups.PopDue(w.now); ok; h, ok = w.wakeups.PopDue(w.now) {
 		h.wakeup = nil
 		w.runnable = append(w.runnable, h)
 	}
--- a/internal/loop/sim/sim_test.go
+++ b/internal/loop/sim/sim_test.go
@@ -45,15 +45,15 @@
 func newPair(t *testing.T, seed uint64) *pair {
 	p := &pair{world: New(seed, start)}
 	for i := range p.hosts {
-		p.hosts[i] = p.world.Host(fmt.Sprint(i))
-		l, err := loop.On(p.hosts[i], 100, 8<<20)
+		p.hosts[i] = p.world.AddHost(fmt.Sprint(i))
+		l, err := loop.NewWithSystem(p.hosts[i], 100, 8<<20)
 		if err != nil {
 			t.Fatal(err)
 		}
 		p.hosts[i].Serve(l, func() {})
 		p.loops[i] = l
 	}
-	if _, err := p.loops[1].Listen(serverAddress, 1<<20, loop.Door{}, func(open func(loop.Handler) *loop.Stream) {
+	if _, err := p.loops[1].Listen(serverAddress, 1<<20, loop.AcceptLimiter{}, func(open func(loop.Handler) *loop.Stream) {
 		p.server = &endpoint{loop: p.loops[1]}
 		p.server.stream = open(p.server)
 	}, func(bool) {}); err != nil {
@@ -79,7 +79,7 @@
 		var arrived [2]time.Duration
 		for turn := range 2 {
 			p := newPair(t, seed)
-			p.world.Join(p.hosts[0], p.hosts[1], Link{Delay: time.Millisecond, Jitter: 20 * time.Millisecond, Loss: 0.3, Resend: 50 * time.Millisecond, Piece: 700})
+			p.world.SetLink(p.hosts[0], p.hosts[1], Link{Delay: time.Millisecond, Jitter: 20 * time.Millisecond, Loss: 0.3, ResendDelay: 50 * time.Millisecond, MaxSegment: 700})
 			p.dial(t)
 			p.run(time.Second)
 			var want []byte
@@ -149,15 +149,15 @@
 	t.Run("cut off", func(t *testing.T) { // nothing arrives, and all that was sent does once the link is restored
 		p := newPair(t, 1)
 		p.dial(t)
-		cut := Plain
+		cut := LocalLink
 		cut.Cut = true
-		p.world.Join(p.hosts[0], p.hosts[1], cut)
+		p.world.SetLink(p.hosts[0], p.hosts[1], cut)
 		p.client.stream.Send([]byte("held"))
 		p.run(5 * time.Second)
 		if p.client.closed || p.server.received.Len() > 0 {
 			t.Errorf("over a cut link: closed %t, %d bytes", p.client.closed, p.server.received.Len())
 		}
-		p.world.Join(p.hosts[0], p.hosts[1], Plain)
+		p.world.SetLink(p.hosts[0], p.hosts[1], LocalLink)
 		p.run(time.Second)
 		if p.server.received.String() != "held" {
 			t.Errorf("after the link was restored: %q", p.server.received.String())
@@ -166,9 +166,9 @@
 	t.Run("one way", func(t *testing.T) {
 		p := newPair(t, 1)
 		p.dial(t)
-		cut := Plain
+		cut := LocalLink
 		cut.Cut = true
-		p.world.OneWay(p.hosts[1], p.hosts[0], cut)
+		p.world.SetLinkOneWay(p.hosts[1], p.hosts[0], cut)
 		p.client.stream.Send([]byte("there"))
 		p.server.stream.Send([]byte("back"))
 		p.run(time.Second)
@@ -181,21 +181,21 @@
 func TestDatagramsMayBeLost(t *testing.T) {
 	w := New(3, start)
 	var loops [2]*loop.Loop
-	var sockets [2]*loop.Datagrams
+	var sockets [2]*loop.DatagramSocket
 	var hosts [2]*Host
 	got := 0
 	for i := range 2 {
-		hosts[i] = w.Host(fmt.Sprint(i))
-		loops[i], _ = loop.On(hosts[i], 100, 1<<20)
+		hosts[i] = w.AddHost(fmt.Sprint(i))
+		loops[i], _ = loop.NewWithSystem(hosts[i], 100, 1<<20)
 		hosts[i].Serve(loops[i], func() {})
-		sockets[i], _ = loops[i].Receive(netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 7), func(from netip.AddrPort, text []byte) {
+		sockets[i], _ = loops[i].ListenUDP(netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 7), func(from netip.AddrPort, text []byte) {
 			if string(text) != "hello" || from.Addr() != netip.AddrFrom4([4]byte{10, 0, 0, 0}) {
 				t.Errorf("%q from %s", text, from)
 			}
 			got++
 		})
 	}
-	w.Join(hosts[0], hosts[1], Link{Delay: time.Millisecond, Loss: 0.25})
+	w.SetLink(hosts[0], hosts[1], Link{Delay: time.Millisecond, Loss: 0.25})
 	for range 1000 {
 		sockets[0].Send(netip.MustParseAddrPort("10.0.0.1:7"), []byte("hello"))
 	}
@@ -205,12 +205,12 @@
 	}
 }
 
-// Bend affects one route only, and each direction separately.
+// SetRoute affects one route only, and each direction separately.
 func TestRouteOverridesAffectOneRoute(t *testing.T) {
 	p := newPair(t, 3)
 	other := netip.MustParseAddrPort("10.0.0.1:2")
 	var second *endpoint
-	if _, err := p.loops[1].Listen(other, 1<<20, loop.Door{}, func(open func(loop.Handler) *loop.Stream) {
+	if _, err := p.loops[1].Listen(other, 1<<20, loop.AcceptLimiter{}, func(open func(loop.Handler) *loop.Stream) {
 		second = &endpoint{loop: p.loops[1]}
 		second.stream = open(second)
 	}, func(bool) {}); err != nil {
@@ -221,9 +221,9 @@
 	straight.stream, _ = p.loops[0].Dial(other, straight, 1<<20)
 	p.run(100 * time.Millisecond)
 
-	cut := Plain
+	cut := LocalLink
 	cut.Cut = true
-	p.world.Bend(p.hosts[0], serverAddress, cut, Plain)
+	p.world.SetRoute(p.hosts[0], serverAddress, cut, LocalLink)
 	p.client.stream.Send([]byte("held"))
 	straight.stream.Send([]byte("goes"))
 	p.server.stream.Send([]byte("back"))
@@ -231,15 +231,15 @@
 	if p.server.received.Len() != 0 || second.received.String() != "goes" || p.client.received.String() != "back" {
 		t.Errorf("there %q, elsewhere %q, back %q", p.server.received.String(), second.received.String(), p.client.received.String())
 	}
-	p.world.Straighten(p.hosts[0], serverAddress)
+	p.world.ClearRoute(p.hosts[0], serverAddress)
 	p.run(time.Second)
 	if p.server.received.String() != "held" {
 		t.Errorf("after the cut %q has arrived", p.server.received.String())
 	}
 
-	thin := Plain
-	thin.Rate = 1000
-	p.world.Bend(p.hosts[0], serverAddress, thin, Plain)
+	thin := LocalLink
+	thin.BytesPerSecond = 1000
+	p.world.SetRoute(p.hosts[0], serverAddress, thin, LocalLink)
 	began := p.world.Now()
 	p.client.stream.Send(make([]byte, 2000))
 	p.run(10 * time.Second)
@@ -247,14 +247,14 @@
 		t.Errorf("%d bytes after %v at 1000 a second", p.server.received.Len(), took)
 	}
 
-	p.world.Break(p.hosts[0], serverAddress)
+	p.world.ResetRoute(p.hosts[0], serverAddress)
 	p.run(time.Second)
 	if !p.client.closed || !p.server.closed || straight.closed {
 		t.Errorf("reset: here %v, there %v, elsewhere %v", p.client.closed, p.server.closed, straight.closed)
 	}
-	refuse := Plain
-	refuse.Refuse = true
-	p.world.Bend(p.hosts[0], serverAddress, refuse, Plain)
+	refuse := LocalLink
+	refuse.RefuseConnects = true
+	p.world.SetRoute(p.hosts[0], serverAddress, refuse, LocalLink)
 	if p.dial(t); p.client.opened || !p.client.closed {
 		t.Error("a connection is accepted though it should be refused")
 	}
@@ -266,17 +266,17 @@
 	a, b, all := netip.MustParseAddrPort("10.0.0.1:7"), netip.MustParseAddrPort("10.0.0.2:7"), netip.MustParseAddrPort("10.0.0.9:7")
 	var got []byte
 	echoes := 0
-	out, err := p.loops[0].Receive(a, func(netip.AddrPort, []byte) { echoes++ })
+	out, err := p.loops[0].ListenUDP(a, func(netip.AddrPort, []byte) { echoes++ })
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := p.loops[1].Receive(b, func(_ netip.AddrPort, text []byte) { got = append(got, text...) }); err != nil {
+	if _, err := p.loops[1].ListenUDP(b, func(_ netip.AddrPort, text []byte) { got = append(got, text...) }); err != nil {
 		t.Fatal(err)
 	}
-	p.world.Crowd(all, []netip.AddrPort{a, b})
-	bad := Plain
-	bad.Loss, bad.Double, bad.Reorder, bad.Late = 0.2, 0.3, 0.3, 20*time.Millisecond
-	p.world.Bend(p.hosts[0], b, bad, Plain)
+	p.world.SetMulticast(all, []netip.AddrPort{a, b})
+	bad := LocalLink
+	bad.Loss, bad.Duplicate, bad.Reorder, bad.ReorderDelay = 0.2, 0.3, 0.3, 20*time.Millisecond
+	p.world.SetRoute(p.hosts[0], b, bad, LocalLink)
 	for i := range 250 {
 		out.Send(all, []byte{byte(i)})
 		p.run(2 * time.Millisecond)
@@ -304,20 +304,20 @@
 // a closed socket.
 func TestAbandonedConnectsDoNotArriveLater(t *testing.T) {
 	p := newPair(t, 1)
-	cut := Plain
+	cut := LocalLink
 	cut.Cut = true
-	p.world.Join(p.hosts[0], p.hosts[1], cut)
+	p.world.SetLink(p.hosts[0], p.hosts[1], cut)
 	for range 20 {
 		p.dial(t)
 		p.client.stream.Close()
 	}
 	p.run(5 * time.Second)
-	p.world.Join(p.hosts[0], p.hosts[1], Plain)
+	p.world.SetLink(p.hosts[0], p.hosts[1], LocalLink)
 	p.run(5 * time.Second)
 	if p.server != nil {
 		t.Error("an abandoned connect has arrived")
 	}
-	if n, _ := p.loops[1].Open(); n != 4 { // three of its own, and the listener
+	if n, _ := p.loops[1].DescriptorCounts(); n != 4 { // three of its own, and the listener
 		t.Errorf("%d descriptors are open though no connect arrived", n)
 	}
 	p.dial(t)
--- a/internal/loop/sim/streams.go
+++ b/internal/loop/sim/streams.go
@@ -88,16 +88,16 @@
 	}
 }
 
-// Outcome implements loop.System.
-func (h *Host) Outcome(fd int) error {
+// ConnectError implements loop.System.
+func (h *Host) ConnectError(fd int) error {
 	if s := h.sockets[fd]; s != nil {
 		return s.failure
 	}
 	return unix.EBADF
 }
 
-// Quiet implements loop.System.
-func (h *Host) Quiet(fd int) bool {
+// Idle implements loop.System.
+func (h *Host) Idle(fd int) bool {
 	s := h.sockets[fd]
 	return s != nil && len(s.received) == 0 && !s.peerEnded && s.failure == nil
 }
@@ -108,16 +108,16 @@
 	return s != nil && len(s.received) > 0
 }
 
-// Arrived implements loop.System.
-func (h *Host) Arrived(fd int) (ago time.Duration, ok bool) {
+// LastReceiveAge implements loop.System.
+func (h *Host) LastReceiveAge(fd int) (ago time.Duration, ok bool) {
 	if s := h.sockets[fd]; s != nil && s.receivedAt != 0 {
 		return (h.world.now - s.receivedAt).Truncate(time.Millisecond), true
 	}
 	return 0, true
 }
 
-// Goodbye implements loop.System.
-func (h *Host) Goodbye(fd int) {
+// ShutdownWrite implements loop.System.
+func (h *Host) ShutdownWrite(fd int) {
 	if s := h.sockets[fd]; s != nil && !s.writeEnded {
 		s.writeEnded = true
 		s.sendToPeer(0, func(p *socket) {
--- a/internal/loop/sim/system.go
+++ b/internal/loop/sim/system.go
@@ -11,13 +11,13 @@
 )
 
 // Clock implements loop.System with the simulated time and the host's offset.
-func (h *Host) Clock() time.Duration { return h.world.now + h.Ahead }
+func (h *Host) Clock() time.Duration { return h.world.now + h.ClockOffset }
 
-// Held implements loop.System.
-func (h *Host) Held() (int, error) { return firstFD, nil }
+// OpenDescriptors implements loop.System.
+func (h *Host) OpenDescriptors() (int, error) { return firstFD, nil }
 
-// Ring implements loop.System.
-func (h *Host) Ring() {
+// Wake implements loop.System.
+func (h *Host) Wake() {
 	h.wakePending = true
 	h.touch()
 }
@@ -60,8 +60,8 @@
 // Listen implements loop.System.
 func (h *Host) Listen(address netip.AddrPort) (int, error) { return h.bind(address, listenerSocket) }
 
-// Receive implements loop.System.
-func (h *Host) Receive(address netip.AddrPort) (int, error) { return h.bind(address, datagramSocket) }
+// ListenUDP implements loop.System.
+func (h *Host) ListenUDP(address netip.AddrPort) (int, error) { return h.bind(address, datagramSocket) }
 
 // bind opens a listener or datagram socket.
 func (h *Host) bind(address netip.AddrPort, kind socketKind) (int, error) {
@@ -73,8 +73,8 @@
 	return h.open(s), nil
 }
 
-// End implements loop.System.
-func (h *Host) End() {}
+// Release implements loop.System.
+func (h *Host) Release() {}
 
 // Close implements loop.System. A stream with unread bytes answers them with a reset, as the kernel does.
 func (h *Host) Close(fd int) {
@@ -88,7 +88,7 @@
 	} else if len(s.received) > 0 {
 		s.resetPeers()
 	} else {
-		h.Goodbye(fd)
+		h.ShutdownWrite(fd)
 	}
 	s.closed = true
 	delete(h.sockets, fd)
--- a/internal/loop/sim/transmit.go
+++ b/internal/loop/sim/transmit.go
@@ -18,27 +18,27 @@
 		if shouldResend == nil {
 			return at
 		}
-		at += max(link.Resend, time.Millisecond)
+		at += max(link.ResendDelay, time.Millisecond)
 	}
 	if shouldResend == nil && link.Reorder > 0 && w.random.Float() < link.Reorder {
-		at += time.Duration(w.random.Float() * float64(link.Late))
+		at += time.Duration(w.random.Float() * float64(link.ReorderDelay))
 	}
-	if at = max(at, notBefore); link.Rate > 0 && bytes > 0 {
-		at += time.Duration(bytes) * time.Second / time.Duration(link.Rate)
+	if at = max(at, notBefore); link.BytesPerSecond > 0 && bytes > 0 {
+		at += time.Duration(bytes) * time.Second / time.Duration(link.BytesPerSecond)
 	}
 	var deliver func()
 	deliver = func() {
 		if current := w.link(path); current.Cut {
 			if shouldResend != nil && shouldResend() {
-				w.schedule(w.now+max(current.Resend, time.Millisecond), deliver)
+				w.schedule(w.now+max(current.ResendDelay, time.Millisecond), deliver)
 			}
 			return
 		}
 		arrive()
 	}
 	w.schedule(at, deliver)
-	if shouldResend == nil && link.Double > 0 && w.random.Float() < link.Double {
-		w.schedule(at+time.Duration(w.random.Float()*float64(max(link.Late, link.Delay))), deliver)
+	if shouldResend == nil && link.Duplicate > 0 && w.random.Float() < link.Duplicate {
+		w.schedule(at+time.Duration(w.random.Float()*float64(max(link.ReorderDelay, link.Delay))), deliver)
 	}
 	return at
 }
@@ -61,8 +61,8 @@
 func (w *World) segmentSize(s *socket, available int) int {
 	limit := available
 	if s.peer != nil {
-		if l := w.link(s.path); l.Piece > 0 {
-			limit = min(limit, l.Piece)
+		if l := w.link(s.path); l.MaxSegment > 0 {
+			limit = min(limit, l.MaxSegment)
 		}
 	}
 	if limit > 1 && w.random.Float() < splitProbability { // now and then a message is split
--- a/internal/loop/sim/world.go
+++ b/internal/loop/sim/world.go
@@ -29,10 +29,10 @@
 	multicast map[netip.AddrPort][]netip.AddrPort
 	dialCount int // makes the addresses of dialed streams distinct
 
-	// Between gives the link between two hosts for which none was set; if it is nil or returns false, the link is Plain.
-	Between func(from, to *Host) (Link, bool)
-	// Posted is called for each datagram that is sent; once for a datagram to a multicast address.
-	Posted func(from *Host, to netip.AddrPort, payload []byte)
+	// DefaultLink gives the link between two hosts for which none was set; if it is nil or returns false, the link is LocalLink.
+	DefaultLink func(from, to *Host) (Link, bool)
+	// OnDatagram is called for each datagram that is sent; once for a datagram to a multicast address.
+	OnDatagram func(from *Host, to netip.AddrPort, payload []byte)
 }
 
 // New makes a world whose clock begins at start, the time since the Unix epoch.
--- a/internal/loop/stream.go
+++ b/internal/loop/stream.go
@@ -6,8 +6,8 @@
 	"passtack/internal/slots"
 )
 
-// ErrNoRoom is returned by Dial when all descriptors are in use.
-var ErrNoRoom = errors.New("no descriptor is free")
+// ErrNoDescriptors is returned by Dial when all descriptors are in use.
+var ErrNoDescriptors = errors.New("no descriptor is free")
 
 // errUnreadInput is the cause of Closed when a connection was closed with input that was not read.
 var errUnreadInput = errors.New("connection closed before all input was read")
@@ -46,7 +46,7 @@
 		// A peer's close stays ready until the descriptor is closed: waiting for it would keep the loop from sleeping.
 		events = 0
 	}
-	if !s.Rests() && !s.connecting && !s.closing && s.halfClose.allowsRead() {
+	if !s.ReadPaused() && !s.connecting && !s.closing && s.halfClose.allowsRead() {
 		events |= eventReadable
 	}
 	if s.connecting || s.Unsent() > 0 {
@@ -76,7 +76,7 @@
 		s.handleClientClose(events)
 		return
 	}
-	if events&eventReadable != 0 && !s.Rests() && !s.closing {
+	if events&eventReadable != 0 && !s.ReadPaused() && !s.closing {
 		s.read()
 	} else if events&eventHangup != 0 || events&eventPeerClosed != 0 && !s.input.starved {
 		// Unread input is lost, so this does not count as an orderly end of the stream.
@@ -92,5 +92,5 @@
 
 // Alive reports whether the stream is open and has no unread input in the kernel, neither bytes nor an end.
 func (s *Stream) Alive() bool {
-	return !s.closed && s.loop.system.Quiet(s.fd)
+	return !s.closed && s.loop.system.Idle(s.fd)
 }
--- a/internal/loop/write.go
+++ b/internal/loop/write.go
@@ -27,7 +27,7 @@
 	}
 	s.accountOutput()
 	if err != nil && !isTransient(err) {
-		s.loop.Later(func() { s.fail(err) })
+		s.loop.Defer(func() { s.fail(err) })
 	} else if s.Unsent() > 0 {
 		s.updateInterest()
 	}
@@ -59,5 +59,5 @@
 		s.shutdownWrite()
 		return
 	}
-	s.Look() // the handler may have left input until its output was written
+	s.DeliverInput() // the handler may have left input until its output was written
 }
--- a/internal/member/attempt.go
+++ b/internal/member/attempt.go
@@ -26,8 +26,8 @@
 	deadline      time.Duration // by when its response is due
 	connection    *connection
 	request       *driver.Ask // a copy, until it is written
-	timer         loop.Due
-	queued        chain.Link[*attempt] // in the member's queue
+	timer         loop.Timer
+	queued        chain.Element[*attempt] // in the member's queue
 }
 
 // Attempt sends a request to a member with the time that is left until the deadline. It is fully written by writeDeadline or
@@ -39,9 +39,9 @@
 		rpc: rpc, number: number, target: target, startedAt: p.loop.Now(),
 		writeDeadline: min(writeDeadline, deadline), deadline: deadline,
 	}
-	a.handle = p.attempts.Put(a)
+	a.handle = p.attempts.Insert(a)
 	if a.handle == 0 || m == nil || a.writeDeadline <= p.loop.Clock() {
-		p.loop.Later(func() { p.finish(a, driver.Moot, nil) })
+		p.loop.Defer(func() { p.finish(a, driver.Moot, nil) })
 		return uint32(a.handle)
 	}
 	p.expireAt(a, a.writeDeadline)
@@ -51,7 +51,7 @@
 		return uint32(a.handle)
 	}
 	a.request = request.Copy()
-	if m.waiting.Count() == 0 && p.connectLimiter.MayConnect(&m.connections) {
+	if m.waiting.Len() == 0 && p.connectLimiter.MayConnect(&m.connections) {
 		p.connect(a, m)
 	} else {
 		p.enqueue(a, m)
@@ -67,9 +67,9 @@
 	}
 	deadline := now + p.connectTimeout
 	a := &attempt{probe: true, target: target, startedAt: now, writeDeadline: deadline, deadline: deadline}
-	a.handle = p.attempts.Put(a)
+	a.handle = p.attempts.Insert(a)
 	if a.handle == 0 {
-		p.loop.Later(func() { p.finish(a, driver.Moot, nil) })
+		p.loop.Defer(func() { p.finish(a, driver.Moot, nil) })
 		return
 	}
 	p.expireAt(a, a.deadline)
@@ -79,7 +79,7 @@
 		return
 	}
 	if p.connectLimiter.AtMemberLimit(&m.connections) {
-		p.loop.Later(func() { p.finish(a, driver.Moot, nil) })
+		p.loop.Defer(func() { p.finish(a, driver.Moot, nil) })
 		return
 	}
 	p.connect(a, m)
@@ -93,7 +93,7 @@
 			outcome = driver.Moot
 		}
 		p.detach(a)
-		p.loop.Later(func() { p.finish(a, outcome, nil) })
+		p.loop.Defer(func() { p.finish(a, outcome, nil) })
 	}
 }
 
@@ -113,7 +113,7 @@
 
 // expireAt sets when the attempt is checked against its deadlines.
 func (p *Pool) expireAt(a *attempt, at time.Duration) {
-	p.loop.Forget(a.timer)
+	p.loop.Cancel(a.timer)
 	a.timer = p.loop.At(at, func() { p.expire(a.handle) })
 }
 
@@ -144,7 +144,7 @@
 
 // detach separates an attempt from its connection, which is closed unless it is still being established.
 func (p *Pool) detach(a *attempt) {
-	a.queued.Leave()
+	a.queued.Remove()
 	c := a.connection
 	if c == nil || c.attempt != a {
 		return
@@ -169,8 +169,8 @@
 	if a.handle != 0 && p.attempts.Get(a.handle) != a {
 		return
 	}
-	p.attempts.Drop(a.handle)
-	p.loop.Forget(a.timer)
+	p.attempts.Remove(a.handle)
+	p.loop.Cancel(a.timer)
 	if response == nil {
 		response = &p.response
 		response.reset(false)
--- a/internal/member/attempt_test.go
+++ b/internal/member/attempt_test.go
@@ -17,7 +17,7 @@
 func (s *fixture) send(rpc driver.RPC, writeDeadline, deadline time.Duration, size int) (call *uint32) {
 	call = new(uint32)
 	ask := &driver.Ask{Before: []byte("/* id=x,c=look,d="), After: append([]byte(" */ SELECT 1"), make([]byte, size)...)}
-	s.loop.Later(func() { *call = s.pool.Attempt(rpc, 0, 1, writeDeadline, deadline, ask) })
+	s.loop.Defer(func() { *call = s.pool.Attempt(rpc, 0, 1, writeDeadline, deadline, ask) })
 	return call
 }
 
@@ -74,7 +74,7 @@
 			}
 			s := newFixture(t, work, true)
 			call := s.send(1, time.Hour+time.Second, time.Hour+time.Second, size)
-			s.world.At(time.Hour+50*ms, func() { s.host.Do(func() { s.pool.Withdraw(*call) }) })
+			s.world.At(time.Hour+50*ms, func() { s.host.Post(func() { s.pool.Withdraw(*call) }) })
 			s.world.Run(time.Hour + 60*ms)
 			if size > 0 && s.member.closed != 1 {
 				t.Error("the connection is open")
@@ -89,7 +89,7 @@
 			calls = append(calls, s.send(driver.RPC(i+1), time.Hour+2*time.Second, time.Hour+2*time.Second, 0))
 		}
 		s.world.At(time.Hour+50*ms, func() {
-			s.host.Do(func() {
+			s.host.Post(func() {
 				for _, call := range calls {
 					s.pool.Withdraw(*call)
 				}
@@ -100,7 +100,7 @@
 	t.Run("a fully written one goes on", func(t *testing.T) {
 		s := newFixture(t, 0, true)
 		call := s.send(1, time.Hour+time.Second, time.Hour+time.Second, 0)
-		s.world.At(time.Hour+4*ms, func() { s.host.Do(func() { s.pool.Withdraw(*call) }) })
+		s.world.At(time.Hour+4*ms, func() { s.host.Post(func() { s.pool.Withdraw(*call) }) })
 		s.check(t, 1, driver.Miss, 1)
 	})
 }
@@ -139,7 +139,7 @@
 				c.how = func(k *loop.Stream) { s.member.loop.At(s.member.loop.Now()+50*ms, k.Reset) }
 			}
 			at := netip.MustParseAddrPort("10.0.0.1:5432")
-			if _, err := s.member.loop.Listen(at, 1<<12, loop.Door{}, func(open func(loop.Handler) *loop.Stream) {
+			if _, err := s.member.loop.Listen(at, 1<<12, loop.AcceptLimiter{}, func(open func(loop.Handler) *loop.Stream) {
 				k := &unsizedResponder{end: c.how}
 				k.stream = open(k)
 			}, func(bool) {}); err != nil {
@@ -149,7 +149,7 @@
 			p := member.New(s.loop, s.ledger, &odata.Protocol{Host: "m"}, &opens, 250*ms, 15*time.Second)
 			p.SetAddress(1, at)
 			ask := &driver.Ask{Form: driver.Requests, Verb: "GET", Path: "/Applications('1')"}
-			s.loop.Later(func() { p.Attempt(1, 0, 1, time.Hour+time.Second, time.Hour+time.Second, ask) })
+			s.loop.Defer(func() { p.Attempt(1, 0, 1, time.Hour+time.Second, time.Hour+time.Second, ask) })
 			s.world.Run(time.Hour + 2*time.Second)
 			if got, ok := s.ledger.outcomes[1]; !ok || got != c.want {
 				t.Errorf("ended %t, outcome %d, want %d", ok, got, c.want)
--- a/internal/member/connection.go
+++ b/internal/member/connection.go
@@ -28,7 +28,7 @@
 	attempt         *attempt
 	written         bool // the attempt was handed to the stream
 	idleSince       time.Duration
-	timer           loop.Due // until it is established; then for the rest of a response
+	timer           loop.Timer // until it is established; then for the rest of a response
 	responseStarted bool
 	errorReceived   bool
 	outcome         driver.Outcome // of the error that was received
@@ -40,14 +40,14 @@
 	stream, err := p.loop.Dial(m.address, c, MaxResponseBytes)
 	if err == nil {
 		c.stream = stream
-		if c.handle = p.connections.Put(c); c.handle == 0 {
+		if c.handle = p.connections.Insert(c); c.handle == 0 {
 			stream.Close()
-			err = loop.ErrNoRoom
+			err = loop.ErrNoDescriptors
 		}
 	}
 	if err != nil {
 		p.ledger.Count("connects_failed")
-		p.loop.Later(func() { p.fail(a, Failure{NotConnected, false, err}) })
+		p.loop.Defer(func() { p.fail(a, Failure{NotConnected, false, err}) })
 		return
 	}
 	a.connection = c
@@ -74,9 +74,9 @@
 	p, m := c.pool, c.member
 	c.established = true
 	p.connectLimiter.Established(&m.connections, p.loop.Now()-c.openedAt, p.loop.Now())
-	p.loop.Forget(c.timer)
+	p.loop.Cancel(c.timer)
 	c.start()
-	p.loop.Later(p.serveQueues)
+	p.loop.Defer(p.serveQueues)
 }
 
 // start writes the attempt for which the connection was opened or reserved, if it still has one.
@@ -92,7 +92,7 @@
 	case c.pool.loop.Clock() >= a.writeDeadline: // as after this process was suspended
 		c.attempt, a.connection = nil, nil
 		c.becomeIdle()
-		c.pool.loop.Later(func() { c.pool.expire(a.handle) })
+		c.pool.loop.Defer(func() { c.pool.expire(a.handle) })
 	default:
 		c.write(a.request)
 		a.request = nil
@@ -148,7 +148,7 @@
 	p, a := c.pool, c.attempt
 	size = response.Size
 	c.attempt, c.written, c.errorReceived = nil, false, false
-	p.loop.Forget(c.timer)
+	p.loop.Cancel(c.timer)
 	reusable := size == received && !response.CloseAfter && c.address == c.member.address
 	if reusable {
 		c.becomeIdle()
@@ -175,9 +175,9 @@
 // for want of memory.
 func (c *connection) awaitMore() {
 	p := c.pool
-	p.loop.Forget(c.timer)
+	p.loop.Cancel(c.timer)
 	c.timer = p.loop.At(p.loop.Now()+maxResponsePause, func() {
-		if c.stream.Rests() {
+		if c.stream.ReadPaused() {
 			c.awaitMore()
 		} else if p.connections.Get(c.handle) == c && c.attempt != nil {
 			c.abort(errResponseStalled)
@@ -242,10 +242,10 @@
 		p.connectLimiter.Closed(&m.connections)
 	} else if !c.released {
 		p.connectLimiter.Failed(&m.connections, p.loop.Now()-c.openedAt, p.loop.Now())
-		p.loop.Later(func() { p.connectFailed(m) })
+		p.loop.Defer(func() { p.connectFailed(m) })
 	}
 	c.released = true
-	p.loop.Forget(c.timer)
-	p.connections.Drop(c.handle)
+	p.loop.Cancel(c.timer)
+	p.connections.Remove(c.handle)
 	m.idle = slices.DeleteFunc(m.idle, func(other *connection) bool { return other == c })
 }
--- a/internal/member/idle.go
+++ b/internal/member/idle.go
@@ -20,7 +20,7 @@
 	if m.idleTimer == nil {
 		p.closeIdleAt(m, c.idleSince+p.idleTimeout)
 	}
-	if m.waiting.Count() > 0 {
+	if m.waiting.Len() > 0 {
 		p.loop.At(c.idleSince+settleTime, func() { p.serveQueue(m) })
 	}
 }
--- a/internal/member/pool.go
+++ b/internal/member/pool.go
@@ -23,14 +23,14 @@
 	ledger         driver.Ledger
 	protocol       Protocol
 	members        map[driver.Member]*member
-	connections    slots.Table[*connection]
-	attempts       slots.Table[*attempt]
+	connections    slots.Map[*connection]
+	attempts       slots.Map[*attempt]
 	connectTimeout time.Duration
 	idleTimeout    time.Duration // after which an idle connection is not used again
 	response       Response      // reused for every response
 	clockOffset    time.Duration // by which the members' clock is ahead of the loop's
 	connectLimiter *recovery.ConnectLimiter
-	congested      chain.Chain[*member] // those with attempts that wait for a connection
+	congested      chain.List[*member] // those with attempts that wait for a connection
 }
 
 // member is a database process and the pool's connections to it.
@@ -38,11 +38,11 @@
 	id              driver.Member
 	address         netip.AddrPort
 	idle            []*connection // the latest used last
-	idleTimer       loop.Due      // closes the oldest of them
+	idleTimer       loop.Timer    // closes the oldest of them
 	failureLogAfter time.Duration // failures are not logged before then
 	connections     recovery.MemberConnections
-	waiting         chain.Chain[*attempt]
-	congested       chain.Link[*member]
+	waiting         chain.List[*attempt]
+	congested       chain.Element[*member]
 }
 
 // New creates a pool. Connections must be established within connectTimeout and are not used after having been idle for
@@ -82,20 +82,20 @@
 		p.CloseIdle(id)
 		m.address = netip.AddrPort{} // connections that are in use never become idle again
 		delete(p.members, id)
-		m.congested.Leave()
+		m.congested.Remove()
 	}
 }
 
 // Waiting counts the attempts that wait for a connection.
 func (p *Pool) Waiting() (waiting int) {
-	for link := p.congested.First(); link != nil; link = link.Next() {
-		waiting += link.Value.waiting.Count()
+	for link := p.congested.Front(); link != nil; link = link.Next() {
+		waiting += link.Value.waiting.Len()
 	}
 	return waiting
 }
 
 // Open counts the connections, established or not.
-func (p *Pool) Open() int { return p.connections.Count() }
+func (p *Pool) Open() int { return p.connections.Len() }
 
 // InFlight counts the attempts and health checks that have no outcome yet.
-func (p *Pool) InFlight() int { return p.attempts.Count() }
+func (p *Pool) InFlight() int { return p.attempts.Len() }
--- a/internal/member/pool_test.go
+++ b/internal/member/pool_test.go
@@ -91,8 +91,8 @@
 	t.Helper()
 	w := sim.New(1, time.Hour)
 	on := func(name string) (*sim.Host, *loop.Loop) {
-		h := w.Host(name)
-		l, err := loop.On(h, 1000, 1<<20)
+		h := w.AddHost(name)
+		l, err := loop.NewWithSystem(h, 1000, 1<<20)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -103,7 +103,7 @@
 	d := &fakeMember{connectDelay: connectDelay}
 	_, d.loop = on("member")
 	if listens {
-		if _, err := d.loop.Listen(at, 1<<12, loop.Door{}, func(open func(loop.Handler) *loop.Stream) {
+		if _, err := d.loop.Listen(at, 1<<12, loop.AcceptLimiter{}, func(open func(loop.Handler) *loop.Stream) {
 			v := &memberConnection{member: d}
 			v.stream = open(v)
 			d.opened++
@@ -127,7 +127,7 @@
 	s := newFixture(t, connectDelay, listens)
 	w, l, o, d, p := s.world, s.loop, s.ledger, s.member, s.pool
 	ask := &driver.Ask{Before: []byte("/* id=x,c=look,d="), After: []byte(" */ SELECT 1")}
-	l.Later(func() {
+	l.Defer(func() {
 		for i := range n {
 			p.Attempt(driver.RPC(i+1), 0, 1, l.Now()+timeout, l.Now()+timeout, ask)
 		}
--- a/internal/member/queue.go
+++ b/internal/member/queue.go
@@ -4,21 +4,21 @@
 func (p *Pool) enqueue(a *attempt, m *member) {
 	p.ledger.Count("connects_waited")
 	a.queued.Value, m.congested.Value = a, m
-	m.waiting.Push(&a.queued)
-	if !m.congested.In(&p.congested) {
-		p.congested.Push(&m.congested)
+	m.waiting.PushBack(&a.queued)
+	if !m.congested.InList(&p.congested) {
+		p.congested.PushBack(&m.congested)
 	}
 	p.expireAt(a, min(a.writeDeadline, p.loop.Now()+p.connectTimeout))
 }
 
 // serveQueue gives idle connections to the attempts that wait for the member, and new ones while more may be opened.
 func (p *Pool) serveQueue(m *member) {
-	for next := m.waiting.First(); next != nil; next = m.waiting.First() {
+	for next := m.waiting.Front(); next != nil; next = m.waiting.Front() {
 		a, c := next.Value, p.takeIdle(m)
 		if c == nil && !p.connectLimiter.MayConnect(&m.connections) {
 			return
 		}
-		next.Leave()
+		next.Remove()
 		p.expireAt(a, a.writeDeadline)
 		if c == nil {
 			p.connect(a, m)
@@ -27,12 +27,12 @@
 		c.attempt, a.connection = a, c
 		c.start() // which ends the attempt if its deadline has passed
 	}
-	m.congested.Leave()
+	m.congested.Remove()
 }
 
 // serveQueues serves the queues of all members, once more connections may be opened.
 func (p *Pool) serveQueues() {
-	for link := p.congested.First(); link != nil; {
+	for link := p.congested.Front(); link != nil; {
 		next := link.Next()
 		p.serveQueue(link.Value)
 		link = next
@@ -42,8 +42,8 @@
 // connectFailed fails all attempts that wait for a member to which no connection is left, since one could not be established.
 func (p *Pool) connectFailed(m *member) {
 	if m.connections.None() {
-		for link := m.waiting.First(); link != nil; link = m.waiting.First() {
-			link.Leave()
+		for link := m.waiting.Front(); link != nil; link = m.waiting.Front() {
+			link.Remove()
 			p.fail(link.Value, Failure{NotConnected, false, errSharedConnectFailed})
 		}
 	}
--- a/internal/membership/simulation_test.go
+++ b/internal/membership/simulation_test.go
@@ -70,13 +70,13 @@
 func (sim *simulation) advance(duration time.Duration) {
 	end := sim.now + duration
 	for {
-		at, ok := sim.queue.First()
+		at, ok := sim.queue.NextDue()
 		if !ok || at > end {
 			sim.now = end
 			return
 		}
 		sim.now = max(sim.now, at)
-		action, _ := sim.queue.Pop(sim.now)
+		action, _ := sim.queue.PopDue(sim.now)
 		action()
 	}
 }
--- a/internal/node/background.go
+++ b/internal/node/background.go
@@ -21,7 +21,7 @@
 	simulated bool // time stands still within an iteration of the loop
 	scheduler *background.Scheduler
 	slices    []jobSlice // by background.JobID
-	timer     loop.Due   // of the next slice
+	timer     loop.Timer // of the next slice
 	wakeAt    time.Duration
 }
 
@@ -60,7 +60,7 @@
 	if !wakes || b.timer != nil && b.wakeAt <= at {
 		return
 	}
-	b.loop.Forget(b.timer)
+	b.loop.Cancel(b.timer)
 	b.wakeAt = max(at, now+minSliceInterval)
 	b.timer = b.loop.At(b.wakeAt, b.runSlices)
 }
--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -65,7 +65,7 @@
 	}()
 	b.Cleanup(func() {
 		n.loop.Stop()
-		n.loop.Ring()
+		n.loop.Wake()
 		<-done
 	})
 	return <-named
--- a/internal/node/client_disconnect_test.go
+++ b/internal/node/client_disconnect_test.go
@@ -80,10 +80,10 @@
 		return []string{order("b")}
 	},
 	"written in part": func(s *scenario) []string {
-		slow := sim.Plain
-		slow.Rate = 300 << 10
+		slow := sim.LocalLink
+		slow.BytesPerSecond = 300 << 10
 		for i := range s.members {
-			s.world.OneWay(s.driver, s.world.Hosts()[i], slow)
+			s.world.SetLinkOneWay(s.driver, s.world.Hosts()[i], slow)
 		}
 		return []string{fmt.Sprintf(payStatement, "b", "order", "b", strings.Repeat("x", 200<<10))}
 	},
--- a/internal/node/configuration_golden_test.go
+++ b/internal/node/configuration_golden_test.go
@@ -42,7 +42,7 @@
 	}
 	p, _, _ = startConfiguredDriver(t, found, "")
 	n := p.drivers[0].node
-	if n.Configuration().Version != 1 || n.Settings()["caps.attempts"] != "3" || n.Settings()["methods.0.name"] != "buy" || n.loop.Most() != 300-3 {
+	if n.Configuration().Version != 1 || n.Settings()["caps.attempts"] != "3" || n.Settings()["methods.0.name"] != "buy" || n.loop.MaxDescriptors() != 300-3 {
 		t.Errorf("restored %+v, %v", n.Configuration(), n.Settings())
 	}
 	n.CloseStores()
--- a/internal/node/configuration_test.go
+++ b/internal/node/configuration_test.go
@@ -33,7 +33,7 @@
 }
 
 func (d simStorage) Persist(_ server.PersistedState, then func(error)) {
-	d.world.At(d.world.Now()+2*time.Millisecond, func() { d.host.Do(func() { then(nil) }) })
+	d.world.At(d.world.Now()+2*time.Millisecond, func() { d.host.Post(func() { then(nil) }) })
 }
 
 func controlAddress(n int) netip.AddrPort {
@@ -43,7 +43,7 @@
 func (p *simulatedFleet) startControlMachines() *controlMachines {
 	c := &controlMachines{fleet: p}
 	for n := range 3 {
-		h := p.world.Host(fmt.Sprint("control", n))
+		h := p.world.AddHost(fmt.Sprint("control", n))
 		place := server.MachineConfig{Fleet: "shop", Name: h.Name, Listen: controlAddress(n)}
 		for o := range 3 {
 			if o != n {
@@ -65,7 +65,7 @@
 	for n, s := range c.servers {
 		if s.Machine().IsWriter() {
 			id := c.lastID
-			c.hosts[n].Do(func() {
+			c.hosts[n].Post(func() {
 				s.Machine().Publish(rollout.PublishRequest{RequestID: id, PublicationID: id, BaseVersion: s.Machine().Committed().Version, Text: text})
 			})
 			c.fleet.advance(time.Second)
@@ -94,7 +94,7 @@
 		p.member(i, roleName(i == 0))
 	}
 	c := p.startControlMachines()
-	d := &simDriver{host: p.world.Host("d0"), at: netip.MustParseAddrPort("10.0.0.1:6543")}
+	d := &simDriver{host: p.world.AddHost("d0"), at: netip.MustParseAddrPort("10.0.0.1:6543")}
 	p.drivers = append(p.drivers, d)
 	var targets []string
 	for j, m := range p.members {
@@ -125,9 +125,9 @@
 // sendRPC sends one RPC on a connection of its own, and returns a function for its answer.
 func (p *simulatedFleet) sendRPC(method string, deadlineMS int) (answer func() string) {
 	p.sent++
-	c := &simClient{play: p, loop: p.loopOn(p.world.Host(fmt.Sprint("say", p.sent))), to: p.drivers[0].at, name: "say", until: p.world.Now()}
+	c := &simClient{play: p, loop: p.loopOn(p.world.AddHost(fmt.Sprint("say", p.sent))), to: p.drivers[0].at, name: "say", until: p.world.Now()}
 	c.id = fmt.Sprintf("say-%d", p.sent)
-	c.loop.Later(func() {
+	c.loop.Defer(func() {
 		var err error
 		if c.stream, err = c.loop.Dial(c.to, c, 1<<20); err != nil {
 			p.t.Error(err)
@@ -174,16 +174,16 @@
 	if buys() != "ok" || looks() != "ok" || pays() == "ok" || pays() == "" {
 		t.Errorf("a new method is answered %q, one that stays %q, a removed one %q", buys(), looks(), pays())
 	}
-	if got := n.Settings(); got["caps.attempts"] != "3" || got["caps.longest_wait"] != "7000" || got["caps.cancel"] == "" || n.rpcs.maxAttempts != 3 || n.loop.Most() != 300-3 {
-		t.Errorf("caps %s and %s, cancel %q, %d attempts, %d descriptors", got["caps.attempts"], got["caps.longest_wait"], got["caps.cancel"], n.rpcs.maxAttempts, n.loop.Most())
+	if got := n.Settings(); got["caps.attempts"] != "3" || got["caps.longest_wait"] != "7000" || got["caps.cancel"] == "" || n.rpcs.maxAttempts != 3 || n.loop.MaxDescriptors() != 300-3 {
+		t.Errorf("caps %s and %s, cancel %q, %d attempts, %d descriptors", got["caps.attempts"], got["caps.longest_wait"], got["caps.cancel"], n.rpcs.maxAttempts, n.loop.MaxDescriptors())
 	}
 	if v := c.publish(`{}`); v != 2 || n.Configuration().Version != 2 {
 		t.Fatalf("version %d, %+v", v, n.Configuration())
 	}
 	pays, buys = p.sendRPC("pay", 800), p.sendRPC("buy", 800)
 	p.advance(time.Second)
-	if pays() != "ok" || buys() == "ok" || n.loop.Most() != 256-3 {
-		t.Errorf("with its own file again: pay is answered %q, buy %q, %d descriptors", pays(), buys(), n.loop.Most())
+	if pays() != "ok" || buys() == "ok" || n.loop.MaxDescriptors() != 256-3 {
+		t.Errorf("with its own file again: pay is answered %q, buy %q, %d descriptors", pays(), buys(), n.loop.MaxDescriptors())
 	}
 }
 
@@ -247,7 +247,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.drivers[0].host.Do(func() { n.reload(&site, wants, nil) })
+	p.drivers[0].host.Post(func() { n.reload(&site, wants, nil) })
 	p.advance(2 * time.Second)
 	if got := n.Configuration(); got.Version != v || got.RejectedVersion != 0 {
 		t.Errorf("%+v", got)
--- a/internal/node/counters.go
+++ b/internal/node/counters.go
@@ -12,12 +12,12 @@
 // telemetry is what a driver reports about itself: its counters, and its log.
 type telemetry struct {
 	counters  counters
-	lines     *logs.Lines
+	lines     *logs.LineWriter
 	moduleLog moduleLog
 }
 
 func newTelemetry() telemetry {
-	return telemetry{counters: make(counters), lines: new(logs.Lines), moduleLog: moduleLog{recent: make(map[string]bool)}}
+	return telemetry{counters: make(counters), lines: new(logs.LineWriter), moduleLog: moduleLog{recent: make(map[string]bool)}}
 }
 
 // counters are events counted since the start of the process, by name.
@@ -31,16 +31,16 @@
 
 // logCounters logs all counters and gauges as one line.
 func (n *Node) logCounters() {
-	descriptors, maxDescriptors := n.loop.Open()
+	descriptors, maxDescriptors := n.loop.DescriptorCounts()
 	line := []any{
 		"rpcs_in_service", n.rpcs.Len(),
 		"clients_open", n.listeners.openClients(),
 		"members_open", n.members.openConnections(),
 		"descriptors", descriptors,
 		"descriptors_max", maxDescriptors,
-		"timers", n.loop.Dues(),
-		"log_lines_lost", n.lines.Lost.Load(),
-		"log_lines_sampled", n.lines.Sampled.Load(),
+		"timers", n.loop.PendingTimers(),
+		"log_lines_lost", n.lines.Dropped.Load(),
+		"log_lines_sampled", n.lines.RateLimited.Load(),
 		"recovery", n.recovery.Stage(),
 		"ready", fmt.Sprintf("%.2f", n.recovery.Ready()),
 	}
--- a/internal/node/discovery_watcher.go
+++ b/internal/node/discovery_watcher.go
@@ -26,7 +26,7 @@
 	candidate         *lease.Candidate
 	holding           bool
 	announcedRevision int64
-	timer             loop.Due      // the holder's next check, or the end of another driver's pause
+	timer             loop.Timer    // the holder's next check, or the end of another driver's pause
 	paused            bool          // this driver's own watch
 	lastActive        time.Duration // when the holder last announced, or another driver last asked discovery or began a pause
 }
@@ -45,7 +45,7 @@
 
 func (w *discoveryWatcher) lost() {
 	w.holding = false
-	w.leases.node.loop.Forget(w.timer)
+	w.leases.node.loop.Cancel(w.timer)
 }
 
 // announce tells the other drivers the revision of the holder's list, at once where it is new, and checks it again soon.
@@ -63,7 +63,7 @@
 		n.Count("revisions_sent")
 		w.leases.messenger.send(driver.EveryPeer, peers.Revision, encodeRevision(revision))
 	}
-	n.loop.Forget(w.timer) // a driver that lost the lease and acquired it again has one already
+	n.loop.Cancel(w.timer) // a driver that lost the lease and acquired it again has one already
 	w.timer = n.loop.At(now+revisionPollInterval, w.announce)
 }
 
@@ -75,7 +75,7 @@
 	}
 	n := w.leases.node
 	now := n.loop.Now()
-	n.loop.Forget(w.timer)
+	n.loop.Cancel(w.timer)
 	w.timer = n.loop.At(now+holderTimeout, func() { w.setPaused(false) })
 	if revision > n.discovery.Revision() || now-w.lastActive >= maxPauseOfPolls {
 		w.lastActive = now
--- a/internal/node/eviction_test.go
+++ b/internal/node/eviction_test.go
@@ -24,7 +24,7 @@
 		clients = append(clients, c)
 	}
 	d.stop()
-	if _, most := d.loop.Open(); most > d.site.Descriptors || d.counters["clients_closed_idle"] == 0 {
+	if _, most := d.loop.DescriptorCounts(); most > d.site.Descriptors || d.counters["clients_closed_idle"] == 0 {
 		t.Errorf("%d descriptors of %d, counted %v", most, d.site.Descriptors, d.counters)
 	}
 	for _, c := range clients {
@@ -99,7 +99,7 @@
 // Idle clients use all descriptors while discovery is down. When it returns, the list is fetched at once and RPCs are served.
 func TestIdleClientsDoNotStarveDiscovery(t *testing.T) {
 	s := newScenario(t, nil, 48)
-	crowd, err := loop.On(s.world.Host("crowd"), 1000, 1<<20)
+	crowd, err := loop.NewWithSystem(s.world.AddHost("crowd"), 1000, 1<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -111,12 +111,12 @@
 	}
 	fetched := time.Duration(0)
 	s.at(5*time.Second, func() {
-		l, err := loop.On(s.world.Host("agent"), 100, 1<<20)
+		l, err := loop.NewWithSystem(s.world.AddHost("agent"), 100, 1<<20)
 		if err != nil {
 			t.Fatal(err)
 		}
 		s.world.Hosts()[len(s.world.Hosts())-1].Serve(l, func() {})
-		if _, err := l.Listen(s.node.site.Discovery, 1<<12, loop.Door{}, func(open func(loop.Handler) *loop.Stream) {
+		if _, err := l.Listen(s.node.site.Discovery, 1<<12, loop.AcceptLimiter{}, func(open func(loop.Handler) *loop.Stream) {
 			open(&fetchedBy{at: &fetched, loop: l})
 		}, func(bool) {}); err != nil {
 			t.Fatal(err)
@@ -131,7 +131,7 @@
 	if got := strings.Join(s.client.received, " "); got != "value of b" {
 		t.Errorf("a client that came then heard %q", got)
 	}
-	if now, _ := s.node.loop.Open(); now > 48 {
+	if now, _ := s.node.loop.DescriptorCounts(); now > 48 {
 		t.Errorf("%d descriptors are open", now)
 	}
 }
@@ -221,7 +221,7 @@
 		s.at(time.Duration(100+i*100)*ms, func() {
 			c := s.dial(s.client.loop)
 			all[i] = c
-			c.loop.Later(func() { c.stream.Send(queryMessage(order(fmt.Sprint("o", i)))) })
+			c.loop.Defer(func() { c.stream.Send(queryMessage(order(fmt.Sprint("o", i)))) })
 		})
 	}
 	s.world.Run(epoch + 10*time.Second)
--- a/internal/node/fleet_membership.go
+++ b/internal/node/fleet_membership.go
@@ -16,7 +16,7 @@
 	node        *Node
 	messenger   *messenger
 	list        *membership.List
-	wakeTimer   loop.Due
+	wakeTimer   loop.Timer
 	statusLog   driverStatusLog
 	requestRate requestRate
 	shard       connectionShard
@@ -73,7 +73,7 @@
 // scheduleWake sets the timer for what the list does next.
 func (f *fleetMembership) scheduleWake() {
 	l := f.node.loop
-	l.Forget(f.wakeTimer)
+	l.Cancel(f.wakeTimer)
 	f.wakeTimer = l.At(max(f.list.NextWake(), l.Now()+time.Millisecond), func() {
 		f.wakeTimer = nil
 		f.list.Wake(l.Clock())
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -136,8 +136,8 @@
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	site := everyKeySite(t)
 	world := sim.New(1, epoch)
-	host := world.Host("n0")
-	l, err := loop.On(host, site.Descriptors, 16<<20)
+	host := world.AddHost("n0")
+	l, err := loop.NewWithSystem(host, site.Descriptors, 16<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -148,7 +148,7 @@
 	host.Serve(l, func() {})
 	world.Run(epoch + 15*time.Second) // a voter has granted something by then
 	checkKeys(t, n)
-	host.Do(n.shutdown.begin)
+	host.Post(n.shutdown.begin)
 	world.Run(epoch + 25*time.Second)
 	if !n.loop.Stopped() || n.host.fault != nil {
 		t.Errorf("stopped: %t, fault: %v", n.loop.Stopped(), n.host.fault)
--- a/internal/node/idle_driver_test.go
+++ b/internal/node/idle_driver_test.go
@@ -44,7 +44,7 @@
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	w, calls = sim.New(3, epoch), new(int)
 	on := func(h *sim.Host) *loop.Loop {
-		l, err := loop.On(h, 4000, 16<<20)
+		l, err := loop.NewWithSystem(h, 4000, 16<<20)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -60,14 +60,14 @@
 		Name: "d", Listen: netip.MustParseAddrPort("10.0.0.1:6543"), Discovery: netip.MustParseAddrPort("10.0.9.1:8500"), Seed: 5,
 		Descriptors: 4000, Memory: 64 << 20, InitialList: []byte(endpointList(1, true, targets...)), Settings: settings.Flatten(simSettings(t)),
 	}
-	agent := on(w.Host("agent"))
-	if _, err := agent.Listen(site.Discovery, 1<<12, loop.Door{}, func(open func(loop.Handler) *loop.Stream) {
+	agent := on(w.AddHost("agent"))
+	if _, err := agent.Listen(site.Discovery, 1<<12, loop.AcceptLimiter{}, func(open func(loop.Handler) *loop.Stream) {
 		h := &idleDiscovery{loop: agent, calls: calls}
 		h.stream = open(h)
 	}, func(bool) {}); err != nil {
 		t.Fatal(err)
 	}
-	driver = w.Host("d")
+	driver = w.AddHost("d")
 	var err error
 	if n, err = On(on(driver), site, config.Default()); err != nil {
 		t.Fatal(err)
@@ -82,9 +82,9 @@
 	for _, members := range []int{100, 1100} {
 		w, n, driver, calls := idleDriver(t, members)
 		w.Run(epoch + 5*time.Second) // it has recovered and has its list
-		turns, called := driver.Turns, *calls
+		turns, called := driver.Iterations, *calls
 		w.Run(epoch + 5*time.Second + minutes*time.Minute)
-		woken[members] = driver.Turns - turns
+		woken[members] = driver.Iterations - turns
 		t.Logf("%d members: %d wakes and %d calls for the list in %d minutes", members, woken[members], *calls-called, minutes)
 		looks := int(minutes * time.Minute / (250 * time.Millisecond)) // ticks of the module while no RPC is in service
 		if called = *calls - called; called < 40*minutes/2 || woken[members] > looks+2*called {
--- a/internal/node/invariants_test.go
+++ b/internal/node/invariants_test.go
@@ -180,7 +180,7 @@
 		}
 	}
 	d.stop()
-	if dues := d.loop.Dues(); dues > 20 {
+	if dues := d.loop.PendingTimers(); dues > 20 {
 		t.Errorf("%d due times are left", dues)
 	}
 }
--- a/internal/node/lease_golden_test.go
+++ b/internal/node/lease_golden_test.go
@@ -64,7 +64,7 @@
 
 // TestGoldenLeaseJSON checks the JSON of the status for operators and of the summary that the holder puts.
 func TestGoldenLeaseJSON(t *testing.T) {
-	l, err := loop.On(sim.New(1, epoch).Host("n0"), 100, 0)
+	l, err := loop.NewWithSystem(sim.New(1, epoch).AddHost("n0"), 100, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/lease_service.go
+++ b/internal/node/lease_service.go
@@ -20,7 +20,7 @@
 	holder      lease.Holder // this process
 	voter       *lease.Voter
 	candidacies []candidacy
-	wakeTimer   loop.Due        // of the candidates
+	wakeTimer   loop.Timer      // of the candidates
 	promises    *promiseStorage // nil: promises are not stored
 
 	helloInterval time.Duration
@@ -115,7 +115,7 @@
 func (s *leaseService) sendTo(to lease.Node, kind peers.Kind, body []byte) {
 	if to == s.holder.Node {
 		m := peers.Message{Kind: kind, From: uint64(s.holder.Node), Incarnation: s.holder.Incarnation, Body: body}
-		s.node.loop.Later(func() { s.handleMessage(m) })
+		s.node.loop.Defer(func() { s.handleMessage(m) })
 		return
 	}
 	if address, known := s.messenger.addresses.Address(uint64(to)); known {
@@ -159,7 +159,7 @@
 // schedule wakes the candidates when the first of them has something to do.
 func (s *leaseService) schedule() {
 	l := s.node.loop
-	l.Forget(s.wakeTimer)
+	l.Cancel(s.wakeTimer)
 	s.wakeTimer = nil
 	first, found := time.Duration(0), false
 	for _, c := range s.candidacies {
--- a/internal/node/listeners.go
+++ b/internal/node/listeners.go
@@ -107,11 +107,11 @@
 }
 
 // limits bounds what the listener's connections use to its quota.
-func (l *listener) limits() loop.Door {
+func (l *listener) limits() loop.AcceptLimiter {
 	capacity := func(kind quota.Resource) func(int) int {
 		return func(total int) int { return l.capacity(kind, total) }
 	}
-	return loop.Door{Descriptors: capacity(quota.Connections), Bytes: capacity(quota.Bytes)}
+	return loop.AcceptLimiter{Descriptors: capacity(quota.Connections), Bytes: capacity(quota.Bytes)}
 }
 
 // capacity returns how much of a total the listener may use now. Without a free connection it is noted as one that needs some.
@@ -154,7 +154,7 @@
 	s.rebalanceAt = l.Now() + rebalanceInterval
 	s.reportUsage()
 	for _, each := range s.all {
-		each.connections.Shed(s.quotas.Excess(each.quotaID, quota.Connections, l.Most()*5/8, l.Now()))
+		each.connections.Shed(s.quotas.Excess(each.quotaID, quota.Connections, l.MaxDescriptors()*5/8, l.Now()))
 	}
 }
 
--- a/internal/node/member_clock_test.go
+++ b/internal/node/member_clock_test.go
@@ -18,7 +18,7 @@
 	for _, ahead := range []time.Duration{-time.Hour, -5 * time.Second, 0, 5 * time.Second, time.Hour} {
 		t.Run(ahead.String(), func(t *testing.T) {
 			s := newScenarioOn(t, nil, 256, "", func(h *sim.Host) loop.System {
-				h.Ahead = ahead
+				h.ClockOffset = ahead
 				return h
 			})
 			for _, m := range s.members {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -112,7 +112,7 @@
 	n.rpcs.tick = settings.New(site.Settings).Duration("tick")
 	n.members.openPools()
 	n.applySettings()
-	l.MakeRoom = n.evictIdle
+	l.EvictIdle = n.evictIdle
 	n.discovery = discovery.New(l, &n.members, site.Discovery)
 	for _, step := range []func() error{
 		n.listenToPeers,
@@ -217,10 +217,10 @@
 // Run serves until a signal has stopped the driver and all RPCs that it took are answered.
 func (n *Node) Run() error {
 	debug.SetMemoryLimit(runtimeMemory(n.site))
-	n.lines = logs.To(os.Stderr)
-	defer n.lines.End()
+	n.lines = logs.Start(os.Stderr)
+	defer n.lines.Close()
 	n.lines.Level.Set(n.config.LogLevel)
-	n.lines.Sample.Store(n.config.LogSample)
+	n.lines.RateLimit.Store(n.config.LogSample)
 	n.signals.forward(n.reread)
 	defer n.startWorkers()()
 	slog.Info("started", "name", n.site.Name, "listen", n.site.Listen, "discovery", n.site.Discovery)
--- a/internal/node/pipeline_test.go
+++ b/internal/node/pipeline_test.go
@@ -143,7 +143,7 @@
 		}
 	}
 	s.send(100*ms, texts...)
-	s.at(200*ms, func() { s.driver.Do(s.node.shutdown.begin) })
+	s.at(200*ms, func() { s.driver.Post(s.node.shutdown.begin) })
 	s.world.Run(epoch + 5*time.Second)
 	if !slices.Equal(s.client.received, want) {
 		t.Errorf("heard %q, want %q", s.client.received, want)
@@ -163,7 +163,7 @@
 	at := netip.MustParseAddrPort("10.0.0.1:8080")
 	s := newScenarioWithConfig(t, nil, 256, officesConfig(at.String(), "", true))
 	left := s.delayHead(600 * ms)
-	s.client.loop.Later(func() {
+	s.client.loop.Defer(func() {
 		h := &httpSimClient{}
 		var err error
 		if h.stream, err = s.client.loop.Dial(at, h, 1<<20); err != nil {
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -62,7 +62,7 @@
 // applyConfig applies another version of the operator's file, and returns what in it needs a restart.
 func (n *Node) applyConfig(cfg *config.File) (restart []string) {
 	n.lines.Level.Set(cfg.LogLevel)
-	n.lines.Sample.Store(cfg.LogSample)
+	n.lines.RateLimit.Store(cfg.LogSample)
 	inForce := n.config
 	if !sameTopology(inForce, cfg) {
 		restart = append(restart, "fronts or members")
--- a/internal/node/rpcs.go
+++ b/internal/node/rpcs.go
@@ -23,7 +23,7 @@
 	answered     bool
 	answerForced bool           // the module was asked to answer it before its deadline
 	lastOutcome  driver.Outcome // of the attempt that ended last
-	overdueTimer loop.Due
+	overdueTimer loop.Timer
 }
 
 // conclusion is how an RPC got its one final answer.
@@ -48,7 +48,7 @@
 // (driver.Ledger), and the module acts on RPCs through it (moduleHost).
 type rpcTable struct {
 	node        *Node
-	table       slots.Table[*rpc]
+	table       slots.Map[*rpc]
 	maxAttempts int           // of one RPC
 	tick        time.Duration // between two ticks of the module, in which it answers what is at its deadline
 }
@@ -59,7 +59,7 @@
 }
 
 // Len returns how many RPCs are being served.
-func (t *rpcTable) Len() int { return t.table.Count() }
+func (t *rpcTable) Len() int { return t.table.Len() }
 
 // Count adds one to a counter.
 func (t *rpcTable) Count(name string) { t.node.Count(name) }
@@ -85,7 +85,7 @@
 		return t.reject(by, from, "rpcs_over_quota", "over_quota")
 	}
 	q := &rpc{listener: l, client: from, pool: n.members.poolOf(group), deadline: deadline, group: group}
-	handle := t.table.Put(q)
+	handle := t.table.Insert(q)
 	if handle == 0 {
 		return t.reject(by, from, "rpcs_table_full", "table_full")
 	}
@@ -133,7 +133,7 @@
 	n := t.node
 	q.answered = true
 	q.withdraw()
-	n.loop.Forget(q.overdueTimer)
+	n.loop.Cancel(q.overdueTimer)
 	q.listener.rpcs--
 	n.Count(conclusionCounters[how])
 	n.traceAnswered(id, q, how)
@@ -151,7 +151,7 @@
 
 func (t *rpcTable) removeIfDone(id driver.RPC, q *rpc) {
 	if q.answered && q.inFlight == 0 {
-		t.table.Drop(slots.Handle(id))
+		t.table.Remove(slots.Handle(id))
 	}
 }
 
@@ -191,9 +191,9 @@
 // forceAnswers has each RPC answered now that is not: its client would wait, but the driver stops. Each is answered in a call
 // of its own, so that a panic of the module at one does not affect the others.
 func (t *rpcTable) forceAnswers() {
-	t.table.Each(func(handle slots.Handle, q *rpc) {
+	t.table.ForEach(func(handle slots.Handle, q *rpc) {
 		if !q.answered {
-			t.node.loop.Later(func() { t.forceAnswer(driver.RPC(handle)) })
+			t.node.loop.Defer(func() { t.forceAnswer(driver.RPC(handle)) })
 		}
 	})
 }
--- a/internal/node/scenario_test.go
+++ b/internal/node/scenario_test.go
@@ -133,7 +133,7 @@
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	s := &scenario{t: t, world: sim.New(1, epoch), receivedAt: make(map[string][]time.Duration)}
 	on := func(h *sim.Host) *loop.Loop {
-		l, err := loop.On(h, 1000, 16<<20)
+		l, err := loop.NewWithSystem(h, 1000, 16<<20)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -143,10 +143,10 @@
 	var targets []string
 	for i := range s.members {
 		a := &scriptedMember{scene: s, at: netip.MustParseAddrPort(fmt.Sprintf("10.0.1.%d:5432", i+1)), reads: 1 << 20}
-		a.loop = on(s.world.Host(fmt.Sprint("m", i)))
+		a.loop = on(s.world.AddHost(fmt.Sprint("m", i)))
 		a.respond = func(_ *scriptedMemberConn, _ string, answer func()) { answer() }
 		a.onQuery = func(string) {}
-		if _, err := a.loop.Listen(a.at, 1<<20, loop.Door{}, func(open func(loop.Handler) *loop.Stream) {
+		if _, err := a.loop.Listen(a.at, 1<<20, loop.AcceptLimiter{}, func(open func(loop.Handler) *loop.Stream) {
 			c := &scriptedMemberConn{actor: a}
 			c.stream = open(c)
 		}, func(bool) {}); err != nil {
@@ -162,8 +162,8 @@
 	if change != nil {
 		change(site.Settings)
 	}
-	s.driver = s.world.Host("d")
-	l, err := loop.On(system(s.driver), descriptors, 16<<20)
+	s.driver = s.world.AddHost("d")
+	l, err := loop.NewWithSystem(system(s.driver), descriptors, 16<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -179,13 +179,13 @@
 		t.Fatal(err)
 	}
 	s.driver.Serve(l, func() {})
-	s.client = s.dial(on(s.world.Host("c")))
+	s.client = s.dial(on(s.world.AddHost("c")))
 	return s
 }
 
 func (s *scenario) dial(l *loop.Loop) *scriptedClient {
 	c := &scriptedClient{loop: l}
-	l.Later(func() {
+	l.Defer(func() {
 		var err error
 		if c.stream, err = l.Dial(s.node.site.Listen, c, 1<<20); err != nil {
 			s.t.Fatal(err)
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -4,7 +4,7 @@
 
 // applyLimits makes the event loop and the runtime follow the site's limits.
 func (n *Node) applyLimits() {
-	n.loop.Limit(n.site.Descriptors, int(n.site.Memory/bufferFraction))
+	n.loop.SetLimits(n.site.Descriptors, int(n.site.Memory/bufferFraction))
 	if !n.simulated {
 		debug.SetMemoryLimit(runtimeMemory(n.site))
 	}
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -28,7 +28,7 @@
 		return
 	}
 	n := s.node
-	now, sentAt := n.loop.Now(), n.loop.Before()
+	now, sentAt := n.loop.Now(), n.loop.PreviousNow()
 	s.begun, s.startedAt = true, now
 	s.plan = shutdown.New(sentAt, now, n.site.maxDeadline())
 	slog.Info("graceful shutdown started", "rpcs", n.rpcs.Len(), "clients", n.listeners.openClients(), "max_signal_delay_ms", (now - sentAt).Milliseconds())
--- a/internal/node/signals.go
+++ b/internal/node/signals.go
@@ -45,7 +45,7 @@
 		go func() {
 			for range from {
 				to.Store(true)
-				s.loop.Ring()
+				s.loop.Wake()
 			}
 		}()
 	}
@@ -53,7 +53,7 @@
 		for site := range s.reloadRequests {
 			apply := read(site)
 			s.reloadResult.Store(&apply)
-			s.loop.Ring()
+			s.loop.Wake()
 		}
 	}()
 }
--- a/internal/node/simulated_fleet_test.go
+++ b/internal/node/simulated_fleet_test.go
@@ -56,7 +56,7 @@
 }
 
 func (p *simulatedFleet) loopOn(h *sim.Host) *loop.Loop {
-	l, err := loop.On(h, 1000, 16<<20)
+	l, err := loop.NewWithSystem(h, 1000, 16<<20)
 	if err != nil {
 		p.t.Fatal(err)
 	}
@@ -65,7 +65,7 @@
 }
 
 func (p *simulatedFleet) member(i int, role string) {
-	m := &simMember{play: p, host: p.world.Host(fmt.Sprint("m", i)), at: netip.MustParseAddrPort(fmt.Sprintf("10.0.1.%d:5432", i+1)), role: role}
+	m := &simMember{play: p, host: p.world.AddHost(fmt.Sprint("m", i)), at: netip.MustParseAddrPort(fmt.Sprintf("10.0.1.%d:5432", i+1)), role: role}
 	m.work = 20 * time.Millisecond
 	m.start()
 	p.members = append(p.members, m)
@@ -73,7 +73,7 @@
 
 func (m *simMember) start() {
 	m.loop = m.play.loopOn(m.host)
-	if _, err := m.loop.Listen(m.at, 1<<20, loop.Door{}, func(open func(loop.Handler) *loop.Stream) {
+	if _, err := m.loop.Listen(m.at, 1<<20, loop.AcceptLimiter{}, func(open func(loop.Handler) *loop.Stream) {
 		c := &simMemberConn{member: m}
 		c.stream = open(c)
 	}, func(bool) {}); err != nil {
@@ -131,7 +131,7 @@
 }
 
 func (p *simulatedFleet) driver(i int) {
-	d := &simDriver{host: p.world.Host(fmt.Sprint("d", i)), at: netip.MustParseAddrPort(fmt.Sprintf("10.0.0.%d:6543", i+1))}
+	d := &simDriver{host: p.world.AddHost(fmt.Sprint("d", i)), at: netip.MustParseAddrPort(fmt.Sprintf("10.0.0.%d:6543", i+1))}
 	var targets []string
 	for j, m := range p.members {
 		targets = append(targets, fmt.Sprintf(`{"uid":"s-%d","endpoint":"%s","az":"a","pod_group":0,"state":"in_service","capacity_hint":1,"boot_ms":0}`, j, m.at))
@@ -165,8 +165,8 @@
 }
 
 func (p *simulatedFleet) client(i int, to netip.AddrPort, until time.Duration) {
-	c := &simClient{play: p, loop: p.loopOn(p.world.Host(fmt.Sprint("c", i))), to: to, name: fmt.Sprint("c", i), until: until}
-	c.loop.Later(c.connect)
+	c := &simClient{play: p, loop: p.loopOn(p.world.AddHost(fmt.Sprint("c", i))), to: to, name: fmt.Sprint("c", i), until: until}
+	c.loop.Defer(c.connect)
 }
 
 func (c *simClient) connect() {
@@ -271,9 +271,9 @@
 		old.node = n
 	})
 	after(7500*time.Millisecond, func() {
-		lossy := sim.Plain
+		lossy := sim.LocalLink
 		lossy.Loss, lossy.Jitter = 0.05, 20*time.Millisecond
-		p.world.Join(p.drivers[1].host, p.members[2].host, lossy)
+		p.world.SetLink(p.drivers[1].host, p.members[2].host, lossy)
 	})
 	p.world.Run(epoch + 12*time.Second)
 	return p
--- a/internal/node/summary_task.go
+++ b/internal/node/summary_task.go
@@ -26,7 +26,7 @@
 	interval  time.Duration
 	holding   bool
 	digests   map[lease.Node]digest // since the last summary
-	timer     loop.Due              // of the next collection
+	timer     loop.Timer            // of the next collection
 	upload    *summaryUpload
 }
 
@@ -76,7 +76,7 @@
 
 func (s *summaryTask) lost() {
 	s.holding = false
-	s.leases.node.loop.Forget(s.timer)
+	s.leases.node.loop.Cancel(s.timer)
 	s.upload.disconnect()
 }
 
@@ -92,7 +92,7 @@
 	if _, ok := s.candidate.Held(s.leases.clock()); ok {
 		s.leases.messenger.send(driver.EveryPeer, peers.CollectDigests, nil)
 	}
-	l.Forget(s.timer)
+	l.Cancel(s.timer)
 	s.timer = l.At(l.Now()+s.interval, s.collect)
 }
 
--- a/internal/node/summary_upload.go
+++ b/internal/node/summary_upload.go
@@ -31,7 +31,7 @@
 
 	stream   *loop.Stream // nil: not connected
 	inFlight bool
-	timer    loop.Due // of the timeout
+	timer    loop.Timer // of the timeout
 
 	accepted, rejected, failed int           // uploads
 	latest                     time.Duration // when one was last accepted
@@ -83,7 +83,7 @@
 		return 0
 	}
 	n := u.node
-	n.loop.Forget(u.timer)
+	n.loop.Cancel(u.timer)
 	u.inFlight = false
 	switch {
 	case status < statusMultipleChoices:
@@ -121,7 +121,7 @@
 
 // disconnect ends the connection, and forgets an upload that is running.
 func (u *summaryUpload) disconnect() {
-	u.node.loop.Forget(u.timer)
+	u.node.loop.Cancel(u.timer)
 	u.inFlight = false
 	if u.stream != nil {
 		u.stream.Close()
--- a/internal/node/system_call_faults_test.go
+++ b/internal/node/system_call_faults_test.go
@@ -23,7 +23,7 @@
 				return faults
 			})
 			const trouble, callers = 4 * time.Second, 12
-			s.at(trouble, func() { faults.Part = 0 })
+			s.at(trouble, func() { faults.Rate = 0 })
 			var all []*retryingClient
 			for i := range callers {
 				a := &retryingClient{scene: s, name: fmt.Sprint("c", i)}
@@ -49,8 +49,8 @@
 					t.Errorf("%s reached members %d times", id, len(sent))
 				}
 			}
-			if answers < 100 || late > 0 || len(faults.Failed) < 15 {
-				t.Errorf("%d answers, %d of %d clients are not served after the trouble; %v", answers, late, callers, faults.Failed)
+			if answers < 100 || late > 0 || len(faults.Counts) < 15 {
+				t.Errorf("%d answers, %d of %d clients are not served after the trouble; %v", answers, late, callers, faults.Counts)
 			}
 		})
 	}
@@ -90,7 +90,7 @@
 	c := s.dial(l)
 	c.reconnect, c.received = a.scriptedClient.reconnect, heard
 	a.scriptedClient = c
-	l.Later(a.sendNext)
+	l.Defer(a.sendNext)
 }
 
 func (a *retryingClient) sendNext() {
--- a/internal/node/timer.go
+++ b/internal/node/timer.go
@@ -10,7 +10,7 @@
 // and ticks that would do nothing are left out.
 type moduleTimer struct {
 	node     *Node
-	timer    loop.Due
+	timer    loop.Timer
 	last     time.Duration // when the module last asked to be woken
 	next     time.Duration // when it will be woken
 	interval time.Duration // between two ticks while the module does not rest
@@ -23,7 +23,7 @@
 }
 
 func (t *moduleTimer) schedule(at time.Duration) {
-	t.node.loop.Forget(t.timer)
+	t.node.loop.Cancel(t.timer)
 	t.next = at
 	t.timer = t.node.loop.At(at, t.tick)
 }
--- a/internal/node/workers.go
+++ b/internal/node/workers.go
@@ -29,7 +29,7 @@
 func (p *workerPool) run(work func() error, done func(err error, took time.Duration)) {
 	if p.tasks == nil {
 		err := work()
-		p.loop.Later(func() { done(err, 0) })
+		p.loop.Defer(func() { done(err, 0) })
 		return
 	}
 	p.tasks <- workerTask{work, done}
@@ -72,7 +72,7 @@
 		err := task.work()
 		took := time.Since(began)
 		p.results <- func() { task.done(err, took) }
-		p.loop.Ring()
+		p.loop.Wake()
 	}
 }
 
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -14,7 +14,7 @@
 
 // Peers is a socket for datagrams to and from known addresses.
 type Peers struct {
-	socket    *loop.Datagrams
+	socket    *loop.DatagramSocket
 	broadcast netip.AddrPort
 	addresses []netip.AddrPort
 	numbers   map[netip.AddrPort]driver.Peer
@@ -26,7 +26,7 @@
 	p := new(Peers)
 	p.SetAddresses(broadcast, addresses)
 	var err error
-	p.socket, err = l.Receive(listenOn, func(from netip.AddrPort, datagram []byte) {
+	p.socket, err = l.ListenUDP(listenOn, func(from netip.AddrPort, datagram []byte) {
 		if number, ok := p.numbers[from]; ok && len(datagram) <= MaxDatagramLength {
 			receive(number, datagram)
 		}
--- a/internal/rollout/client/client.go
+++ b/internal/rollout/client/client.go
@@ -55,7 +55,7 @@
 	stream       *loop.Stream // nil: not connected
 	connectedTo  int          // index of the stream's machine
 	inFlight     bool         // a poll is sent and not answered
-	timer        loop.Due     // of the poll's timeout, or of the next poll
+	timer        loop.Timer   // of the poll's timeout, or of the next poll
 	lastAnswerAt time.Duration
 	unreachable  unreachableLog
 }
@@ -80,7 +80,7 @@
 		selector:     rollout.NewMachineSelector(driver, names, seed),
 		lastAnswerAt: l.Now(),
 	}
-	l.Later(c.poll)
+	l.Defer(c.poll)
 	return c
 }
 
@@ -98,12 +98,12 @@
 
 // schedule sets the time of the next poll.
 func (c *Client) schedule(delay time.Duration) {
-	c.loop.Forget(c.timer)
+	c.loop.Cancel(c.timer)
 	c.timer = c.loop.At(c.loop.Now()+delay, c.poll)
 }
 
 func (c *Client) poll() {
-	c.loop.Forget(c.timer)
+	c.loop.Cancel(c.timer)
 	c.timer = nil
 	if err := c.connect(); err != nil {
 		c.fail(err)
@@ -140,7 +140,7 @@
 	if c.stream != nil {
 		return nil
 	}
-	stream, err := c.loop.DialKept(c.machines[selected], c, limits.Head+limits.Body)
+	stream, err := c.loop.DialReserved(c.machines[selected], c, limits.Head+limits.Body)
 	if err == nil {
 		c.stream = stream
 	}
@@ -219,7 +219,7 @@
 }
 
 func (c *Client) succeed() {
-	c.loop.Forget(c.timer)
+	c.loop.Cancel(c.timer)
 	c.inFlight, c.lastAnswerAt = false, c.loop.Now()
 	if c.unreachable.active {
 		c.unreachable.active = false
--- a/internal/rollout/client/golden_test.go
+++ b/internal/rollout/client/golden_test.go
@@ -59,8 +59,8 @@
 func TestGoldenRequests(t *testing.T) {
 	world := sim.New(3, 1767225600*time.Second)
 	on := func(name string) *loop.Loop {
-		h := world.Host(name)
-		l, err := loop.On(h, 100, 16<<20)
+		h := world.AddHost(name)
+		l, err := loop.NewWithSystem(h, 100, 16<<20)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -70,7 +70,7 @@
 	at := netip.MustParseAddrPort("10.0.0.1:7400")
 	m := &machine{answers: []string{"HTTP/1.1 204 No Content\r\n\r\n", "HTTP/1.1 200 OK\r\nVersion: 2\r\nContent-Length: 2\r\n\r\n{}",
 		"HTTP/1.1 200 OK\r\nVersion: 3\r\nContent-Length: 15\r\n\r\n{\"settings\":{}}", "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"}}
-	if _, err := on("c0").Listen(at, 1<<20, loop.Door{}, func(open func(loop.Handler) *loop.Stream) { m.stream = open(m) }, func(bool) {}); err != nil {
+	if _, err := on("c0").Listen(at, 1<<20, loop.AcceptLimiter{}, func(open func(loop.Handler) *loop.Stream) { m.stream = open(m) }, func(bool) {}); err != nil {
 		t.Fatal(err)
 	}
 	d := &driver{report: rollout.DriverReport{Driver: "d0"}, counts: make(map[string]int)}
--- a/internal/rollout/machine_test.go
+++ b/internal/rollout/machine_test.go
@@ -98,7 +98,7 @@
 		s.run(time.Millisecond)
 	}
 	s.replicas[0].crash()
-	s.queue.Pop(s.now) // the last message may be lost
+	s.queue.PopDue(s.now) // the last message may be lost
 	s.replicas[2].machine.LeaseGained(s.nextNumber())
 	s.run(time.Second)
 	s.mustPublish(t, 2, 2, 1, 2)
--- a/internal/rollout/server/election.go
+++ b/internal/rollout/server/election.go
@@ -19,7 +19,7 @@
 	server    *Server
 	voter     *lease.Voter // nil until the machine has joined
 	candidate *lease.Candidate
-	timer     loop.Due // of the candidate; nil: none
+	timer     loop.Timer // of the candidate; nil: none
 }
 
 func (e *election) init(s *Server, seed uint64) {
@@ -65,7 +65,7 @@
 // schedule sets the timer for the candidate's next step.
 func (e *election) schedule() {
 	l := e.server.loop
-	l.Forget(e.timer)
+	l.Cancel(e.timer)
 	e.timer = nil
 	next, pending := e.candidate.NextWake()
 	if !pending || e.server.stopped {
@@ -93,7 +93,7 @@
 func (e *election) Send(to lease.Node, m lease.Message) {
 	s := e.server
 	if to == s.node() {
-		s.loop.Later(func() { e.receive(to, m) })
+		s.loop.Defer(func() { e.receive(to, m) })
 		return
 	}
 	s.sendEnvelope(to, envelope{Lease: lease.AppendMessage(nil, m)})
--- a/internal/rollout/server/golden_test.go
+++ b/internal/rollout/server/golden_test.go
@@ -150,7 +150,7 @@
 	peer := fmt.Sprint("c", (w+1)%3)
 	exchange(w, request("POST", "/machine", "", `{"fleet":"test","from":"`+peer+`","life":1,"rollout":{"Op":"learn","Ballot":{"Number":0,"Node":0}}}`))
 	for _, o := range []int{(w + 1) % 3, (w + 2) % 3} {
-		f.world.Join(f.hosts[w], f.hosts[o], sim.Link{Cut: true, Resend: 100 * time.Millisecond})
+		f.world.SetLink(f.hosts[w], f.hosts[o], sim.Link{Cut: true, ResendDelay: 100 * time.Millisecond})
 	}
 	f.run(2 * time.Second)
 	exchange(w, watch("d0", 1, 300))
@@ -162,8 +162,8 @@
 	world := sim.New(3, epoch)
 	var loops []*loop.Loop
 	for n := range 2 {
-		h := world.Host(fmt.Sprint("c", n))
-		l, err := loop.On(h, 1000, 16<<20)
+		h := world.AddHost(fmt.Sprint("c", n))
+		l, err := loop.NewWithSystem(h, 1000, 16<<20)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -171,7 +171,7 @@
 		loops = append(loops, l)
 	}
 	received := &testConnection{}
-	if _, err := loops[1].Listen(addressOf(1), 1<<20, loop.Door{}, func(open func(loop.Handler) *loop.Stream) { received.stream = open(received) }, func(bool) {}); err != nil {
+	if _, err := loops[1].Listen(addressOf(1), 1<<20, loop.AcceptLimiter{}, func(open func(loop.Handler) *loop.Stream) { received.stream = open(received) }, func(bool) {}); err != nil {
 		t.Fatal(err)
 	}
 	place := MachineConfig{Fleet: "test", Name: "c0", Listen: addressOf(0), Peers: []Peer{{"c1", addressOf(1)}}}
--- a/internal/rollout/server/publish.go
+++ b/internal/rollout/server/publish.go
@@ -82,7 +82,7 @@
 	}
 	c.waiting = true
 	c.requestID = s.publishers.add(c)
-	s.loop.Forget(c.timer)
+	s.loop.Cancel(c.timer)
 	c.timer = nil
 	s.machine.Publish(rollout.PublishRequest{RequestID: c.requestID, PublicationID: id, BaseVersion: base, Text: text.String()})
 	return true
--- a/internal/rollout/server/server.go
+++ b/internal/rollout/server/server.go
@@ -60,7 +60,7 @@
 	election    election
 	peers       map[lease.Node]*peerLink
 	roster      *rollout.Roster
-	watchers    chain.Chain[*session] // that wait for a newer version
+	watchers    chain.List[*session] // that wait for a newer version
 	publishers  publishers
 	listener    *loop.Listener
 	counters    map[string]int
@@ -96,7 +96,7 @@
 	s.machine = rollout.New(s, s.node(), peers, persisted.State)
 	s.election.init(s, seed)
 	var err error
-	s.listener, err = l.Listen(config.Listen, limits.Head+limits.Body, loop.Door{}, s.accept, func(bool) {})
+	s.listener, err = l.Listen(config.Listen, limits.Head+limits.Body, loop.AcceptLimiter{}, s.accept, func(bool) {})
 	if err != nil {
 		return nil, fmt.Errorf("listen %s: %w", config.Listen, err)
 	}
@@ -184,7 +184,7 @@
 
 // StepDown implements rollout.Host: it releases the lease, and requests it again after a pause.
 func (s *Server) StepDown() {
-	s.loop.Later(func() {
+	s.loop.Defer(func() {
 		s.election.resign()
 		if !s.stopped {
 			s.election.campaign(LeaseTTL)
@@ -197,7 +197,7 @@
 func (s *Server) VersionCommitted(e rollout.Entry) {
 	slog.Info("configuration version committed", "machine", s.config.Name, "version", e.Version, "bytes", len(e.Text))
 	s.OnCommit(e.Version)
-	for link := s.watchers.First(); link != nil; {
+	for link := s.watchers.Front(); link != nil; {
 		watcher := link.Value
 		link = link.Next()
 		watcher.versionCommitted()
--- a/internal/rollout/server/server_test.go
+++ b/internal/rollout/server/server_test.go
@@ -40,7 +40,7 @@
 
 func (m *memoryStorage) Persist(k PersistedState, then func(error)) {
 	m.world.At(m.world.Now()+3*time.Millisecond, func() {
-		m.host.Do(func() {
+		m.host.Post(func() {
 			if m.fails {
 				then(fmt.Errorf("the disk is full"))
 				return
@@ -55,8 +55,8 @@
 	t.Helper()
 	f := &testFleet{t: t, world: sim.New(3, epoch)}
 	for n := range 3 {
-		h := f.world.Host(fmt.Sprint("c", n))
-		l, err := loop.On(h, 1000, 16<<20)
+		h := f.world.AddHost(fmt.Sprint("c", n))
+		l, err := loop.NewWithSystem(h, 1000, 16<<20)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -73,9 +73,9 @@
 		}
 		f.machines, f.hosts = append(f.machines, s), append(f.hosts, h)
 	}
-	f.clientHost = f.world.Host("caller")
+	f.clientHost = f.world.AddHost("caller")
 	var err error
-	if f.clientLoop, err = loop.On(f.clientHost, 1000, 64<<20); err != nil {
+	if f.clientLoop, err = loop.NewWithSystem(f.clientHost, 1000, 64<<20); err != nil {
 		t.Fatal(err)
 	}
 	f.clientHost.Serve(f.clientLoop, func() {})
@@ -114,7 +114,7 @@
 
 func (f *testFleet) send(n int, text string) *testConnection {
 	c := &testConnection{}
-	f.clientHost.Do(func() {
+	f.clientHost.Post(func() {
 		var err error
 		if c.stream, err = f.clientLoop.Dial(addressOf(n), c, 8<<20); err != nil {
 			f.t.Fatal(err)
@@ -202,7 +202,7 @@
 		t.Errorf("%d %s", r.Status, r.Body)
 	}
 	for _, o := range []int{w, third} {
-		f.world.Join(f.hosts[other], f.hosts[o], sim.Link{Cut: true, Resend: 100 * time.Millisecond})
+		f.world.SetLink(f.hosts[other], f.hosts[o], sim.Link{Cut: true, ResendDelay: 100 * time.Millisecond})
 	}
 	f.run(2 * time.Second)
 	c := f.send(other, watch("d0", 0, 300))
@@ -211,7 +211,7 @@
 		t.Errorf("%q", c.received)
 	}
 	for _, o := range []int{w, third} {
-		f.world.Join(f.hosts[other], f.hosts[o], sim.Plain)
+		f.world.SetLink(f.hosts[other], f.hosts[o], sim.LocalLink)
 	}
 	f.run(4 * time.Second)
 	c = f.send(other, watch("d0", 0, 300))
--- a/internal/rollout/server/session.go
+++ b/internal/rollout/server/session.go
@@ -19,12 +19,12 @@
 type session struct {
 	server *Server
 	stream *loop.Stream
-	timer  loop.Due // idle timeout, or the end of a long poll; nil: none
+	timer  loop.Timer // idle timeout, or the end of a long poll; nil: none
 
-	waiting      bool                 // for a newer version, or for the outcome of a publication
-	knownVersion uint64               // that the driver has or has rejected
-	watcherLink  chain.Link[*session] // in Server.watchers
-	requestID    uint64               // in Server.publishers; 0: none yet
+	waiting      bool                    // for a newer version, or for the outcome of a publication
+	knownVersion uint64                  // that the driver has or has rejected
+	watcherLink  chain.Element[*session] // in Server.watchers
+	requestID    uint64                  // in Server.publishers; 0: none yet
 }
 
 // Opened implements loop.Handler.
@@ -39,14 +39,14 @@
 // startIdleTimer closes the connection unless a complete request comes in time.
 func (c *session) startIdleTimer() {
 	l := c.server.loop
-	l.Forget(c.timer)
+	l.Cancel(c.timer)
 	c.timer = l.At(l.Now()+idleTimeout, c.close)
 }
 
 // detach removes the session from the server.
 func (c *session) detach() {
-	c.server.loop.Forget(c.timer)
-	c.watcherLink.Leave()
+	c.server.loop.Cancel(c.timer)
+	c.watcherLink.Remove()
 	c.server.publishers.remove(c.requestID)
 }
 
@@ -139,7 +139,7 @@
 // resume continues with the requests that came while one waited.
 func (c *session) resume() {
 	c.waiting = false
-	c.watcherLink.Leave()
+	c.watcherLink.Remove()
 	c.startIdleTimer()
-	c.server.loop.Later(c.stream.Look)
+	c.server.loop.Defer(c.stream.DeliverInput)
 }
--- a/internal/rollout/server/watch.go
+++ b/internal/rollout/server/watch.go
@@ -43,8 +43,8 @@
 		return true
 	}
 	c.waiting, c.watcherLink.Value = true, c
-	s.watchers.Push(&c.watcherLink)
-	s.loop.Forget(c.timer)
+	s.watchers.PushBack(&c.watcherLink)
+	s.loop.Cancel(c.timer)
 	wait := min(max(time.Duration(r.MaxWaitMS)*time.Millisecond, 0), maxLongPoll)
 	c.timer = s.loop.At(now+wait, c.endWatch)
 	return true
--- a/internal/rollout/simulation_test.go
+++ b/internal/rollout/simulation_test.go
@@ -71,12 +71,12 @@
 func (s *simulation) run(duration time.Duration) {
 	end := s.now + duration
 	for s.violation == "" {
-		at, ok := s.queue.First()
+		at, ok := s.queue.NextDue()
 		if !ok || at > end {
 			break
 		}
 		s.now = max(s.now, at)
-		if act, ok := s.queue.Pop(s.now); ok {
+		if act, ok := s.queue.PopDue(s.now); ok {
 			act()
 		}
 	}
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -152,7 +152,7 @@
 		}
 		last := -1
 		for at := time.Duration(0); at < 25; at++ {
-			for v, ok := q.Pop(at); ok; v, ok = q.Pop(at) {
+			for v, ok := q.PopDue(at); ok; v, ok = q.PopDue(at) {
 				if v/1000 != int(at) || v < last {
 					t.Fatalf("%d came after %d, at %d", v, last, at)
 				}
--- a/internal/slots/slots.go
+++ b/internal/slots/slots.go
@@ -26,14 +26,14 @@
 	occupied   bool
 }
 
-// Table holds values by handle. Its zero value is empty.
-type Table[T any] struct {
+// Map holds values by handle. Its zero value is empty.
+type Map[T any] struct {
 	slots []slot[T]
 	free  []uint16 // indices
 }
 
-// Put adds a value and returns its handle, or 0 if the table is full.
-func (t *Table[T]) Put(value T) Handle {
+// Insert adds a value and returns its handle, or 0 if the table is full.
+func (t *Map[T]) Insert(value T) Handle {
 	if len(t.free) == 0 {
 		if len(t.slots) == maxSlots {
 			return 0
@@ -52,15 +52,15 @@
 }
 
 // Get returns the value of a handle, or the zero value if it was removed.
-func (t *Table[T]) Get(handle Handle) (value T) {
+func (t *Map[T]) Get(handle Handle) (value T) {
 	if s := t.lookup(handle); s != nil {
 		value = s.value
 	}
 	return value
 }
 
-// Drop removes the value of a handle. It does nothing if the value was removed already.
-func (t *Table[T]) Drop(handle Handle) {
+// Remove removes the value of a handle. It does nothing if the value was removed already.
+func (t *Map[T]) Remove(handle Handle) {
 	if s := t.lookup(handle); s != nil {
 		var zero T
 		s.value, s.occupied = zero, false
@@ -69,7 +69,7 @@
 }
 
 // lookup returns the slot of a handle, or nil if its value was removed.
-func (t *Table[T]) lookup(handle Handle) *slot[T] {
+func (t *Map[T]) lookup(handle Handle) *slot[T] {
 	index, generation := int(handle.index()), handle.generation()
 	if index >= len(t.slots) || !t.slots[index].occupied || t.slots[index].generation != generation {
 		return nil
@@ -77,11 +77,11 @@
 	return &t.slots[index]
 }
 
-// Count returns the number of values.
-func (t *Table[T]) Count() int { return len(t.slots) - len(t.free) }
+// Len returns the number of values.
+func (t *Map[T]) Len() int { return len(t.slots) - len(t.free) }
 
-// Each calls visit for each value. visit may remove values; values that it adds may be visited or not.
-func (t *Table[T]) Each(visit func(Handle, T)) {
+// ForEach calls visit for each value. visit may remove values; values that it adds may be visited or not.
+func (t *Map[T]) ForEach(visit func(Handle, T)) {
 	for i := range t.slots {
 		if s := t.slots[i]; s.occupied {
 			visit(newHandle(uint16(i), s.generation), s.value)
--- a/internal/slots/slots_test.go
+++ b/internal/slots/slots_test.go
@@ -13,25 +13,25 @@
 	}
 	f.Fuzz(func(t *testing.T, seed uint64) {
 		random := pcg.New(seed)
-		var table Table[int]
+		var table Map[int]
 		live, released := make(map[Handle]int), []Handle{0}
 		for step := 1; step < 500; step++ {
 			if random.Float() < 0.55 {
-				h := table.Put(step)
+				h := table.Insert(step)
 				if _, taken := live[h]; taken || h == 0 {
 					t.Fatalf("step %d: handle %x was given out twice", step, h)
 				}
 				live[h] = step
 			} else {
 				for h := range live {
-					table.Drop(h)
+					table.Remove(h)
 					delete(live, h)
 					released = append(released, h)
 					break
 				}
 			}
 			stale := released[random.Below(len(released))]
-			table.Drop(stale) // a stale handle changes nothing
+			table.Remove(stale) // a stale handle changes nothing
 			if table.Get(stale) != 0 {
 				t.Fatalf("step %d: stale handle %x finds %d", step, stale, table.Get(stale))
 			}
@@ -40,21 +40,21 @@
 					t.Fatalf("step %d: handle %x holds %d, not %d", step, h, table.Get(h), value)
 				}
 			}
-			if table.Count() != len(live) {
-				t.Fatalf("step %d: %d counted, %d live", step, table.Count(), len(live))
+			if table.Len() != len(live) {
+				t.Fatalf("step %d: %d counted, %d live", step, table.Len(), len(live))
 			}
 		}
 	})
 }
 
 func TestFullTableReturnsNoHandle(t *testing.T) {
-	var table Table[int]
+	var table Map[int]
 	for i := range maxSlots {
-		if table.Put(i+1) == 0 {
+		if table.Insert(i+1) == 0 {
 			t.Fatalf("no slot after %d", i)
 		}
 	}
-	if h := table.Put(1); h != 0 {
+	if h := table.Insert(1); h != 0 {
 		t.Fatalf("handle %x beyond the last slot", h)
 	}
 }
--- a/rules/admission.go
+++ b/rules/admission.go
@@ -51,7 +51,7 @@
 		}
 	}
 	rank := math.Pow(highest*meth.typical.value.Seconds()/utility, utilityExponent)
-	if target.inFlight.Count() == 0 && rank < 1.01 {
+	if target.inFlight.Len() == 0 && rank < 1.01 {
 		return r.predictLatency(target, meth)
 	}
 	return time.Duration(float64(r.predictLatency(target, meth)) * latencyMargin * rank)
--- a/rules/clock.go
+++ b/rules/clock.go
@@ -33,7 +33,7 @@
 	r.detectPause(now)
 	t.lastWakeAt = now
 	r.host.WakeAfter(t.interval)
-	for act, ok := r.timers.Pop(now); ok; act, ok = r.timers.Pop(now) {
+	for act, ok := r.timers.PopDue(now); ok; act, ok = r.timers.PopDue(now) {
 		act()
 	}
 	if now >= t.nextScanAt {
@@ -64,7 +64,7 @@
 		if t.wakeDueAt = max(t.wakeDueAt, t.nextScanAt); r.healthCheckBudget < 1 || !r.settings.Bool("caps.probe") {
 			t.wakeDueAt += idleScanInterval - scanInterval
 		}
-		if at, ok := r.timers.First(); ok {
+		if at, ok := r.timers.NextDue(); ok {
 			t.wakeDueAt = min(t.wakeDueAt, max(at, t.lastWakeAt+t.interval))
 		}
 	}
--- a/rules/endpoints.go
+++ b/rules/endpoints.go
@@ -28,9 +28,9 @@
 	replication replicationState
 	health      health
 	latency     latencyEstimate
-	load        decay.Sum         // sent while it warms up, else answered
-	servedLoad  decay.Sum         // answered while it warms up
-	inFlight    chain.Chain[*rpc] // in the order in which they were sent
+	load        decay.Sum        // sent while it warms up, else answered
+	servedLoad  decay.Sum        // answered while it warms up
+	inFlight    chain.List[*rpc] // in the order in which they were sent
 }
 
 // group is a primary and its replicas.
@@ -108,7 +108,7 @@
 // removeIfExpired removes a member that was off the list and silent for long, unless its drain may still bind; from memberList, if true.
 func (r *Router) removeIfExpired(m *member) bool {
 	silent := r.host.Now() - max(m.delistedAt, m.replication.reportedAt)
-	if m.listed || m.inFlight.Count() > 0 || silent < maxSessionPin || r.onlyDrainingBinds && (m.draining || silent < commitRetention) {
+	if m.listed || m.inFlight.Len() > 0 || silent < maxSessionPin || r.onlyDrainingBinds && (m.draining || silent < commitRetention) {
 		return false
 	}
 	delete(r.members, m.id)
--- a/rules/events.go
+++ b/rules/events.go
@@ -60,8 +60,8 @@
 	m := a.member
 	a.open = false
 	q.openAttempts--
-	overtaken := !q.inFlightLink.In(&m.inFlight) && !m.health.lostReply
-	q.inFlightLink.Leave()
+	overtaken := !q.inFlightLink.InList(&m.inFlight) && !m.health.lostReply
+	q.inFlightLink.Remove()
 	if a.exploratory {
 		q.group.exploratoryAttempts--
 	}
--- a/rules/latency.go
+++ b/rules/latency.go
@@ -66,7 +66,7 @@
 
 // slowdown returns the member's expected latency / typical latency with what is in flight there now.
 func (r *Router) slowdown(m *member, now time.Duration) float64 {
-	return r.latencyRatio(m, now) * (float64(m.inFlight.Count()) + 1) / (m.latency.depth + 1)
+	return r.latencyRatio(m, now) * (float64(m.inFlight.Len()) + 1) / (m.latency.depth + 1)
 }
 
 // latencyRatio returns the member's ratio. It decays to 1, more slowly where samples are rare: else who was not used for longest looks best.
--- a/rules/outlier.go
+++ b/rules/outlier.go
@@ -95,10 +95,10 @@
 	for _, meth := range r.methods {
 		shortest = min(shortest, r.predictLatencyAt(meth, slowdown, now))
 	}
-	for link := m.inFlight.First(); link != nil && link.Value.lastSentAt()+2*shortest < sentAt; {
+	for link := m.inFlight.Front(); link != nil && link.Value.lastSentAt()+2*shortest < sentAt; {
 		q, next := link.Value, link.Next()
 		if q.lastSentAt()+2*r.predictLatencyAt(q.method, slowdown, now) < sentAt {
-			link.Leave()
+			link.Remove()
 		}
 		link = next
 	}
@@ -114,14 +114,14 @@
 		r.host.Probe(m.id)
 	}
 	patience := time.Duration(0)
-	for link := m.inFlight.First(); link != nil; link = link.Next() {
+	for link := m.inFlight.Front(); link != nil; link = link.Next() {
 		patience = max(patience, silenceLatencies*link.Value.method.typical.value)
 	}
 	silent := !h.ejected() && now-max(h.lastReplyAt, r.ticks.resumedAt) > patience
-	if silent && m.inFlight.Count() == 1 && !h.lostReply {
+	if silent && m.inFlight.Len() == 1 && !h.lostReply {
 		h.lostReply = true
-		m.inFlight.First().Leave()
-	} else if silent && m.inFlight.Count() > 0 {
+		m.inFlight.Front().Remove()
+	} else if silent && m.inFlight.Len() > 0 {
 		r.eject(m, now, "has gone silent")
 	}
 }
--- a/rules/retries.go
+++ b/rules/retries.go
@@ -25,7 +25,7 @@
 	firstRunZone         driver.Zone
 	mayHaveRun           bool // at a member
 	queued, answered     bool
-	inFlightLink         chain.Link[*rpc] // in member.inFlight
+	inFlightLink         chain.Element[*rpc] // in member.inFlight
 }
 
 // attempt is one sending of an RPC to a member.
@@ -41,13 +41,13 @@
 
 // send makes an attempt. Timeout 0 means that it lasts until the client stops waiting.
 func (r *Router) send(q *rpc, to *member, timeout time.Duration, exploratory bool) {
-	now, depth := r.host.Now(), to.inFlight.Count()
+	now, depth := r.host.Now(), to.inFlight.Len()
 	if depth == 0 {
 		to.health.lastReplyAt = max(to.health.lastReplyAt, now)
 	}
 	q.attempts = append(q.attempts, attempt{member: to, sentAt: now, depth: depth, rejectedAt: unknownTime, open: true, exploratory: exploratory})
 	q.openAttempts++
-	to.inFlight.Push(&q.inFlightLink)
+	to.inFlight.PushBack(&q.inFlightLink)
 	if r.warmingUp(to, now) {
 		to.load.Add(q.method.typical.value.Seconds(), now, r.loadWindow())
 	}
--- a/rules/selection.go
+++ b/rules/selection.go
@@ -97,7 +97,7 @@
 
 // accepts reports whether the member may get this RPC now.
 func (r *Router) accepts(m *member, q *rpc, now time.Duration) bool {
-	inFlight := m.inFlight.Count()
+	inFlight := m.inFlight.Len()
 	if !m.available || m.presumedGone() && inFlight > 0 || m.health.ejected() && (inFlight >= m.health.allowance || now < m.health.nextAttemptAt) ||
 		q.mayHaveRun && q.method.Duplicates == settings.DuplicatesInZone && m.zone != q.firstRunZone {
 		return false
@@ -114,7 +114,7 @@
 	for n, start := 0, r.random.Below(len(all)+1); n < len(all); n++ {
 		m := all[(start+n)%len(all)]
 		sinceReport, position := now-m.replication.reportedAt, m.replication.position
-		unheard := m.inFlight.Count() == 0 && sinceReport > recheckInterval
+		unheard := m.inFlight.Len() == 0 && sinceReport > recheckInterval
 		mayAsk := r.membersCheckFreshness && unheard && sinceReport > maxProbationBackoff
 		if r.membersCheckFreshness && m.replication.reportedAt != unknownTime { // if it has not advanced, it rejects the read
 			position += sinceReport
