--- a/internal/lease/candidate.go
+++ b/internal/lease/candidate.go
@@ -7,38 +7,38 @@
 	"passtack/internal/pcg"
 )
 
-// CandidateHost is what a candidate acts through.
+// CandidateHost sends the messages of a candidate and is notified when the lease is acquired or lost.
 type CandidateHost interface {
-	// Send sends a message to a voter; it may be lost.
+	// Send sends a message to a voter. Delivery is not guaranteed.
 	Send(to Node, m Message)
-	// Acquired reports that the driver holds the lease from now on.
+	// Acquired is called when the driver acquires the lease.
 	Acquired(lease string, fencingToken uint64)
-	// Lost reports that the driver does not hold the lease any more: it expired or was given back.
+	// Lost is called when the driver no longer holds the lease, because it expired or was released.
 	Lost(lease string, fencingToken uint64)
 }
 
 const (
-	maxRounds        = 4                      // rounds whose answers are still counted
-	answerTimeout    = 300 * time.Millisecond // for answers to a request for a lease that is not held
-	minBackoff       = 100 * time.Millisecond // doubles with each failure, up to the TTL
+	maxRounds        = 4                      // number of latest rounds whose answers are still counted
+	answerTimeout    = 300 * time.Millisecond // of a request that is to acquire the lease, not to extend it
+	minBackoff       = 100 * time.Millisecond // doubled with each failed request, up to the TTL
 	renewalsPerTTL   = 3
-	maxQueueFullWait = 20 // in TTLs, between two requests of a candidate that finds the queue of voters full
+	maxQueueFullWait = 20 // in TTLs: longest wait between two requests of a candidate for which the voters' queues are full
 )
 
-// round is one request to all voters, with their answers.
+// round is one request that was sent to all voters, with their answers.
 type round struct {
 	number       uint64
 	fencingToken uint64
 	sentAt       time.Duration
 	grants       []Node
 	rejections   []Node
-	retryAfter   time.Duration // the longest that a voter said
+	retryAfter   time.Duration // longest that any voter asked for
 }
 
 func (r *round) grantedBy(n Node) bool  { return slices.Contains(r.grants, n) }
 func (r *round) rejectedBy(n Node) bool { return slices.Contains(r.rejections, n) }
 
-// hold is a lease that is held. The zero value: it is not.
+// hold describes the lease while this driver holds it. The zero value means that the driver does not hold it.
 type hold struct {
 	fencingToken uint64
 	since        time.Duration
@@ -47,11 +47,11 @@
 
 func (h hold) exists() bool { return h.fencingToken != 0 }
 
-// observations are what a candidate learned from voters. Only the status shows them.
+// observations are what a candidate has learned from voters. They are used for its status only.
 type observations struct {
 	holder           Holder
-	rejectionReasons map[Node]Reason        // by voter, of the latest answers
-	lastHeard        map[Node]time.Duration // by voter
+	rejectionReasons map[Node]Reason        // by voter, from its latest answer
+	lastHeard        map[Node]time.Duration // by voter: when its latest message came
 }
 
 // Candidate acquires one lease for its driver and renews it.
@@ -63,18 +63,18 @@
 	voters    VoterSet
 	random    *pcg.Source
 
-	campaigning   bool
-	hold          hold
-	observed      observations
-	highestToken  uint64 // that was used or that a voter named
-	lastRound     uint64
-	rounds        []round // the newest last
-	nextRequestAt time.Duration
-	answersDueAt  time.Duration // of a request for a lease that is not held, 0: none is open
-	failures      int           // requests in a row that did not acquire the lease
+	campaigning    bool
+	hold           hold
+	observed       observations
+	highestToken   uint64 // highest fencing token that this candidate has used or a voter has reported
+	lastRound      uint64
+	rounds         []round // oldest first
+	nextRequestAt  time.Duration
+	answerDeadline time.Duration // of the open request to acquire the lease; 0 if there is none
+	failures       int           // consecutive requests that did not acquire the lease
 }
 
-// NewCandidate returns a candidate that asks for nothing until Campaign. Seed draws its backoff.
+// NewCandidate returns a candidate that sends no request before Campaign is called. The seed is for the random part of its backoff.
 func NewCandidate(host CandidateHost, self Holder, leaseName string, ttl time.Duration, voters VoterSet, seed uint64) *Candidate {
 	return &Candidate{
 		host: host, self: self, leaseName: leaseName, ttl: ttl, voters: voters, random: pcg.New(seed),
@@ -82,20 +82,21 @@
 	}
 }
 
-// ChangeVoters replaces the set of voters. A lease that is held stays until it expires; the new voters extend it.
+// ChangeVoters replaces the set of voters. A lease that the driver holds stays valid until it expires, and
+// later requests to extend it go to the new voters.
 func (c *Candidate) ChangeVoters(voters VoterSet) {
 	c.voters = voters
 	c.closeRounds()
 }
 
-// Campaign lets the candidate ask for the lease, from the next Wake on.
+// Campaign starts requesting the lease, from the next call of Wake on.
 func (c *Candidate) Campaign(now time.Duration) {
 	if !c.campaigning {
 		c.campaigning, c.nextRequestAt = true, now
 	}
 }
 
-// Resign gives the lease back and asks for it no more.
+// Resign releases the lease and stops requesting it.
 func (c *Candidate) Resign(now time.Duration) {
 	c.campaigning = false
 	c.loseLease(now)
@@ -103,13 +104,13 @@
 	c.closeRounds()
 }
 
-// Held is the guard of an action: it reports whether the lease is held at this moment, and its fencing token. Now has to be read right
-// before the action.
+// Held reports whether the driver holds the lease at the time now, and returns its fencing token. An action that needs the lease has to be
+// guarded by it, with a clock reading taken right before the action.
 func (c *Candidate) Held(now time.Duration) (fencingToken uint64, ok bool) {
 	return c.hold.fencingToken, c.hold.exists() && now < c.hold.expiresAt
 }
 
-// latestToken is the fencing token of the newest request, 0: none is open.
+// latestToken returns the fencing token of the latest request, 0 if none is open.
 func (c *Candidate) latestToken() uint64 {
 	if len(c.rounds) == 0 {
 		return 0
@@ -117,11 +118,11 @@
 	return c.rounds[len(c.rounds)-1].fencingToken
 }
 
-func (c *Candidate) closeRounds() { c.rounds, c.answersDueAt = nil, 0 }
+func (c *Candidate) closeRounds() { c.rounds, c.answerDeadline = nil, 0 }
 
 func noVoter(Node) bool { return false }
 
-// release gives the grants for a fencing token back to all voters except some.
+// release releases the grants for a fencing token at all voters for which except is false.
 func (c *Candidate) release(fencingToken uint64, except func(Node) bool) {
 	if fencingToken == 0 {
 		return
@@ -146,19 +147,19 @@
 	c.release(fencingToken, noVoter)
 }
 
-// jitter draws a duration below limit.
+// jitter returns a random duration below the limit.
 func (c *Candidate) jitter(limit time.Duration) time.Duration {
 	return time.Duration(c.random.Float() * float64(limit))
 }
 
-// NextWake returns when Wake is to be called next; ok is false where the candidate does not campaign.
+// NextWake returns when Wake is to be called next; ok is false while the candidate does not campaign.
 func (c *Candidate) NextWake() (at time.Duration, ok bool) {
 	if !c.campaigning {
 		return 0, false
 	}
 	at = c.nextRequestAt
-	if c.answersDueAt != 0 {
-		at = min(at, c.answersDueAt)
+	if c.answerDeadline != 0 {
+		at = min(at, c.answerDeadline)
 	}
 	if c.hold.exists() {
 		at = min(at, c.hold.expiresAt)
@@ -166,8 +167,9 @@
 	return at, true
 }
 
-// Wake does what is due by now. A new fencing token is at least minToken, which the host takes from the time of day: so tokens rise even
-// where all voters have lost theirs. Nothing else depends on minToken.
+// Wake handles what is due at the time now: the end of the lease, an answer deadline, the next request. A new fencing token is at least
+// minToken, which the host derives from the time of day, so that tokens increase even after all voters have lost their storage. Nothing else
+// depends on minToken.
 func (c *Candidate) Wake(now time.Duration, minToken uint64) {
 	if !c.campaigning {
 		return
@@ -175,7 +177,7 @@
 	if c.hold.exists() && now >= c.hold.expiresAt {
 		c.loseLease(now)
 	}
-	if c.answersDueAt != 0 && now >= c.answersDueAt {
+	if c.answerDeadline != 0 && now >= c.answerDeadline {
 		c.abandonRound(now)
 	}
 	if now >= c.nextRequestAt {
@@ -183,14 +185,14 @@
 	}
 }
 
-// sendRequest asks all voters for the lease, or to extend it under its fencing token.
+// sendRequest requests the lease from all voters, or its extension under the same fencing token.
 func (c *Candidate) sendRequest(now time.Duration, minToken uint64) {
 	fencingToken := c.hold.fencingToken
 	if c.hold.exists() {
 		c.nextRequestAt = now + c.ttl/renewalsPerTTL
 	} else {
 		fencingToken = c.newToken(minToken)
-		c.answersDueAt, c.nextRequestAt = now+answerTimeout, now+c.ttl
+		c.answerDeadline, c.nextRequestAt = now+answerTimeout, now+c.ttl
 	}
 	c.lastRound++
 	c.rounds = append(c.rounds, round{number: c.lastRound, fencingToken: fencingToken, sentAt: now})
@@ -211,14 +213,14 @@
 	return c.highestToken
 }
 
-// Receive takes a message from a voter.
+// Receive processes a message from a voter.
 func (c *Candidate) Receive(from Node, m Message, now time.Duration) {
 	if !c.campaigning || m.Lease != c.leaseName || !slices.Contains(c.voters.All(), from) {
 		return
 	}
 	c.observed.lastHeard[from] = now
 	if m.Op == Available && m.Holder == c.self {
-		if !c.hold.exists() && c.answersDueAt == 0 {
+		if !c.hold.exists() && c.answerDeadline == 0 {
 			c.highestToken, c.nextRequestAt = max(c.highestToken, m.FencingToken), now
 		}
 		return
@@ -243,15 +245,15 @@
 		if !r.rejectedBy(from) {
 			r.rejections, r.retryAfter = append(r.rejections, from), max(r.retryAfter, m.TTL)
 			newest := i == len(c.rounds)-1
-			if !c.hold.exists() && c.answersDueAt != 0 && newest && !c.voters.majorityPossible(r.rejectedBy) {
+			if !c.hold.exists() && c.answerDeadline != 0 && newest && !c.voters.majorityPossible(r.rejectedBy) {
 				c.abandonRound(now)
 			}
 		}
 	}
 }
 
-// countGrants acquires or extends the lease once a majority has granted the request. The hold is counted from before the request was
-// sent and is shorter than the TTL by the bound on clock drift, so it ends before any voter grants the lease to another.
+// countGrants acquires or extends the lease once a majority has granted the request. The lease counts as held from before the
+// request was sent, for the TTL less the bound on clock drift, so the hold ends before any voter grants the lease to another driver.
 func (c *Candidate) countGrants(r *round, now time.Duration) {
 	if !c.voters.majority(r.grantedBy) {
 		return
@@ -270,31 +272,31 @@
 		return
 	}
 	c.hold = hold{fencingToken: r.fencingToken, since: now, expiresAt: expiresAt}
-	c.failures, c.answersDueAt, c.observed.holder = 0, 0, c.self
+	c.failures, c.answerDeadline, c.observed.holder = 0, 0, c.self
 	c.nextRequestAt = r.sentAt + c.ttl/renewalsPerTTL
 	c.host.Acquired(c.leaseName, c.hold.fencingToken)
 }
 
-// abandonRound gives back the grants of a request that failed, and backs off.
+// abandonRound releases the grants of a request that failed, and backs off.
 func (c *Candidate) abandonRound(now time.Duration) {
 	r := &c.rounds[len(c.rounds)-1]
-	c.answersDueAt = 0
+	c.answerDeadline = 0
 	c.failures++
 	c.nextRequestAt = now + c.backoff(r.retryAfter)
-	c.release(r.fencingToken, r.rejectedBy) // who rejected it has granted nothing
+	c.release(r.fencingToken, r.rejectedBy) // a voter that rejected the request has granted nothing
 	c.rounds = nil
 }
 
-// backoff returns the wait until the next request: exponential with jitter, so that candidates that ask at once come apart, unless voters
-// said after which time to ask again.
+// backoff returns the wait until the next request: exponential with jitter, so that candidates do not all ask at the
+// same time, unless voters have told the candidate when to ask again.
 func (c *Candidate) backoff(retryAfter time.Duration) time.Duration {
 	exponential := min(minBackoff<<min(c.failures, 10), c.ttl)
 	exponential = exponential/2 + c.jitter(exponential)
 	switch {
-	case retryAfter > 2*c.ttl: // the queue is full: those outside come back spread over time
+	case retryAfter > 2*c.ttl: // the queue is full: candidates outside it spread their next requests over time
 		wait := min(retryAfter, maxQueueFullWait*c.ttl)
 		return wait/2 + c.jitter(wait/2)
-	case retryAfter > 0: // its position in the queue
+	case retryAfter > 0: // the candidate has a position in the queue
 		return retryAfter + c.jitter(queueSpacing)
 	}
 	return exponential
@@ -304,12 +306,12 @@
 type CandidateStatus struct {
 	Lease            string
 	Campaigning      bool
-	FencingToken     uint64 // 0: the driver does not hold the lease
+	FencingToken     uint64 // 0 if the driver does not hold the lease
 	HeldFor          time.Duration
-	Remaining        time.Duration          // until the hold expires
-	Holder           Holder                 // as far as this driver knows; it may be outdated
-	RejectionReasons map[Node]Reason        // by voter, of the latest answers
-	LastHeard        map[Node]time.Duration // by voter, how long ago it said something
+	Remaining        time.Duration          // time until the lease expires
+	Holder           Holder                 // as far as this driver knows; may be outdated
+	RejectionReasons map[Node]Reason        // by voter, from its latest answer
+	LastHeard        map[Node]time.Duration // by voter: time since its latest message
 }
 
 // Status returns a snapshot.
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -17,7 +17,7 @@
 	return VoterSet{Version: version, Voters: voters}
 }
 
-// runSeeds runs seeds on all cores and stops at the first violation.
+// runSeeds runs the seeds 1 to seeds on all cores and stops at the first violation.
 func runSeeds(seeds int, run func(seed uint64) *simulation) (found *simulation, acquisitions, actions, fenced int64) {
 	var next, sumAcquisitions, sumActions, sumFenced atomic.Int64
 	var mutex sync.Mutex
@@ -33,7 +33,7 @@
 					mutex.Lock()
 					if found == nil {
 						found = s
-						s.note("seed %d", seed)
+						s.recordEvent("seed %d", seed)
 					}
 					mutex.Unlock()
 					return
@@ -45,8 +45,8 @@
 	return found, sumAcquisitions.Load(), sumActions.Load(), sumFenced.Load()
 }
 
-// TestSimulatedMutualExclusion injects kills, pauses, partitions, lost messages and empty or outdated storage in thousands of runs: no two
-// drivers hold the lease at once, fencing tokens only rise, and some driver holds the lease once the faults are over.
+// TestSimulatedMutualExclusion checks, in thousands of runs with kills, pauses, partitions, lost messages and empty or outdated storage, that no
+// two drivers hold the lease at the same time, that fencing tokens only increase, and that some driver holds the lease after the faults.
 func TestSimulatedMutualExclusion(t *testing.T) {
 	found, acquisitions, actions, fenced := runSeeds(*simulationRuns, func(seed uint64) *simulation {
 		voters := []Node{1, 2, 3, 4, 5}[:3+2*(seed%2)]
@@ -59,12 +59,12 @@
 	}
 	t.Logf("%d runs, %d acquisitions, %d actions, %d fenced", *simulationRuns, acquisitions, actions, fenced)
 	if acquisitions < int64(*simulationRuns) || actions < 10*acquisitions || fenced == 0 {
-		t.Errorf("%d acquisitions, %d actions and %d fenced show little", acquisitions, actions, fenced)
+		t.Errorf("%d acquisitions, %d actions and %d fenced actions are too few for the test to be meaningful", acquisitions, actions, fenced)
 	}
 }
 
-// TestFencingBeyondClockDriftBound checks that where clocks drift beyond the bound no action with a lower fencing token is accepted after
-// one with a higher, though two drivers may believe that they hold the lease.
+// TestFencingBeyondClockDriftBound checks fencing with clocks that drift beyond the bound, so that two drivers may believe that they hold the
+// lease: after an action with a higher fencing token none with a lower one is accepted.
 func TestFencingBeyondClockDriftBound(t *testing.T) {
 	fenced := 0
 	for seed := range uint64(300) {
@@ -84,7 +84,8 @@
 	}
 }
 
-// TestVoterChangeDuringFaults changes the set of voters in two steps, which drivers learn at different times: no two hold the lease.
+// TestVoterChangeDuringFaults changes the set of voters by way of a joint set, which drivers learn of at different times, and checks that no two
+// drivers hold the lease at the same time.
 func TestVoterChangeDuringFaults(t *testing.T) {
 	former, joint, next := voterSet(1, 1, 2, 3), VoterSet{2, []Node{3, 4, 5}, []Node{1, 2, 3}}, voterSet(3, 3, 4, 5)
 	change := func(s *simulation, set VoterSet, within time.Duration) {
@@ -101,7 +102,7 @@
 	found, _, _, _ := runSeeds(*simulationRuns/3, func(seed uint64) *simulation {
 		s := newSimulation(seed, 6, former, true)
 		s.after(6*time.Second, func() { change(s, joint, 4*time.Second) })
-		s.after(17*time.Second, func() { change(s, next, 4*time.Second) }) // once no driver has the former set any more
+		s.after(17*time.Second, func() { change(s, next, 4*time.Second) }) // by now no driver uses the former set
 		s.runWithFaults(24, 15*time.Second)
 		return s
 	})
@@ -110,7 +111,7 @@
 	}
 }
 
-// TestMutationsFoundBySimulation shows that the simulation finds bugs that are put in.
+// TestMutationsFoundBySimulation checks that the simulation finds deliberate bugs.
 func TestMutationsFoundBySimulation(t *testing.T) {
 	for name, mutate := range map[string]func(s *simulation){
 		"hold counted from the answer": func(s *simulation) {
@@ -148,20 +149,21 @@
 				s := newSimulation(seed, 5, voterSet(1, 1, 2, 3), true)
 				mutate(s)
 				s.runWithFaults(12, 12*time.Second)
-				s.violations = slices.DeleteFunc(s.violations, func(what string) bool { return strings.Contains(what, "nobody holds the lease") })
+				s.violations = slices.DeleteFunc(s.violations, func(violation string) bool { return strings.Contains(violation, "nobody holds the lease") })
 				return s
 			})
 			if found == nil {
-				t.Error("it is not found")
+				t.Error("the mutation is not found")
 			}
 		})
 	}
 }
 
-// TestManyCandidatesAcquireInTurn lets twenty candidates ask at once: each acquires the lease, holds it briefly, and the next follows soon.
+// TestManyCandidatesAcquireInTurn checks that of twenty candidates that ask at the same time each acquires the lease within 30 seconds, if each
+// resigns 50 ms after it acquired the lease.
 func TestManyCandidatesAcquireInTurn(t *testing.T) {
 	s := newSimulation(5, 20, voterSet(1, 1, 2, 3), false)
-	s.run(s.now + 5*time.Second) // the voters' silence
+	s.run(s.now + 5*time.Second) // until the voters have started to grant leases
 	acquisitionOrder := make(map[int]int)
 	start := s.now
 	var watch func()
@@ -179,11 +181,11 @@
 	watch()
 	s.run(start + 30*time.Second)
 	if len(acquisitionOrder) < 20 || len(s.violations) > 0 {
-		t.Fatalf("%d of 20 had it, %v\n%v", len(acquisitionOrder), s.violations, s)
+		t.Fatalf("%d of 20 drivers acquired the lease, violations %v\n%v", len(acquisitionOrder), s.violations, s)
 	}
 }
 
-// TestFailoverTime measures for how long nobody holds the lease after its holder was killed.
+// TestFailoverTime checks how long no driver holds the lease after its holder was killed.
 func TestFailoverTime(t *testing.T) {
 	var gaps []time.Duration
 	for seed := range uint64(200) {
@@ -203,17 +205,17 @@
 	}
 	slices.Sort(gaps)
 	if len(gaps) < 20 {
-		t.Fatalf("%d holders were killed", len(gaps))
+		t.Fatalf("only %d holders were killed, too few to measure", len(gaps))
 	}
 	median, percentile99 := gaps[len(gaps)/2], gaps[len(gaps)*99/100]
 	t.Logf("%d holders killed, TTL %v: failover takes %v in the median, %v at the 99th percentile", len(gaps), simulatedTTL, median, percentile99)
 	if percentile99 > simulatedTTL+time.Second {
-		t.Errorf("nobody holds for %v", percentile99)
+		t.Errorf("no driver holds the lease for %v at the 99th percentile", percentile99)
 	}
 }
 
-// TestFailoverWhenTheQueueFailsWithTheHolder checks that candidates outside of the queue ask seldom, so that voters receive little more in a
-// larger fleet, and that one of them acquires the lease soon where all in the queue fail with the holder.
+// TestFailoverWhenTheQueueFailsWithTheHolder checks that candidates outside the voters' queues ask rarely, so that the load of voters hardly grows
+// with the fleet, and that one of them acquires the lease soon when the holder and all queued candidates fail together.
 func TestFailoverWhenTheQueueFailsWithTheHolder(t *testing.T) {
 	set := VoterSet{Version: 1, Voters: []Node{1, 2, 3, 4, 5}}
 	for seed := range uint64(10) {
@@ -228,7 +230,7 @@
 			requests -= int(d.candidate.lastRound)
 		}
 		if perTTL := -requests / 20; perTTL > 25 {
-			t.Errorf("seed %d: %d requests in a TTL", seed, perTTL)
+			t.Errorf("seed %d: %d requests per TTL, want at most 25", seed, perTTL)
 		}
 		for s.holder() == nil {
 			s.run(s.now + 20*ms)
@@ -237,17 +239,17 @@
 		for _, n := range set.Voters {
 			queue := s.drivers[n-1].voter.grants["x"].queue
 			if len(queue) != maxQueueLength {
-				t.Errorf("seed %d: %d are in the queue of voter %d", seed, len(queue), n)
+				t.Errorf("seed %d: %d candidates are in the queue of voter %d", seed, len(queue), n)
 			}
 			for _, q := range queue {
 				failing[q.holder.Node] = true
 			}
 		}
 		if len(failing) > 30 {
-			t.Errorf("seed %d: voters have %d in their queues, in all", seed, len(failing))
+			t.Errorf("seed %d: the holder and the voters' queues are %d drivers, want at most 30", seed, len(failing))
 		}
 		for n := range failing {
-			if d := s.drivers[n-1]; n <= 5 { // a voter stays, but resigns
+			if d := s.drivers[n-1]; n <= 5 { // a voter keeps running, but resigns as a candidate
 				d.whenRunning(func() { d.candidate.Resign(d.clock()) })
 			} else {
 				d.kill()
@@ -257,7 +259,7 @@
 		for s.run(s.now + 20*ms); s.holder() == nil && s.now < failedAt+time.Minute; s.run(s.now + 20*ms) {
 		}
 		if gap := s.now - failedAt; gap > simulatedTTL+5*time.Second {
-			t.Errorf("seed %d: nobody holds for %v", seed, gap)
+			t.Errorf("seed %d: no driver holds the lease for %v", seed, gap)
 		}
 		if len(s.violations) > 0 {
 			t.Errorf("seed %d: %v", seed, s.violations[0])
--- a/internal/lease/message.go
+++ b/internal/lease/message.go
@@ -9,56 +9,57 @@
 type Op uint8
 
 const (
-	Request   Op = iota + 1 // a candidate asks for a lease, or for an extension
-	Grant                   // a voter grants it
-	Reject                  // a voter rejects it
-	Release                 // the holder gives the lease back, or a candidate gives back the grants of a request that failed
-	Available               // a voter tells the first candidate in its queue that the lease was given back
+	Request   Op = iota + 1 // a candidate requests a lease, or its extension
+	Grant                   // a voter grants the request
+	Reject                  // a voter rejects the request
+	Release                 // the holder releases the lease, or a candidate releases the grants of a request that failed
+	Available               // a voter tells the first candidate in its queue that the lease was released
 	lastOp    = Available
 )
 
-// Reason is why a voter rejects a request.
+// Reason is the reason for which a voter rejects a request.
 type Reason uint8
 
 const (
 	HeldByAnother Reason = iota + 1 // the lease is granted to another holder
-	StaleToken                      // the fencing token is not above all that were used
-	VoterStarting                   // the voter has just started, and may not know what it granted before
-	StaleVoterSet                   // the candidate's set of voters is older than one that the voter has seen
-	NotPersisted                    // the voter's storage failed
+	StaleToken                      // the fencing token is not higher than all tokens used before
+	VoterStarting                   // the voter has started recently and may not know its earlier grants
+	StaleVoterSet                   // the voter has seen a newer set of voters than the candidate's
+	NotPersisted                    // the voter could not store its promise
 	lastReason    = NotPersisted
 )
 
-// The status for operators shows these texts.
+// These texts are shown in the status for operators.
 var reasonTexts = [...]string{"", "held", "lower number", "voter has just started", "older set of voters", "promise not on disk"}
 
-// String returns the text that operators read.
+// String returns the text shown to operators.
 func (r Reason) String() string { return reasonTexts[r] }
 
-// Message is what drivers tell each other about a lease.
+// Message is sent between a candidate and a voter, about one lease.
 type Message struct {
 	Op              Op
-	Reason          Reason // of a Reject
+	Reason          Reason // of a Reject, else 0
 	Lease           string // name, 1 to MaxNameLength bytes
-	VoterSetVersion uint32 // newest that the sender knows
-	Round           uint64 // of a Request; its answers have the same
-	FencingToken    uint64 // in a Reject the highest that the voter has seen
-	// TTL is the duration of the lease that is asked for or granted; in a Reject it is the time after which to ask again.
+	VoterSetVersion uint32 // highest that the sender knows
+	Round           uint64 // number of a Request; repeated in its answers
+	FencingToken    uint64 // in a Reject, the highest that the voter has seen
+	// TTL is the duration of the lease that is requested or granted; in a Reject, the time after which the candidate is to ask again.
 	TTL    time.Duration
-	Holder Holder // the candidate; in a Reject the current holder
+	Holder Holder // the candidate; in a Reject, the current holder
 }
 
 // MaxNameLength is the maximum length of a lease's name, in bytes.
 const MaxNameLength = 32
 
-// An encoded message is, with numbers in little-endian order: 1 byte operation, 1 reason, 4 voter set version, 8 round, 8 fencing token,
-// 8 TTL in nanoseconds, 8 node and 8 incarnation of the holder, 1 length of the lease's name, the name.
+// headerLength is the length in bytes of an encoded message without the lease's name. The encoding, with numbers in little-endian order, is:
+// 1 byte operation, 1 reason, 4 voter set version, 8 round, 8 fencing token, 8 TTL in nanoseconds, 8 node and 8 incarnation of the holder,
+// 1 length of the lease's name, then the name.
 const headerLength = 1 + 1 + 4 + 8 + 8 + 8 + 8 + 8 + 1
 
 // MaxMessageLength is the maximum length of an encoded message, in bytes.
 const MaxMessageLength = headerLength + MaxNameLength
 
-// maxMessageTTL is the longest TTL that a message may hold.
+// maxMessageTTL is the longest TTL that is accepted in a message.
 const maxMessageTTL = time.Hour
 
 // AppendMessage appends the encoded message to out.
@@ -72,7 +73,7 @@
 	return append(out, m.Lease...)
 }
 
-// ParseMessage decodes a message; ok is false where in is not exactly one valid message.
+// ParseMessage decodes a message; ok is false if in is not exactly one valid message.
 func ParseMessage(in []byte) (m Message, ok bool) {
 	if len(in) < headerLength {
 		return m, false
--- a/internal/lease/message_test.go
+++ b/internal/lease/message_test.go
@@ -10,7 +10,7 @@
 	"passtack/internal/seeded"
 )
 
-// TestMessageRoundTrip checks that messages are decoded as they were encoded, and that truncated ones are rejected.
+// TestMessageRoundTrip checks that decoding an encoded message returns an equal message, and that truncated messages are rejected.
 func TestMessageRoundTrip(t *testing.T) {
 	seeded.Check(t, func(t *rapid.T) {
 		m := Message{Op: Op(rapid.IntRange(1, int(lastOp)).Draw(t, "op")), Reason: Reason(rapid.IntRange(0, int(lastReason)).Draw(t, "why")),
@@ -27,6 +27,7 @@
 	})
 }
 
+// FuzzParseMessage checks that a datagram that is accepted is the encoding of the decoded message.
 func FuzzParseMessage(f *testing.F) {
 	f.Add(AppendMessage(nil, Message{Op: Request, Lease: "summary", Round: 1, FencingToken: 2, TTL: time.Second}))
 	f.Fuzz(func(t *testing.T, in []byte) {
--- a/internal/lease/model_test.go
+++ b/internal/lease/model_test.go
@@ -18,9 +18,9 @@
 	maxStates   = flag.Int("states", 250_000, "maximum number of states of the model check")
 )
 
-// How often an event may occur on one path of the model, beside deliveries and the passing of time.
+// Limits on how often an event may occur on one path of the model, and parameters of the model. Deliveries are not limited.
 const (
-	maxRequests     = 3 // of each candidate
+	maxRequests     = 3 // per candidate
 	maxRestarts     = 1
 	maxDuplicates   = 1
 	maxResignations = 1
@@ -39,7 +39,7 @@
 	message  Message
 }
 
-// model is one state of three voters, two candidates, the messages in transit between them, and time. All clocks are the same.
+// model is one state of three voters, two candidates, the messages in transit between them, and the time. All of them share one clock.
 type model struct {
 	now                                time.Duration
 	voters                             [voterCount]*Voter
@@ -49,7 +49,7 @@
 	restarts, duplicates, resignations int
 	highestAcquired                    uint64
 	violation                          string
-	sender                             Node // during a step
+	sender                             Node // of the messages sent in the current step
 }
 
 func (m *model) Send(to Node, message Message) {
@@ -69,11 +69,11 @@
 	set := voterSet(1, 1, 2, 3)
 	for i := range m.voters {
 		m.voters[i] = NewVoter(m, Node(i+1), set, modelTTL, nil, m.now)
-		m.voters[i].silentUntil = 0 // they started long ago
+		m.voters[i].silentUntil = 0 // as if they had started long ago
 	}
 	for i := range m.candidates {
 		m.candidates[i] = NewCandidate(m, Holder{firstCandidate + Node(i), 1}, "x", modelTTL, set, uint64(i))
-		m.candidates[i].Campaign(maxTicks * tick * 2) // until then it asks only when the model lets it
+		m.candidates[i].Campaign(maxTicks * tick * 2) // after the end of the run, so candidates ask only when the model makes them
 	}
 	return m
 }
@@ -107,7 +107,7 @@
 	return &c
 }
 
-// fingerprint is equal for states that behave alike. It leaves out queues and what only the status shows.
+// fingerprint is equal for states that behave the same. It leaves out the queues and fields that are used for the status only.
 func (m *model) fingerprint() xxh3.Uint128 {
 	out := make([]byte, 0, 512)
 	put := func(n uint64) { out = binary.LittleEndian.AppendUint64(out, n) }
@@ -124,7 +124,7 @@
 		out = append(out, 0xff)
 	}
 	for i, a := range m.candidates {
-		for _, n := range []uint64{uint64(m.requests[i]), a.hold.fencingToken, uint64(a.hold.expiresAt), a.highestToken, uint64(a.answersDueAt)} {
+		for _, n := range []uint64{uint64(m.requests[i]), a.hold.fencingToken, uint64(a.hold.expiresAt), a.highestToken, uint64(a.answerDeadline)} {
 			put(n)
 		}
 		for _, r := range a.rounds {
@@ -164,7 +164,7 @@
 	}
 }
 
-// successors visits every state that may follow. Mutate puts a bug into each.
+// successors visits every state that may follow this one. If mutate is not nil, it puts a deliberate bug into each of them.
 func (m *model) successors(mutate func(*model), visit func(*model)) {
 	apply := func(action func(c *model)) {
 		c := m.copy()
@@ -172,7 +172,7 @@
 		if mutate != nil {
 			mutate(c)
 		}
-		// Available only makes a candidate ask sooner, and the model lets it ask at any time.
+		// Available only makes a candidate ask sooner, and in the model a candidate may ask at any time.
 		c.inTransit = slices.DeleteFunc(c.inTransit, func(e envelope) bool { return e.to > voterCount && e.message.Op == Available })
 		c.checkInvariants()
 		visit(c)
@@ -197,7 +197,7 @@
 		if at, ok := a.NextWake(); ok && at <= m.now {
 			apply(func(c *model) { c.wake(i) })
 		}
-		if m.requests[i] < maxRequests && a.answersDueAt == 0 && a.campaigning {
+		if m.requests[i] < maxRequests && a.answerDeadline == 0 && a.campaigning {
 			apply(func(c *model) {
 				c.requests[i]++
 				c.candidates[i].nextRequestAt = c.now
@@ -237,16 +237,16 @@
 	}
 }
 
-// checkInvariants notes a violation where both candidates hold the lease.
+// checkInvariants records a violation if both candidates hold the lease.
 func (m *model) checkInvariants() {
 	_, first := m.candidates[0].Held(m.now)
 	_, second := m.candidates[1].Held(m.now)
 	if first && second {
-		m.violation = "two hold at once"
+		m.violation = "two candidates hold the lease at the same time"
 	}
 }
 
-// search visits all interleavings breadth first and returns the first violation, or "".
+// search visits all interleavings breadth first, up to a depth and a number of states, and returns the first violation, or "".
 func search(depth, maxStates int, mutate func(*model)) (violation string, visited, deepest int) {
 	fingerprints := make(map[xxh3.Uint128]struct{})
 	layer := []*model{initialModel()}
@@ -277,7 +277,7 @@
 	return violation, len(fingerprints), deepest
 }
 
-// randomWalk follows one random path, deeper than the search, and returns its violation, or "".
+// randomWalk follows one random path of the given number of steps and returns its violation, or "".
 func randomWalk(seed uint64, steps int, mutate func(*model)) string {
 	random, m := pcg.New(seed), initialModel()
 	for range steps {
@@ -293,9 +293,9 @@
 	return ""
 }
 
-// TestModelCheck visits every interleaving, up to a depth, of messages that arrive, come twice or are lost, voters that restart with or
-// without their storage, time that passes, and candidates that ask, wait and resign; and random paths beyond that depth. No two
-// candidates hold the lease at once and no fencing token is used twice.
+// TestModelCheck checks that no two candidates hold the lease at the same time and that no fencing token is used twice, in every interleaving up
+// to a depth and on random paths beyond it. Steps are messages that are delivered, duplicated or never delivered, voters that restart with or
+// without their storage, the passing of time, and candidates that ask, wait or resign.
 func TestModelCheck(t *testing.T) {
 	violation, visited, deepest := search(*searchDepth, *maxStates, nil)
 	if violation != "" {
@@ -303,7 +303,7 @@
 	}
 	t.Logf("%d states, up to %d steps", visited, deepest)
 	if visited < 10_000 {
-		t.Errorf("%d states are few", visited)
+		t.Errorf("%d states visited, want at least 10,000", visited)
 	}
 	for seed := range uint64(500) {
 		if violation := randomWalk(seed, 60, nil); violation != "" {
@@ -312,14 +312,14 @@
 	}
 }
 
-// TestMutationsFoundByModelCheck shows that the model check finds bugs that are put in.
+// TestMutationsFoundByModelCheck checks that the model check finds deliberate bugs.
 func TestMutationsFoundByModelCheck(t *testing.T) {
 	for name, mutate := range map[string]func(*model){
 		"hold counted from the answer": func(m *model) {
 			for _, a := range m.candidates {
 				if a.hold.exists() && a.hold.expiresAt < m.now+modelTTL-modelTTL/driftDivisor && len(a.rounds) > 0 && len(a.rounds[len(a.rounds)-1].grants) == 2 {
 					a.hold.expiresAt = m.now + modelTTL - modelTTL/driftDivisor
-					a.rounds[len(a.rounds)-1].grants = append(a.rounds[len(a.rounds)-1].grants, 9) // once
+					a.rounds[len(a.rounds)-1].grants = append(a.rounds[len(a.rounds)-1].grants, 9) // so that the mutation is applied only once
 				}
 			}
 		},
@@ -360,7 +360,7 @@
 				found = randomWalk(seed, 40, mutate)
 			}
 			if found == "" {
-				t.Error("it is not found")
+				t.Error("the mutation is not found")
 			}
 		})
 	}
--- a/internal/lease/simulation_test.go
+++ b/internal/lease/simulation_test.go
@@ -12,23 +12,23 @@
 
 const ms = time.Millisecond
 
-// simulation runs drivers that are voters and candidates in simulated time, with faults between them. Each driver has its own clock.
+// simulation runs drivers that are voters and candidates in simulated time, with faults. Each driver has its own clock.
 type simulation struct {
 	random          *pcg.Source
-	now             time.Duration // no driver sees it
+	now             time.Duration // true time, which drivers cannot read
 	queue           due.Queue[func()]
 	drivers         []*simulatedDriver
 	loss            float64
 	duplication     float64
-	maxDelay        time.Duration // of a message
+	maxDelay        time.Duration // of a message; its delay is random
 	disconnected    map[[2]int]bool
-	highestAcquired uint64 // fencing token that any driver has held
+	highestAcquired uint64 // highest fencing token that any driver has held
 	acquisitions    int
-	actions         int    // that were accepted
-	fenced          int    // actions rejected for their fencing token
-	highestObserved uint64 // fencing token of an action
+	actions         int    // accepted actions
+	fenced          int    // actions rejected because of their fencing token
+	highestObserved uint64 // highest fencing token of an accepted action
 	violations      []string
-	driftUnbounded  bool // only fencing tokens are checked
+	driftUnbounded  bool // clocks drift beyond the bound: only fencing tokens are checked
 	trace           []string
 }
 
@@ -44,8 +44,8 @@
 	pausedUntil    time.Duration
 	voter          *Voter
 	candidate      *Candidate
-	storage        map[string]Promise // nil: the driver stores nothing
-	olderStorage   map[string]Promise // as of an earlier stop
+	storage        map[string]Promise // nil if the driver stores nothing
+	olderStorage   map[string]Promise // copy from an earlier stop
 	wakeItem       *due.Item[func()]
 	heldSince      time.Duration
 	voters         VoterSet
@@ -81,22 +81,22 @@
 	}
 }
 
-func (s *simulation) note(format string, args ...any) {
+func (s *simulation) recordEvent(format string, args ...any) {
 	if len(s.trace) < 400 {
 		s.trace = append(s.trace, fmt.Sprintf("%9.3f ", (s.now-time.Hour).Seconds())+fmt.Sprintf(format, args...))
 	}
 }
 
-func (s *simulation) violate(format string, args ...any) {
+func (s *simulation) recordViolation(format string, args ...any) {
 	s.violations = append(s.violations, fmt.Sprintf(format, args...))
-	s.note("%s", s.violations[len(s.violations)-1])
+	s.recordEvent("%s", s.violations[len(s.violations)-1])
 }
 
 func (d *simulatedDriver) clock() time.Duration {
 	return d.clockOffset + time.Duration(float64(d.simulation.now)*d.clockRate)
 }
 
-// simulationTime returns when the driver's clock shows local.
+// simulationTime returns the simulated time at which the driver's clock reads local.
 func (d *simulatedDriver) simulationTime(local time.Duration) time.Duration {
 	return time.Duration(float64(local-d.clockOffset) / d.clockRate)
 }
@@ -114,7 +114,7 @@
 	d.running, d.voter, d.candidate = false, nil, nil
 }
 
-// whenRunning runs an action once the driver is not paused; never where it was killed before.
+// whenRunning runs an action as soon as the driver is not paused, or never if the driver is killed before.
 func (d *simulatedDriver) whenRunning(action func()) {
 	incarnation := d.incarnation
 	var attempt func()
@@ -155,7 +155,7 @@
 	deliver := func() {
 		receiver.whenRunning(func() {
 			if m, ok := ParseMessage(encoded); !ok {
-				s.violate("a message cannot be read: %x", encoded)
+				s.recordViolation("a sent message cannot be decoded: %x", encoded)
 			} else if m.Op == Request || m.Op == Release {
 				receiver.voter.Receive(d.name, m, receiver.clock())
 			} else {
@@ -192,9 +192,9 @@
 func (d *simulatedDriver) Acquired(_ string, fencingToken uint64) {
 	s := d.simulation
 	s.acquisitions++
-	s.note("driver %d acquired the lease with token %d", d.number, fencingToken)
+	s.recordEvent("driver %d acquired the lease with token %d", d.number, fencingToken)
 	if fencingToken <= s.highestAcquired {
-		s.violate("driver %d acquired the lease with token %d after %d", d.number, fencingToken, s.highestAcquired)
+		s.recordViolation("driver %d acquired the lease with token %d after %d", d.number, fencingToken, s.highestAcquired)
 	}
 	s.highestAcquired = max(s.highestAcquired, fencingToken)
 	d.heldSince = s.now
@@ -203,7 +203,7 @@
 
 func (d *simulatedDriver) Lost(string, uint64) { d.heldSince = 0 }
 
-// checkExclusion notes a violation where another driver holds the lease at the same moment.
+// checkExclusion records a violation if this driver and another hold the lease at the same time.
 func (d *simulatedDriver) checkExclusion() {
 	s := d.simulation
 	if _, ok := d.candidate.Held(d.clock()); !ok {
@@ -214,12 +214,13 @@
 			continue
 		}
 		if _, ok := other.candidate.Held(other.clock()); ok {
-			s.violate("drivers %d and %d hold at once", d.number, other.number)
+			s.recordViolation("drivers %d and %d hold the lease at the same time", d.number, other.number)
 		}
 	}
 }
 
-// performAction does something that needs the lease, shortly after checking it; the driver may be paused in between.
+// performAction performs an action that needs the lease, shortly after checking that the driver holds it, and schedules the next one. The
+// driver may be paused between the check and the action.
 func (d *simulatedDriver) performAction(incarnation uint64) {
 	s := d.simulation
 	if !d.running || d.incarnation != incarnation {
@@ -247,7 +248,7 @@
 
 func (s *simulation) String() string { return strings.Join(s.trace, "\n") }
 
-// beforeEachStep runs an action on all running drivers twice a millisecond.
+// beforeEachStep runs an action on all running drivers, every half millisecond.
 func (s *simulation) beforeEachStep(action func(*simulatedDriver)) {
 	var step func()
 	step = func() {
@@ -261,7 +262,7 @@
 	s.after(0, step)
 }
 
-// holder returns the driver that holds the lease, nil: none does.
+// holder returns the driver that holds the lease, or nil if none does.
 func (s *simulation) holder() *simulatedDriver {
 	for _, d := range s.drivers {
 		if d.running {
--- a/internal/lease/voter.go
+++ b/internal/lease/voter.go
@@ -6,64 +6,64 @@
 	"time"
 )
 
-// Promise is what a voter has to know after a restart: no lease is granted under a fencing token that is not above FencingToken, nor to a
-// candidate with an older set of voters.
+// Promise is what a voter has to remember across a restart: it grants the lease neither under a fencing token that is not above FencingToken
+// nor to a candidate whose set of voters is older than VoterSetVersion.
 type Promise struct {
 	FencingToken    uint64
 	VoterSetVersion uint32
 }
 
-// VoterHost is what a voter acts through.
+// VoterHost sends the messages of a voter and stores its promises.
 type VoterHost interface {
-	// Send sends a message to a candidate; it may be lost.
+	// Send sends a message to a candidate. Delivery is not guaranteed.
 	Send(to Node, m Message)
-	// Persist stores a promise and calls done, at once where there is no storage.
+	// Persist stores a promise and then calls done; without storage it calls done immediately.
 	Persist(lease string, p Promise, done func(error))
 }
 
 const (
 	maxLeases      = 64
-	maxQueueLength = 16                    // bounds what a voter receives in a large fleet; candidates beyond it come back less often
-	queueTimeout   = 3 * time.Second       // after which a candidate that did not ask again when told loses its position
-	queueSpacing   = 50 * time.Millisecond // between the times at which two candidates of the queue ask again
+	maxQueueLength = 16                    // bounds the messages that a voter receives in a large fleet; candidates beyond it ask less often
+	queueTimeout   = 3 * time.Second       // a candidate that asks later than it was told to by more than this loses its position
+	queueSpacing   = 50 * time.Millisecond // between the times at which successive candidates in the queue ask again
 )
 
-// queuedCandidate waits for a lease that another holds.
+// queuedCandidate is a candidate that waits for a lease held by another driver.
 type queuedCandidate struct {
 	holder  Holder
-	retryAt time.Duration // as it was told
+	retryAt time.Duration // when the voter told it to ask again
 }
 
-// grantState is what a voter knows of one lease.
+// grantState is what a voter knows about one lease.
 type grantState struct {
 	promise   Promise
-	persisted Promise // the newest that is in storage
+	persisted Promise // latest promise in storage
 	holder    Holder
 	expiresAt time.Duration     // of the grant
-	queue     []queuedCandidate // in order of arrival
+	queue     []queuedCandidate // in order of first request
 }
 
 // Voter grants leases.
 type Voter struct {
-	host          VoterHost
-	self          Node
-	voters        VoterSet
-	maxTTL        time.Duration
-	silentUntil   time.Duration // before it the voter grants nothing
-	newestVersion uint32        // of a set of voters, that it has seen
-	grants        map[string]*grantState
+	host                  VoterHost
+	self                  Node
+	voters                VoterSet
+	maxTTL                time.Duration
+	silentUntil           time.Duration // the voter grants nothing before this time
+	newestVoterSetVersion uint32        // highest version of a set of voters that it has seen
+	grants                map[string]*grantState
 }
 
-// NewVoter returns a voter that has just started. It grants nothing for maxTTL, which no lease exceeds, as its storage may be an older
-// copy and does not tell what it granted before.
+// NewVoter returns a voter that has just started. It grants nothing until every lease granted before the start, of maxTTL at most,
+// has expired: its storage may be an older copy and does not record all earlier grants.
 func NewVoter(host VoterHost, self Node, voters VoterSet, maxTTL time.Duration, persisted map[string]Promise, now time.Duration) *Voter {
-	v := &Voter{host: host, self: self, voters: voters, maxTTL: maxTTL, newestVersion: voters.Version, grants: make(map[string]*grantState)}
+	v := &Voter{host: host, self: self, voters: voters, maxTTL: maxTTL, newestVoterSetVersion: voters.Version, grants: make(map[string]*grantState)}
 	if mutation != noSilenceAfterStart {
 		v.Silence(now)
 	}
 	for name, p := range persisted {
 		v.grants[name] = &grantState{promise: p, persisted: p}
-		v.newestVersion = max(v.newestVersion, p.VoterSetVersion)
+		v.newestVoterSetVersion = max(v.newestVoterSetVersion, p.VoterSetVersion)
 	}
 	return v
 }
@@ -71,22 +71,22 @@
 // ChangeVoters replaces the set of voters.
 func (v *Voter) ChangeVoters(voters VoterSet) {
 	v.voters = voters
-	v.newestVersion = max(v.newestVersion, voters.Version)
+	v.newestVoterSetVersion = max(v.newestVoterSetVersion, voters.Version)
 }
 
 // IsVoter reports whether the set of voters names this driver.
 func (v *Voter) IsVoter() bool { return slices.Contains(v.voters.All(), v.self) }
 
-// Silence lets the voter grant nothing until each lease that it may have granted has expired: after a start, and where another process
-// votes under the same name.
+// Silence makes the voter grant nothing until each lease that it may have granted has expired. It is called after a start, and when another
+// process votes under the same name.
 func (v *Voter) Silence(now time.Duration) {
 	v.silentUntil = max(v.silentUntil, now+v.maxTTL+v.maxTTL/driftDivisor)
 }
 
-// SilentFor returns for how long the voter still grants nothing.
+// SilentFor returns how much longer the voter grants nothing.
 func (v *Voter) SilentFor(now time.Duration) time.Duration { return max(0, v.silentUntil-now) }
 
-// Receive takes a message from a candidate.
+// Receive processes a message from a candidate.
 func (v *Voter) Receive(from Node, m Message, now time.Duration) {
 	if !v.IsVoter() || m.Holder.Node != from || len(m.Lease) == 0 || len(m.Lease) > MaxNameLength {
 		return
@@ -99,7 +99,7 @@
 	}
 }
 
-// handleRequest answers a request. A voter that knows maxLeases leases answers none for another.
+// handleRequest answers a request. A voter that knows maxLeases leases ignores requests for any other.
 func (v *Voter) handleRequest(m Message, now time.Duration) {
 	state := v.grants[m.Lease]
 	if state == nil {
@@ -112,7 +112,7 @@
 	switch {
 	case now < v.silentUntil:
 		v.reject(state, m, VoterStarting, v.silentUntil-now)
-	case m.VoterSetVersion < v.newestVersion:
+	case m.VoterSetVersion < v.newestVoterSetVersion:
 		v.reject(state, m, StaleVoterSet, v.maxTTL)
 	case state.heldByAnother(m.Holder, now):
 		v.reject(state, m, HeldByAnother, state.enqueue(m, now))
@@ -127,7 +127,7 @@
 	return now < s.expiresAt && s.holder != holder
 }
 
-// tokenUsed reports whether a request's fencing token is used up. The holder's own is not: it extends its lease.
+// tokenUsed reports whether the fencing token of a request was used before. The holder may use its own again, to extend its lease.
 func (s *grantState) tokenUsed(m Message) bool {
 	if m.FencingToken == s.promise.FencingToken {
 		return s.holder != m.Holder
@@ -135,12 +135,12 @@
 	return m.FencingToken < s.promise.FencingToken
 }
 
-// grant binds the voter at once, and answers once the promise is in storage.
+// grant records the grant at once and answers when the promise is in storage.
 func (v *Voter) grant(state *grantState, m Message, now time.Duration) {
 	ttl := min(m.TTL, v.maxTTL)
-	v.newestVersion = max(v.newestVersion, m.VoterSetVersion)
+	v.newestVoterSetVersion = max(v.newestVoterSetVersion, m.VoterSetVersion)
 	state.holder, state.expiresAt = m.Holder, now+ttl
-	state.promise = Promise{m.FencingToken, v.newestVersion}
+	state.promise = Promise{m.FencingToken, v.newestVoterSetVersion}
 	state.queue = slices.DeleteFunc(state.queue, func(q queuedCandidate) bool { return q.holder == m.Holder })
 	answer := Message{
 		Op: Grant, Lease: m.Lease, VoterSetVersion: v.voters.Version, Round: m.Round, FencingToken: m.FencingToken, TTL: ttl, Holder: m.Holder,
@@ -162,13 +162,13 @@
 
 func (v *Voter) reject(state *grantState, m Message, reason Reason, retryAfter time.Duration) {
 	v.host.Send(m.Holder.Node, Message{
-		Op: Reject, Reason: reason, Lease: m.Lease, VoterSetVersion: v.newestVersion, Round: m.Round,
+		Op: Reject, Reason: reason, Lease: m.Lease, VoterSetVersion: v.newestVoterSetVersion, Round: m.Round,
 		FencingToken: state.promise.FencingToken, TTL: retryAfter, Holder: state.holder,
 	})
 }
 
-// enqueue gives the candidate a position in the queue and returns after which time it is to ask again. Where the queue is full that is
-// long. Should all in the queue fail together with the holder, some candidate outside of it still asks soon, as there are many.
+// enqueue gives the candidate a position in the queue and returns the wait until its next request, which is long if the queue is full. Should
+// all candidates in the queue fail together with the holder, one of the many outside the queue still asks soon.
 func (s *grantState) enqueue(m Message, now time.Duration) (retryAfter time.Duration) {
 	s.queue = slices.DeleteFunc(s.queue, func(q queuedCandidate) bool { return q.holder != m.Holder && now > q.retryAt+queueTimeout })
 	position := slices.IndexFunc(s.queue, func(q queuedCandidate) bool { return q.holder == m.Holder })
@@ -184,8 +184,8 @@
 	return retryAfter
 }
 
-// handleRelease frees the lease that its holder gives back, and notifies the first candidate of the queue. A delayed request under the
-// same fencing token is rejected from then on.
+// handleRelease ends the grant when its holder releases the lease, and notifies the first candidate in the queue. From then on a delayed
+// request under the same fencing token is rejected.
 func (v *Voter) handleRelease(m Message, now time.Duration) {
 	state := v.grants[m.Lease]
 	if state == nil || m.FencingToken < state.promise.FencingToken || state.heldByAnother(m.Holder, now) {
@@ -200,16 +200,16 @@
 	}
 }
 
-// GrantStatus is a snapshot of what a voter has granted of one lease, for operators.
+// GrantStatus is a snapshot of a voter's grant of one lease, for operators.
 type GrantStatus struct {
 	Lease        string
-	FencingToken uint64        // highest that it has granted or that was released
-	Holder       Holder        // zero: the lease is not granted
-	Remaining    time.Duration // until the grant expires
-	Waiting      int           // candidates in the queue
+	FencingToken uint64        // highest that was granted or released
+	Holder       Holder        // zero if the lease is not granted
+	Remaining    time.Duration // time until the grant expires
+	Waiting      int           // number of candidates in the queue
 }
 
-// Grants returns a snapshot, sorted by lease.
+// Grants returns a snapshot of all known leases, sorted by name.
 func (v *Voter) Grants(now time.Duration) (statuses []GrantStatus) {
 	for _, name := range slices.Sorted(maps.Keys(v.grants)) {
 		state := v.grants[name]
