--- a/internal/draingossip/draingossip.go
+++ b/internal/draingossip/draingossip.go
@@ -1,5 +1,6 @@
-// Package draingossip decides which notices of draining cluster members a driver acts on and forwards to other drivers. Notices reach drivers whose
-// endpoint list is late or unreachable. What another driver says only keeps requests from a member, and the next endpoint list replaces it.
+// Package draingossip decides which drain notices, which say that a cluster member is draining, a driver acts on and forwards to other drivers.
+// Notices reach drivers whose endpoint list is late or unreachable. A notice from another driver can only stop requests to a member, until the next
+// endpoint list overrides it.
 package draingossip
 
 import (
@@ -10,16 +11,16 @@
 	"passtack/internal/membership"
 )
 
-// MemberID identifies a cluster member: a hash of its uid.
+// MemberID identifies a cluster member by a hash of its uid.
 type MemberID uint64
 
-// Notice says that a member drains, in the incarnation that started then.
+// Notice says that the incarnation of a member that started at StartedAt is draining.
 type Notice struct {
 	Member    MemberID
 	StartedAt time.Duration
 }
 
-// Member is what the endpoint list says of a member, as far as draining is concerned.
+// Member is the part of a member's state in the endpoint list that matters for draining.
 type Member struct {
 	Group     driver.Group
 	StartedAt time.Duration
@@ -28,23 +29,23 @@
 
 // Decision is what to do with a notice.
 type Decision struct {
-	StopRequests bool // to the member, which was thought ready
-	Forward      bool // the notice, to other drivers
+	StopRequests bool // to the member, which was believed ready
+	Forward      bool // send the notice to other drivers
 }
 
-// Tracker knows which members drain, from endpoint lists and from notices, and which notices were forwarded.
+// Tracker tracks which members are draining, according to endpoint lists and notices, and which notices were forwarded.
 type Tracker struct {
 	members   map[MemberID]Member
-	forwarded map[MemberID]time.Duration // the start of the member whose notice was forwarded
+	forwarded map[MemberID]time.Duration // start time of the incarnation whose notice was forwarded
 }
 
-// NewTracker returns a tracker that knows no member.
+// NewTracker returns a tracker without members.
 func NewTracker() *Tracker {
 	return &Tracker{members: make(map[MemberID]Member), forwarded: make(map[MemberID]time.Duration)}
 }
 
-// UpdateFromList takes what an endpoint list says of a member. It reports whether other drivers are to be notified: never by a list that may be
-// outdated.
+// UpdateFromList updates a member from an endpoint list. It reports whether other drivers are to be notified, which is never the case for a list that
+// may be outdated (current is false).
 func (t *Tracker) UpdateFromList(id MemberID, m Member, current bool) (notify bool) {
 	if m.Standing == driver.Gone {
 		delete(t.members, id)
@@ -55,7 +56,7 @@
 	return m.Standing == driver.Draining && current && t.markForwarded(id, m.StartedAt)
 }
 
-// markForwarded reports whether the notice was not forwarded yet, and notes that it is now.
+// markForwarded marks a notice as forwarded and reports whether it was not marked before.
 func (t *Tracker) markForwarded(id MemberID, startedAt time.Duration) bool {
 	if latest, found := t.forwarded[id]; found && latest >= startedAt {
 		return false
@@ -64,8 +65,8 @@
 	return true
 }
 
-// Receive takes another driver's notice. It is ignored for a member that is not known, for another incarnation of it, and for the last ready member of
-// its group.
+// Receive processes a notice from another driver. It ignores notices of unknown members, of other incarnations than the known one, and of the last
+// ready member of a group.
 func (t *Tracker) Receive(n Notice) (d Decision) {
 	m, known := t.members[n.Member]
 	if !known || m.StartedAt != n.StartedAt {
@@ -83,7 +84,7 @@
 	return d
 }
 
-// otherReady reports whether a group has a ready member beside this one.
+// otherReady reports whether a group has a ready member other than this one.
 func (t *Tracker) otherReady(id MemberID, group driver.Group) bool {
 	for other, m := range t.members {
 		if other != id && m.Group == group && m.Standing == driver.Ready {
@@ -93,13 +94,13 @@
 	return false
 }
 
-// noticeSize is how many bytes a notice has: the member's ID and its start in nanoseconds, 8 each, little-endian.
+// noticeSize is the size of an encoded notice in bytes: the member's ID and its start time in nanoseconds, 8 bytes each, little-endian.
 const noticeSize = 16
 
-// MaxNotices is how many notices one datagram holds.
+// MaxNotices is the maximum number of notices in one datagram.
 const MaxNotices = membership.MaxDatagramSize / noticeSize
 
-// Encode writes a datagram of the first MaxNotices notices.
+// Encode returns a datagram with the first MaxNotices notices.
 func Encode(notices []Notice) []byte {
 	var out []byte
 	for _, n := range notices[:min(len(notices), MaxNotices)] {
@@ -109,7 +110,7 @@
 	return out
 }
 
-// Decode reads a datagram that Encode wrote; false: it is malformed.
+// Decode decodes a datagram of Encode; ok is false if it is malformed.
 func Decode(in []byte) (notices []Notice, ok bool) {
 	if len(in) == 0 || len(in)%noticeSize != 0 || len(in)/noticeSize > MaxNotices {
 		return nil, false
--- a/internal/draingossip/draingossip_test.go
+++ b/internal/draingossip/draingossip_test.go
@@ -14,22 +14,22 @@
 
 var update = flag.Bool("update", false, "rewrite golden files")
 
-// A notice is forwarded once for each incarnation of a member, whichever driver sent it. It stops requests to the member, but never for another
-// incarnation nor for the last ready member of a group, and the next endpoint list replaces it.
+// TestNoticesAreForwardedOnceAndVerified checks that a notice is forwarded once per incarnation of a member, whichever driver sent it, and that it stops
+// requests to the member unless it is of another incarnation or of the last ready member of a group. The next endpoint list overrides it.
 func TestNoticesAreForwardedOnceAndVerified(t *testing.T) {
 	tracker := NewTracker()
-	receive := func(what string, n Notice, want Decision) {
+	receive := func(name string, n Notice, want Decision) {
 		t.Helper()
 		if got := tracker.Receive(n); got != want {
-			t.Errorf("%s: %+v, not %+v", what, got, want)
+			t.Errorf("%s: decision %+v, want %+v", name, got, want)
 		}
 	}
-	ready := func(started time.Duration) Member {
-		return Member{Group: 1, StartedAt: started, Standing: driver.Ready}
+	ready := func(startedAt time.Duration) Member {
+		return Member{Group: 1, StartedAt: startedAt, Standing: driver.Ready}
 	}
 	for id := range MemberID(3) {
 		if tracker.UpdateFromList(id, ready(time.Hour), true) {
-			t.Error("others are notified of a ready member")
+			t.Error("other drivers are to be notified of a ready member")
 		}
 	}
 	receive("first notice", Notice{0, time.Hour}, Decision{StopRequests: true, Forward: true})
@@ -41,10 +41,10 @@
 	draining := ready(time.Hour)
 	draining.Standing = driver.Draining
 	if tracker.UpdateFromList(2, draining, false) || !tracker.UpdateFromList(2, draining, true) || tracker.UpdateFromList(2, draining, true) {
-		t.Error("others are to be notified once, by a current list")
+		t.Error("other drivers are not notified exactly once, by a current list")
 	}
-	tracker.UpdateFromList(5, ready(time.Hour), true) // another of the group
-	tracker.UpdateFromList(0, ready(time.Hour), true) // the list replaces the notice
+	tracker.UpdateFromList(5, ready(time.Hour), true) // another ready member of the group
+	tracker.UpdateFromList(0, ready(time.Hour), true) // the list overrides the notice
 	receive("again after the list said ready", Notice{0, time.Hour}, Decision{StopRequests: true})
 	tracker.UpdateFromList(0, ready(3*time.Hour), true)
 	receive("of the next incarnation", Notice{0, 3 * time.Hour}, Decision{StopRequests: true, Forward: true})
@@ -52,6 +52,7 @@
 	receive("of a member that is gone", Notice{0, 3 * time.Hour}, Decision{})
 }
 
+// TestMalformedNoticesAreRejected checks that encoded notices are decoded again, and that datagrams of other lengths are rejected.
 func TestMalformedNoticesAreRejected(t *testing.T) {
 	notices := []Notice{{1, time.Hour}, {2, driver.LongAgo}}
 	if got, ok := Decode(Encode(notices)); !ok || !slices.Equal(got, notices) {
@@ -59,12 +60,12 @@
 	}
 	for _, malformed := range [][]byte{nil, make([]byte, noticeSize-1), make([]byte, MaxNotices*noticeSize+noticeSize)} {
 		if _, ok := Decode(malformed); ok {
-			t.Errorf("%d bytes are decoded", len(malformed))
+			t.Errorf("a malformed datagram of %d bytes is decoded", len(malformed))
 		}
 	}
 }
 
-// The datagram is written as earlier builds wrote it, and is decoded to the same values.
+// TestGoldenNotices checks that notices are encoded to the same bytes as by earlier builds, and decoded to the same values.
 func TestGoldenNotices(t *testing.T) {
 	const path = "testdata/drain.hex"
 	notices := []Notice{
@@ -83,7 +84,7 @@
 		t.Fatal(err)
 	}
 	if line != string(want) {
-		t.Errorf("written as %s, not as %s", line, want)
+		t.Errorf("encoded as %s, want %s", line, want)
 	}
 	datagram, err := hex.DecodeString(string(bytes.TrimSpace(want)))
 	if err != nil {
--- a/internal/membership/broadcast.go
+++ b/internal/membership/broadcast.go
@@ -7,16 +7,16 @@
 	"passtack/driver"
 )
 
-// retransmitFactor times the decimal logarithm of the fleet is how often one change is sent.
+// retransmitFactor times the decimal logarithm of the fleet size is how often a driver sends one change.
 const retransmitFactor = 4
 
-// fullEntryPenalty exceeds how often any change is sent, so that full entries rank behind all compact ones.
+// fullEntryPenalty is larger than any number of transmissions of a change, so that full entries rank behind all compact ones.
 const fullEntryPenalty = 1000
 
-// broadcastQueue holds the drivers whose latest change is to be sent with the next messages, the latest first.
+// broadcastQueue holds the drivers whose latest change is to be sent with the next messages, the most recent change first.
 type broadcastQueue struct{ pending []NodeID }
 
-// pushFront puts a driver before all others.
+// pushFront moves or inserts a driver at the front of the queue.
 func (q *broadcastQueue) pushFront(id NodeID) {
 	q.pending = slices.DeleteFunc(q.pending, func(other NodeID) bool { return other == id })
 	q.pending = slices.Insert(q.pending, 0, id)
@@ -29,14 +29,14 @@
 	l.nodes.invalidateChecksum()
 }
 
-// transmitLimit is how often one change is sent.
+// transmitLimit returns how often one change is sent.
 func (l *List) transmitLimit() int {
 	return retransmitFactor * int(math.Ceil(math.Log10(float64(l.nodes.activeCount()+1))))
 }
 
-// appendBroadcasts adds queued changes to a message until it is full: suspicions, refutations and departures before new drivers, of each those that
-// were sent least, of them the latest. Changes that were sent often enough leave the queue. The subject is left out: send has
-// dealt with it.
+// appendBroadcasts adds queued changes to a message until it is full: suspicions, refutations and departures before new drivers and summaries,
+// then those sent least often, then the most recent. Changes that were sent often enough are removed from the queue. The subject is left out:
+// send has added its entry if needed.
 func (l *List) appendBroadcasts(e *encoder, subject *nodeState) {
 	limit := l.transmitLimit()
 	queue := l.broadcasts.pending
@@ -49,7 +49,7 @@
 			continue
 		}
 		switch {
-		case node == l.self: // its entry is in every message
+		case node == l.self: // the entry of this driver is in every message
 			node.transmits++
 		case node != subject && !full:
 			if full = !e.appendChange(node); !full {
@@ -61,7 +61,7 @@
 	l.broadcasts.pending = remaining
 }
 
-// broadcastRank orders the queue: the lower goes first.
+// broadcastRank returns the rank by which the queue is sorted: lower ranks are sent first.
 func (l *List) broadcastRank(id NodeID) int {
 	node := l.nodes.get(id)
 	switch {
@@ -74,13 +74,13 @@
 	}
 }
 
-// send sends a message to an address. If it has a subject, a driver that it is about, and that one is not alive by this list, its entry comes
-// before the queued changes.
+// send sends a message to an address. The subject is the driver that the message is about, or nil. If it is not alive according to this list,
+// its entry is added before the queued changes.
 func (l *List) send(to driver.Peer, h header, subject *nodeState) {
 	l.sendMessage(to, h, subject, nil)
 }
 
-// sendMessage is send with range checksums, which only sync requests have.
+// sendMessage does what send does and adds range checksums, which only sync requests have.
 func (l *List) sendMessage(to driver.Peer, h header, subject *nodeState, rangeChecksums []byte) {
 	e := l.newEncoder(h, rangeChecksums)
 	if subject != nil && subject.Status != Alive {
@@ -90,7 +90,7 @@
 	l.transmit(to, e)
 }
 
-// newEncoder begins a message of this driver.
+// newEncoder starts a message from this driver.
 func (l *List) newEncoder(h header, rangeChecksums []byte) *encoder {
 	h.checksum = l.Checksum()
 	return newEncoder(h, &l.self.Entry, rangeChecksums)
--- a/internal/membership/codec.go
+++ b/internal/membership/codec.go
@@ -2,45 +2,45 @@
 
 import "encoding/binary"
 
-// messageKind is what a message is about.
+// messageKind is the kind of a message.
 type messageKind uint8
 
 const (
 	kindPing                messageKind = iota + 1
 	kindAck                             // answers a ping
-	kindPingRequest                     // ping the target for me
-	kindPingRequestAccepted             // the target is being pinged
-	kindIndirectAck                     // the target has answered the ping
-	kindSyncRequest                     // send me your entries after the target, of the ranges that differ
-	kindSyncResponse                    // some of these entries
+	kindPingRequest                     // asks the receiver to ping the target
+	kindPingRequestAccepted             // answers a ping request: the target is being pinged
+	kindIndirectAck                     // answers a ping request: the target has answered
+	kindSyncRequest                     // requests the entries with IDs above the target, of the ranges whose checksums differ
+	kindSyncResponse                    // the first of these entries that fit in a message
 	lastKind                = kindSyncResponse
 )
 
-// header begins each message.
+// header is the start of each message.
 type header struct {
 	kind     messageKind
-	more     bool   // of a sync response: entries are left
-	sequence uint32 // of the probe or sync request; 0: no answer is expected
+	more     bool   // of a sync response: more entries follow
+	sequence uint32 // of the probe or sync request; 0 if no answer is expected
 	target   NodeID
 	checksum uint64 // of the sender's list
 }
 
-// message is what drivers send each other.
+// message is a decoded datagram between two drivers.
 type message struct {
 	header
 	sender         Entry
 	entries        []Entry
-	rangeChecksums []byte // of a sync request, salted with its sequence; none from builds that do not know them
+	rangeChecksums []byte // of a sync request, salted with its sequence number; absent in requests from older builds
 }
 
-// MaxDatagramSize is how many bytes a message may have.
+// MaxDatagramSize is the maximum size of a message, in bytes.
 const MaxDatagramSize = 228
 
-// maxNameLength is how many bytes of a driver's name a message may have.
+// maxNameLength is the maximum length of a driver's name in a message, in bytes.
 const maxNameLength = 24
 
-// Offsets and sizes of a message, in bytes. Numbers are little-endian. Behind the header are the sender's entry, the other entries and, of a sync
-// request, the range checksums.
+// Offsets and sizes within a message, in bytes. Numbers are little-endian. The header is followed by the sender's entry, the other entries and, in
+// a sync request, the range checksums.
 const (
 	kindOffset       = 0
 	moreOffset       = kindOffset + 1
@@ -51,7 +51,8 @@
 	headerSize       = entryCountOffset + 1
 )
 
-// Offsets and sizes of an entry. A compact entry has a flag in its status and ends after the suspector: the name and the summary have not changed.
+// Offsets and sizes within an entry, in bytes. A compact entry, which stands for a change of neither name nor summary, has a flag in its status
+// byte and ends after the suspector.
 const (
 	idOffset           = 0
 	incarnationOffset  = idOffset + 8
@@ -69,7 +70,7 @@
 	compactEntryFlag = 0x80
 )
 
-// encoder writes one message, as many entries as there is room for.
+// encoder encodes one message with as many entries as fit.
 type encoder struct {
 	out            []byte
 	rangeChecksums []byte
@@ -88,15 +89,15 @@
 	return e
 }
 
-// hasRoom reports whether so many bytes fit in.
+// fits reports whether size more bytes fit in the message.
 func (e *encoder) fits(size int) bool {
 	return len(e.out)+size+len(e.rangeChecksums) <= MaxDatagramSize
 }
 
-// setMore marks the message: entries are left that did not fit in.
+// setMore sets the flag that more entries follow, which did not fit in this message.
 func (e *encoder) setMore() { e.out[moreOffset] = 1 }
 
-// appendEntry adds a full entry; false: there is no room.
+// appendEntry adds a full entry and reports whether it fits.
 func (e *encoder) appendEntry(entry *Entry) bool {
 	if !e.fits(minEntrySize + len(entry.Name)) {
 		return false
@@ -106,7 +107,7 @@
 	return true
 }
 
-// appendCompactEntry adds a compact entry; false: there is no room.
+// appendCompactEntry adds a compact entry and reports whether it fits.
 func (e *encoder) appendCompactEntry(entry *Entry) bool {
 	if !e.fits(compactEntrySize) {
 		return false
@@ -116,7 +117,7 @@
 	return true
 }
 
-// appendChange adds the latest change of a driver; false: there is no room.
+// appendChange adds the latest change of a driver and reports whether it fits.
 func (e *encoder) appendChange(node *nodeState) bool {
 	if node.compact {
 		return e.appendCompactEntry(&node.Entry)
@@ -124,7 +125,7 @@
 	return e.appendEntry(&node.Entry)
 }
 
-// finish returns the message.
+// finish returns the encoded message.
 func (e *encoder) finish() []byte { return append(e.out, e.rangeChecksums...) }
 
 func appendCompactEntry(out []byte, e *Entry) []byte {
@@ -147,7 +148,7 @@
 	return append(out, e.Name...)
 }
 
-// decodeEntry reads an entry and returns what is behind it; false: it is malformed.
+// decodeEntry decodes an entry and returns the bytes that follow it; ok is false if the entry is malformed.
 func decodeEntry(in []byte) (e Entry, rest []byte, ok bool) {
 	if len(in) < compactEntrySize {
 		return e, nil, false
@@ -182,7 +183,7 @@
 	return e, in[end:], true
 }
 
-// decodeMessage reads a message; false: it is malformed.
+// decodeMessage decodes a message; ok is false if it is malformed.
 func decodeMessage(in []byte) (m message, ok bool) {
 	if len(in) < headerSize || len(in) > MaxDatagramSize {
 		return m, false
--- a/internal/membership/codec_test.go
+++ b/internal/membership/codec_test.go
@@ -9,12 +9,13 @@
 	"passtack/internal/seeded"
 )
 
-// Malformed messages change nothing, whatever they hold; valid ones are decoded.
+// TestMalformedMessagesAreRejected checks that decoding arbitrary bytes neither panics nor returns more entries than a datagram can hold, that a
+// valid message is decoded, and that each truncation of it is rejected.
 func TestMalformedMessagesAreRejected(t *testing.T) {
 	seeded.Check(t, func(t *rapid.T) {
 		in := rapid.SliceOfN(rapid.Byte(), 0, MaxDatagramSize+10).Draw(t, "datagram")
 		if m, ok := decodeMessage(in); ok && len(m.entries) > 10 {
-			t.Fatalf("%+v", m)
+			t.Fatalf("decoded message has more entries than a datagram can hold: %+v", m)
 		}
 	})
 	sim := newSimulation(8, 3)
@@ -26,16 +27,16 @@
 	list.sendSyncResponse(1, message{})
 	m, ok := decodeMessage(datagram)
 	if !ok || len(m.entries) != 2 || m.sender.Name != "d0" || len(datagram) > MaxDatagramSize {
-		t.Fatalf("%+v, %v", m, ok)
+		t.Fatalf("sync response is too long or not from sender d0 with 2 entries: decoded as %+v, %v", m, ok)
 	}
 	for size := range datagram {
 		if _, ok := decodeMessage(datagram[:size]); ok {
-			t.Fatalf("%d bytes of %d are decoded", size, len(datagram))
+			t.Fatalf("a message truncated to %d of %d bytes is decoded", size, len(datagram))
 		}
 	}
 }
 
-// Whatever a datagram holds, Receive neither panics nor lets the driver's own entry change its name.
+// FuzzReceive checks that Receive does not panic on any datagram, and that no datagram changes the name in the driver's own entry.
 func FuzzReceive(f *testing.F) {
 	sim := newSimulation(8, 3)
 	sim.startAll(0)
@@ -47,12 +48,12 @@
 	f.Fuzz(func(t *testing.T, in []byte) {
 		list.Receive(1, in, sim.now)
 		if list.self.Name != "d0" {
-			t.Fatalf("the driver is named %q", list.self.Name)
+			t.Fatalf("the driver's own entry is named %q, want d0", list.self.Name)
 		}
 	})
 }
 
-// anyNameHost bears names of drivers that the simulation does not have.
+// anyNameHost accepts status changes of drivers that the simulation does not have.
 type anyNameHost struct{ *simHost }
 
 func (anyNameHost) StatusChanged(Entry, string) {}
--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -16,7 +16,7 @@
 
 var update = flag.Bool("update", false, "rewrite golden files")
 
-// checkGolden compares what was written with the golden file, or writes the file with -update.
+// checkGolden compares got with the golden file, after writing got to the file if -update is set.
 func checkGolden(t *testing.T, name, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -33,20 +33,20 @@
 		t.Fatal(err)
 	}
 	if string(want) != got {
-		t.Errorf("%s differs from what was written before:\n%s", path, got)
+		t.Errorf("output differs from the golden file %s:\n%s", path, got)
 	}
 }
 
-// goldenNames are the files of the datagrams by the number of their kind on the wire.
+// goldenNames are the names of the golden files, by the number of the message kind on the wire.
 var goldenNames = map[byte]string{1: "ping", 2: "ack", 3: "ping-request", 4: "ping-request-accepted", 5: "indirect-ack", 6: "sync-request", 7: "sync-part"}
 
-// describeEntry writes an entry's values, a line.
+// describeEntry formats the fields of an entry as one line.
 func describeEntry(e Entry) string {
 	return fmt.Sprintf("node %016x name %q incarnation %d refutation %d status %d suspector %d digest %d %d %d %d\n", uint64(e.ID), e.Name, e.Incarnation,
 		e.Refutation, e.Status, e.Suspector, e.Summary.Sequence, e.Summary.ReadyPercent, e.Summary.RequestRate, e.Summary.ListRevision)
 }
 
-// describe writes all values of a decoded message.
+// describe formats all fields of a decoded message.
 func describe(m message) string {
 	text := fmt.Sprintf("kind %d number %d target %016x sum %016x more %v sums %x\n", m.kind, m.sequence, uint64(m.target), m.checksum, m.more, m.rangeChecksums) + describeEntry(m.sender)
 	for _, e := range m.entries {
@@ -55,7 +55,7 @@
 	return text
 }
 
-// encode writes a decoded message again. An entry without a name is a compact one.
+// encode encodes a decoded message again. An entry without a name is encoded as a compact one.
 func encode(m message) []byte {
 	e := newEncoder(m.header, &m.sender, m.rangeChecksums)
 	for _, entry := range m.entries {
@@ -68,10 +68,10 @@
 	return e.finish()
 }
 
-// playFaults plays faults drawn by the seed and gives each datagram with its time, sender and receiver.
-func playFaults(seed uint64, record func(at time.Duration, from, to int, text []byte)) {
+// simulateFaults runs a simulation with random faults and calls record for each datagram that is sent.
+func simulateFaults(seed uint64, record func(sentAt time.Duration, from, to int, datagram []byte)) {
 	sim := newSimulation(seed, 12)
-	sim.record = func(from, to int, text []byte) { record(sim.now, from, to, text) }
+	sim.record = func(from, to int, datagram []byte) { record(sim.now, from, to, datagram) }
 	sim.startAll(time.Second)
 	for i, h := range sim.hosts {
 		for n := range 5 {
@@ -88,19 +88,20 @@
 	sim.advance(100 * time.Second)
 }
 
-// Datagrams of each kind that earlier builds wrote are read as the same values, and these are written as the same bytes.
+// TestGoldenDatagrams checks that a datagram of each kind from an earlier build is decoded to the same values, and that these are encoded as the
+// same bytes.
 func TestGoldenDatagrams(t *testing.T) {
 	if *update {
-		richest := make(map[byte][]byte) // of each kind the one with most entries
+		largest := make(map[byte][]byte) // by kind: the datagram with the most entries
 		for seed := range uint64(5) {
-			playFaults(seed, func(_ time.Duration, _, _ int, text []byte) {
-				if best := richest[text[0]]; best == nil || text[22] > best[22] {
-					richest[text[0]] = slices.Clone(text)
+			simulateFaults(seed, func(_ time.Duration, _, _ int, datagram []byte) {
+				if best := largest[datagram[0]]; best == nil || datagram[22] > best[22] {
+					largest[datagram[0]] = slices.Clone(datagram)
 				}
 			})
 		}
-		for kind, text := range richest {
-			checkGolden(t, goldenNames[kind]+".hex", hex.EncodeToString(text)+"\n")
+		for kind, datagram := range largest {
+			checkGolden(t, goldenNames[kind]+".hex", hex.EncodeToString(datagram)+"\n")
 		}
 	}
 	for kind, name := range goldenNames {
@@ -108,29 +109,29 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		text, err := hex.DecodeString(strings.TrimSpace(string(line)))
+		datagram, err := hex.DecodeString(strings.TrimSpace(string(line)))
 		if err != nil {
 			t.Fatal(err)
 		}
-		m, ok := decodeMessage(text)
-		if !ok || text[0] != kind {
-			t.Fatalf("%s is not read", name)
+		m, ok := decodeMessage(datagram)
+		if !ok || datagram[0] != kind {
+			t.Fatalf("golden datagram %s is not decoded as a message of its kind", name)
 		}
 		checkGolden(t, name+".txt", describe(m))
-		if again := encode(m); !bytes.Equal(again, text) {
-			t.Errorf("%s is written as %x, not as %x", name, again, text)
+		if encoded := encode(m); !bytes.Equal(encoded, datagram) {
+			t.Errorf("%s is encoded as %x, want %x", name, encoded, datagram)
 		}
 	}
 }
 
-// Whole courses of drivers that talk to each other, with faults drawn by seed, are the same datagrams at the same times as those of earlier builds.
+// TestGoldenTranscripts checks that simulations with random faults send the same datagrams at the same times as in earlier builds.
 func TestGoldenTranscripts(t *testing.T) {
 	var lines strings.Builder
 	for seed := range uint64(10) {
 		sum, count := sha256.New(), 0
-		playFaults(seed, func(at time.Duration, from, to int, text []byte) {
+		simulateFaults(seed, func(sentAt time.Duration, from, to int, datagram []byte) {
 			count++
-			fmt.Fprintf(sum, "%d %d %d %x\n", at, from, to, text)
+			fmt.Fprintf(sum, "%d %d %d %x\n", sentAt, from, to, datagram)
 		})
 		fmt.Fprintf(&lines, "seed %d datagrams %d sha256 %x\n", seed, count, sum.Sum(nil))
 	}
--- a/internal/membership/list_test.go
+++ b/internal/membership/list_test.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// Fleets of each size converge after starts, a crash, the crash of a third, a graceful shutdown and returns, and no running driver is declared dead.
-// docs/fleet.md has the figures.
+// TestConvergesAtEveryFleetSize checks that fleets of each size converge after starts, a crash, the crash of a third, restarts and a graceful
+// shutdown, and that no running driver is declared dead. docs/fleet.md has the figures.
 func TestConvergesAtEveryFleetSize(t *testing.T) {
-	sizes, larger := []int{3, 10, 100}, 0 // FLEET_SIZE=300 runs a larger one
+	sizes, larger := []int{3, 10, 100}, 0 // FLEET_SIZE=300 runs a fleet of 300 instead
 	if fmt.Sscan(os.Getenv("FLEET_SIZE"), &larger); larger > 0 {
 		sizes = []int{larger}
 	}
@@ -47,21 +47,22 @@
 			sim.advance(10 * ms)
 			sim.hosts[n-1].kill()
 			left := sim.converge(time.Minute)
-			t.Logf("%d drivers: joined %v, crash first known %v and by all %v, back %v, a third %v and back %v, left %v; %.1f messages and %.0f bytes a second each",
+			t.Logf("%d drivers: joined after %v, crash detected first after %v and by all after %v, restart after %v, crash of a third after %v, their restart after %v, graceful shutdown after %v; %.1f messages and %.0f bytes per second and driver",
 				n, joined, first, crash, back, third, thirdBack, left, float64(sent)/float64(n)/30, float64(bytes)/float64(n)/30)
 			for event, took := range map[string]time.Duration{"joined": joined, "crash": crash, "back": back, "third": third, "third back": thirdBack, "left": left} {
 				if took < 0 {
-					t.Errorf("%s: never converged: %s", event, sim.disagreement())
+					t.Errorf("%s: the lists did not converge: %s", event, sim.disagreement())
 				}
 			}
 			if sim.falseDeaths > 0 || left > 20*time.Second || crash > 60*time.Second {
-				t.Errorf("%d running drivers were declared dead, a crash took %v, a graceful shutdown %v", sim.falseDeaths, crash, left)
+				t.Errorf("%d running drivers were declared dead; a crash took %v to converge, a graceful shutdown %v", sim.falseDeaths, crash, left)
 			}
 		})
 	}
 }
 
-// After random faults on fleets of some sizes the lists converge, and no driver that was gone for long returns by stale gossip.
+// TestConvergesAfterRandomFaults checks that the lists converge after random faults, in fleets of several sizes, and that stale gossip does not make
+// a driver alive again that has been gone for long.
 func TestConvergesAfterRandomFaults(t *testing.T) {
 	var workers sync.WaitGroup
 	seeds := make(chan uint64)
@@ -83,7 +84,7 @@
 	sim := newSimulation(seed, 5+int(seed%8))
 	sim.startAll(2 * time.Second)
 	for range 10 {
-		sim.after(sim.within(80*time.Second), sim.injectFault)
+		sim.after(sim.randomDuration(80*time.Second), sim.injectFault)
 	}
 	sim.advance(100 * time.Second)
 	sim.partitioned, sim.lossRate, sim.duplicationRate = nil, 0, 0
@@ -91,11 +92,12 @@
 		h.maxDelay = 0
 	}
 	if took := sim.converge(2 * time.Minute); took < 0 || sim.resurrections > 0 {
-		t.Errorf("seed %d: converged after %v (%s), %d returned that were gone", seed, took, sim.disagreement(), sim.resurrections)
+		t.Errorf("seed %d: converged after %v (below 0: not at all; %s), %d drivers that were gone were believed alive again", seed, took, sim.disagreement(), sim.resurrections)
 	}
 }
 
-// No running driver is declared dead: with a tenth of all messages lost, where one driver receives but is not received by some, and beside a slow one.
+// TestNoFalseDeathsUnderMildFaults checks that no running driver is declared dead when a tenth of all messages is lost, when one link is cut in one or
+// both directions, or when drivers are slow or paused for a short time.
 func TestNoFalseDeathsUnderMildFaults(t *testing.T) {
 	for name, inject := range map[string]func(sim *simulation){
 		"a tenth is lost": func(sim *simulation) { sim.lossRate = 0.1 },
@@ -129,7 +131,8 @@
 	}
 }
 
-// How often a running driver is declared dead, by the fraction of messages that are lost: never up to a tenth.
+// TestFalseDeathsByPacketLoss logs how often running drivers are declared dead at several rates of message loss, and checks that it does not happen up
+// to a loss of a tenth.
 func TestFalseDeathsByPacketLoss(t *testing.T) {
 	for _, loss := range []float64{0.05, 0.1, 0.2, 0.3, 0.4} {
 		t.Run(fmt.Sprint(loss), func(t *testing.T) {
@@ -147,8 +150,8 @@
 	}
 }
 
-// A driver that was paused does not suspect others for answers that it missed and returns soon; halves that were apart for long converge again; two fleets that never
-// met do so when one address joins them.
+// TestProcessPauseAndPartitionRecovery checks that a driver that was paused does not cause false deaths because of answers that it missed, and is seen
+// alive soon after; that the halves of a long partition converge again; and that two fleets that never met merge if one link connects them.
 func TestProcessPauseAndPartitionRecovery(t *testing.T) {
 	sim := newSimulation(4, 12)
 	sim.startAll(time.Second)
@@ -161,7 +164,7 @@
 	sim.partitioned = func(from, to int) bool { return (from < 6) != (to < 6) }
 	sim.advance(2 * time.Minute)
 	if active := sim.hosts[0].list.ActiveCount(); active != 6 {
-		t.Errorf("a driver sees %d in its half", active)
+		t.Errorf("a driver sees %d active drivers in its half, want 6", active)
 	}
 	sim.hosts[1].kill()
 	sim.partitioned = nil
@@ -172,26 +175,27 @@
 	}
 	sim = newSimulation(5, 12)
 	sim.partitioned = func(from, to int) bool {
-		joint := from == 0 && to == 11 || from == 11 && to == 0
-		return (from < 6) != (to < 6) && !joint
+		connecting := from == 0 && to == 11 || from == 11 && to == 0
+		return (from < 6) != (to < 6) && !connecting
 	}
 	sim.startAll(time.Second)
 	sim.advance(time.Minute)
 	if active := sim.hosts[3].list.ActiveCount(); active != 12 {
-		t.Errorf("by the link that joins the halves %d of 12 are known", active)
+		t.Errorf("through the link that connects the halves, %d of 12 drivers are known", active)
 	}
 }
 
-// The lists converge after a clock that went back between two incarnations, and only keys of the driver that is gone change their owner.
+// TestClockStepBetweenIncarnationsAndStableOwners checks that the lists converge after a driver's clock was set back between two incarnations, and that
+// when a driver is gone only its keys change their owner.
 func TestClockStepBetweenIncarnationsAndStableOwners(t *testing.T) {
 	sim := newSimulation(6, 5)
 	sim.startAll(time.Second)
 	sim.advance(15 * time.Second)
 	sim.hosts[2].kill()
 	sim.advance(10 * time.Second)
-	sim.hosts[2].startAs(1, 7) // its clock is at the beginning of time
+	sim.hosts[2].startIncarnation(1, 7) // far lower than its previous incarnation
 	if took := sim.converge(time.Minute); took < 0 {
-		t.Errorf("after a clock went back: %s", sim.disagreement())
+		t.Errorf("after a clock was set back: %s", sim.disagreement())
 	}
 	migrated, count := 0, 1000
 	before := make(map[string]string)
@@ -202,13 +206,13 @@
 	sim.hosts[4].kill()
 	sim.converge(time.Minute)
 	for key, owner := range before {
-		if now := sim.hosts[1].list.Owner(key); now != owner && owner != "d4" {
-			t.Fatalf("%s migrates from %s to %s, though neither is gone", key, owner, now)
-		} else if now != owner {
+		if newOwner := sim.hosts[1].list.Owner(key); newOwner != owner && owner != "d4" {
+			t.Fatalf("%s migrates from %s to %s, though neither is gone", key, owner, newOwner)
+		} else if newOwner != owner {
 			migrated++
 		}
 	}
 	if migrated < count/10 || migrated > count*3/10 {
-		t.Errorf("%d of %d keys migrated", migrated, count)
+		t.Errorf("%d of %d keys migrated, want 10 to 30 %%", migrated, count)
 	}
 }
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Reasons of status changes, as operators read them.
+// Reasons for status changes, as shown to operators.
 const (
 	reasonFirstSeen        = "new"
 	ReasonReportedBySelf   = "reported by itself"
@@ -11,15 +11,16 @@
 	reasonNameUsedTwice    = "name used twice"
 )
 
-// origin is who sent an entry.
+// origin tells whether the driver that sent an entry is the driver that the entry describes.
 type origin uint8
 
 const (
-	fromItself origin = iota // the driver that the entry is of
-	fromOther                // any other driver
+	fromItself origin = iota // sent by the driver that the entry describes
+	fromOther                // sent by any other driver
 )
 
-// merge takes in an entry that was received, and returns what is known of its driver then; nil: nothing, or it is this driver's own.
+// merge merges a received entry into the list and returns the resulting state of the driver that it describes. It returns nil if the driver is
+// still not in the list, or is this driver.
 func (l *List) merge(e Entry, from origin, now time.Duration) *nodeState {
 	if e.ID == l.self.ID {
 		l.mergeSelf(e, from)
@@ -33,16 +34,16 @@
 	return node
 }
 
-// mergeSelf refutes an entry of this driver that is wrong.
+// mergeSelf refutes a received entry of this driver if it is wrong.
 func (l *List) mergeSelf(e Entry, from origin) {
 	self := l.self
 	switch {
-	case from == fromItself: // this driver's own message, or that of another of the same name
+	case from == fromItself: // this driver's own message, or one from another driver with the same name
 		if e.Incarnation != self.Incarnation {
 			l.host.StatusChanged(e, reasonNameUsedTwice)
 		}
 	case l.left:
-	case e.Incarnation > self.Incarnation: // the clock has gone back since an earlier incarnation
+	case e.Incarnation > self.Incarnation: // the clock was set back since an earlier incarnation
 		self.Incarnation, self.Refutation = e.Incarnation+1, 0
 		l.broadcast(self)
 	case e.Incarnation == self.Incarnation && e.Status != Alive && e.Refutation >= self.Refutation:
@@ -52,18 +53,18 @@
 	}
 }
 
-// mergeUnknown takes in a driver that is not in the list.
+// mergeUnknown merges an entry of a driver that is not in the list.
 func (l *List) mergeUnknown(e Entry, from origin, now time.Duration) *nodeState {
 	tombstone, stale := l.tombstones[e.ID]
 	stale = stale && !e.supersedes(&tombstone)
 	if stale && from == fromOther {
 		return nil
 	}
-	if e.Name == "" { // a compact entry; the full one comes by sync
+	if e.Name == "" { // a compact entry; a sync fetches the full one
 		return nil
 	}
 	if len(l.nodes.byID) >= maxNodes || e.Status >= Dead && from == fromOther {
-		if e.Status >= Dead { // older gossip about it is known to be stale then
+		if e.Status >= Dead { // so that older gossip about the driver is recognized as stale
 			l.tombstones.addUnlessFull(e)
 		}
 		return nil
@@ -71,7 +72,7 @@
 	delete(l.tombstones, e.ID)
 	node := &nodeState{Entry: e, statusSince: now, lastSeenAt: now, suspicion: suspicion{deadline: now + l.suspicionTimeout(0)}}
 	if stale {
-		// It must hear that it is believed dead: others that have forgotten it accept only a higher refutation number.
+		// The driver has to learn that it is believed dead: others that have removed it accept only a higher refutation number.
 		node.Incarnation, node.Refutation = tombstone.Incarnation, tombstone.Refutation
 		node.Status, node.Suspector = tombstone.Status, tombstone.Suspector
 		node.compact = true
@@ -83,12 +84,12 @@
 	return node
 }
 
-// mergeKnown takes in an entry of a driver in the list.
+// mergeKnown merges an entry of a driver that is in the list.
 func (l *List) mergeKnown(node *nodeState, e Entry, from origin, now time.Duration) {
 	newer := e.supersedes(&node.Entry)
 	switch {
 	case from == fromItself && e.Status == Alive && node.Incarnation == e.Incarnation && node.Refutation >= e.Refutation && node.Status != Alive:
-		l.broadcast(node) // it does not know yet that it is believed to be gone; the answer says so
+		l.broadcast(node) // the driver does not know yet that it is believed suspect or gone; the answer tells it
 	case newer && e.Status == Suspect && e.sameRefutation(&node.Entry):
 		l.suspect(node, e.Suspector, now, reasonSuspectedByOther)
 	case newer && from == fromItself:
@@ -105,13 +106,13 @@
 	}
 }
 
-// addNode takes a driver into the list.
+// addNode adds a driver to the list.
 func (l *List) addNode(node *nodeState) {
 	l.nodes.add(node)
 	l.broadcast(node)
 }
 
-// replaceEntry takes over an entry that supersedes the known one, but for an older summary.
+// replaceEntry replaces the known entry by one that supersedes it, but keeps the newer summary.
 func (l *List) replaceEntry(node *nodeState, e Entry, now time.Duration, reason string) {
 	before := node.Entry
 	sameIncarnation := before.Incarnation == e.Incarnation
--- a/internal/membership/nodes.go
+++ b/internal/membership/nodes.go
@@ -8,27 +8,27 @@
 	"passtack/driver"
 )
 
-// maxNodes bounds how many drivers a list holds.
+// maxNodes is the maximum number of drivers in a list.
 const maxNodes = 4096
 
-// nodeState is what this driver knows of one driver, itself included.
+// nodeState is what this driver knows about one driver, which may be itself.
 type nodeState struct {
 	Entry
 	address     driver.Peer
-	reachable   bool // address is known
+	reachable   bool // whether address is known
 	statusSince time.Duration
-	reason      string // why its status changed last
+	reason      string // for the latest change of its status
 	lastSeenAt  time.Duration
 	suspicion   suspicion
 
 	transmits int  // how often its latest change was sent
-	compact   bool // its latest change is in the status or refutation number only
+	compact   bool // its latest change is of the status or refutation number only
 }
 
-// probeable reports whether the driver may be there and can be sent to.
+// probeable reports whether the driver is believed active and has a known address.
 func (n *nodeState) probeable() bool { return n.reachable && n.Status < Dead }
 
-// nodeTable holds the known drivers, by ID and in the order of IDs, and the checksum over them.
+// nodeTable holds the known drivers, by ID and sorted by ID, and the checksum over them.
 type nodeTable struct {
 	byID          map[NodeID]*nodeState
 	sorted        []*nodeState // by ID
@@ -38,10 +38,10 @@
 
 func newNodeTable() nodeTable { return nodeTable{byID: make(map[NodeID]*nodeState)} }
 
-// get returns the state of a driver, nil where it is not known.
+// get returns the state of a driver, or nil if it is not known.
 func (t *nodeTable) get(id NodeID) *nodeState { return t.byID[id] }
 
-// position is the index of a driver in the order of IDs, or where it would be inserted.
+// position returns the index of a driver in the order of IDs, or the index at which it would be inserted.
 func (t *nodeTable) position(id NodeID) (index int, found bool) {
 	return slices.BinarySearchFunc(t.sorted, id, func(n *nodeState, id NodeID) int { return cmp.Compare(n.ID, id) })
 }
@@ -59,7 +59,7 @@
 	}
 }
 
-// activeCount is how many drivers are neither dead nor have left.
+// activeCount returns the number of drivers that are neither dead nor have left.
 func (t *nodeTable) activeCount() (count int) {
 	for _, node := range t.sorted {
 		if node.Status < Dead {
@@ -72,7 +72,7 @@
 // invalidateChecksum is to be called after a change of any entry.
 func (t *nodeTable) invalidateChecksum() { t.checksumValid = false }
 
-// activeChecksum is over all active drivers, whatever the order they came in.
+// activeChecksum returns the checksum over all active drivers, which does not depend on the order in which they were added.
 func (t *nodeTable) activeChecksum() uint64 {
 	if t.checksumValid {
 		return t.checksum
@@ -86,7 +86,7 @@
 	return t.checksum
 }
 
-// rangeChecksums are the checksums of the ranges of IDs, a byte each.
+// rangeChecksums returns the checksums of the ranges of IDs, one byte each.
 func (t *nodeTable) rangeChecksums(salt uint32) []byte {
 	sums := make([]byte, syncRanges)
 	for _, node := range t.sorted {
@@ -97,13 +97,13 @@
 	return sums
 }
 
-// maxTombstones bounds how many forgotten drivers are remembered.
+// maxTombstones is the maximum number of tombstones.
 const maxTombstones = 4096
 
-// tombstones are the last entries of drivers that were forgotten. Gossip about them is stale unless it supersedes the tombstone.
+// tombstones are the last entries of drivers that were removed from the list. Gossip about them is stale unless it supersedes the tombstone.
 type tombstones map[NodeID]Entry
 
-// add remembers an entry, and drops another where there are too many.
+// add adds an entry, and removes an arbitrary other one if there are too many.
 func (t tombstones) add(e Entry) {
 	if len(t) >= maxTombstones {
 		for id := range t {
@@ -114,7 +114,7 @@
 	t[e.ID] = e
 }
 
-// addIfRoom remembers an entry unless there are too many.
+// addUnlessFull adds an entry unless there are too many.
 func (t tombstones) addUnlessFull(e Entry) {
 	if len(t) < maxTombstones {
 		t[e.ID] = e
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -9,43 +9,43 @@
 )
 
 const (
-	// indirectProbers is how many other drivers are asked to probe a driver that does not answer.
+	// indirectProbers is the number of other drivers that are asked to probe a driver that does not answer.
 	indirectProbers = 3
-	// unknownAddressRounds is every how many probes one goes to an address of which no active driver is known.
-	unknownAddressRounds = 10
-	// unknownAddressRoundsAfterFind applies instead for as long as such probes find drivers.
-	unknownAddressRoundsAfterFind = 2
+	// probesPerUnknownAddress: one in this many probes goes to an address at which no active driver is known.
+	probesPerUnknownAddress = 10
+	// probesPerUnknownAddressAfterAnswer applies instead as long as such probes find drivers.
+	probesPerUnknownAddressAfterAnswer = 2
 )
 
-// prober is the state of the failure detector: which probe is out, which comes next, and those made for other drivers.
+// prober is the state of the failure detector: the pending probe, the next ones, and those relayed for other drivers.
 type prober struct {
-	pending      probe
-	nextAt       time.Duration
-	rounds       int
-	order        []NodeID // of the drivers to probe next
-	unknownFound bool     // a probe of an unknown address was answered: there may be more drivers
-	relays       map[uint32]relayedProbe
+	pending                probe
+	nextProbeAt            time.Duration
+	probeCount             int      // number of probes so far
+	order                  []NodeID // the drivers to probe next
+	unknownAddressAnswered bool     // a probe of an unknown address was answered, so there may be more unknown drivers
+	relays                 map[uint32]relayedProbe
 }
 
-// probe is a ping that waits for its answer. Its zero value is none.
+// probe is a ping that waits for its answer. The zero value means that there is none.
 type probe struct {
 	sequence    uint32
 	node        NodeID
 	sentAt      time.Duration
-	indirect    bool // other drivers were asked to probe
-	helperCount int  // of those that agreed to
+	indirect    bool // other drivers were asked to probe the node
+	helperCount int  // number of those drivers that accepted
 }
 
 func (p *probe) outstanding() bool { return p.sequence != 0 }
 
-// relayedProbe is a ping that this driver sends for another.
+// relayedProbe is a ping that this driver has sent on behalf of another.
 type relayedProbe struct {
 	requester driver.Peer
-	sequence  uint32 // of the requester's own probe
+	sequence  uint32 // of the requester's probe
 	expiresAt time.Duration
 }
 
-// indirectProbeAt is when other drivers are asked to help with the pending probe.
+// indirectProbeAt returns when other drivers are to be asked to help with the pending probe.
 func (l *List) indirectProbeAt() time.Duration {
 	return l.prober.pending.sentAt + l.health.scale(l.config.ProbeInterval/3)
 }
@@ -53,12 +53,12 @@
 // sendProbe pings the next driver.
 func (l *List) sendProbe(now time.Duration) {
 	p := &l.prober
-	p.nextAt = now + l.config.ProbeInterval
-	p.rounds++
+	p.nextProbeAt = now + l.config.ProbeInterval
+	p.probeCount++
 	sequence := l.nextSequence()
-	unknownDue := p.rounds%unknownAddressRounds == 0 || p.unknownFound && p.rounds%unknownAddressRoundsAfterFind == 0
+	unknownDue := p.probeCount%probesPerUnknownAddress == 0 || p.unknownAddressAnswered && p.probeCount%probesPerUnknownAddressAfterAnswer == 0
 	if unknownDue && l.probeUnknownAddress() {
-		p.unknownFound = false
+		p.unknownAddressAnswered = false
 		return
 	}
 	node := p.next(&l.nodes, l.self, l.random)
@@ -70,7 +70,7 @@
 	l.send(node.address, header{kind: kindPing, sequence: sequence}, node)
 }
 
-// next is the driver to probe: each in turn, in an order that is drawn anew for each round.
+// next returns the driver to probe: each in turn, in a new random order for each pass through the list.
 func (p *prober) next(nodes *nodeTable, self *nodeState, random *pcg.Source) *nodeState {
 	for range 2 {
 		for len(p.order) > 0 {
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// shuffle puts the items in random order.
+// shuffle puts the items in a random order.
 func shuffle[T any](items []T, random *pcg.Source) {
 	for i := range items {
 		j := random.Below(i + 1)
@@ -96,7 +96,8 @@
 	}
 }
 
-// probeUnknownAddress pings an address of which no active driver is known, where there is one: a dead driver may be back, and a partition may have healed.
+// probeUnknownAddress pings an address at which no active driver is known, and reports whether there is one: a dead driver may have returned, or a
+// partition may have healed.
 func (l *List) probeUnknownAddress() bool {
 	known := make(map[driver.Peer]bool)
 	for _, node := range l.nodes.sorted {
@@ -115,7 +116,7 @@
 	return false
 }
 
-// requestIndirectProbes asks other drivers to ping the one that has not answered.
+// requestIndirectProbes asks other drivers to ping the driver that has not answered.
 func (l *List) requestIndirectProbes() {
 	l.prober.pending.indirect = true
 	target := l.nodes.get(l.prober.pending.node)
@@ -135,8 +136,8 @@
 	}
 }
 
-// finishProbe suspects the driver of the pending probe if no answer has come by any way. It reports whether the next probe may be sent: a driver
-// that is slow itself waits for longer.
+// finishProbe ends the pending probe, and suspects its driver if no answer came, direct or indirect. It reports whether the next probe may be sent:
+// if this driver is slow itself, it waits longer for the answer.
 func (l *List) finishProbe(now time.Duration) bool {
 	pending := l.prober.pending
 	node := l.nodes.get(pending.node)
@@ -145,11 +146,11 @@
 		return true
 	}
 	if deadline := pending.sentAt + l.health.scale(l.config.ProbeInterval); now < deadline {
-		l.prober.nextAt = deadline
+		l.prober.nextProbeAt = deadline
 		return false
 	}
 	l.prober.pending = probe{}
-	if pending.indirect && pending.helperCount == 0 { // no helper answered either: this driver may be the one that is cut off
+	if pending.indirect && pending.helperCount == 0 { // none of the other drivers answered either: this driver may be the one that is cut off
 		l.health.degrade(1)
 	}
 	if now >= l.health.suspicionSuppressedUntil && node.Status < Dead {
@@ -158,7 +159,7 @@
 	return true
 }
 
-// relayProbe pings a driver for another one, which could not reach it.
+// relayProbe pings a driver on behalf of another one that got no answer from it.
 func (l *List) relayProbe(requester driver.Peer, m message, now time.Duration) {
 	if target := l.nodes.get(m.target); target != nil && target.reachable {
 		sequence := l.nextSequence()
@@ -173,7 +174,7 @@
 	}
 }
 
-// receiveAck forwards the answer to a relayed probe, or ends the pending one.
+// receiveAck processes the answer to a relayed probe, which it forwards, or to the pending probe.
 func (l *List) receiveAck(m message, now time.Duration) {
 	if relay, found := l.prober.relays[m.sequence]; found && m.sequence != 0 {
 		delete(l.prober.relays, m.sequence)
@@ -182,14 +183,14 @@
 	l.completeProbe(m.sequence, m.sender.ID, now)
 }
 
-// receiveHelperAgreed counts a driver that was asked to probe and does so.
-func (l *List) receiveHelperAgreed(m message) {
+// receivePingRequestAccepted counts a driver that has accepted to ping the node of the pending probe.
+func (l *List) receivePingRequestAccepted(m message) {
 	if m.sequence == l.prober.pending.sequence {
 		l.prober.pending.helperCount++
 	}
 }
 
-// completeProbe ends the pending probe, if this is its answer.
+// completeProbe ends the pending probe if the sequence number and sender are those of its answer.
 func (l *List) completeProbe(sequence uint32, from NodeID, now time.Duration) {
 	if sequence == 0 || sequence != l.prober.pending.sequence || from != l.prober.pending.node {
 		return
--- a/internal/membership/query.go
+++ b/internal/membership/query.go
@@ -10,14 +10,14 @@
 	"passtack/driver"
 )
 
-// NodeStatus is one driver as this one sees it.
+// NodeStatus is the status of one driver according to this driver's list.
 type NodeStatus struct {
 	Entry
 	Self           bool
-	StatusAge      time.Duration // how long it has had its status
+	StatusAge      time.Duration // time since its status changed last
 	LastSeenAgo    time.Duration
-	Reason         string // why its status changed last
-	SuspectorCount int    // whose own probes failed
+	Reason         string // for the latest change of its status
+	SuspectorCount int    // number of drivers whose own probes of it failed
 }
 
 // Nodes returns all known drivers, ordered by name.
@@ -37,7 +37,7 @@
 	return all
 }
 
-// Lookup returns what is known of one driver; false: nothing.
+// Lookup returns the entry of one driver; known is false if the list does not have it.
 func (l *List) Lookup(id NodeID) (e Entry, known bool) {
 	if node := l.nodes.get(id); node != nil {
 		return node.Entry, true
@@ -45,17 +45,17 @@
 	return Entry{}, false
 }
 
-// ActiveCount is how many drivers, this one included, are neither dead nor have left.
+// ActiveCount returns the number of drivers, including this one, that are neither dead nor have left.
 func (l *List) ActiveCount() int { return l.nodes.activeCount() }
 
-// Checksum is over the active drivers: equal lists have equal checksums.
+// Checksum returns the checksum over the active drivers: equal lists have equal checksums.
 func (l *List) Checksum() uint64 { return l.nodes.activeChecksum() }
 
 // Stats returns the counters.
 func (l *List) Stats() Stats { return l.stats }
 
-// Owner returns the name of the alive driver that a key belongs to, by rendezvous hashing: few keys migrate when drivers come and go. Two drivers
-// whose lists differ may name two.
+// Owner returns the name of the alive driver that owns a key, by rendezvous hashing: few keys migrate when drivers come and go. Drivers whose
+// lists differ may return different owners.
 func (l *List) Owner(key string) (name string) {
 	best := uint64(0)
 	for _, node := range l.nodes.sorted {
@@ -69,7 +69,7 @@
 	return name
 }
 
-// SampleAlive returns the addresses of other alive drivers, drawn anew each time, no more than limit.
+// SampleAlive returns the addresses of other alive drivers, limit at most: a new random sample on each call.
 func (l *List) SampleAlive(limit int) []driver.Peer {
 	var addresses []driver.Peer
 	for _, node := range l.nodes.sorted {
--- a/internal/membership/shards_test.go
+++ b/internal/membership/shards_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// shardedFleet follows the shards of all drivers of a simulation.
+// shardedFleet keeps the Shards of all drivers of a simulation.
 type shardedFleet struct {
 	sim         *simulation
 	total       int
@@ -20,7 +20,7 @@
 	return f
 }
 
-// observe lets the running drivers look at their lists, twice a second.
+// observe updates the shards of all running drivers from their lists, twice a second.
 func (f *shardedFleet) observe() {
 	for i, h := range f.sim.hosts {
 		if f.shards[i] == nil || f.generations[i] != h.generation {
@@ -34,7 +34,7 @@
 	f.sim.after(500*ms, f.observe)
 }
 
-// sum is what all running drivers may use together.
+// sum returns the sum of the shards of all running drivers.
 func (f *shardedFleet) sum() (sum int) {
 	for i, h := range f.sim.hosts {
 		if h.up {
@@ -44,20 +44,20 @@
 	return sum
 }
 
-// Under random crashes, starts, shutdowns, partitions and losses the shards of all drivers together never exceed the total; without faults
-// they are nearly all of it, and the drivers that are left take over the shards of those that are gone.
+// TestShardsNeverExceedTheTotal checks that under random crashes, starts, shutdowns, partitions and message loss the sum of all shards never exceeds
+// the total, that without faults it is nearly the total, and that the remaining drivers take over the shards of those that are gone.
 func TestShardsNeverExceedTheTotal(t *testing.T) {
 	const total = 1200
 	for seed := range uint64(150) {
 		sim := newSimulation(seed, 5+int(seed%8))
 		sim.startAll(2 * time.Second)
 		for range 14 {
-			sim.after(sim.within(4*time.Minute), sim.injectFault)
+			sim.after(sim.randomDuration(4*time.Minute), sim.injectFault)
 		}
 		fleet := followShards(sim, total)
 		sim.advance(6 * time.Minute)
 		if fleet.maxSum > total {
-			t.Errorf("seed %d: %d of %d are used", seed, fleet.maxSum, total)
+			t.Errorf("seed %d: the shards add up to %d of %d", seed, fleet.maxSum, total)
 		}
 	}
 	sim := newSimulation(1, 10)
@@ -65,23 +65,24 @@
 	fleet := followShards(sim, total)
 	sim.advance(2 * time.Minute)
 	if sum := fleet.sum(); sum < total*9/10 || sum > total {
-		t.Errorf("without faults %d of %d are used", sum, total)
+		t.Errorf("without faults the shards add up to %d of %d, want at least 90 %%", sum, total)
 	}
 	for i := range 3 {
 		sim.hosts[i].kill()
 	}
 	sim.advance(3 * time.Minute)
 	if sum := fleet.sum(); sum < total*3/4 || sum > total {
-		t.Errorf("with three gone the others use %d of %d", sum, total)
+		t.Errorf("with three drivers gone the shards of the others add up to %d of %d, want at least 75 %%", sum, total)
 	}
 	sim.partitioned = func(from, to int) bool { return (from == 9) != (to == 9) }
 	sim.advance(3 * time.Minute)
 	if alone := fleet.shards[9].Size(total, sim.now); alone != total/20 {
-		t.Errorf("a driver that is cut off uses %d", alone)
+		t.Errorf("a driver that is cut off has a shard of %d, want the guaranteed 60", alone)
 	}
 }
 
-// A shard shrinks as soon as drivers start, and grows only two leases after others are gone, as a fixed number in the settings cannot.
+// TestShardShrinksAtOnceAndGrowsAfterTwoLeases checks that a shard shrinks as soon as drivers start, grows only two leases after others are gone, and
+// falls to the guaranteed shard one lease after the driver was cut off.
 func TestShardShrinksAtOnceAndGrowsAfterTwoLeases(t *testing.T) {
 	shards, now := NewShards(time.Second), time.Hour
 	observe := func(activeCount int, duration time.Duration) {
@@ -92,7 +93,7 @@
 	check := func(when string, want int) {
 		t.Helper()
 		if got := shards.Size(400, now); got != want {
-			t.Errorf("%s: %d, not %d", when, got, want)
+			t.Errorf("%s: shard is %d, want %d", when, got, want)
 		}
 	}
 	observe(6, 10*time.Second)
@@ -110,6 +111,6 @@
 	observe(3, 10*time.Second)
 	check("cut off", 20)
 	if shards.InMajority(now) {
-		t.Error("cut off it still counts as in the majority")
+		t.Error("a driver that is cut off still counts as in the majority")
 	}
 }
--- a/internal/membership/simulation_test.go
+++ b/internal/membership/simulation_test.go
@@ -24,29 +24,29 @@
 	hosts           []*simHost
 	lossRate        float64
 	duplicationRate float64
-	partitioned     func(from, to int) bool // nil: no link is cut
-	record          func(from, to int, datagram []byte)
+	partitioned     func(from, to int) bool             // nil if no link is cut
+	record          func(from, to int, datagram []byte) // called for each datagram that is sent; may be nil
 
 	falseDeaths    int                   // times that a running driver was declared dead
-	resurrections  int                   // times that a driver that was gone was believed alive again
-	firstDetection map[int]time.Duration // by driver that died: after how long the first other one declared it dead
+	resurrections  int                   // times that a driver that was gone for over two minutes was believed alive again
+	firstDetection map[int]time.Duration // by driver that died: time until another driver first declared it dead
 }
 
-// simHost runs the list of one driver.
+// simHost is the Host of one driver's list, and runs that list.
 type simHost struct {
 	sim         *simulation
 	number      int
 	name        string
 	list        *List
-	generation  int // counts the starts
+	generation  int // number of starts
 	up          bool
 	pausedUntil time.Duration
-	maxDelay    time.Duration // of each call; the delay is random
+	maxDelay    time.Duration // of each call into the list; the delay is random
 	timer       *due.Item[func()]
 	diedAt      time.Duration
 
 	sentCount, sentBytes int
-	receivedBytes        int // sent to it, also while it is down
+	receivedBytes        int // of all datagrams sent to it, also while it is down
 }
 
 func newSimulation(seed uint64, size int) *simulation {
@@ -57,8 +57,8 @@
 	return sim
 }
 
-// within draws a time before the limit.
-func (sim *simulation) within(limit time.Duration) time.Duration {
+// randomDuration returns a random duration below the limit.
+func (sim *simulation) randomDuration(limit time.Duration) time.Duration {
 	return time.Duration(sim.random.Float() * float64(limit))
 }
 
@@ -66,7 +66,7 @@
 	sim.queue.Push(sim.now+delay, action)
 }
 
-// advance runs the simulation for a time.
+// advance runs the simulation for a duration of simulated time.
 func (sim *simulation) advance(duration time.Duration) {
 	end := sim.now + duration
 	for {
@@ -81,21 +81,21 @@
 	}
 }
 
-// startAll starts all drivers, at random times.
+// startAll starts all drivers, at random times within the limit.
 func (sim *simulation) startAll(limit time.Duration) {
 	for _, h := range sim.hosts {
-		sim.after(sim.within(limit), h.start)
+		sim.after(sim.randomDuration(limit), h.start)
 	}
 }
 
-// resetTraffic begins to count messages and bytes anew.
+// resetTraffic resets the counts of messages and bytes.
 func (sim *simulation) resetTraffic() {
 	for _, h := range sim.hosts {
 		h.sentCount, h.sentBytes, h.receivedBytes = 0, 0, 0
 	}
 }
 
-// worstTraffic is the highest of the drivers' rates since a time, in bytes a second sent and received.
+// worstTraffic returns the highest rate of any driver since the given time, in bytes per second sent and received.
 func (sim *simulation) worstTraffic(since time.Duration) (worst float64) {
 	for _, h := range sim.hosts {
 		worst = max(worst, float64(h.sentBytes+h.receivedBytes)/(sim.now-since).Seconds())
@@ -103,8 +103,8 @@
 	return worst
 }
 
-// disagreement is empty where the lists of all running drivers have just the running drivers, in their current incarnations, as active. Otherwise it
-// names one that differs.
+// disagreement returns "" if the lists of all running drivers have exactly the running drivers, in their current incarnations, as active. Otherwise
+// it describes one difference.
 func (sim *simulation) disagreement() string {
 	for _, h := range sim.hosts {
 		if !h.up {
@@ -123,7 +123,7 @@
 	return ""
 }
 
-// converge runs until all lists agree, and returns how long that took; below 0: it did not happen within the limit.
+// converge runs until all lists agree and returns how long that took, or -1 if it did not happen within the limit.
 func (sim *simulation) converge(limit time.Duration) time.Duration {
 	for start := sim.now; sim.now < start+limit; sim.advance(100 * ms) {
 		if sim.disagreement() == "" {
@@ -133,16 +133,16 @@
 	return -1
 }
 
-// injectFault begins a random fault of up to 20 seconds.
+// injectFault starts a random fault that lasts up to 20 seconds.
 func (sim *simulation) injectFault() {
 	h := sim.hosts[sim.random.Below(len(sim.hosts))]
-	duration := sim.within(20 * time.Second)
+	duration := sim.randomDuration(20 * time.Second)
 	switch sim.random.Below(7) {
 	case 0:
 		h.kill()
 		sim.after(duration, h.start)
 	case 1:
-		h.kill() // for good
+		h.kill() // permanently
 	case 2:
 		h.pausedUntil = sim.now + duration
 	case 3:
@@ -167,12 +167,12 @@
 
 func (h *simHost) start() {
 	if !h.up {
-		h.startAs(uint64(h.sim.now), uint64(h.sim.random.Uint32()))
+		h.startIncarnation(uint64(h.sim.now), uint64(h.sim.random.Uint32()))
 	}
 }
 
-// startAs starts the driver as a given incarnation.
-func (h *simHost) startAs(incarnation, seed uint64) {
+// startIncarnation starts the driver with the given incarnation.
+func (h *simHost) startIncarnation(incarnation, seed uint64) {
 	h.up, h.generation = true, h.generation+1
 	h.list = New(h, h.name, Config{ProbeInterval: probeInterval, Incarnation: incarnation}, seed, h.sim.now)
 	h.schedule()
@@ -184,7 +184,7 @@
 	}
 }
 
-// whenRunning acts once the driver is neither paused nor delayed, unless it ends before.
+// whenRunning runs an action after the driver's delay, as soon as the driver is not paused, or never if the driver stops before.
 func (h *simHost) whenRunning(action func()) {
 	generation := h.generation
 	var attempt func()
@@ -200,7 +200,7 @@
 		h.schedule()
 	}
 	if h.maxDelay > 0 {
-		h.sim.after(h.sim.within(h.maxDelay), attempt)
+		h.sim.after(h.sim.randomDuration(h.maxDelay), attempt)
 		return
 	}
 	attempt()
@@ -253,7 +253,7 @@
 	}
 }
 
-// capturingHost keeps the latest datagram in place of sending it.
+// capturingHost stores the latest datagram instead of sending it.
 type capturingHost struct {
 	*simHost
 	datagram *[]byte
--- a/internal/membership/traffic_test.go
+++ b/internal/membership/traffic_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// What a crash costs any driver until all know of it, the crashed one's address included, grows far slower than the fleet.
+// TestCrashTrafficGrowsSlowlyWithFleetSize checks that the traffic of the busiest driver between a crash and its detection by all, including the
+// traffic to the crashed driver's address, grows far slower than the fleet.
 func TestCrashTrafficGrowsSlowlyWithFleetSize(t *testing.T) {
 	t.Parallel()
 	var worst [2]float64
@@ -21,13 +22,14 @@
 		}
 		worst[i] = sim.worstTraffic(start)
 	}
-	t.Logf("%.0f bytes a second at the worst of 60, %.0f of 240", worst[0], worst[1])
+	t.Logf("busiest driver: %.0f bytes per second in a fleet of 60, %.0f in one of 240", worst[0], worst[1])
 	if worst[1] > 3*worst[0] || worst[1] > 2000 {
-		t.Errorf("%.0f bytes a second at the worst of 60, %.0f of 240", worst[0], worst[1])
+		t.Errorf("busiest driver: %.0f bytes per second in a fleet of 60, %.0f in one of 240", worst[0], worst[1])
 	}
 }
 
-// Where half of the list changes at once, as regions lose and find each other, no driver spends more than 5 KB a second on it.
+// TestPartitionTrafficStaysWithinBudget checks that no driver sends and receives more than 5 KB per second when half of its list changes at once, as
+// at the start and the end of a partition.
 func TestPartitionTrafficStaysWithinBudget(t *testing.T) {
 	t.Parallel()
 	sim := newSimulation(15, 160)
@@ -42,8 +44,8 @@
 		partitioned func(from, to int) bool
 		converged   func() bool
 	}{
-		{"lose", func(from, to int) bool { return (from < 80) != (to < 80) }, apart},
-		{"find", nil, joined},
+		{"partition", func(from, to int) bool { return (from < 80) != (to < 80) }, apart},
+		{"recovery", nil, joined},
 	} {
 		sim.resetTraffic()
 		sim.partitioned = phase.partitioned
@@ -52,9 +54,9 @@
 			sim.advance(time.Second)
 		}
 		worst := sim.worstTraffic(start)
-		t.Logf("as halves %s each other, for %v: %.0f bytes a second at the worst", phase.name, sim.now-start, worst)
+		t.Logf("%s, for %v: busiest driver %.0f bytes per second", phase.name, sim.now-start, worst)
 		if worst > 5000 {
-			t.Errorf("as halves %s each other: %.0f bytes a second at the worst", phase.name, worst)
+			t.Errorf("%s: busiest driver %.0f bytes per second, want at most 5000", phase.name, worst)
 		}
 	}
 }
--- a/internal/peers/golden_test.go
+++ b/internal/peers/golden_test.go
@@ -15,7 +15,7 @@
 
 var update = flag.Bool("update", false, "rewrite golden files")
 
-// TestGoldenDatagrams checks that datagrams between drivers keep their bytes: drivers of several versions run side by side.
+// TestGoldenDatagrams checks that datagrams between drivers are encoded as by earlier builds, as drivers of several versions run side by side.
 func TestGoldenDatagrams(t *testing.T) {
 	const fleet = 0x1122334455667788
 	holder := lease.Holder{Node: 0x0102030405060708, Incarnation: 0x1112131415161718}
@@ -25,7 +25,7 @@
 	for name, c := range map[string]struct {
 		kind    peers.Kind
 		body    []byte
-		message *lease.Message // the body is this one, encoded
+		message *lease.Message // if not nil, encoded as the body
 	}{
 		"hello":         {kind: peers.Hello},
 		"hello-answer":  {kind: peers.Hello, body: []byte{1}},
--- a/internal/peers/message.go
+++ b/internal/peers/message.go
@@ -7,30 +7,30 @@
 	"github.com/zeebo/xxh3"
 )
 
-// Kind is what a message is about.
+// Kind is the kind of a message.
 type Kind uint8
 
 const (
-	Hello          Kind = iota + 1 // tells only who and where the sender is; a body of one byte makes it the answer to another Hello
-	Lease                          // a lease.Message
-	CollectDigests                 // the holder of the summary's lease asks all drivers for a Digest
+	Hello          Kind = iota + 1 // announces the sender and its address; with a body of one byte it answers another Hello
+	Lease                          // body is a lease.Message
+	CollectDigests                 // the holder of the summary lease requests a Digest from all drivers
 	Digest                         // a driver's counters for the summary
-	Revision                       // the revision of the endpoint list that the holder of discovery's lease has
-	Membership                     // of the fleet
-	Drain                          // cluster members that drain
+	Revision                       // revision of the endpoint list of the holder of the discovery lease
+	Membership                     // message of package membership
+	Drain                          // drain notices of package draingossip
 	lastKind       = Drain
 )
 
-// Message is what drivers of a fleet send each other, in one datagram.
+// Message is a message between two drivers of a fleet. It is sent as one datagram.
 type Message struct {
 	Kind        Kind
-	From        uint64 // xxh3 of the sender's name
-	Incarnation uint64 // of the sender's process, drawn at its start
-	Body        []byte // at most MaxBodyLength bytes; its form depends on Kind
+	From        uint64 // xxh3 hash of the sender's name
+	Incarnation uint64 // of the sender's process, assigned when it starts
+	Body        []byte // at most MaxBodyLength bytes; the encoding depends on Kind
 }
 
-// A datagram is: 2 bytes f7 70, 1 version, 1 kind, 8 sender, 8 incarnation, 8 checksum that is seeded with the hash of the fleet's name;
-// then the body. Numbers are little-endian.
+// A datagram consists of 2 bytes f7 70, 1 byte version, 1 kind, 8 sender, 8 incarnation, 8 checksum seeded with the hash of the fleet's name, and the
+// body. Numbers are little-endian.
 const (
 	magicFirst, magicSecond = 0xf7, 'p'
 
@@ -49,19 +49,19 @@
 	ErrChecksum       = errors.New("message is of another fleet or corrupted")
 )
 
-// Encode returns the datagram for drivers of the fleet; fleet is xxh3 of its name.
+// Encode returns the datagram of the message; fleet is the xxh3 hash of the fleet's name.
 func (m Message) Encode(fleet uint64) []byte {
 	out := make([]byte, 0, headerLength+len(m.Body))
 	out = append(out, magicFirst, magicSecond, formatVersion, byte(m.Kind))
 	out = binary.LittleEndian.AppendUint64(out, m.From)
 	out = binary.LittleEndian.AppendUint64(out, m.Incarnation)
-	out = binary.LittleEndian.AppendUint64(out, 0) // the checksum, below
+	out = binary.LittleEndian.AppendUint64(out, 0) // the checksum, which is set below
 	out = append(out, m.Body...)
 	binary.LittleEndian.PutUint64(out[checksumOffset:], checksum(out, fleet))
 	return out
 }
 
-// checksum covers the datagram except for the checksum itself.
+// checksum returns the checksum over the datagram except for the checksum itself.
 func checksum(encoded []byte, fleet uint64) uint64 {
 	hash := xxh3.NewSeed(fleet)
 	hash.Write(encoded[:checksumOffset])
@@ -69,8 +69,8 @@
 	return hash.Sum64()
 }
 
-// ParseMessage decodes a datagram of the fleet. The body shares the datagram's memory. The error is one of ErrNoMessage, ErrUnknownVersion and
-// ErrChecksum.
+// ParseMessage decodes a datagram; fleet is the xxh3 hash of the fleet's name. The body shares the datagram's memory. The error is one of
+// ErrNoMessage, ErrUnknownVersion and ErrChecksum.
 func ParseMessage(encoded []byte, fleet uint64) (m Message, err error) {
 	if len(encoded) < 4 || encoded[0] != magicFirst || encoded[1] != magicSecond {
 		return m, ErrNoMessage
--- a/internal/peers/message_test.go
+++ b/internal/peers/message_test.go
@@ -10,8 +10,8 @@
 	"passtack/internal/seeded"
 )
 
-// TestMessageRoundTrip checks that messages are decoded as they were encoded, and that messages of other fleets, other versions, corrupted
-// and truncated ones are rejected.
+// TestMessageRoundTrip checks that decoding an encoded message returns an equal message, and that messages of other fleets and versions and corrupted
+// and truncated messages are rejected.
 func TestMessageRoundTrip(t *testing.T) {
 	seeded.Check(t, func(t *rapid.T) {
 		message := Message{Kind: Kind(rapid.IntRange(1, int(lastKind)).Draw(t, "kind")), From: rapid.Uint64().Draw(t, "from"), Incarnation: rapid.Uint64().Draw(t, "life"),
@@ -23,28 +23,29 @@
 			t.Fatalf("%+v is decoded as %+v, %v", message, got, err)
 		}
 		if _, err := ParseMessage(encoded, 8); !errors.Is(err, ErrChecksum) {
-			t.Fatalf("another fleet's: %v", err)
+			t.Fatalf("message of another fleet: error %v, want ErrChecksum", err)
 		}
-		at := rapid.IntRange(0, len(encoded)-1).Draw(t, "at")
+		index := rapid.IntRange(0, len(encoded)-1).Draw(t, "at")
 		corrupted := bytes.Clone(encoded)
-		corrupted[at] ^= byte(1 << rapid.IntRange(0, 7).Draw(t, "bit"))
+		corrupted[index] ^= byte(1 << rapid.IntRange(0, 7).Draw(t, "bit"))
 		if _, err := ParseMessage(corrupted, 7); err == nil {
-			t.Fatalf("byte %d may be corrupted", at)
+			t.Fatalf("a message with a corrupted byte %d is decoded", index)
 		}
-		if _, err := ParseMessage(encoded[:at], 7); err == nil {
+		if _, err := ParseMessage(encoded[:index], 7); err == nil {
 			t.Fatal("a truncated message is decoded")
 		}
 	})
 	newer := Message{Kind: Hello}.Encode(7)
 	newer[2] = formatVersion + 1
 	if _, err := ParseMessage(newer, 7); !errors.Is(err, ErrUnknownVersion) {
-		t.Errorf("a newer version: %v", err)
+		t.Errorf("message of a newer version: error %v, want ErrUnknownVersion", err)
 	}
 	if _, err := ParseMessage([]byte("what the module says"), 7); !errors.Is(err, ErrNoMessage) {
-		t.Errorf("no message: %v", err)
+		t.Errorf("datagram that is not a message: error %v, want ErrNoMessage", err)
 	}
 }
 
+// FuzzParseMessage checks that a datagram that is accepted is the encoding of the decoded message.
 func FuzzParseMessage(f *testing.F) {
 	f.Add(Message{Kind: Lease, From: 1, Incarnation: 2, Body: []byte("body")}.Encode(7))
 	f.Fuzz(func(t *testing.T, in []byte) {
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -11,7 +11,7 @@
 	"passtack/internal/loop"
 )
 
-// TestOnlyPeersAreReceived checks that datagrams of unknown senders and overlong ones are dropped, on both sides.
+// TestOnlyPeersAreReceived checks that datagrams from unknown senders, to unknown receivers and of excessive length are dropped.
 func TestOnlyPeersAreReceived(t *testing.T) {
 	l, err := loop.New(1000, 0)
 	if err != nil {
@@ -31,10 +31,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	at := netip.MustParseAddrPort(free.LocalAddr().String())
+	listenAddress := netip.MustParseAddrPort(free.LocalAddr().String())
 	free.Close()
 	received := ""
-	p, err := Listen(l, at, addresses[1], addresses[:2], func(from driver.Peer, datagram []byte) {
+	p, err := Listen(l, listenAddress, addresses[1], addresses[:2], func(from driver.Peer, datagram []byte) {
 		if received += string(rune('0'+from)) + string(datagram); string(datagram) == "end" {
 			l.Stop()
 		}
@@ -42,13 +42,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	send := func(i int, datagram string) { others[i].WriteTo([]byte(datagram), net.UDPAddrFromAddrPort(at)) }
+	send := func(i int, datagram string) {
+		others[i].WriteTo([]byte(datagram), net.UDPAddrFromAddrPort(listenAddress))
+	}
 	send(2, "stray")
 	send(0, "one")
 	send(0, string(make([]byte, MaxDatagramLength+1)))
 	send(1, "end")
 	if err := l.Run(func() {}); err != nil || received != "0one1end" {
-		t.Fatalf("received %q, %v", received, err)
+		t.Fatalf("received %q, want \"0one1end\"; error %v", received, err)
 	}
 	p.Send(9, []byte("nobody"))
 	p.Send(0, make([]byte, MaxDatagramLength+1))
@@ -57,7 +59,7 @@
 	for i, want := range []string{"a", "b"} {
 		datagram := make([]byte, 999)
 		if n, _, err := others[i].ReadFrom(datagram); err != nil || !bytes.Equal(datagram[:n], []byte(want)) {
-			t.Errorf("peer %d reads %q, %v", i, datagram[:n], err)
+			t.Errorf("peer %d reads %q, which is not the datagram sent to it; error %v", i, datagram[:n], err)
 		}
 	}
 }
