--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,8 +1,8 @@
-// Package config reads the operator's file (HCL): the listeners beside the platform's, what each offers and may use, which
-// protocol members speak, what a driver persists, and its part in its fleet. All that is wrong with a file is reported at
-// once, each error with its file, line, column and value.
+// Package config reads the operator's configuration file (HCL): the listeners in addition to the platform's, what each of them serves and its
+// limits, the protocol of the members, what a driver persists, and its part in its fleet. All errors in a file are reported together, each
+// with file, line, column and value.
 //
-// Each block of the file is read in a file of its own.
+// The code that reads a type of block is in its own source file.
 package config
 
 import (
@@ -19,44 +19,44 @@
 	"passtack/internal/rollout/server"
 )
 
-// File is an operator's file that has been checked. Blocks that it does not have are nil.
+// File is a checked operator's file. Fields of missing blocks are nil.
 type File struct {
 	LogLevel   slog.Level
-	LogSample  int64       // lines of one event that are logged in a second; 0: all
-	Listeners  []*Listener // the platform's first
+	LogSample  int64       // maximum log lines per event and second; 0: unlimited
+	Listeners  []*Listener // the platform's listener comes first
 	Forms      map[driver.Group]driver.Form
-	MemberRoot string         // path under which members that speak OData serve
-	MemberHost string         // the Host field of requests to them, "" for the driver's name
-	Control    netip.AddrPort // of the control endpoint; invalid: there is none
+	MemberRoot string         // path of the service root on members that speak OData
+	MemberHost string         // Host header field of requests to these members; "": the driver's name
+	Control    netip.AddrPort // address of the control endpoint; invalid: no endpoint
 
 	State          *State
 	Leases         *Leases
 	Membership     *Membership
 	Configuration  *Configuration
-	ControlMachine *server.MachineConfig // in the file of a control machine
+	ControlMachine *server.MachineConfig // only in the file of a control machine
 
 	recheck func(methods []Method) (*File, error)
 }
 
-// Method is what the platform's settings say of a method, as far as the file is checked against it.
+// Method holds the platform's settings of a method that the file is checked against.
 type Method struct {
 	Name                      string
 	Need                      string // any, bounded, session, fresh or write
 	Idempotent                bool
-	HasIdempotencyKey         bool          // its RPCs carry an idempotency key
-	Window                    time.Duration // in which members recognize that key
+	HasIdempotencyKey         bool          // RPCs of the method carry an idempotency key
+	Window                    time.Duration // how long members recognize the key
 	SoftDeadline, MaxDeadline time.Duration
 }
 
-// Default returns what applies without a file: the platform's listener, which may use everything.
+// Default returns the configuration without a file: only the platform's listener, without limits.
 func Default() *File { return &File{Listeners: []*Listener{platformListener()}} }
 
 func platformListener() *Listener {
 	return &Listener{Protocol: "pg", Name: "platform", Quota: quota.Config{Weight: 1}}
 }
 
-// Read reads and checks a file. The platform's listener has its own address, and the settings have the methods. Errors in the
-// file are ValidationErrors.
+// Read reads and checks a file. The address is that of the platform's listener, the methods are those of the settings. Errors in the file are
+// returned as ValidationErrors.
 func Read(name string, listen netip.AddrPort, methods []Method) (*File, error) {
 	text, err := os.ReadFile(name)
 	if err != nil {
@@ -65,7 +65,7 @@
 	return Parse(text, name, listen, methods)
 }
 
-// Parse is Read for the text of a file. Errors have the name given.
+// Parse checks the text of a file like Read. The name is used in errors.
 func Parse(text []byte, name string, listen netip.AddrPort, methods []Method) (*File, error) {
 	r := &reader{methods: methods, addresses: map[netip.AddrPort]string{listen: "the platform's listener"}, text: text}
 	parsed, diagnostics := hclsyntax.ParseConfig(text, name, hcl.InitialPos)
@@ -81,7 +81,7 @@
 	return f, nil
 }
 
-// Recheck checks the same text against other methods.
+// Recheck checks the same text again, against other methods.
 func (f *File) Recheck(methods []Method) (*File, error) {
 	if f.recheck == nil {
 		return f, nil
--- a/internal/config/configuration.go
+++ b/internal/config/configuration.go
@@ -7,22 +7,22 @@
 	"github.com/hashicorp/hcl/v2"
 )
 
-// Configuration is where a driver polls for the configuration that is published for its fleet.
+// Configuration specifies where a driver polls for the configuration that is published for its fleet.
 type Configuration struct {
 	Fleet    string
-	Machines []netip.AddrPort // control machines
-	DataDir  string           // where the version in force is persisted; "": nowhere
+	Machines []netip.AddrPort // addresses of the control machines
+	DataDir  string           // directory in which the version in force is persisted; "": not persisted
 }
 
-// configuration reads which control machines a driver polls.
+// configuration reads the block that lists the control machines a driver polls.
 func (r *reader) configuration(f *File, b *hcl.Block) {
 	c := r.content(b.Body, []string{"fleet", "machines", "folder"})
 	if c == nil {
 		return
 	}
-	w := &Configuration{}
-	w.Fleet, _ = r.fleet(c)
-	w.DataDir = r.dataDir(c, false)
+	cfg := &Configuration{}
+	cfg.Fleet, _ = r.fleet(c)
+	cfg.DataDir = r.dataDir(c, false)
 	a := c.Attributes["machines"]
 	if a == nil {
 		r.addError(c.MissingItemRange, "machines is missing")
@@ -31,14 +31,14 @@
 	items, _ := r.items(a)
 	for _, item := range items {
 		address, err := netip.ParseAddrPort(textItem(item))
-		if err != nil || slices.Contains(w.Machines, address) {
-			r.addError(item.Range(), "a machine that is no address with a port, or is named twice (%s)", item.Range().SliceBytes(r.text))
+		if err != nil || slices.Contains(cfg.Machines, address) {
+			r.addError(item.Range(), "machines must be distinct IP addresses with a port, got %s", item.Range().SliceBytes(r.text))
 			continue
 		}
-		w.Machines = append(w.Machines, address)
+		cfg.Machines = append(cfg.Machines, address)
 	}
 	if n := len(items); n != 3 && n != 5 {
-		r.addError(a.Expr.Range(), "machines names %d; three or five are wanted", n)
+		r.addError(a.Expr.Range(), "machines must list three or five addresses, got %d", n)
 	}
-	f.Configuration = w
+	f.Configuration = cfg
 }
--- a/internal/config/configuration_test.go
+++ b/internal/config/configuration_test.go
@@ -8,27 +8,27 @@
 	"testing"
 )
 
-// The samples for configuration are read, and each error in them is reported with its place and value.
-func TestEachErrorInConfigurationIsReported(t *testing.T) {
+// The sample files of control machines and drivers are read, and each error in them is reported with its position and value.
+func TestConfigurationErrorsAreReported(t *testing.T) {
 	for file, mistakes := range map[string][]struct{ old, new, want string }{
 		"control.hcl": {
-			{`"127.0.0.1:7400"`, `"here"`, `:4:12: listen is no address with a port ("here")`},
-			{`"/var/lib/passtack/c0"`, `"c0"`, `:5:12: folder is no path from the root ("c0")`},
-			{`  folder = "/var/lib/passtack/c0"` + "\n", ``, `folder is no path from the root ("")`},
-			{`"bureau"`, `"my fleet"`, `fleet is no name of letters, digits, dots and dashes ("my fleet")`},
-			{`control_machine "c0"`, `control_machine "c 0"`, `a machine's name of other than letters, digits, dots and dashes ("c 0")`},
-			{`peer "c1"`, `peer "c0"`, `a peer's name that is given twice or cannot be ("c0")`},
-			{`peer "c1" {` + "\n    at = \"127.0.0.2:7400\"\n  }\n", ``, `1 blocks peer; two or four are wanted`},
-			{`    at = "127.0.0.3:7400"`, `    at = 7`, `at is no text (7)`},
+			{`"127.0.0.1:7400"`, `"here"`, `:4:12: listen must be an IP address with a port, got "here"`},
+			{`"/var/lib/passtack/c0"`, `"c0"`, `:5:12: folder must be an absolute path, got "c0"`},
+			{`  folder = "/var/lib/passtack/c0"` + "\n", ``, `folder must be an absolute path, got ""`},
+			{`"bureau"`, `"my fleet"`, `fleet must be 1 to 64 letters, digits, dots, dashes or underscores, got "my fleet"`},
+			{`control_machine "c0"`, `control_machine "c 0"`, `machine name must be 1 to 64 letters, digits, dots, dashes or underscores, got "c 0"`},
+			{`peer "c1"`, `peer "c0"`, `peer names must be distinct and 1 to 64 letters, digits, dots, dashes or underscores, got "c0"`},
+			{`peer "c1" {` + "\n    at = \"127.0.0.2:7400\"\n  }\n", ``, `control_machine must have two or four peer blocks, got 1`},
+			{`    at = "127.0.0.3:7400"`, `    at = 7`, `at must be a string, got 7`},
 			{`fleet  =`, `flete  =`, `unsupported argument`},
 		},
 		"configuration.hcl": {
-			{`"127.0.0.3:7400"]`, `"127.0.0.2:7400"]`, `a machine that is no address with a port, or is named twice ("127.0.0.2:7400")`},
-			{`"127.0.0.3:7400"]`, `7]`, `a machine that is no address with a port, or is named twice (7)`},
-			{`, "127.0.0.3:7400"]`, `]`, `machines names 2; three or five are wanted`},
-			{`["127.0.0.1:7400", "127.0.0.2:7400", "127.0.0.3:7400"]`, `"all"`, `machines names 0; three or five are wanted`},
-			{`"/var/lib/passtack/n0-configuration"`, `"n0"`, `folder is no path from the root ("n0")`},
-			{"configuration {", "configuration {\n}\nconfiguration {", `a second block configuration`},
+			{`"127.0.0.3:7400"]`, `"127.0.0.2:7400"]`, `machines must be distinct IP addresses with a port, got "127.0.0.2:7400"`},
+			{`"127.0.0.3:7400"]`, `7]`, `machines must be distinct IP addresses with a port, got 7`},
+			{`, "127.0.0.3:7400"]`, `]`, `machines must list three or five addresses, got 2`},
+			{`["127.0.0.1:7400", "127.0.0.2:7400", "127.0.0.3:7400"]`, `"all"`, `machines must list three or five addresses, got 0`},
+			{`"/var/lib/passtack/n0-configuration"`, `"n0"`, `folder must be an absolute path, got "n0"`},
+			{"configuration {", "configuration {\n}\nconfiguration {", `duplicate block configuration`},
 		},
 	} {
 		text, err := os.ReadFile("../../deploy/" + file)
@@ -36,7 +36,7 @@
 			t.Fatal(err)
 		}
 		good := string(text)
-		f, err := Parse(text, file, platform, methods)
+		f, err := Parse(text, file, platformAddress, methods)
 		if err != nil || f.ControlMachine == nil && f.Configuration == nil {
 			t.Fatalf("%s: %v", file, err)
 		}
@@ -45,13 +45,14 @@
 			if text == good {
 				t.Fatalf("%q is not in %s", m.old, file)
 			}
-			if _, err := Parse([]byte(text), file, platform, methods); err == nil || !strings.Contains(err.Error(), m.want) || !strings.HasPrefix(err.Error(), file+":") {
+			if _, err := Parse([]byte(text), file, platformAddress, methods); err == nil || !strings.Contains(err.Error(), m.want) || !strings.HasPrefix(err.Error(), file+":") {
 				t.Errorf("%s: %v, want %s", m.new, err, m.want)
 			}
 		}
 	}
 }
 
+// The file of a control machine is read. A file without the control_machine block gives ErrNoControlMachine.
 func TestControlMachineFile(t *testing.T) {
 	p, err := ReadMachine("../../deploy/control.hcl")
 	if err != nil || p.Name != "c0" || p.Fleet != "bureau" || len(p.Peers) != 2 || p.Peers[1].Name != "c2" || p.Peers[1].Address.Port() != 7400 || p.DataDir == "" {
@@ -65,6 +66,6 @@
 		t.Errorf("%v", err)
 	}
 	if _, err := ReadMachine(other + "x"); err == nil {
-		t.Error("a file that is not there")
+		t.Error("a missing file is read")
 	}
 }
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -9,7 +9,7 @@
 type ValidationError struct {
 	File         string
 	Line, Column int
-	Message      string // what is wrong, and the value
+	Message      string // description of the error, with the value
 }
 
 // Error returns the error as file:line:column: message.
@@ -17,10 +17,10 @@
 	return fmt.Sprintf("%s:%d:%d: %s", e.File, e.Line, e.Column, e.Message)
 }
 
-// ValidationErrors are all errors in a file.
+// ValidationErrors holds all errors in a file.
 type ValidationErrors []*ValidationError
 
-// Error returns the errors, one a line.
+// Error returns the errors, one per line.
 func (e ValidationErrors) Error() string {
 	lines := make([]string, len(e))
 	for i, each := range e {
--- a/internal/config/leases.go
+++ b/internal/config/leases.go
@@ -11,31 +11,31 @@
 	"passtack/internal/lease"
 )
 
-// Names of tasks.
+// The names of the tasks.
 const (
 	WatchDiscovery = "watch-discovery"
 	Summary        = "summary"
 )
 
-// Leases is a driver's part in the leases of its fleet, for work that one driver does for all.
+// Leases configures a driver's part in the leases of its fleet. A lease selects the one driver that does a task for all of them.
 type Leases struct {
 	Fleet                string // drivers of other fleets are ignored
-	Version              uint32 // of the set of voters
+	Version              uint32 // version of the voter set
 	Voters, FormerVoters []string
-	TTL, MaxTTL          time.Duration // of a lease; the longest that any driver of the fleet asks for
-	DataDir              string        // where a voter persists its promises; "": nowhere
+	TTL, MaxTTL          time.Duration // duration of a lease; longest duration that any driver of the fleet requests
+	DataDir              string        // directory in which a voter persists its promises; "": not persisted
 	Tasks                []Task
 }
 
-// Task is work for the holder of the lease of the same name.
+// Task is work done by the holder of the lease with the same name.
 type Task struct {
 	Name     string
 	Interval time.Duration  // between two summaries
-	Address  netip.AddrPort // that summaries are sent to
-	Path     string         // that they are put to
+	Address  netip.AddrPort // address that summaries are sent to
+	Path     string         // path of the PUT requests that carry the summaries
 }
 
-// VoterSet returns the voters, and those of the version before.
+// VoterSet returns the current voters and those of the previous version.
 func (l *Leases) VoterSet() lease.VoterSet {
 	s := lease.VoterSet{Version: l.Version}
 	for _, name := range l.Voters {
@@ -47,7 +47,7 @@
 	return s
 }
 
-// leases reads the driver's part in leases.
+// leases reads the block that configures the driver's part in leases.
 func (r *reader) leases(f *File, b *hcl.Block) {
 	c := r.content(b.Body, []string{"fleet", "version", "voters", "former", "lasts", "longest", "folder"}, hcl.BlockHeaderSchema{Type: "task", LabelNames: []string{"name"}})
 	if c == nil {
@@ -58,11 +58,11 @@
 	l.Voters = r.voters(c, "voters", true)
 	l.FormerVoters = r.voters(c, "former", false)
 	if l.FormerVoters != nil && l.Version == 1 {
-		r.addError(c.Attributes["former"].Expr.Range(), "former is given with the first version")
+		r.addError(c.Attributes["former"].Expr.Range(), "former must not be set in version 1")
 	}
 	l.TTL = r.durationOf(c, "lasts", 5*time.Second, 500*time.Millisecond, time.Minute)
 	if l.MaxTTL = r.durationOf(c, "longest", 2*l.TTL, 500*time.Millisecond, 10*time.Minute); l.MaxTTL < l.TTL {
-		r.addError(c.Attributes["longest"].Expr.Range(), "longest is under lasts (%v, %v)", l.MaxTTL, l.TTL)
+		r.addError(c.Attributes["longest"].Expr.Range(), "longest must not be shorter than lasts, got %v and %v", l.MaxTTL, l.TTL)
 	}
 	l.DataDir = r.dataDir(c, false)
 	for _, t := range c.Blocks {
@@ -71,7 +71,7 @@
 	f.Leases = l
 }
 
-// voters reads three, five or seven names of drivers.
+// voters reads a list of three, five or seven driver names.
 func (r *reader) voters(c *hcl.BodyContent, name string, required bool) (names []string) {
 	a := c.Attributes[name]
 	if a == nil {
@@ -87,13 +87,13 @@
 	for _, item := range items {
 		voter := textItem(item)
 		if !namePattern.MatchString(voter) || slices.Contains(names, voter) {
-			r.addError(item.Range(), "a name that cannot be, or that comes twice (%s)", item.Range().SliceBytes(r.text))
+			r.addError(item.Range(), "voter names must be distinct and 1 to 64 letters, digits, dots, dashes or underscores, got %s", item.Range().SliceBytes(r.text))
 			continue
 		}
 		names = append(names, voter)
 	}
 	if n := len(items); n != 3 && n != 5 && n != 7 {
-		r.addError(a.Expr.Range(), "%s are neither three nor five nor seven (%d)", name, n)
+		r.addError(a.Expr.Range(), "%s must list three, five or seven names, got %d", name, n)
 	}
 	return names
 }
@@ -102,11 +102,11 @@
 	t := Task{Name: b.Labels[0]}
 	attributes := map[string][]string{WatchDiscovery: {}, Summary: {"every", "to", "path"}}[t.Name]
 	if attributes == nil {
-		r.addError(b.LabelRanges[0], "tasks are %s and %s (%q)", WatchDiscovery, Summary, t.Name)
+		r.addError(b.LabelRanges[0], "task must be %s or %s, got %q", WatchDiscovery, Summary, t.Name)
 		return
 	}
 	if slices.ContainsFunc(l.Tasks, func(other Task) bool { return other.Name == t.Name }) {
-		r.addError(b.LabelRanges[0], "a second task of this name (%q)", t.Name)
+		r.addError(b.LabelRanges[0], "duplicate task %q", t.Name)
 	}
 	c := r.content(b.Body, attributes)
 	if c == nil {
@@ -121,8 +121,8 @@
 func (r *reader) summary(t *Task, c *hcl.BodyContent) {
 	t.Interval = r.durationOf(c, "every", time.Second, 10*time.Millisecond, time.Hour)
 	t.Address, _ = r.addressOf(c, "to")
-	var at hcl.Range
-	if t.Path, at = r.textOf(c, "path", "/fleet"); !strings.HasPrefix(t.Path, "/") || strings.ContainsAny(t.Path, " \r\n") {
-		r.addError(at, "path does not begin with a slash, or has a space (%q)", t.Path)
+	var location hcl.Range
+	if t.Path, location = r.textOf(c, "path", "/fleet"); !strings.HasPrefix(t.Path, "/") || strings.ContainsAny(t.Path, " \r\n") {
+		r.addError(location, "path must begin with a slash and contain no space or line break, got %q", t.Path)
 	}
 }
--- a/internal/config/listener.go
+++ b/internal/config/listener.go
@@ -10,15 +10,15 @@
 	"passtack/internal/quota"
 )
 
-// Listener is one listener for clients.
+// Listener is the configuration of one listener for clients.
 type Listener struct {
 	Protocol, Name string
-	Listen         netip.AddrPort // invalid for the platform's own
+	Listen         netip.AddrPort // invalid: the platform's listener
 	Quota          quota.Config
 	OData          *OData // nil for other protocols
 }
 
-// listeners reads all listeners and puts the platform's first. Without a block for it, it has the default.
+// listeners reads all listeners and puts the platform's first. If the file has no block for the platform's listener, the default is used.
 func (r *reader) listeners(f *File, blocks hcl.Blocks) {
 	names := make(map[string]bool)
 	hasPlatform := false
@@ -28,12 +28,12 @@
 			continue
 		}
 		if names[l.Name] {
-			r.addError(b.LabelRanges[1], "two fronts have this name (%q)", l.Name)
+			r.addError(b.LabelRanges[1], "duplicate front name %q", l.Name)
 		}
 		names[l.Name] = true
 		if !l.Listen.IsValid() {
 			if hasPlatform {
-				r.addError(b.DefRange, "a second front without listen (%q): only the platform's own has none", l.Name)
+				r.addError(b.DefRange, "front %q has no listen: only one front, the platform's, may omit it", l.Name)
 			}
 			hasPlatform = true
 		}
@@ -63,7 +63,7 @@
 		attributes = append(attributes, "root", "namespace")
 		blocks = append(blocks, hcl.BlockHeaderSchema{Type: "set", LabelNames: []string{"name"}}, hcl.BlockHeaderSchema{Type: "repeats"})
 	default:
-		r.addError(b.LabelRanges[0], "fronts speak pg or odata (%q)", l.Protocol)
+		r.addError(b.LabelRanges[0], "front protocol must be pg or odata, got %q", l.Protocol)
 		return nil
 	}
 	c := r.content(b.Body, attributes, blocks...)
@@ -74,7 +74,7 @@
 	l.Quota.Weight = r.numberOf(c, "weight", 1, 0.01, 1000)
 	if l.Protocol == "odata" {
 		if !l.Listen.IsValid() && c.Attributes["listen"] == nil {
-			r.addError(b.DefRange, "listen is missing (%q)", l.Name)
+			r.addError(b.DefRange, "front %q has no listen", l.Name)
 		}
 		l.OData = r.odata(f, c, b)
 	}
@@ -83,20 +83,20 @@
 }
 
 func (r *reader) listenAddress(l *Listener, c *hcl.BodyContent) {
-	text, at := r.textOf(c, "listen", "")
+	text, location := r.textOf(c, "listen", "")
 	if text == "" {
 		return
 	}
 	address, err := netip.ParseAddrPort(text)
 	if err != nil {
-		r.addError(at, "listen is no address with a port (%q)", text)
+		r.addError(location, "listen must be an IP address with a port, got %q", text)
 		return
 	}
-	r.reserveAddress(address, at, fmt.Sprintf("front %q", l.Name))
+	r.reserveAddress(address, location, fmt.Sprintf("front %q", l.Name))
 	l.Listen = address
 }
 
-// limits reads what a listener may use at most.
+// limits reads the limits of a listener.
 func (r *reader) limits(l *Listener, c *hcl.BodyContent) {
 	blocks := c.Blocks.OfType("limits")
 	r.atMostOne(blocks)
@@ -105,17 +105,17 @@
 		attributes = append(attributes, "target_bytes", "head_bytes", "fields", "body_bytes", "batch", "abreast")
 	}
 	for _, b := range blocks {
-		in := r.content(b.Body, attributes)
-		l.Quota.Limits[quota.Connections] = r.intOf(in, "connections", 0, 1, 1<<20)
-		l.Quota.Limits[quota.RPCs] = r.intOf(in, "rpcs", 0, 1, 1<<20)
-		l.Quota.Limits[quota.Bytes] = r.intOf(in, "memory_kb", 0, 1, 1<<20) << 10
+		content := r.content(b.Body, attributes)
+		l.Quota.Limits[quota.Connections] = r.intOf(content, "connections", 0, 1, 1<<20)
+		l.Quota.Limits[quota.RPCs] = r.intOf(content, "rpcs", 0, 1, 1<<20)
+		l.Quota.Limits[quota.Bytes] = r.intOf(content, "memory_kb", 0, 1, 1<<20) << 10
 		if o := l.OData; o != nil {
-			o.HTTP.Target = r.intOf(in, "target_bytes", o.HTTP.Target, 64, 64<<10)
-			o.HTTP.Head = r.intOf(in, "head_bytes", o.HTTP.Head, 256, 64<<10)
-			o.HTTP.Fields = r.intOf(in, "fields", o.HTTP.Fields, 4, 1000)
-			o.HTTP.Body = r.intOf(in, "body_bytes", o.HTTP.Body, 256, 1<<20)
-			o.MaxBatch = r.intOf(in, "batch", o.MaxBatch, 1, 1000)
-			o.MaxConcurrent = r.intOf(in, "abreast", o.MaxConcurrent, 1, 100)
+			o.HTTP.Target = r.intOf(content, "target_bytes", o.HTTP.Target, 64, 64<<10)
+			o.HTTP.Head = r.intOf(content, "head_bytes", o.HTTP.Head, 256, 64<<10)
+			o.HTTP.Fields = r.intOf(content, "fields", o.HTTP.Fields, 4, 1000)
+			o.HTTP.Body = r.intOf(content, "body_bytes", o.HTTP.Body, 256, 1<<20)
+			o.MaxBatch = r.intOf(content, "batch", o.MaxBatch, 1, 1000)
+			o.MaxConcurrent = r.intOf(content, "abreast", o.MaxConcurrent, 1, 100)
 		}
 	}
 }
--- a/internal/config/log.go
+++ b/internal/config/log.go
@@ -8,13 +8,13 @@
 
 var logLevels = map[string]slog.Level{"debug": slog.LevelDebug, "info": slog.LevelInfo, "warn": slog.LevelWarn, "error": slog.LevelError}
 
-// log reads how much is logged.
+// log reads the log level and the sampling limit.
 func (r *reader) log(f *File, b *hcl.Block) {
 	c := r.content(b.Body, []string{"level", "sample"})
-	level, at := r.textOf(c, "level", "info")
+	level, location := r.textOf(c, "level", "info")
 	var ok bool
 	if f.LogLevel, ok = logLevels[level]; !ok {
-		r.addError(at, "level is none of debug, info, warn and error (%q)", level)
+		r.addError(location, "level must be debug, info, warn or error, got %q", level)
 	}
 	f.LogSample = int64(r.intOf(c, "sample", 0, 0, 1_000_000))
 }
--- a/internal/config/members.go
+++ b/internal/config/members.go
@@ -11,29 +11,29 @@
 
 const maxGroup = 1<<16 - 1
 
-// members reads which groups have members that speak OData.
+// members reads the block that lists the groups whose members speak OData.
 func (r *reader) members(f *File, b *hcl.Block) {
 	c := r.content(b.Body, []string{"groups", "root", "host"})
 	if c == nil {
 		return
 	}
 	if b.Labels[0] != "odata" {
-		r.addError(b.LabelRanges[0], "members speak odata; those that no block names speak pg (%q)", b.Labels[0])
+		r.addError(b.LabelRanges[0], "protocol of a members block must be odata, got %q: groups without a block use pg", b.Labels[0])
 		return
 	}
-	var at hcl.Range
-	if f.MemberRoot, at = r.textOf(c, "root", "/"); !strings.HasPrefix(f.MemberRoot, "/") || !strings.HasSuffix(f.MemberRoot, "/") {
-		r.addError(at, "root neither begins nor ends with a slash (%q)", f.MemberRoot)
+	var location hcl.Range
+	if f.MemberRoot, location = r.textOf(c, "root", "/"); !strings.HasPrefix(f.MemberRoot, "/") || !strings.HasSuffix(f.MemberRoot, "/") {
+		r.addError(location, "root must begin and end with a slash, got %q", f.MemberRoot)
 	}
-	if f.MemberHost, at = r.textOf(c, "host", ""); strings.ContainsAny(f.MemberHost, " \t\r\n/") {
-		r.addError(at, "host is no name (%q)", f.MemberHost)
+	if f.MemberHost, location = r.textOf(c, "host", ""); strings.ContainsAny(f.MemberHost, " \t\r\n/") {
+		r.addError(location, "host must contain no white space or slash, got %q", f.MemberHost)
 	}
 	for _, g := range r.groups(c) {
 		f.Forms[g] = driver.Requests
 	}
 }
 
-// groups reads numbers of groups.
+// groups reads a list of group numbers.
 func (r *reader) groups(c *hcl.BodyContent) (groups []driver.Group) {
 	a := c.Attributes["groups"]
 	if a == nil {
@@ -51,13 +51,13 @@
 			n, _ = v.AsBigFloat().Float64()
 		}
 		if n < 0 || n > maxGroup || n != float64(int(n)) {
-			r.addError(item.Range(), "a group that cannot be (%s)", item.Range().SliceBytes(r.text))
+			r.addError(item.Range(), "a group must be a whole number from 0 to 65535, got %s", item.Range().SliceBytes(r.text))
 			continue
 		}
 		groups = append(groups, driver.Group(n))
 	}
 	if len(groups) == 0 && len(items) == 0 {
-		r.addError(a.Expr.Range(), "groups names none")
+		r.addError(a.Expr.Range(), "groups must not be empty")
 	}
 	return groups
 }
--- a/internal/config/membership.go
+++ b/internal/config/membership.go
@@ -6,14 +6,14 @@
 	"github.com/hashicorp/hcl/v2"
 )
 
-// Membership is how a driver keeps the membership list of its fleet.
+// Membership configures how a driver maintains the membership list of its fleet.
 type Membership struct {
 	Fleet             string
 	Interval          time.Duration // between two pings
-	MemberConnections int           // that a member accepts from all drivers together; 0: not known
+	MemberConnections int           // connections that a member accepts from all drivers together; 0: unknown
 }
 
-// membership reads how the membership list is kept. Leases are of the same fleet.
+// membership reads the block that configures the membership list. Its fleet must be that of the leases.
 func (r *reader) membership(f *File, b *hcl.Block) {
 	c := r.content(b.Body, []string{"fleet", "every", "connections"})
 	if c == nil {
@@ -24,9 +24,9 @@
 		MemberConnections: r.intOf(c, "connections", 0, 1, 1<<20),
 	}
 	f.Membership = m
-	var at hcl.Range
-	m.Fleet, at = r.fleet(c)
+	var location hcl.Range
+	m.Fleet, location = r.fleet(c)
 	if namePattern.MatchString(m.Fleet) && f.Leases != nil && f.Leases.Fleet != m.Fleet {
-		r.addError(at, "fleet is another than that of the leases (%q, %q)", m.Fleet, f.Leases.Fleet)
+		r.addError(location, "fleet %q differs from the fleet of the leases, %q", m.Fleet, f.Leases.Fleet)
 	}
 }
--- a/internal/config/odata.go
+++ b/internal/config/odata.go
@@ -12,25 +12,25 @@
 	"passtack/internal/odata"
 )
 
-// maxIdentifier is the longest identifier in bytes, after the OData standard.
+// maxIdentifier is the maximum length of an identifier in bytes, as in the OData standard.
 const maxIdentifier = 128
 
-// OData is what a listener for OData offers, and its limits.
+// OData configures the service and the limits of a listener for OData.
 type OData struct {
-	Root          string // path
+	Root          string // path of the service root
 	Model         *odata.Model
 	HTTP          httpwire.Limits
-	MaxBatch      int // requests in one batch
-	MaxConcurrent int // of these in service at once
+	MaxBatch      int // maximum requests in one batch
+	MaxConcurrent int // requests of one batch processed concurrently
 	Idempotency   IdempotencyCache
 }
 
-// IdempotencyCache limits what is cached of the answers to repeatable requests.
+// IdempotencyCache configures the cache of answers to repeatable requests.
 type IdempotencyCache struct {
-	Sticky     bool // all repeats of a client come to this driver
+	Sticky     bool // all repeats of a client arrive at this driver
 	TTL        time.Duration
 	MaxBytes   int
-	MaxPending int // requests that have no answer yet
+	MaxPending int // requests without an answer yet
 }
 
 func defaultOData() *OData {
@@ -43,15 +43,15 @@
 	}
 }
 
-// odata reads what a listener for OData offers. Its limits are read with those of other listeners.
+// odata reads the service that a listener for OData offers. Its limits are read by limits.
 func (r *reader) odata(f *File, c *hcl.BodyContent, b *hcl.Block) *OData {
 	o := defaultOData()
-	var at hcl.Range
-	if o.Root, at = r.textOf(c, "root", "/"); !strings.HasPrefix(o.Root, "/") || !strings.HasSuffix(o.Root, "/") || strings.ContainsAny(o.Root, " ?#%") {
-		r.addError(at, "root is no path that begins and ends with a slash (%q)", o.Root)
+	var location hcl.Range
+	if o.Root, location = r.textOf(c, "root", "/"); !strings.HasPrefix(o.Root, "/") || !strings.HasSuffix(o.Root, "/") || strings.ContainsAny(o.Root, " ?#%") {
+		r.addError(location, "root must begin and end with a slash and contain no space, ?, # or %%, got %q", o.Root)
 	}
-	if o.Model.Namespace, at = r.textOf(c, "namespace", "Service"); !isIdentifier(strings.ReplaceAll(o.Model.Namespace, ".", "")) {
-		r.addError(at, "namespace is no name (%q)", o.Model.Namespace)
+	if o.Model.Namespace, location = r.textOf(c, "namespace", "Service"); !isIdentifier(strings.ReplaceAll(o.Model.Namespace, ".", "")) {
+		r.addError(location, "namespace must be an OData identifier, which may contain dots, got %q", o.Model.Namespace)
 	}
 	blocks := c.Blocks.ByType()
 	r.atMostOne(blocks["repeats"])
@@ -59,7 +59,7 @@
 		r.idempotency(&o.Idempotency, repeats)
 	}
 	if len(blocks["set"]) == 0 {
-		r.addError(b.DefRange, "front %q offers no set", b.Labels[1])
+		r.addError(b.DefRange, "front %q has no set", b.Labels[1])
 	}
 	for _, set := range blocks["set"] {
 		r.addSet(o.Model, r.entitySet(f, set), set)
@@ -77,17 +77,17 @@
 
 func (r *reader) addSet(model *odata.Model, s *odata.Set, b *hcl.Block) {
 	if model.Set(s.Name) != nil {
-		r.addError(b.LabelRanges[0], "two sets have this name (%q)", s.Name)
+		r.addError(b.LabelRanges[0], "duplicate set name %q", s.Name)
 	}
 	for _, other := range model.Sets {
 		if other.Type == s.Type {
-			r.addError(b.DefRange, "two sets have entities of one type (%q)", s.Type)
+			r.addError(b.DefRange, "two sets have the entity type %q", s.Type)
 		}
 	}
 	model.Sets = append(model.Sets, s)
 }
 
-// isIdentifier reports whether a name may stand in metadata and paths.
+// isIdentifier reports whether a name is valid in metadata and paths.
 func isIdentifier(name string) bool {
 	for i, b := range []byte(name) {
 		if b != '_' && (b|0x20 < 'a' || b|0x20 > 'z') && (i == 0 || b < '0' || b > '9') {
@@ -101,16 +101,16 @@
 func (r *reader) entitySet(f *File, b *hcl.Block) *odata.Set {
 	s := &odata.Set{Name: b.Labels[0]}
 	if !isIdentifier(s.Name) {
-		r.addError(b.LabelRanges[0], "a set's name that cannot be (%q)", s.Name)
+		r.addError(b.LabelRanges[0], "set name must be an OData identifier, got %q", s.Name)
 	}
 	c := r.content(b.Body, []string{"type", "key", "etag", "page", "groups"}, hcl.BlockHeaderSchema{Type: "property", LabelNames: []string{"name"}},
 		hcl.BlockHeaderSchema{Type: "operation", LabelNames: []string{"name"}})
 	if c == nil {
 		return s
 	}
-	var at hcl.Range
-	if s.Type, at = r.textOf(c, "type", strings.TrimSuffix(s.Name, "s")); !isIdentifier(s.Type) {
-		r.addError(at, "type is no name (%q)", s.Type)
+	var location hcl.Range
+	if s.Type, location = r.textOf(c, "type", strings.TrimSuffix(s.Name, "s")); !isIdentifier(s.Type) {
+		r.addError(location, "type must be an OData identifier, got %q", s.Type)
 	}
 	s.Page = r.intOf(c, "page", 100, 1, 10_000)
 	s.Groups = r.groups(c)
@@ -131,21 +131,21 @@
 }
 
 func (r *reader) keyAndETag(s *odata.Set, c *hcl.BodyContent) {
-	key, at := r.textOf(c, "key", "")
+	key, location := r.textOf(c, "key", "")
 	if s.Key = s.Property(key); s.Key == nil {
-		r.addError(at, "key names no property of set %q (%q)", s.Name, key)
+		r.addError(location, "key must be a property of set %q, got %q", s.Name, key)
 		s.Key = &odata.Property{Type: odata.String}
 	} else if s.Key.Nullable {
-		r.addError(at, "the key may be null (%q)", key)
+		r.addError(location, "key property %q must not be nullable", key)
 	}
-	if name, at := r.textOf(c, "etag", ""); name != "" {
+	if name, location := r.textOf(c, "etag", ""); name != "" {
 		if s.ETag = s.Property(name); s.ETag == nil {
-			r.addError(at, "etag names no property of set %q (%q)", s.Name, name)
+			r.addError(location, "etag must be a property of set %q, got %q", s.Name, name)
 		}
 	}
 }
 
-// formOf returns the protocol that the members of a set's groups speak, which must be one.
+// formOf returns the protocol of the members of a set's groups. All groups of a set must have the same protocol.
 func (r *reader) formOf(f *File, s *odata.Set, c *hcl.BodyContent) driver.Form {
 	if len(s.Groups) == 0 {
 		return driver.Statements
@@ -153,7 +153,7 @@
 	form := f.Forms[s.Groups[0]]
 	for _, g := range s.Groups[1:] {
 		if f.Forms[g] != form {
-			r.addError(c.Attributes["groups"].Expr.Range(), "groups of set %q speak two protocols", s.Name)
+			r.addError(c.Attributes["groups"].Expr.Range(), "groups of set %q must not use two protocols", s.Name)
 			break
 		}
 	}
@@ -164,17 +164,17 @@
 	c := r.content(b.Body, []string{"type", "column", "nullable", "max_length"})
 	p := &odata.Property{Name: b.Labels[0]}
 	if !isIdentifier(p.Name) || slices.Contains(odata.Blanks, p.Name) {
-		r.addError(b.LabelRanges[0], "a property's name that cannot be (%q)", p.Name)
+		r.addError(b.LabelRanges[0], "property name must be an OData identifier and not a reserved placeholder, got %q", p.Name)
 	}
 	if s.Property(p.Name) != nil {
-		r.addError(b.LabelRanges[0], "two properties of set %q have this name (%q)", s.Name, p.Name)
+		r.addError(b.LabelRanges[0], "set %q has two properties named %q", s.Name, p.Name)
 	}
-	kind, at := r.textOf(c, "type", string(odata.String))
-	if p.Type = odata.Type(kind); !slices.Contains(odata.Types, p.Type) {
-		r.addError(at, "type is none of %v (%q)", odata.Types, kind)
+	typeName, location := r.textOf(c, "type", string(odata.String))
+	if p.Type = odata.Type(typeName); !slices.Contains(odata.Types, p.Type) {
+		r.addError(location, "type must be one of %v, got %q", odata.Types, typeName)
 	}
-	if p.Column, at = r.textOf(c, "column", p.Name); p.Column == "" || strings.ContainsRune(p.Column, 0) {
-		r.addError(at, "column is no name (%q)", p.Column)
+	if p.Column, location = r.textOf(c, "column", p.Name); p.Column == "" || strings.ContainsRune(p.Column, 0) {
+		r.addError(location, "column must not be empty or contain a null character, got %q", p.Column)
 	}
 	p.Nullable = r.boolOf(c, "nullable", false)
 	p.Length = r.intOf(c, "max_length", 0, 1, 1<<20)
--- a/internal/config/operation.go
+++ b/internal/config/operation.go
@@ -10,7 +10,7 @@
 	"passtack/internal/odata"
 )
 
-// requiredPlaceholders are those that the statement of an operation cannot do without.
+// requiredPlaceholders lists the placeholders that the statement of an operation must contain.
 var requiredPlaceholders = map[odata.Act][]string{
 	odata.Read:    {"key"},
 	odata.List:    {"top", "skip", "order"},
@@ -20,18 +20,18 @@
 	odata.Delete:  {"key"},
 }
 
-// operation reads one operation of an entity set, whose members speak the protocol given.
+// operation reads one operation of an entity set. The form is the protocol of the set's members.
 func (r *reader) operation(s *odata.Set, b *hcl.Block, form driver.Form) {
 	c := r.content(b.Body, []string{"method", "after_write", "statement"})
 	name := b.Labels[0]
 	i := slices.Index(odata.Names[:], name)
 	if i < 0 {
-		r.addError(b.LabelRanges[0], "an operation is one of %s (%q)", strings.Join(odata.Names[:], ", "), name)
+		r.addError(b.LabelRanges[0], "operation must be one of %s, got %q", strings.Join(odata.Names[:], ", "), name)
 		return
 	}
 	act := odata.Act(i)
 	if s.Operations[act] != nil {
-		r.addError(b.LabelRanges[0], "set %q has this operation twice (%q)", s.Name, name)
+		r.addError(b.LabelRanges[0], "set %q has two operations %q", s.Name, name)
 	}
 	o := &odata.Operation{}
 	s.Operations[act] = o
@@ -45,40 +45,40 @@
 	r.statement(o, act, s, form, c, name)
 }
 
-// method reads the name of a method, which must be for writes or for reads.
+// method reads the name of a method. The method must be for writes if writes is set, otherwise for reads.
 func (r *reader) method(c *hcl.BodyContent, attribute string, writes bool) (driver.Method, Method, bool) {
-	name, at := r.textOf(c, attribute, "")
+	name, location := r.textOf(c, attribute, "")
 	i := slices.IndexFunc(r.methods, func(m Method) bool { return m.Name == name })
 	switch {
 	case i < 0 && c.Attributes[attribute] == nil:
-		r.addError(at, "%s is missing", attribute)
+		r.addError(location, "%s is missing", attribute)
 	case i < 0:
-		r.addError(at, "%s is none of the settings (%q)", attribute, name)
+		r.addError(location, "%s is none of the settings (%q)", attribute, name)
 	case r.methods[i].writes() != writes:
 		use := "reads"
 		if !writes {
 			use = "writes"
 		}
-		r.addError(at, "%s is for %s, not for this (%q)", attribute, use, name)
+		r.addError(location, "%s must not be a method for %s, got %q", attribute, use, name)
 	default:
 		return driver.Method(i), r.methods[i], true
 	}
 	return 0, Method{}, false
 }
 
-// writes reports whether the method is for writes.
+// writes reports whether the method is used for writes.
 func (m Method) writes() bool { return m.Need == "write" }
 
-// seesOwnWrites reports whether a read by the method sees the writes of its session.
+// seesOwnWrites reports whether a read with this method sees the earlier writes of its session.
 func (m Method) seesOwnWrites() bool { return m.Need == "session" || m.Need == "fresh" }
 
-// mayBeStale reports whether a read by the method may be answered from older data than its session has written.
+// mayBeStale reports whether a read with this method may return data older than the writes of its session.
 func (m Method) mayBeStale() bool { return m.Need == "any" || m.Need == "bounded" }
 
-// afterWrite reads the method of a read that follows a write in the same batch.
+// afterWrite reads the method used for a read that follows a write in the same batch.
 func (r *reader) afterWrite(o *odata.Operation, act odata.Act, c *hcl.BodyContent, name string) {
 	if act.Writes() {
-		r.addError(c.Attributes["after_write"].NameRange, "after_write is for reads (%q)", name)
+		r.addError(c.Attributes["after_write"].NameRange, "after_write is only allowed for reads, operation %q writes", name)
 		return
 	}
 	number, m, ok := r.method(c, "after_write", false)
@@ -87,37 +87,37 @@
 	}
 	o.AfterWrite = number
 	if !m.seesOwnWrites() {
-		r.addError(c.Attributes["after_write"].Expr.Range(), "after_write sees no write of its session (%q)", m.Name)
+		r.addError(c.Attributes["after_write"].Expr.Range(), "after_write must be a method that sees the writes of its session, got %q", m.Name)
 	}
 }
 
-// statement reads the statement of an operation, which members that speak OData do not take.
+// statement reads the statement of an operation. Operations on members that speak OData must not have one.
 func (r *reader) statement(o *odata.Operation, act odata.Act, s *odata.Set, form driver.Form, c *hcl.BodyContent, name string) {
-	text, at := r.textOf(c, "statement", "")
+	text, location := r.textOf(c, "statement", "")
 	switch {
 	case form == driver.Requests && text != "":
-		r.addError(at, "members of set %q speak odata and take no statement", s.Name)
+		r.addError(location, "members of set %q speak odata and accept no statement", s.Name)
 		return
 	case form == driver.Statements && text == "":
-		r.addError(at, "statement is missing (%q)", name)
+		r.addError(location, "operation %q has no statement", name)
 		return
 	case form != driver.Statements:
 		return
 	}
 	template, err := odata.NewTemplate(text, s)
 	if err != nil {
-		r.addError(at, "statement: %v", err)
+		r.addError(location, "statement: %v", err)
 		return
 	}
 	for _, placeholder := range requiredPlaceholders[act] {
 		if !template.Has(placeholder) {
-			r.addError(at, "statement of %q leaves {%s} open nowhere", name, placeholder)
+			r.addError(location, "statement of %q must contain {%s}", name, placeholder)
 		}
 	}
 	o.Statement = template
 }
 
-// checkAfterWrites requires after_write of each read whose method may miss a write of the same batch.
+// checkAfterWrites reports each read without after_write whose method may miss a write of the same batch.
 func (r *reader) checkAfterWrites(s *odata.Set, blocks hcl.Blocks) {
 	if !hasWrites(s) {
 		return
--- a/internal/config/reader.go
+++ b/internal/config/reader.go
@@ -14,21 +14,21 @@
 	"passtack/driver"
 )
 
-// reader reads one file and collects the errors in it. A value that is missing or wrong is read as its default.
+// reader reads one file and collects its errors. A missing or invalid value is replaced by its default.
 type reader struct {
 	methods   []Method
-	addresses map[netip.AddrPort]string // that are listened on, and by whom
+	addresses map[netip.AddrPort]string // listen addresses and their owners
 	errors    ValidationErrors
 	text      []byte
 }
 
-// namePattern is what names of fleets, drivers and machines look like.
+// namePattern matches valid names of fleets, drivers and control machines.
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9._-]{1,64}$`)
 
 // file reads the blocks of a file.
 func (r *reader) file(body hcl.Body) *File {
 	f := &File{Forms: make(map[driver.Group]driver.Form), MemberRoot: "/"}
-	single := []struct {
+	uniqueBlocks := []struct {
 		block  string
 		labels []string
 		read   func(*File, *hcl.Block)
@@ -45,7 +45,7 @@
 		{Type: "front", LabelNames: []string{"protocol", "name"}},
 		{Type: "members", LabelNames: []string{"protocol"}},
 	}
-	for _, s := range single {
+	for _, s := range uniqueBlocks {
 		schema = append(schema, hcl.BlockHeaderSchema{Type: s.block, LabelNames: s.labels})
 	}
 	c := r.content(body, nil, schema...)
@@ -53,7 +53,7 @@
 		return f
 	}
 	blocks := c.Blocks.ByType()
-	for _, s := range single {
+	for _, s := range uniqueBlocks {
 		r.atMostOne(blocks[s.block])
 		for _, b := range blocks[s.block] {
 			s.read(f, b)
@@ -66,28 +66,28 @@
 	return f
 }
 
-func (r *reader) addError(at hcl.Range, format string, args ...any) {
+func (r *reader) addError(location hcl.Range, format string, args ...any) {
 	r.errors = append(r.errors, &ValidationError{
-		File: at.Filename, Line: at.Start.Line, Column: at.Start.Column, Message: fmt.Sprintf(format, args...),
+		File: location.Filename, Line: location.Start.Line, Column: location.Start.Column, Message: fmt.Sprintf(format, args...),
 	})
 }
 
-// addDiagnostics adds the errors of the HCL parser, with the value where it stands on one line.
+// addDiagnostics adds the errors of the HCL parser, each with its value unless that spans several lines.
 func (r *reader) addDiagnostics(diagnostics hcl.Diagnostics) {
 	for _, d := range diagnostics {
-		at := hcl.Range{}
+		location := hcl.Range{}
 		if d.Subject != nil {
-			at = *d.Subject
+			location = *d.Subject
 		}
 		value := ""
-		if at.CanSliceBytes(r.text) && at.End.Line == at.Start.Line {
-			value = fmt.Sprintf(" (%s)", at.SliceBytes(r.text))
+		if location.CanSliceBytes(r.text) && location.End.Line == location.Start.Line {
+			value = fmt.Sprintf(" (%s)", location.SliceBytes(r.text))
 		}
-		r.addError(at, "%s%s", strings.ToLower(d.Summary[:1])+d.Summary[1:], value)
+		r.addError(location, "%s%s", strings.ToLower(d.Summary[:1])+d.Summary[1:], value)
 	}
 }
 
-// content returns the attributes and blocks that a body may have. Whatever else it has is an error.
+// content returns the attributes and blocks of a body. Any that are not listed are errors.
 func (r *reader) content(body hcl.Body, attributes []string, blocks ...hcl.BlockHeaderSchema) *hcl.BodyContent {
 	schema := &hcl.BodySchema{Blocks: blocks}
 	for _, name := range attributes {
@@ -98,128 +98,128 @@
 	return c
 }
 
-// atMostOne reports each block but the first.
+// atMostOne reports each block after the first as an error.
 func (r *reader) atMostOne(blocks hcl.Blocks) {
 	for _, b := range blocks[min(1, len(blocks)):] {
-		r.addError(b.DefRange, "a second block %s", b.Type)
+		r.addError(b.DefRange, "duplicate block %s", b.Type)
 	}
 }
 
-// value returns an attribute of a type, and where it stands. It is not ok if it is missing or wrong.
-func (r *reader) value(c *hcl.BodyContent, name string, want cty.Type, kind string) (v cty.Value, at hcl.Range, ok bool) {
+// value returns the value of an attribute and its location. ok is false if it is missing or not of the wanted type.
+func (r *reader) value(c *hcl.BodyContent, name string, want cty.Type, expected string) (v cty.Value, location hcl.Range, ok bool) {
 	a := c.Attributes[name]
 	if a == nil {
 		return v, c.MissingItemRange, false
 	}
-	at = a.Expr.Range()
+	location = a.Expr.Range()
 	v, diagnostics := a.Expr.Value(nil)
 	if r.addDiagnostics(diagnostics); diagnostics.HasErrors() {
-		return v, at, false
+		return v, location, false
 	}
 	if !v.IsKnown() || v.IsNull() || !v.Type().Equals(want) {
-		r.addError(at, "%s is no %s (%s)", name, kind, at.SliceBytes(r.text))
-		return v, at, false
+		r.addError(location, "%s must be %s, got %s", name, expected, location.SliceBytes(r.text))
+		return v, location, false
 	}
-	return v, at, true
+	return v, location, true
 }
 
-func (r *reader) textOf(c *hcl.BodyContent, name, byDefault string) (string, hcl.Range) {
-	v, at, ok := r.value(c, name, cty.String, "text")
+func (r *reader) textOf(c *hcl.BodyContent, name, defaultValue string) (string, hcl.Range) {
+	v, location, ok := r.value(c, name, cty.String, "a string")
 	if !ok {
-		return byDefault, at
+		return defaultValue, location
 	}
-	return v.AsString(), at
+	return v.AsString(), location
 }
 
-func (r *reader) boolOf(c *hcl.BodyContent, name string, byDefault bool) bool {
+func (r *reader) boolOf(c *hcl.BodyContent, name string, defaultValue bool) bool {
 	v, _, ok := r.value(c, name, cty.Bool, "true or false")
 	if !ok {
-		return byDefault
+		return defaultValue
 	}
 	return v.True()
 }
 
-func (r *reader) numberOf(c *hcl.BodyContent, name string, byDefault, minimum, maximum float64) float64 {
-	v, at, ok := r.value(c, name, cty.Number, "number")
+func (r *reader) numberOf(c *hcl.BodyContent, name string, defaultValue, minimum, maximum float64) float64 {
+	v, location, ok := r.value(c, name, cty.Number, "a number")
 	if !ok {
-		return byDefault
+		return defaultValue
 	}
 	n, _ := v.AsBigFloat().Float64()
 	if n < minimum || n > maximum {
-		r.addError(at, "%s is not from %v to %v (%v)", name, minimum, maximum, n)
-		return byDefault
+		r.addError(location, "%s must be from %v to %v, got %v", name, minimum, maximum, n)
+		return defaultValue
 	}
 	return n
 }
 
-func (r *reader) intOf(c *hcl.BodyContent, name string, byDefault, minimum, maximum int) int {
-	n := r.numberOf(c, name, float64(byDefault), float64(minimum), float64(maximum))
+func (r *reader) intOf(c *hcl.BodyContent, name string, defaultValue, minimum, maximum int) int {
+	n := r.numberOf(c, name, float64(defaultValue), float64(minimum), float64(maximum))
 	if n != float64(int(n)) {
-		r.addError(c.Attributes[name].Expr.Range(), "%s is no whole number (%v)", name, n)
+		r.addError(c.Attributes[name].Expr.Range(), "%s must be a whole number, got %v", name, n)
 	}
 	return int(n)
 }
 
-func (r *reader) durationOf(c *hcl.BodyContent, name string, byDefault, minimum, maximum time.Duration) time.Duration {
-	text, at := r.textOf(c, name, "")
+func (r *reader) durationOf(c *hcl.BodyContent, name string, defaultValue, minimum, maximum time.Duration) time.Duration {
+	text, location := r.textOf(c, name, "")
 	if text == "" {
-		return byDefault
+		return defaultValue
 	}
 	d, err := time.ParseDuration(text)
 	if err != nil || d < minimum || d > maximum {
-		r.addError(at, "%s is no time from %v to %v (%q)", name, minimum, maximum, text)
-		return byDefault
+		r.addError(location, "%s must be a duration from %v to %v, got %q", name, minimum, maximum, text)
+		return defaultValue
 	}
 	return d
 }
 
-// addressOf reads an address with a port. One that is missing is an error.
-func (r *reader) addressOf(c *hcl.BodyContent, name string) (address netip.AddrPort, at hcl.Range) {
-	text, at := r.textOf(c, name, "")
+// addressOf reads an address with a port. A missing address is an error.
+func (r *reader) addressOf(c *hcl.BodyContent, name string) (address netip.AddrPort, location hcl.Range) {
+	text, location := r.textOf(c, name, "")
 	address, err := netip.ParseAddrPort(text)
 	if err != nil {
-		r.addError(at, "%s is no address with a port (%q)", name, text)
+		r.addError(location, "%s must be an IP address with a port, got %q", name, text)
 	}
-	return address, at
+	return address, location
 }
 
-// reserveAddress notes who listens on an address, which is an error if another does already.
-func (r *reader) reserveAddress(address netip.AddrPort, at hcl.Range, owner string) {
+// reserveAddress records the owner of a listen address. It is an error if another owner already uses the address.
+func (r *reader) reserveAddress(address netip.AddrPort, location hcl.Range, owner string) {
 	for other, otherOwner := range r.addresses {
 		if other.Port() == address.Port() && other.Port() != 0 &&
 			(other.Addr() == address.Addr() || other.Addr().IsUnspecified() || address.Addr().IsUnspecified()) {
-			r.addError(at, "listen is taken by %s (%q)", otherOwner, address.String())
+			r.addError(location, "listen is already used by %s, got %q", otherOwner, address.String())
 		}
 	}
 	r.addresses[address] = owner
 }
 
-// fleet reads the name of a fleet.
-func (r *reader) fleet(c *hcl.BodyContent) (name string, at hcl.Range) {
-	name, at = r.textOf(c, "fleet", "")
+// fleet reads a fleet name.
+func (r *reader) fleet(c *hcl.BodyContent) (name string, location hcl.Range) {
+	name, location = r.textOf(c, "fleet", "")
 	if !namePattern.MatchString(name) {
-		r.addError(at, "fleet is no name of letters, digits, dots and dashes (%q)", name)
+		r.addError(location, "fleet must be 1 to 64 letters, digits, dots, dashes or underscores, got %q", name)
 	}
-	return name, at
+	return name, location
 }
 
-// dataDir reads a data directory. If it is not required, it may be missing or empty.
+// dataDir reads the path of a data directory. A directory that is not required may be missing or empty.
 func (r *reader) dataDir(c *hcl.BodyContent, required bool) string {
-	path, at := r.textOf(c, "folder", "")
+	path, location := r.textOf(c, "folder", "")
 	if (path != "" || required) && !filepath.IsAbs(path) {
-		r.addError(at, "folder is no path from the root (%q)", path)
+		r.addError(location, "folder must be an absolute path, got %q", path)
 	}
 	return path
 }
 
-// items returns the expressions of a list. It is not ok if the attribute is none.
+// items returns the expressions of a list. ok is false if the attribute is not a list.
 func (r *reader) items(a *hcl.Attribute) (items []hcl.Expression, ok bool) {
 	items, diagnostics := hcl.ExprList(a.Expr)
 	r.addDiagnostics(diagnostics)
 	return items, !diagnostics.HasErrors()
 }
 
-// textItem returns an item of a list if it is a text, and "" otherwise.
+// textItem returns the value of a list item, or "" if it is not a string.
 func textItem(item hcl.Expression) string {
 	v, _ := item.Value(nil)
 	if !v.IsKnown() || v.IsNull() || !v.Type().Equals(cty.String) {
--- a/internal/config/state.go
+++ b/internal/config/state.go
@@ -6,14 +6,14 @@
 	"github.com/hashicorp/hcl/v2"
 )
 
-// State is where a driver persists what it has learned.
+// State configures how a driver persists its learned state.
 type State struct {
 	DataDir      string
-	SaveInterval time.Duration // between two commits
-	MaxBytes     int           // that the directory may take
+	SaveInterval time.Duration // time between two commits
+	MaxBytes     int           // maximum size of the directory
 }
 
-// state reads where learned state is persisted.
+// state reads the block that configures where learned state is persisted.
 func (r *reader) state(f *File, b *hcl.Block) {
 	c := r.content(b.Body, []string{"folder", "every", "most_kb"})
 	if c == nil {
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -1,5 +1,5 @@
-// Package control answers operators' questions about one driver, on an address of the driver's own machine. A client connects, sends a
-// question as one line, and receives one JSON value. Questions change nothing.
+// Package control answers operators' queries about one driver, on a local address of the driver's machine. A client connects, sends a query as
+// one line, and receives one JSON value. Queries are read-only.
 package control
 
 import (
@@ -14,30 +14,30 @@
 )
 
 const (
-	maxQuestionBytes = 64
-	maxConnections   = 8
-	questionTimeout  = 2 * time.Second // for a complete question
+	maxQueryBytes  = 64
+	maxConnections = 8
+	receiveTimeout = 2 * time.Second // to receive a complete query
 )
 
-// Handlers returns the answer to each question, as a value that JSON can encode. They are called on the event loop.
+// Handlers maps each query to a function that returns the answer, a value that JSON can encode. The functions are called on the event loop.
 type Handlers map[string]func() any
 
-// connection is a client that may ask one question.
+// connection is a connection of a client, which may send one query.
 type connection struct {
 	loop     *loop.Loop
 	handlers Handlers
 	stream   *loop.Stream
-	timer    loop.Timer // closes the connection
+	timer    loop.Timer // closes the connection after receiveTimeout
 }
 
-// Listen answers questions at the address until the listener is closed.
+// Listen answers queries at the address until the listener is closed.
 func Listen(l *loop.Loop, address netip.AddrPort, handlers Handlers) (*loop.Listener, error) {
 	limiter := loop.AcceptLimiter{Descriptors: func(int) int { return maxConnections }}
-	return l.Listen(address, maxQuestionBytes, limiter, func(open func(loop.Handler) *loop.Stream) {
+	return l.Listen(address, maxQueryBytes, limiter, func(open func(loop.Handler) *loop.Stream) {
 		c := &connection{loop: l, handlers: handlers}
 		c.stream = open(c)
 		if c.stream != nil {
-			c.timer = l.At(l.Now()+questionTimeout, c.close)
+			c.timer = l.At(l.Now()+receiveTimeout, c.close)
 		}
 	}, func(bool) {})
 }
@@ -62,7 +62,7 @@
 func (c *connection) Input(in []byte) int {
 	line, _, complete := bytes.Cut(in, []byte("\n"))
 	if !complete {
-		if len(in) >= maxQuestionBytes {
+		if len(in) >= maxQueryBytes {
 			c.close()
 		}
 		return 0
@@ -74,13 +74,13 @@
 	return len(in)
 }
 
-// answer returns the answer to a question, or an object with an error, as JSON.
-func (c *connection) answer(question string) []byte {
+// answer returns the answer to a query, or an object with an error, as JSON.
+func (c *connection) answer(query string) []byte {
 	var value any
-	if handler := c.handlers[question]; handler != nil {
+	if handler := c.handlers[query]; handler != nil {
 		value = handler()
 	} else {
-		value = map[string]string{"error": fmt.Sprintf("there is nothing to tell of %q", question)}
+		value = map[string]string{"error": fmt.Sprintf("there is nothing to tell of %q", query)}
 	}
 	text, err := json.Marshal(value)
 	if err != nil {
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -12,46 +12,47 @@
 	"passtack/internal/loop"
 )
 
-// serve answers questions at a free address until the test ends.
+// serve answers queries at a free address until the test ends, and returns the address.
 func serve(t *testing.T, answers Handlers) string {
 	t.Helper()
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	at := free.Addr().String()
+	address := free.Addr().String()
 	free.Close()
 	l, err := loop.New(200, 1<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Listen(l, netip.MustParseAddrPort(at), answers); err != nil {
+	if _, err := Listen(l, netip.MustParseAddrPort(address), answers); err != nil {
 		t.Fatal(err)
 	}
-	over := make(chan struct{})
+	stopped := make(chan struct{})
 	go func() {
 		l.Run(func() { l.Stop() })
 		l.Close()
-		close(over)
+		close(stopped)
 	}()
 	t.Cleanup(func() {
 		l.Wake()
-		<-over
+		<-stopped
 	})
-	return at
+	return address
 }
 
+// A query returns the decoded answer, or an error if the query is unknown, the answer cannot be encoded or no driver listens.
 func TestQuery(t *testing.T) {
-	at := serve(t, Handlers{"status": func() any { return map[string]int{"rpcs": 7} }, "broken": func() any { return func() {} }})
+	address := serve(t, Handlers{"status": func() any { return map[string]int{"rpcs": 7} }, "broken": func() any { return func() {} }})
 	var got map[string]int
-	if err := Query(at, "status", &got); err != nil || got["rpcs"] != 7 {
+	if err := Query(address, "status", &got); err != nil || got["rpcs"] != 7 {
 		t.Errorf("%v, %v", got, err)
 	}
 	var failure *Error
-	if err := Query(at, "weather", &got); !errors.As(err, &failure) || failure.Message != `there is nothing to tell of "weather"` {
-		t.Errorf("an unknown question: %v", err)
+	if err := Query(address, "weather", &got); !errors.As(err, &failure) || failure.Message != `there is nothing to tell of "weather"` {
+		t.Errorf("an unknown query: %v", err)
 	}
-	if err := Query(at, "broken", &got); err == nil {
+	if err := Query(address, "broken", &got); err == nil {
 		t.Error("a value that JSON cannot encode is answered")
 	}
 	if err := Query("127.0.0.1:1", "status", &got); err == nil {
@@ -59,12 +60,13 @@
 	}
 }
 
-// Connections that send nothing, too much or half a line are closed, and prevent no other query.
+// Connections that send nothing, too much or an incomplete line are closed, and do not block later queries: otherwise maxConnections of them
+// would make the endpoint unusable.
 func TestSilentConnectionsAreClosed(t *testing.T) {
-	at := serve(t, Handlers{"status": func() any { return 1 }})
+	address := serve(t, Handlers{"status": func() any { return 1 }})
 	var silent []net.Conn
 	for range maxConnections {
-		c, err := net.Dial("tcp", at)
+		c, err := net.Dial("tcp", address)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -72,17 +74,17 @@
 		silent = append(silent, c)
 	}
 	silent[0].Write([]byte("stat"))
-	silent[1].Write([]byte(strings.Repeat("x", 10*maxQuestionBytes)))
-	silent[1].SetDeadline(time.Now().Add(questionTimeout / 2))
+	silent[1].Write([]byte(strings.Repeat("x", 10*maxQueryBytes)))
+	silent[1].SetDeadline(time.Now().Add(receiveTimeout / 2))
 	if _, err := io.ReadAll(silent[1]); err != nil && strings.Contains(err.Error(), "timeout") {
-		t.Error("a connection that sends too much is not closed at once")
+		t.Error("a connection that sends too much is not closed immediately")
 	}
-	silent[0].SetDeadline(time.Now().Add(2 * questionTimeout))
+	silent[0].SetDeadline(time.Now().Add(2 * receiveTimeout))
 	if _, err := io.ReadAll(silent[0]); err != nil && strings.Contains(err.Error(), "timeout") {
-		t.Error("a connection that sends half a line is not closed")
+		t.Error("a connection that sends an incomplete line is not closed")
 	}
 	var got int
-	if err := Query(at, "status", &got); err != nil || got != 1 {
+	if err := Query(address, "status", &got); err != nil || got != 1 {
 		t.Errorf("afterwards: %v, %v", got, err)
 	}
 }
--- a/internal/control/query.go
+++ b/internal/control/query.go
@@ -13,18 +13,19 @@
 	maxAnswerBytes = 16 << 20
 )
 
-// Error is a driver's answer to a question that it cannot answer.
+// Error is the error that a driver returned for a query.
 type Error struct {
-	Address string // of the driver
+	Address string // of the driver's control endpoint
 	Message string
 }
 
-// Error returns the driver's message.
-func (e *Error) Error() string { return e.Address + " says: " + e.Message }
+// Error returns the driver's address and message.
+func (e *Error) Error() string { return e.Address + " answered with an error: " + e.Message }
 
-// Query asks a driver a question at its address, and decodes the answer into a value. A question that the driver cannot answer gives an *Error.
-func Query(address, question string, into any) error {
-	text, err := exchange(address, question)
+// Query sends a query to the control endpoint at an address, and decodes the answer into a value. An error reported by the driver is returned as
+// *Error.
+func Query(address, query string, into any) error {
+	text, err := exchange(address, query)
 	if err != nil {
 		return err
 	}
@@ -33,13 +34,13 @@
 		return &Error{Address: address, Message: failure.Error}
 	}
 	if err := json.Unmarshal(text, into); err != nil {
-		return fmt.Errorf("decode the answer of %s to %q: %w", address, question, err)
+		return fmt.Errorf("decode the answer of %s to %q: %w", address, query, err)
 	}
 	return nil
 }
 
-// exchange sends a question and returns the bytes of the answer.
-func exchange(address, question string) ([]byte, error) {
+// exchange sends a query and returns the bytes of the answer.
+func exchange(address, query string) ([]byte, error) {
 	c, err := net.DialTimeout("tcp", address, queryTimeout)
 	if err != nil {
 		return nil, err
@@ -48,7 +49,7 @@
 	if err := c.SetDeadline(time.Now().Add(queryTimeout)); err != nil {
 		return nil, err
 	}
-	if _, err := fmt.Fprintln(c, question); err != nil {
+	if _, err := fmt.Fprintln(c, query); err != nil {
 		return nil, err
 	}
 	return io.ReadAll(io.LimitReader(c, maxAnswerBytes))
--- a/internal/rollout/acceptor.go
+++ b/internal/rollout/acceptor.go
@@ -6,7 +6,7 @@
 	"passtack/internal/lease"
 )
 
-// raiseFloor records the newest version that some driver has reported, unless it is implausibly high.
+// raiseFloor raises the floor to a version that a driver has reported. A version more than maxVersionGap above all known ones is ignored.
 func (m *Machine) raiseFloor(floor uint64) {
 	if floor > m.state.Floor && floor <= max(m.state.Floor, m.state.Committed.Version)+maxVersionGap {
 		m.state.Floor = floor
@@ -14,13 +14,13 @@
 	}
 }
 
-// ObserveVersion records a version that a driver has reported. It returns false if that version cannot be of this fleet.
+// ObserveVersion records a version that a driver has reported. It returns false if the version is too high to belong to this fleet.
 func (m *Machine) ObserveVersion(version uint64) bool {
 	m.raiseFloor(version)
 	return version <= max(m.state.Floor, m.state.Committed.Version)
 }
 
-// onPrepare promises to reject lower ballots, and answers with what was accepted.
+// onPrepare promises to reject lower ballots, and answers with the accepted and the committed entry.
 func (m *Machine) onPrepare(from lease.Node, msg Message) {
 	if !m.state.Joined {
 		return
@@ -44,7 +44,7 @@
 	})
 }
 
-// onAccept writes the writer's entry, and answers once it is in storage.
+// onAccept persists the writer's entry, and answers once it is in storage. Entries older than the accepted one are ignored.
 func (m *Machine) onAccept(from lease.Node, msg Message) {
 	if !m.state.Joined || msg.Entry == nil {
 		return
@@ -66,7 +66,7 @@
 	})
 }
 
-// onCommit handles the writer's heartbeat. The answer has version 0 if this machine lacks the committed entry.
+// onCommit handles the writer's heartbeat. The answer has version 0 if this machine does not have the committed entry.
 func (m *Machine) onCommit(from lease.Node, msg Message, now time.Duration) {
 	if msg.Ballot.Less(m.state.Promised) {
 		m.sendReject(from)
@@ -94,7 +94,7 @@
 	m.host.VersionCommitted(entry)
 }
 
-// sendReject tells a writer of the higher ballot that this machine has promised.
+// sendReject informs a writer of the higher ballot that this machine has promised.
 func (m *Machine) sendReject(to lease.Node) {
 	if to == m.self {
 		m.onReject(m.state.Promised)
@@ -103,7 +103,7 @@
 	m.host.Send(to, Message{Op: OpReject, Ballot: m.state.Promised})
 }
 
-// reply answers the writer, which may be this machine.
+// reply sends an answer to the writer. If this machine is the writer, the answer is handled directly.
 func (m *Machine) reply(to lease.Node, msg Message) {
 	switch {
 	case to != m.self:
--- a/internal/rollout/client/client.go
+++ b/internal/rollout/client/client.go
@@ -1,5 +1,5 @@
-// Package client is a driver's side of the configuration service. It polls control machines for newer versions, and reports with each poll
-// what the driver has in force. rollout.MachineSelector decides which machine is polled, and when.
+// Package client is the driver's side of the configuration service. It polls control machines for newer versions, and reports the driver's
+// state with each poll. rollout.MachineSelector decides which machine is polled, and when.
 package client
 
 import (
@@ -19,33 +19,34 @@
 	"passtack/internal/rollout/server"
 )
 
-// Host is the driver. It is called on the loop.
+// Host is the driver that uses the client. Its methods are called on the loop.
 type Host interface {
-	// Report returns what the driver has in force.
+	// Report returns the version in force, the rejected version and the settings that need a restart.
 	Report() rollout.DriverReport
-	// VersionOffered hands over a version newer than the one in force and the one rejected. The host calls Client.Settled once that is either.
+	// VersionOffered passes a version newer than both the one in force and the rejected one. The host calls Client.Settled once it has applied
+	// or rejected the version.
 	VersionOffered(version uint64, text []byte)
-	// Count increments the counter of that name.
+	// Count increments the counter with the given name.
 	Count(counter string)
 }
 
 const (
-	applyTimeout           = 2 * time.Second // for the host to settle a version, before the next poll is sent all the same
+	applyTimeout           = 2 * time.Second // for the host to apply or reject a version; the next poll is sent then in any case
 	unreachableLogInterval = 30 * time.Second
 	pollTimeout            = rollout.LongPollWait + rollout.LongPollSlack
 )
 
-// Counters of a driver, by name.
+// Names of the counters passed to Host.Count.
 const (
 	counterPolls        = "configuration_polls"
 	counterPollFailures = "configuration_poll_failures"
 )
 
-var errNoAnswer = errors.New("no answer in time")
+var errNoAnswer = errors.New("no answer within the poll timeout")
 
 var limits = httpwire.Limits{Head: 1 << 10, Fields: 16, Body: rollout.MaxTextBytes}
 
-// Client polls the control machines of one driver. Its methods must be called on its loop.
+// Client polls control machines on behalf of one driver. Its methods must be called on its loop.
 type Client struct {
 	loop         *loop.Loop
 	host         Host
@@ -53,20 +54,20 @@
 	machines     []netip.AddrPort
 	selector     *rollout.MachineSelector
 	stream       *loop.Stream // nil: not connected
-	connectedTo  int          // index of the stream's machine
-	inFlight     bool         // a poll is sent and not answered
-	timer        loop.Timer   // of the poll's timeout, or of the next poll
+	connectedTo  int          // index of the machine that the stream is connected to
+	inFlight     bool         // a poll has been sent and not answered yet
+	timer        loop.Timer   // timeout of the current poll, or start of the next one
 	lastAnswerAt time.Duration
 	unreachable  unreachableLog
 }
 
-// unreachableLog limits how often it is logged that no machine answers.
+// unreachableLog limits how often the client logs that no machine answers.
 type unreachableLog struct {
-	active     bool // it was logged, and no machine has answered since
+	active     bool // logged, and no machine has answered since
 	quietUntil time.Duration
 }
 
-// New returns a client that begins to poll at once.
+// New returns a client that starts to poll immediately.
 func New(l *loop.Loop, host Host, fleet, driver string, machines []netip.AddrPort, seed uint64) *Client {
 	var names []string
 	for _, address := range machines {
@@ -84,19 +85,19 @@
 	return c
 }
 
-// CurrentMachine returns the address of the machine that is polled, and for how long no machine has answered.
-func (c *Client) CurrentMachine() (address netip.AddrPort, silent time.Duration) {
+// CurrentMachine returns the address of the machine that is polled, and the time since any machine last answered.
+func (c *Client) CurrentMachine() (address netip.AddrPort, sinceAnswer time.Duration) {
 	return c.machines[c.selector.Current()], c.loop.Now() - c.lastAnswerAt
 }
 
-// Settled tells the client that an offered version is in force or rejected, so that the next poll reports it.
+// Settled informs the client that an offered version has been applied or rejected. The next poll, which reports this, is sent immediately.
 func (c *Client) Settled() {
 	if !c.inFlight {
 		c.schedule(0)
 	}
 }
 
-// schedule sets the time of the next poll.
+// schedule starts the next poll after a delay.
 func (c *Client) schedule(delay time.Duration) {
 	c.loop.Cancel(c.timer)
 	c.timer = c.loop.At(c.loop.Now()+delay, c.poll)
@@ -130,7 +131,7 @@
 	c.stream.Send(httpwire.AppendLength(head, len(body)), body)
 }
 
-// connect connects to the selected machine, unless a usable connection is there.
+// connect connects to the selected machine, unless there is a usable connection to it.
 func (c *Client) connect() error {
 	selected := c.selector.Current()
 	if c.stream != nil && (c.connectedTo != selected || !c.stream.Alive()) {
@@ -183,7 +184,7 @@
 	return r.Size
 }
 
-// handleReply handles the answer to a poll: a newer version, or that there is none.
+// handleReply handles the answer to a poll: 200 with a newer version, or 204 if there is none. Any other status is a failure.
 func (c *Client) handleReply(r httpwire.Reply) {
 	var version uint64
 	switch r.Status {
@@ -195,7 +196,7 @@
 		}
 	case 204:
 	default:
-		c.fail(fmt.Errorf("status %d", r.Status))
+		c.fail(fmt.Errorf("control machine answered with HTTP status %d", r.Status))
 		return
 	}
 	c.succeed()
@@ -207,13 +208,13 @@
 	c.host.VersionOffered(version, slices.Clone(r.Body))
 }
 
-// offeredVersion returns the version of an answer, which must be newer than what the driver has reported.
+// offeredVersion returns the version number of an answer. It must be higher than the versions that the driver reports.
 func (c *Client) offeredVersion(r httpwire.Reply) (uint64, error) {
 	text := r.Fields.Text(server.VersionField)
 	version, err := strconv.ParseUint(text, 10, 64)
 	report := c.host.Report()
 	if err != nil || version <= max(report.Version, report.RejectedVersion) {
-		return 0, fmt.Errorf("version %q is offered, %d is in force", text, report.Version)
+		return 0, fmt.Errorf("offered version %q is not a number above the reported ones; version %d is in force", text, report.Version)
 	}
 	return version, nil
 }
@@ -235,16 +236,16 @@
 	}
 }
 
-// fail ends a poll without a good answer, and schedules one of the next machine.
+// fail ends a failed poll, and schedules a poll of the next machine.
 func (c *Client) fail(cause error) {
 	now := c.loop.Now()
 	c.disconnect()
 	c.inFlight = false
 	c.host.Count(counterPollFailures)
 	c.schedule(c.selector.Failed(now))
-	silent := now - c.lastAnswerAt
-	if silent > pollTimeout && now >= c.unreachable.quietUntil {
+	sinceAnswer := now - c.lastAnswerAt
+	if sinceAnswer > pollTimeout && now >= c.unreachable.quietUntil {
 		c.unreachable = unreachableLog{active: true, quietUntil: now + unreachableLogInterval}
-		slog.Warn("configuration machines unreachable", "version", c.host.Report().Version, "silent_ms", silent.Milliseconds(), "cause", cause)
+		slog.Warn("configuration machines unreachable", "version", c.host.Report().Version, "silent_ms", sinceAnswer.Milliseconds(), "cause", cause)
 	}
 }
--- a/internal/rollout/client/golden_test.go
+++ b/internal/rollout/client/golden_test.go
@@ -17,7 +17,7 @@
 
 var update = flag.Bool("update", false, "rewrite golden files")
 
-// driver is the host of a client: it takes over each offered version but the third.
+// driver is the host of a client. It applies each offered version except version 3, which it rejects.
 type driver struct {
 	report  rollout.DriverReport
 	client  *Client
@@ -26,7 +26,7 @@
 }
 
 func (d *driver) Report() rollout.DriverReport { return d.report }
-func (d *driver) Count(what string)            { d.counts[what]++ }
+func (d *driver) Count(counter string)         { d.counts[counter]++ }
 func (d *driver) VersionOffered(version uint64, text []byte) {
 	d.offered = append(d.offered, fmt.Sprintf("%d: %s", version, text))
 	if version == 3 {
@@ -37,7 +37,7 @@
 	d.client.Settled()
 }
 
-// machine is a control machine that gives prepared answers and notes the requests.
+// machine is a control machine that sends prepared answers and records the requests.
 type machine struct {
 	stream   *loop.Stream
 	requests bytes.Buffer
@@ -56,9 +56,10 @@
 	return len(in)
 }
 
+// Control machines depend on the exact requests of a client, which must not change. They report applied and rejected versions.
 func TestGoldenRequests(t *testing.T) {
 	world := sim.New(3, 1767225600*time.Second)
-	on := func(name string) *loop.Loop {
+	newLoop := func(name string) *loop.Loop {
 		h := world.AddHost(name)
 		l, err := loop.NewWithSystem(h, 100, 16<<20)
 		if err != nil {
@@ -67,14 +68,14 @@
 		h.Serve(l, func() {})
 		return l
 	}
-	at := netip.MustParseAddrPort("10.0.0.1:7400")
+	address := netip.MustParseAddrPort("10.0.0.1:7400")
 	m := &machine{answers: []string{"HTTP/1.1 204 No Content\r\n\r\n", "HTTP/1.1 200 OK\r\nVersion: 2\r\nContent-Length: 2\r\n\r\n{}",
 		"HTTP/1.1 200 OK\r\nVersion: 3\r\nContent-Length: 15\r\n\r\n{\"settings\":{}}", "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"}}
-	if _, err := on("c0").Listen(at, 1<<20, loop.AcceptLimiter{}, func(open func(loop.Handler) *loop.Stream) { m.stream = open(m) }, func(bool) {}); err != nil {
+	if _, err := newLoop("c0").Listen(address, 1<<20, loop.AcceptLimiter{}, func(open func(loop.Handler) *loop.Stream) { m.stream = open(m) }, func(bool) {}); err != nil {
 		t.Fatal(err)
 	}
 	d := &driver{report: rollout.DriverReport{Driver: "d0"}, counts: make(map[string]int)}
-	d.client = New(on("d0"), d, "bureau", "d0", []netip.AddrPort{at}, 1)
+	d.client = New(newLoop("d0"), d, "bureau", "d0", []netip.AddrPort{address}, 1)
 	world.Run(world.Now() + 200*time.Millisecond)
 	path := filepath.Join("testdata", "requests.txt")
 	if *update {
--- a/internal/rollout/join.go
+++ b/internal/rollout/join.go
@@ -2,14 +2,14 @@
 
 import "passtack/internal/lease"
 
-// requestState asks all peers for what they know. A machine with empty storage does so until it has joined.
+// requestState asks all peers for their state. A machine with empty storage repeats this until it has joined.
 func (m *Machine) requestState() {
 	if !m.joining {
 		m.broadcast(Message{Op: OpLearn, Floor: m.state.Floor})
 	}
 }
 
-// onLearn sends all that this machine knows to a peer with empty storage.
+// onLearn sends this machine's state to a peer with empty storage.
 func (m *Machine) onLearn(from lease.Node) {
 	m.host.Send(from, Message{
 		Op:        OpLearned,
@@ -21,8 +21,8 @@
 	})
 }
 
-// onLearned joins once all peers have answered. All are needed, since what this machine had promised or accepted before it lost its storage
-// may be known to only one of them.
+// onLearned joins once all peers have answered. A majority is not enough: a promise or an accepted entry that this machine lost with its
+// storage may be known to only one peer.
 func (m *Machine) onLearned(from lease.Node, msg Message) {
 	if m.state.Joined || m.joining {
 		return
@@ -33,39 +33,39 @@
 			return
 		}
 	}
-	next := m.learnedState()
+	learned := m.learnedState()
 	m.joining = true
-	m.host.Persist(next, func(err error) {
+	m.host.Persist(learned, func(err error) {
 		m.joining = false
 		if err == nil {
-			m.join(next)
+			m.join(learned)
 		}
 	})
 }
 
-// learnedState merges the answers of all peers into the machine's own state.
+// learnedState returns the machine's state merged with the answers of all peers.
 func (m *Machine) learnedState() State {
-	next := m.state
-	next.Joined = true
+	learned := m.state
+	learned.Joined = true
 	for _, answer := range m.learnAnswers {
-		if next.Promised.Less(answer.Ballot) {
-			next.Promised = answer.Ballot
+		if learned.Promised.Less(answer.Ballot) {
+			learned.Promised = answer.Ballot
 		}
-		if answer.Entry != nil && answer.Entry.acceptedAfter(&next.Accepted) {
-			next.Accepted = *answer.Entry
+		if answer.Entry != nil && answer.Entry.acceptedAfter(&learned.Accepted) {
+			learned.Accepted = *answer.Entry
 		}
-		if answer.Committed != nil && answer.Committed.Version > next.Committed.Version {
-			next.Committed = *answer.Committed
+		if answer.Committed != nil && answer.Committed.Version > learned.Committed.Version {
+			learned.Committed = *answer.Committed
 		}
 	}
-	return next
+	return learned
 }
 
-// join takes over the learned state, now in storage. Drivers may have raised the floor in the meantime.
-func (m *Machine) join(next State) {
-	next.Floor = max(m.state.Floor, next.Floor)
-	m.state = next
-	if next.Committed.Version > 0 {
-		m.host.VersionCommitted(next.Committed)
+// join adopts the learned state, which is now in storage. The floor may have been raised while the state was being persisted.
+func (m *Machine) join(learned State) {
+	learned.Floor = max(m.state.Floor, learned.Floor)
+	m.state = learned
+	if learned.Committed.Version > 0 {
+		m.host.VersionCommitted(learned.Committed)
 	}
 }
--- a/internal/rollout/machine.go
+++ b/internal/rollout/machine.go
@@ -9,17 +9,18 @@
 
 // Host connects a Machine to its network, its storage and the drivers and publishers that call it.
 type Host interface {
-	// Send sends a message to a peer. It may be lost.
+	// Send sends a message to a peer. The message may be lost.
 	Send(to lease.Node, m Message)
-	// Persist writes the state to storage, then calls then with the result. Calls to then come in the order of the calls to Persist.
-	Persist(s State, then func(error))
+	// Persist writes the state to storage, then calls done with the result. The done functions are called in the order of the Persist calls.
+	Persist(s State, done func(error))
 	// VersionCommitted is called when the machine learns of a newer committed entry.
 	VersionCommitted(e Entry)
-	// PublishDone reports the outcome of a PublishRequest, once for each.
+	// PublishDone reports the outcome of a PublishRequest, exactly once for each request.
 	PublishDone(requestID uint64, o Outcome, version uint64)
-	// IncarnationSuperseded is called when a peer knows the given incarnation of this machine. A machine with a lower one must take a higher one.
+	// IncarnationSuperseded is called when a peer knows the given incarnation of this machine. A machine whose own is lower must adopt a higher
+	// one.
 	IncarnationSuperseded(incarnation uint64)
-	// StepDown releases the lease, because a higher ballot was seen.
+	// StepDown releases the lease. It is called when a peer has promised a higher ballot.
 	StepDown()
 }
 
@@ -28,20 +29,20 @@
 	host         Host
 	self         lease.Node
 	peers        []lease.Node
-	majority     int                   // of the peers and this machine
-	incarnations map[lease.Node]uint64 // the latest seen of each peer
+	majority     int                   // of all machines, this one included
+	incarnations map[lease.Node]uint64 // latest known incarnation of each peer
 	state        State
 
-	joining      bool                   // the joined state is being persisted
-	learnAnswers map[lease.Node]Message // OpLearned of the peers' latest incarnations
+	joining      bool                   // the state learned from the peers is being persisted
+	learnAnswers map[lease.Node]Message // OpLearned messages of the peers' latest incarnations
 
-	announcedVersion uint64        // in the writer's last OpCommit
-	announcedAt      time.Duration // when that came
+	announcedVersion uint64        // committed version in the writer's last OpCommit
+	announcedAt      time.Duration // when the last OpCommit arrived
 
 	term writerTerm
 }
 
-// New returns the replica of a machine that starts with the given state from storage.
+// New returns the replica of a machine. The state is the one found in storage at the start.
 func New(host Host, self lease.Node, peers []lease.Node, state State) *Machine {
 	return &Machine{
 		host:         host,
@@ -55,29 +56,29 @@
 	}
 }
 
-// Joined reports whether the machine votes, and so may request the lease.
+// Joined reports whether the machine votes. Only then may it request the lease.
 func (m *Machine) Joined() bool { return m.state.Joined }
 
 // Committed returns the newest entry that the machine knows to be committed.
 func (m *Machine) Committed() Entry { return m.state.Committed }
 
-// IsFresh reports whether the machine may claim that no newer version is committed: the writer, or a majority where this machine is the
-// writer, has confirmed that within FreshnessTimeout.
+// IsFresh reports whether the machine may claim that no newer version is committed. The writer must have confirmed this within
+// FreshnessTimeout; if this machine is the writer, a majority must have acknowledged its heartbeat within that time.
 func (m *Machine) IsFresh(now time.Duration) bool {
 	if !m.IsWriter() {
 		return m.state.Joined && now-m.announcedAt < FreshnessTimeout && m.state.Committed.Version >= m.announcedVersion
 	}
 	confirmed := 1
-	for _, at := range m.term.confirmedAt {
-		if now-at < FreshnessTimeout {
+	for _, acknowledgedAt := range m.term.confirmedAt {
+		if now-acknowledgedAt < FreshnessTimeout {
 			confirmed++
 		}
 	}
 	return confirmed >= m.majority
 }
 
-// Receive handles a message of a peer. Messages of an earlier incarnation are ignored, and the sender is told the latest one known: its clock
-// may have been set back, so that its incarnations went down.
+// Receive handles a message of a peer. A message of an earlier incarnation is ignored and answered with the latest incarnation known: the
+// sender's clock may have been set back, which lowers the incarnation it derives from the clock.
 func (m *Machine) Receive(from lease.Node, incarnation uint64, msg Message, now time.Duration) {
 	if !slices.Contains(m.peers, from) {
 		return
@@ -116,8 +117,8 @@
 	}
 }
 
-// discardAnswers drops what an earlier incarnation of a peer has answered, as the peer's storage may be empty now. What a majority had
-// answered stays committed: one of the other machines tells the new incarnation before it votes.
+// discardAnswers removes the answers of a peer's earlier incarnation, since the peer's storage may be empty now. An entry that a majority had
+// accepted stays committed: the new incarnation learns it from one of the other machines before it votes.
 func (m *Machine) discardAnswers(peer lease.Node) {
 	delete(m.learnAnswers, peer)
 	delete(m.term.confirmedAt, peer)
@@ -125,17 +126,17 @@
 	delete(m.term.acceptedBy, peer)
 }
 
-// Tick repeats what may have been lost. The host calls it every HeartbeatInterval.
+// Tick resends messages that may have been lost. The host calls it every HeartbeatInterval.
 func (m *Machine) Tick() {
 	switch {
 	case !m.state.Joined:
 		m.requestState()
 	case !m.term.active():
 	case m.term.promises != nil:
-		m.repeatPrepare()
+		m.resendPrepare()
 	default:
 		m.announce()
-		m.repeatAccept()
+		m.resendAccept()
 	}
 }
 
@@ -146,7 +147,7 @@
 	}
 }
 
-// members returns this machine and its peers.
-func (m *Machine) members() []lease.Node {
+// allNodes returns this machine and its peers.
+func (m *Machine) allNodes() []lease.Node {
 	return append([]lease.Node{m.self}, m.peers...)
 }
--- a/internal/rollout/machine_test.go
+++ b/internal/rollout/machine_test.go
@@ -8,7 +8,7 @@
 	"passtack/internal/lease"
 )
 
-// stableSimulation returns a simulation without faults, only with random delays, in which machine 0 is the writer.
+// stableSimulation returns a simulation with random delays but no other faults, in which machine 0 is the writer.
 func stableSimulation(t *testing.T) *simulation {
 	t.Helper()
 	s := newSimulation(7, nil)
@@ -47,7 +47,7 @@
 	}
 }
 
-// Of two concurrent publications with the same base version one succeeds. A retry is answered with the version it already has.
+// Of two concurrent publications with the same base version only one succeeds. A retry is answered with the version it was published as.
 func TestConcurrentPublishes(t *testing.T) {
 	s := stableSimulation(t)
 	s.mustPublish(t, 0, 1, 0, 1)
@@ -65,12 +65,12 @@
 	}
 }
 
-// A writer that is cut off from its peers publishes nothing, and learns what they have published once it is connected again.
+// A writer that is partitioned from its peers publishes nothing. Once the partition ends, it adopts the version that they have published.
 func TestPartitionedWriterPublishesNothing(t *testing.T) {
 	s := stableSimulation(t)
 	s.mustPublish(t, 0, 1, 0, 1)
 	for n := 1; n < 3; n++ {
-		s.cut[[2]int{0, n}], s.cut[[2]int{n, 0}] = true, true
+		s.cutLinks[[2]int{0, n}], s.cutLinks[[2]int{n, 0}] = true, true
 	}
 	s.publish(0, 2, 1)
 	s.run(time.Second)
@@ -80,17 +80,17 @@
 	s.replicas[1].machine.LeaseGained(s.nextNumber())
 	s.run(time.Second)
 	s.mustPublish(t, 1, 3, 1, 2)
-	clear(s.cut)
+	clear(s.cutLinks)
 	s.run(time.Second)
 	if s.replicas[0].machine.IsWriter() || s.published[2<<32|1] != 0 {
 		t.Errorf("still the writer: %v, published %v", s.replicas[0].machine.IsWriter(), s.published)
 	}
 	if v := s.versions(); !slices.Equal(v, []uint64{2, 2, 2}) || s.texts[2] != "text 3" {
-		t.Errorf("machines have %v, version 2 says %q", v, s.texts[2])
+		t.Errorf("machines have %v, version 2 is %q", v, s.texts[2])
 	}
 }
 
-// A version may be committed while only the writer that crashes knows that: the next writer adopts it.
+// A version may be committed while only the writer knows. If the writer then crashes, the next one must adopt the version.
 func TestMajorityAcceptedVersionSurvivesWriterCrash(t *testing.T) {
 	s := stableSimulation(t)
 	s.publish(0, 1, 0)
@@ -107,13 +107,13 @@
 	}
 }
 
-// A machine accepts, crashes, and restarts with empty storage before the writer has the entry in its own. The acceptance of the earlier
-// incarnation is discarded, as nobody could tell the new one of it.
+// A machine accepts an entry, crashes and restarts with empty storage before the writer has the entry in storage. The acceptance of the earlier
+// incarnation must be discarded: no machine has the entry, so the new incarnation cannot learn it.
 func TestAnswersOfEarlierIncarnationsAreDiscarded(t *testing.T) {
 	s := stableSimulation(t)
 	s.mustPublish(t, 0, 1, 0, 1)
 	m, incarnation := s.replicas[0].machine, s.replicas[1].incarnation
-	m.term.proposal, m.term.acceptedBy = &Entry{Version: 2, Ballot: m.term.ballot, Text: "text 9"}, make(map[lease.Node]bool) // in nobody's storage yet
+	m.term.proposal, m.term.acceptedBy = &Entry{Version: 2, Ballot: m.term.ballot, Text: "text 9"}, make(map[lease.Node]bool) // in no machine's storage yet
 	accepted := Message{Op: OpAccepted, Ballot: m.term.ballot, Version: 2}
 	m.Receive(nodeOf(1), incarnation, accepted, s.now)
 	if len(m.term.acceptedBy) != 1 {
@@ -132,7 +132,7 @@
 	}
 }
 
-// When all machines have lost their storage, drivers keep their version, and the next one is above that.
+// After all machines have lost their storage, drivers keep their version, and the next published version is higher.
 func TestVersionsRiseAfterAllStorageIsLost(t *testing.T) {
 	s := stableSimulation(t)
 	for id := range uint64(5) {
@@ -151,11 +151,11 @@
 	s.run(time.Second)
 	s.replicas[1].machine.LeaseGained(s.nextNumber())
 	s.run(time.Second)
-	s.mustPublish(t, 1, 11, 0, 1) // before any driver has polled
+	s.mustPublish(t, 1, 11, 0, 1) // no driver has polled yet
 	s.pollDriver(0, 2)
 	s.run(time.Second)
 	if v := s.versions(); !slices.Equal(v, []uint64{6, 6, 6}) || s.texts[6] != "text 11" {
-		t.Errorf("machines have %v, version 6 says %q", v, s.texts[6])
+		t.Errorf("machines have %v, version 6 is %q", v, s.texts[6])
 	}
 	if s.pollDriver(0, 0); s.drivers[0] != 6 {
 		t.Errorf("the driver has version %d", s.drivers[0])
@@ -163,7 +163,7 @@
 	s.mustPublish(t, 1, 12, 6, 7)
 }
 
-// A machine with empty storage does not vote before all its peers have told it what they know.
+// A machine with empty storage does not vote before all its peers have sent their state: a majority might not know what it had promised.
 func TestEmptyMachineLearnsFromAllPeersBeforeVoting(t *testing.T) {
 	s := stableSimulation(t)
 	s.mustPublish(t, 0, 1, 0, 1)
@@ -173,7 +173,7 @@
 	s.replicas[1].start()
 	s.run(3 * time.Second)
 	if s.replicas[1].machine.Joined() {
-		t.Error("it votes, though one peer has not answered")
+		t.Error("the machine votes although one peer has not answered")
 	}
 	s.replicas[2].machine.LeaseGained(s.nextNumber())
 	s.run(time.Second)
@@ -187,7 +187,8 @@
 	}
 }
 
-// A driver cannot make the machines accept a version that is far above all they know.
+// A version that a driver reports is ignored if it is far above all versions that the machines know. Otherwise one
+// driver could use up the version numbers.
 func TestImplausibleVersionIsRejected(t *testing.T) {
 	s := stableSimulation(t)
 	s.mustPublish(t, 0, 1, 0, 1)
@@ -200,15 +201,15 @@
 	}
 	s.run(time.Second)
 	if v := s.versions(); !slices.Equal(v, []uint64{41, 41, 41}) || s.texts[41] != "text 1" {
-		t.Errorf("machines have %v, version 41 says %q", v, s.texts[41])
+		t.Errorf("machines have %v, version 41 is %q", v, s.texts[41])
 	}
 }
 
-// Publications above the bound are rejected at once, and all others are answered when the machine loses the lease.
+// Publications above the limit are rejected immediately. All others are answered when the machine loses the lease.
 func TestPendingPublishesAreBoundedAndAnswered(t *testing.T) {
 	s := stableSimulation(t)
 	for n := 1; n < 3; n++ {
-		s.cut[[2]int{0, n}] = true
+		s.cutLinks[[2]int{0, n}] = true
 	}
 	answers := make(map[Outcome]int)
 	m := s.replicas[0].machine
@@ -236,7 +237,7 @@
 
 func (a countingHost) PublishDone(_ uint64, o Outcome, _ uint64) { a.answers[o]++ }
 
-// A machine whose clock was set back while it was down takes a higher incarnation.
+// A machine whose clock was set back while it was down has too low an incarnation, and its peers ignore it. It must adopt a higher one.
 func TestLowerIncarnationIsCorrected(t *testing.T) {
 	s := stableSimulation(t)
 	s.mustPublish(t, 0, 1, 0, 1)
--- a/internal/rollout/message.go
+++ b/internal/rollout/message.go
@@ -2,7 +2,7 @@
 
 import "passtack/internal/lease"
 
-// Ballot is the right to write: the fencing token of a lease and its holder.
+// Ballot identifies a writer's term: the fencing token of its lease and the lease holder. Ballots are ordered by Less.
 type Ballot struct {
 	Number uint64
 	Node   lease.Node
@@ -13,17 +13,17 @@
 	return b.Number < o.Number || b.Number == o.Number && b.Node < o.Node
 }
 
-// Publication is a publication that was written: the ID that its publisher chose, and the version that it became.
+// Publication records a publication that has been proposed: the ID that its publisher chose, and the version number it was given.
 type Publication struct {
 	ID, Version uint64
 }
 
-// Entry is one version with its text.
+// Entry is one version of the configuration.
 type Entry struct {
-	Version uint64        // 0: none yet
-	Ballot  Ballot        // under which it was last written
+	Version uint64        // 0: no version yet
+	Ballot  Ballot        // ballot under which the entry was last written
 	Text    string        // the configuration, as JSON
-	Recent  []Publication // the last publications, newest last
+	Recent  []Publication // latest publications, newest last, up to maxRecentPublications
 }
 
 // acceptedAfter reports whether e was accepted later than o.
@@ -31,7 +31,7 @@
 	return o.Ballot.Less(e.Ballot) || e.Ballot == o.Ballot && e.Version > o.Version
 }
 
-// publishedVersion returns the version that a publication became, or 0 if it is not among the recent ones.
+// publishedVersion returns the version number of a publication, or 0 if the publication is not in Recent.
 func (e *Entry) publishedVersion(id uint64) uint64 {
 	for _, p := range e.Recent {
 		if p.ID == id {
@@ -49,39 +49,39 @@
 	return &e
 }
 
-// State is what a machine must have in storage before it answers.
+// State is the durable state of a machine. The machine must have it in storage before it answers a message.
 type State struct {
-	Joined    bool   // it may vote, as it has learned what its peers know
-	Promised  Ballot // it rejects messages of lower ballots
-	Accepted  Entry  // the newest entry it has written, whether or not a majority has
-	Committed Entry  // the newest entry it knows to be committed
-	Floor     uint64 // the newest version that any driver has reported
+	Joined    bool   // the machine may vote, as it has learned its peers' state
+	Promised  Ballot // messages of lower ballots are rejected
+	Accepted  Entry  // newest entry that this machine has accepted, whether or not a majority has
+	Committed Entry  // newest entry known to be committed
+	Floor     uint64 // newest version that any driver has reported
 }
 
-// Op is the kind of a message between machines.
+// Op is the type of a message between machines.
 type Op string
 
-// The kinds of messages.
+// The message types.
 const (
-	OpPrepare          Op = "prepare"  // from a new writer: asks for a promise, and for what was accepted
+	OpPrepare          Op = "prepare"  // from a new writer: asks for a promise and the accepted entry
 	OpPromise          Op = "promise"  // answers OpPrepare
-	OpAccept           Op = "accept"   // from the writer: asks to write Entry
+	OpAccept           Op = "accept"   // from the writer: asks to persist Entry
 	OpAccepted         Op = "accepted" // answers OpAccept once Version is in storage
 	OpCommit           Op = "commit"   // from the writer, at each heartbeat: Version is committed
-	OpCommitAck        Op = "heard"    // answers OpCommit; Version is 0 if the machine lacks the entry
+	OpCommitAck        Op = "heard"    // answers OpCommit; Version is 0 if the machine does not have the entry
 	OpReject           Op = "refuse"   // the sender has promised the higher Ballot
-	OpLearn            Op = "learn"    // from a machine with empty storage: asks for all that the receiver knows
+	OpLearn            Op = "learn"    // from a machine with empty storage: asks for the receiver's state
 	OpLearned          Op = "learned"  // answers OpLearn
-	OpStaleIncarnation Op = "outlived" // a later incarnation of the receiver is known; Version has its number
+	OpStaleIncarnation Op = "outlived" // a later incarnation of the receiver is known; Version is its number
 )
 
-// Message is what machines send each other, as JSON by field names.
+// Message is a message between machines. It is sent as JSON under its Go field names.
 type Message struct {
 	Op        Op
 	Ballot    Ballot
-	Version   uint64 `json:",omitempty"` // a version; with OpStaleIncarnation an incarnation
+	Version   uint64 `json:",omitempty"` // a version number; in OpStaleIncarnation an incarnation
 	Floor     uint64 `json:",omitempty"` // the sender's State.Floor
 	Joined    bool   `json:",omitempty"`
-	Entry     *Entry `json:",omitempty"` // to accept, or as accepted; nil: none
-	Committed *Entry `json:",omitempty"` // nil: none
+	Entry     *Entry `json:",omitempty"` // the entry to accept, or the accepted entry; nil: none
+	Committed *Entry `json:",omitempty"` // the committed entry; nil: none
 }
--- a/internal/rollout/publish.go
+++ b/internal/rollout/publish.go
@@ -7,19 +7,19 @@
 
 // The outcomes of a publication.
 const (
-	Published Outcome = "published" // a majority has it
-	Outdated  Outcome = "outdated"  // a version other than BaseVersion is committed
-	NotWriter Outcome = "elsewhere" // this machine is not the writer; nothing was written
-	Unknown   Outcome = "unknown"   // it may still be written; a retry with the same PublicationID tells
+	Published Outcome = "published" // a majority has the version in storage
+	Outdated  Outcome = "outdated"  // BaseVersion is not the committed version
+	NotWriter Outcome = "elsewhere" // this machine is not the writer, and wrote nothing
+	Unknown   Outcome = "unknown"   // the version may still be written; a retry with the same PublicationID shows whether it was
 	Busy      Outcome = "busy"      // too many requests are pending
-	Exhausted Outcome = "exhausted" // there is no higher version number
+	Exhausted Outcome = "exhausted" // no higher version number is left
 )
 
-// PublishRequest asks to make a text the next version.
+// PublishRequest asks the writer to publish a text as the next version.
 type PublishRequest struct {
-	RequestID     uint64 // chosen by the host, passed to Host.PublishDone
+	RequestID     uint64 // chosen by the host and passed to Host.PublishDone
 	PublicationID uint64 // chosen by the publisher, the same for each retry
-	BaseVersion   uint64 // the version that the text was made from
+	BaseVersion   uint64 // the version that the text is based on
 	Text          string
 }
 
@@ -36,9 +36,9 @@
 	}
 }
 
-// publishNext handles pending requests until one of them is being written. Where a driver has reported a newer version than any that the
-// machines know, because these have lost their storage, the committed text is first written again with a version above that: otherwise
-// that driver would never take over a new one.
+// publishNext processes pending requests until an entry has been proposed. After the machines have lost their storage, a driver may have
+// reported a newer version than the committed one. In that case the committed text is first proposed again with a version number above the
+// reported one; otherwise the driver would never apply a newly published version.
 func (m *Machine) publishNext() {
 	for m.IsWriter() && m.term.proposal == nil {
 		committed := m.state.Committed
@@ -51,17 +51,17 @@
 		}
 		request := m.term.pendingPublishes[0]
 		m.term.pendingPublishes = m.term.pendingPublishes[1:]
-		m.decide(request)
+		m.processPublish(request)
 	}
 }
 
-// nextVersion returns the version above all that are known, or 0 if the numbers are used up.
+// nextVersion returns the number after the highest known version, or 0 if the version numbers are used up.
 func (m *Machine) nextVersion() uint64 {
 	return max(m.state.Committed.Version, m.state.Floor) + 1
 }
 
-// decide answers a request, or proposes its text.
-func (m *Machine) decide(request PublishRequest) {
+// processPublish answers a request, or proposes its text.
+func (m *Machine) processPublish(request PublishRequest) {
 	committed, next := m.state.Committed, m.nextVersion()
 	if version := committed.publishedVersion(request.PublicationID); version > 0 {
 		m.host.PublishDone(request.RequestID, Published, version)
--- a/internal/rollout/roster.go
+++ b/internal/rollout/roster.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// DriverReport is what a driver reports of itself with each poll.
+// DriverReport is the state that a driver reports with each poll.
 type DriverReport struct {
 	Driver          string
-	Version         uint64   // in force; 0: the driver's own file
+	Version         uint64   // version in force; 0: none, the driver uses its local file
 	RejectedVersion uint64   // a newer version that the driver cannot use; 0: none
-	RejectReason    string   // why not
+	RejectReason    string   // why the driver rejected RejectedVersion
 	NeedsRestart    []string // settings of Version that take effect only after a restart
 }
 
-// DriverStatus is a driver as one machine knows it.
+// DriverStatus is the latest report of a driver and its times, as known to one machine.
 type DriverStatus struct {
 	DriverReport
-	VersionSince time.Duration // when Version and RejectedVersion were first reported together
-	LastSeen     time.Duration // when the latest report came
+	VersionSince time.Duration // when this pair of Version and RejectedVersion was first reported
+	LastSeen     time.Duration // when the latest report arrived
 }
 
 // Roster holds the latest report of each driver that polls a machine.
@@ -36,7 +36,7 @@
 // NewRoster returns an empty roster.
 func NewRoster() *Roster { return &Roster{make(map[string]*DriverStatus)} }
 
-// Report stores a driver's report. With maxDrivers known, a new one evicts the driver that was silent for longest.
+// Report stores a driver's report. If maxDrivers are known, a new driver evicts the one whose last report is oldest.
 func (r *Roster) Report(report DriverReport, now time.Duration) {
 	report.RejectReason = report.RejectReason[:min(len(report.RejectReason), maxReasonBytes)]
 	report.NeedsRestart = report.NeedsRestart[:min(len(report.NeedsRestart), maxNeedsRestart)]
@@ -60,7 +60,7 @@
 	delete(r.drivers, oldest.Driver)
 }
 
-// All returns the drivers by name, and removes those that have expired.
+// All returns the drivers in order of their names, and removes expired ones.
 func (r *Roster) All(now time.Duration) (all []DriverStatus) {
 	for _, name := range slices.Sorted(maps.Keys(r.drivers)) {
 		if status := r.drivers[name]; now-status.LastSeen < driverExpiry {
--- a/internal/rollout/roster_test.go
+++ b/internal/rollout/roster_test.go
@@ -7,6 +7,7 @@
 	"time"
 )
 
+// Drivers with ever new names or long reasons must not make the roster grow without limit.
 func TestRosterIsBounded(t *testing.T) {
 	r := NewRoster()
 	for d := range maxDrivers + 10 {
@@ -18,11 +19,11 @@
 	if len(all) != maxDrivers || len(all[len(all)-1].RejectReason) > maxReasonBytes {
 		t.Fatalf("%d drivers are known", len(all))
 	}
-	at := slices.IndexFunc(all, func(l DriverStatus) bool { return l.Driver == "d100" })
-	if l := all[at]; l.VersionSince != time.Second || l.LastSeen != 2*time.Second || l.Version != 2 {
-		t.Errorf("%+v", l)
+	index := slices.IndexFunc(all, func(status DriverStatus) bool { return status.Driver == "d100" })
+	if status := all[index]; status.VersionSince != time.Second || status.LastSeen != 2*time.Second || status.Version != 2 {
+		t.Errorf("%+v", status)
 	}
-	if slices.ContainsFunc(all, func(l DriverStatus) bool { return l.Driver == "d3" }) {
+	if slices.ContainsFunc(all, func(status DriverStatus) bool { return status.Driver == "d3" }) {
 		t.Error("the driver that was silent for longest is still known")
 	}
 	if n := len(r.All(driverExpiry + 2*time.Second)); n != 0 {
--- a/internal/rollout/selector.go
+++ b/internal/rollout/selector.go
@@ -11,64 +11,64 @@
 	"passtack/internal/pcg"
 )
 
-// Timing of a driver's long polls. A machine holds its answer back for LongPollWait; a poll without an answer LongPollSlack later has failed.
-// If a driver's machine and the next one fall silent at the worst moment, the driver learns of a committed version after at most
-// 2 x (LongPollWait + LongPollSlack) and the delays between, 2.8 s.
+// Timing of a driver's long polls. A machine without a newer version answers after LongPollWait. A poll that is still unanswered LongPollSlack
+// later has failed. If the polled machine and the next one stop answering at the worst moment, the driver learns of a committed version after
+// at most 2.8 s: 2 x (LongPollWait + LongPollSlack) plus the delays between the polls.
 const (
 	LongPollWait  = 800 * time.Millisecond
 	LongPollSlack = 500 * time.Millisecond
 )
 
 const (
-	maxFailoverDelay = 100 * time.Millisecond // before the next machine is polled; random, to spread the drivers of a failed machine
-	maxRetryDelay    = 500 * time.Millisecond // the same once all machines have failed in a row; at least half of it
-	minReturnDelay   = 10 * time.Second       // until a driver returns to its own machine; doubles while that fails
+	maxFailoverDelay = 100 * time.Millisecond // maximum delay before the next machine is polled; random, to spread the drivers of a failed machine
+	maxRetryDelay    = 500 * time.Millisecond // maximum delay once all machines have failed in a row; the minimum is half of it
+	minReturnDelay   = 10 * time.Second       // before a driver returns to its preferred machine; doubles while that machine fails
 	maxReturnDelay   = 2 * time.Minute
 )
 
 // MachineSelector decides which control machine a driver polls, and when.
 type MachineSelector struct {
-	order       []int // indexes of the machines, the driver's own first
+	order       []int // indexes of the machines, the preferred one first
 	random      *pcg.Source
-	position    int           // in order, of the machine polled now
-	failures    int           // in a row
-	returnAt    time.Duration // when the driver's own machine is polled again
-	returnDelay time.Duration // the next delay until that
+	current     int           // index in order of the machine that is polled
+	failures    int           // number of consecutive failed polls
+	returnAt    time.Duration // when the preferred machine is polled again
+	returnDelay time.Duration // delay before the next return to the preferred machine
 }
 
-// NewMachineSelector ranks the machines for a driver by rendezvous hashing, which spreads drivers evenly.
+// NewMachineSelector returns a selector that ranks the machines for a driver by rendezvous hashing, which spreads drivers evenly.
 func NewMachineSelector(driver string, machines []string, seed uint64) *MachineSelector {
 	s := &MachineSelector{random: pcg.New(seed), returnDelay: minReturnDelay}
-	weight := make([]uint64, len(machines))
+	weights := make([]uint64, len(machines))
 	for i, name := range machines {
 		s.order = append(s.order, i)
-		weight[i] = xxh3.Hash(binary.LittleEndian.AppendUint64([]byte(name), xxh3.HashString(driver)))
+		weights[i] = xxh3.Hash(binary.LittleEndian.AppendUint64([]byte(name), xxh3.HashString(driver)))
 	}
-	slices.SortFunc(s.order, func(a, b int) int { return cmp.Compare(weight[a], weight[b]) })
+	slices.SortFunc(s.order, func(a, b int) int { return cmp.Compare(weights[a], weights[b]) })
 	return s
 }
 
 // Current returns the index of the machine to poll.
-func (s *MachineSelector) Current() int { return s.order[s.position] }
+func (s *MachineSelector) Current() int { return s.order[s.current] }
 
-// Succeeded records a good answer. It returns to the driver's own machine once the delay for that has passed.
+// Succeeded records a successful poll. It returns to the preferred machine once the return delay has passed.
 func (s *MachineSelector) Succeeded(now time.Duration) {
 	s.failures = 0
-	if s.position == 0 {
+	if s.current == 0 {
 		s.returnDelay = minReturnDelay
 	} else if now >= s.returnAt {
-		s.position = 0
+		s.current = 0
 	}
 }
 
-// Failed records a failed poll, or the answer of a machine that cannot tell whether it has the newest version. It selects the next
-// machine, and returns how long to wait before polling that.
+// Failed records a failed poll, or the answer of a machine that is not fresh. It selects the next machine, and returns the delay before that
+// one is polled.
 func (s *MachineSelector) Failed(now time.Duration) time.Duration {
-	if s.position == 0 {
+	if s.current == 0 {
 		s.returnAt = now + s.returnDelay + s.jitter(s.returnDelay)
 		s.returnDelay = min(2*s.returnDelay, maxReturnDelay)
 	}
-	s.position = (s.position + 1) % len(s.order)
+	s.current = (s.current + 1) % len(s.order)
 	s.failures++
 	if s.failures < len(s.order) {
 		return s.jitter(maxFailoverDelay)
@@ -76,7 +76,7 @@
 	return maxRetryDelay/2 + s.jitter(maxRetryDelay/2)
 }
 
-// jitter returns a random duration below the given one.
-func (s *MachineSelector) jitter(below time.Duration) time.Duration {
-	return time.Duration(s.random.Float() * float64(below))
+// jitter returns a random duration below the limit.
+func (s *MachineSelector) jitter(limit time.Duration) time.Duration {
+	return time.Duration(s.random.Float() * float64(limit))
 }
--- a/internal/rollout/selector_test.go
+++ b/internal/rollout/selector_test.go
@@ -6,15 +6,16 @@
 	"time"
 )
 
+// The drivers are spread evenly over the machines, and those of a failed machine over the other two.
 func TestMachineSelectionIsBalanced(t *testing.T) {
 	names := []string{"10.0.0.1:7400", "10.0.0.2:7400", "10.0.0.3:7400"}
 	var first, second [3]int
 	for d := range 470 {
-		f := NewMachineSelector(fmt.Sprint("d", d), names, uint64(d))
-		first[f.Current()]++
-		if f.Current() == 0 {
-			f.Failed(time.Second)
-			second[f.Current()]++
+		selector := NewMachineSelector(fmt.Sprint("d", d), names, uint64(d))
+		first[selector.Current()]++
+		if selector.Current() == 0 {
+			selector.Failed(time.Second)
+			second[selector.Current()]++
 		}
 	}
 	for n, count := range first {
@@ -27,37 +28,37 @@
 	}
 }
 
-// A driver whose machine has failed polls another within a tenth of a second, at a random moment, and returns later. It polls at most four times
-// a second while no machine answers.
+// A driver whose machine has failed polls another one after a random delay of at most 100 ms, and returns to its preferred machine later. While
+// no machine answers it polls at most four times a second.
 func TestMachineSelectorBacksOff(t *testing.T) {
 	names := []string{"a", "b", "c"}
 	tenths := make(map[time.Duration]int)
 	for d := range 470 {
-		f := NewMachineSelector(fmt.Sprint("d", d), names, uint64(d))
-		own := f.Current()
-		wait := f.Failed(0)
-		if wait > maxFailoverDelay || f.Current() == own {
-			t.Fatalf("driver %d waits %v and polls machine %d", d, wait, f.Current())
+		selector := NewMachineSelector(fmt.Sprint("d", d), names, uint64(d))
+		preferred := selector.Current()
+		wait := selector.Failed(0)
+		if wait > maxFailoverDelay || selector.Current() == preferred {
+			t.Fatalf("driver %d waits %v and polls machine %d", d, wait, selector.Current())
 		}
 		tenths[wait/(maxFailoverDelay/10)]++
-		f.Succeeded(minReturnDelay - 1)
-		if f.Current() == own {
-			t.Fatal("it returned too early")
+		selector.Succeeded(minReturnDelay - 1)
+		if selector.Current() == preferred {
+			t.Fatal("the driver returned too early")
 		}
-		if f.Succeeded(2 * minReturnDelay); f.Current() != own {
-			t.Fatal("it has not returned")
+		if selector.Succeeded(2 * minReturnDelay); selector.Current() != preferred {
+			t.Fatal("the driver has not returned")
 		}
-		now, calls := 2*minReturnDelay, 0
-		for end := now + 10*time.Second; now < end; calls++ {
-			now += f.Failed(now)
+		now, polls := 2*minReturnDelay, 0
+		for end := now + 10*time.Second; now < end; polls++ {
+			now += selector.Failed(now)
 		}
-		if calls > 45 {
-			t.Fatalf("%d calls in 10 s", calls)
+		if polls > 45 {
+			t.Fatalf("%d polls in 10 s", polls)
 		}
 	}
-	for at, count := range tenths {
+	for tenth, count := range tenths {
 		if count > 80 {
-			t.Errorf("%d of 470 poll in the tenth %d", count, at)
+			t.Errorf("%d of 470 poll in the tenth %d", count, tenth)
 		}
 	}
 }
--- a/internal/rollout/server/config.go
+++ b/internal/rollout/server/config.go
@@ -13,5 +13,5 @@
 	Fleet, Name string
 	Listen      netip.AddrPort
 	Peers       []Peer
-	DataDir     string // of its FileStorage
+	DataDir     string // directory of the FileStorage
 }
--- a/internal/rollout/server/election.go
+++ b/internal/rollout/server/election.go
@@ -10,16 +10,16 @@
 
 const (
 	leaseName = "configuration"
-	// LeaseTTL is how long the writer holds its lease, and so how long there may be no writer after it has crashed.
+	// LeaseTTL is the duration of the writer's lease. After a crash of the writer there may be no writer for that long.
 	LeaseTTL = time.Second
 )
 
-// election connects a machine to the lease of the writer, both as a voter and as a candidate. It implements lease.Host.
+// election takes part in granting the writer's lease, both as a voter and as a candidate. It implements lease.Host.
 type election struct {
 	server    *Server
 	voter     *lease.Voter // nil until the machine has joined
 	candidate *lease.Candidate
-	timer     loop.Timer // of the candidate; nil: none
+	timer     loop.Timer // for the candidate's next step; nil: none
 }
 
 func (e *election) init(s *Server, seed uint64) {
@@ -36,8 +36,9 @@
 	return set
 }
 
-// joinOnce begins to vote and to request the lease once the replica has joined: before that it is not known which fencing tokens are used up.
-func (e *election) joinOnce() {
+// startIfJoined starts to vote and to request the lease once the replica has joined. Before that, this machine does not know which fencing
+// tokens have been used.
+func (e *election) startIfJoined() {
 	s := e.server
 	if e.voter != nil || !s.machine.Joined() {
 		return
@@ -57,7 +58,7 @@
 // resign releases the lease, or stops requesting it.
 func (e *election) resign() { e.candidate.Resign(e.server.loop.Clock()) }
 
-// holder returns the holder of the lease as far as this machine knows, or 0.
+// holder returns the lease holder known to this machine, or 0 if it knows none.
 func (e *election) holder() lease.Node {
 	return e.candidate.Status(e.server.loop.Clock()).Holder.Node
 }
@@ -78,7 +79,7 @@
 	})
 }
 
-// receive hands a message to the candidate or to the voter.
+// receive passes a message to the candidate or to the voter.
 func (e *election) receive(from lease.Node, m lease.Message) {
 	now := e.server.loop.Clock()
 	if m.Op != lease.Request && m.Op != lease.Release {
--- a/internal/rollout/server/golden_test.go
+++ b/internal/rollout/server/golden_test.go
@@ -20,8 +20,8 @@
 
 var update = flag.Bool("update", false, "rewrite golden files")
 
-// golden compares bytes with a file of testdata.
-func golden(t *testing.T, name string, got []byte) {
+// compareGolden compares bytes with a file of testdata.
+func compareGolden(t *testing.T, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
 	if *update {
@@ -46,6 +46,7 @@
 		State: rollout.State{Joined: true, Floor: 7, Promised: rollout.Ballot{Number: 1<<60 + 1, Node: 3}, Accepted: goldenEntry, Committed: goldenCommitted}}
 )
 
+// A stored folder of an earlier build must be read completely, and the same state must be written with the same bytes.
 func TestGoldenStorage(t *testing.T) {
 	source, path, notified := filepath.Join("testdata", "machine"), t.TempDir(), make(chan bool, 1)
 	if *update {
@@ -69,7 +70,7 @@
 	}
 	defer f.Close()
 	if !reflect.DeepEqual(found, goldenState) {
-		t.Errorf("found %+v, want %+v", found, goldenState)
+		t.Errorf("read %+v, want %+v", found, goldenState)
 	}
 	written, err := encodeRecords(goldenState)
 	if err != nil || len(written) != len(f.written) {
@@ -82,6 +83,7 @@
 	}
 }
 
+// Machines of different builds exchange these messages during an upgrade, so their encoding must not change.
 func TestGoldenMessages(t *testing.T) {
 	var messages []envelope
 	for _, op := range []rollout.Op{rollout.OpPrepare, rollout.OpPromise, rollout.OpAccept, rollout.OpAccepted, rollout.OpCommit, rollout.OpCommitAck, rollout.OpReject, rollout.OpLearn, rollout.OpLearned, rollout.OpStaleIncarnation} {
@@ -96,15 +98,16 @@
 			t.Fatal(err)
 		}
 		fmt.Fprintf(&lines, "%s\n", text)
-		var back envelope
-		if err := json.Unmarshal(text, &back); err != nil || !reflect.DeepEqual(back, e) {
-			t.Errorf("%s is read as %+v: %v", text, back, err)
+		var decoded envelope
+		if err := json.Unmarshal(text, &decoded); err != nil || !reflect.DeepEqual(decoded, e) {
+			t.Errorf("%s is read as %+v: %v", text, decoded, err)
 		}
 	}
-	golden(t, "messages.jsonl", lines.Bytes())
+	compareGolden(t, "messages.jsonl", lines.Bytes())
 }
 
-func TestGoldenStatusAndCall(t *testing.T) {
+// Drivers, publishers and scripts depend on the encoding of these values, which must not change.
+func TestGoldenValues(t *testing.T) {
 	var lines bytes.Buffer
 	for _, value := range []any{
 		WatchRequest{}, WatchRequest{Fleet: "bureau", Driver: "d0", Version: 4, RejectedVersion: 5, RejectReason: "no", NeedsRestart: []string{"tick_us"}, MaxWaitMS: 800},
@@ -117,21 +120,22 @@
 			t.Fatal(err)
 		}
 		fmt.Fprintf(&lines, "%s\n", text)
-		back := reflect.New(reflect.TypeOf(value))
-		if err := json.Unmarshal(text, back.Interface()); err != nil || !reflect.DeepEqual(back.Elem().Interface(), value) {
-			t.Errorf("%s is read as %+v: %v", text, back.Elem(), err)
+		decoded := reflect.New(reflect.TypeOf(value))
+		if err := json.Unmarshal(text, decoded.Interface()); err != nil || !reflect.DeepEqual(decoded.Elem().Interface(), value) {
+			t.Errorf("%s is read as %+v: %v", text, decoded.Elem(), err)
 		}
 	}
-	golden(t, "values.jsonl", lines.Bytes())
+	compareGolden(t, "values.jsonl", lines.Bytes())
 }
 
+// Drivers and publishers depend on the exact requests and answers, which must not change.
 func TestGoldenExchanges(t *testing.T) {
 	f := newFleet(t)
-	var all bytes.Buffer
+	var exchanges bytes.Buffer
 	exchange := func(machine int, text string) {
 		c := f.send(machine, text)
 		f.run(700 * time.Millisecond)
-		fmt.Fprintf(&all, "---- request\n%s\n---- answer\n%s\n", text, c.received)
+		fmt.Fprintf(&exchanges, "---- request\n%s\n---- answer\n%s\n", text, c.received)
 	}
 	w := f.writer()
 	exchange(w, request("GET", "/configuration", "", ""))
@@ -154,10 +158,10 @@
 	}
 	f.run(2 * time.Second)
 	exchange(w, watch("d0", 1, 300))
-	golden(t, "exchanges.txt", all.Bytes())
+	compareGolden(t, "exchanges.txt", exchanges.Bytes())
 }
 
-// A request between machines, with its head, as another machine receives it.
+// The bytes of a request between machines, with its header, must stay as they are.
 func TestGoldenMachineRequest(t *testing.T) {
 	world := sim.New(3, epoch)
 	var loops []*loop.Loop
@@ -174,13 +178,13 @@
 	if _, err := loops[1].Listen(addressOf(1), 1<<20, loop.AcceptLimiter{}, func(open func(loop.Handler) *loop.Stream) { received.stream = open(received) }, func(bool) {}); err != nil {
 		t.Fatal(err)
 	}
-	place := MachineConfig{Fleet: "test", Name: "c0", Listen: addressOf(0), Peers: []Peer{{"c1", addressOf(1)}}}
-	if _, err := New(loops[0], place, &memoryStorage{world: world}, PersistedState{State: rollout.State{Floor: 5}}, 1); err != nil {
+	config := MachineConfig{Fleet: "test", Name: "c0", Listen: addressOf(0), Peers: []Peer{{"c1", addressOf(1)}}}
+	if _, err := New(loops[0], config, &memoryStorage{world: world}, PersistedState{State: rollout.State{Floor: 5}}, 1); err != nil {
 		t.Fatal(err)
 	}
 	world.Run(world.Now() + 100*time.Millisecond)
 	if !strings.HasPrefix(string(received.received), "POST /machine") {
 		t.Errorf("received %q", received.received)
 	}
-	golden(t, "machine_request.txt", received.received)
+	compareGolden(t, "machine_request.txt", received.received)
 }
--- a/internal/rollout/server/peer.go
+++ b/internal/rollout/server/peer.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	ackTimeout        = time.Second            // for a message to another machine, else the connection is made anew
-	redialInterval    = 100 * time.Millisecond // between two attempts to connect to another machine
-	maxUnacknowledged = 64                     // messages to another machine
-	peerReadBuffer    = 4 << 10                // bytes of answers
+	ackTimeout        = time.Second            // for the answer to a message; after that the connection is closed and dialed again
+	redialInterval    = 100 * time.Millisecond // between two attempts to connect to a machine
+	maxUnacknowledged = 64                     // messages per machine that are sent and not answered
+	peerReadBuffer    = 4 << 10                // bytes
 )
 
-// envelope is a message between machines: either of the lease or of the replica.
+// envelope is a message between machines as sent over HTTP. It holds a message of either the lease or the replica.
 type envelope struct {
 	Fleet       string           `json:"fleet"`
 	From        string           `json:"from"`
@@ -42,7 +42,7 @@
 	p.send(text)
 }
 
-// receive handles a message of another machine. It returns false if that is not one of this fleet.
+// receive handles a message of another machine. It returns false if the message is invalid or its sender is not a machine of this fleet.
 func (s *Server) receive(text []byte) bool {
 	var e envelope
 	if json.Unmarshal(text, &e) != nil || e.Fleet != s.config.Fleet || e.Incarnation == 0 {
@@ -65,14 +65,14 @@
 	return true
 }
 
-// peerLink sends messages to another machine, as pipelined requests on one connection. Messages that cannot be sent at once are dropped: the
-// sender repeats what matters.
+// peerLink sends messages to another machine, as pipelined requests on one connection. Messages that cannot be sent immediately are dropped;
+// the replica and the lease send important ones again.
 type peerLink struct {
 	server   *Server
 	name     string
 	address  netip.AddrPort
 	stream   *loop.Stream    // nil: not connected
-	sentAt   []time.Duration // of the messages that are not acknowledged
+	sentAt   []time.Duration // send times of the unacknowledged messages, oldest first
 	dialedAt time.Duration
 }
 
@@ -92,7 +92,7 @@
 	p.server.counters[counterBytesSent] += len(text)
 }
 
-// dial begins to connect, unless that was tried a moment ago. It returns false if there is no connection.
+// dial starts to connect, unless the last attempt was less than redialInterval ago. It returns false if no connection was started.
 func (p *peerLink) dial(now time.Duration) bool {
 	if p.dialedAt > 0 && now-p.dialedAt < redialInterval {
 		return false
@@ -106,8 +106,8 @@
 	return true
 }
 
-// checkAckTimeout closes a connection whose messages are no longer acknowledged: what is in it would arrive late, and new messages queue
-// behind it.
+// checkAckTimeout closes a connection whose oldest message has not been acknowledged within ackTimeout. Messages still buffered in it would
+// arrive too late, and would delay new ones.
 func (p *peerLink) checkAckTimeout() {
 	if len(p.sentAt) > 0 && p.server.loop.Now()-p.sentAt[0] > ackTimeout {
 		p.close()
@@ -130,7 +130,7 @@
 // Closed implements loop.Handler.
 func (p *peerLink) Closed(error) { p.stream, p.sentAt = nil, nil }
 
-// Input implements loop.Handler: each answer acknowledges the oldest message.
+// Input implements loop.Handler. Each answer acknowledges the oldest unacknowledged message.
 func (p *peerLink) Input(in []byte) (consumed int) {
 	for {
 		_, _, size, last, err := httpwire.Answer(in[consumed:], false)
--- a/internal/rollout/server/publish.go
+++ b/internal/rollout/server/publish.go
@@ -16,7 +16,7 @@
 type PublishResult struct {
 	Version uint64          `json:"version,omitempty"`
 	Outcome rollout.Outcome `json:"outcome,omitempty"`
-	Writer  string          `json:"writer,omitempty"` // the machine to ask
+	Writer  string          `json:"writer,omitempty"` // name of the machine that is the writer
 	Error   string          `json:"error,omitempty"`
 }
 
@@ -30,27 +30,27 @@
 	rollout.Exhausted: 409,
 }
 
-// publishers are the sessions that wait for the outcome of a publication, by request ID.
+// publishers holds the sessions that wait for the outcome of a publication, by request ID.
 type publishers struct {
 	sessions      map[uint64]*session
 	lastRequestID uint64
 }
 
-// add returns a new request ID for a session.
+// add registers a session and returns its new request ID.
 func (p *publishers) add(c *session) uint64 {
 	p.lastRequestID++
 	p.sessions[p.lastRequestID] = c
 	return p.lastRequestID
 }
 
-// remove returns the session of a request and forgets it; nil if there is none any more.
+// remove removes a request and returns its session, or nil if the request is not registered.
 func (p *publishers) remove(requestID uint64) *session {
 	c := p.sessions[requestID]
 	delete(p.sessions, requestID)
 	return c
 }
 
-// handlePublish checks a publication and hands it to the replica.
+// handlePublish validates a publication and passes it to the replica. It returns false if the connection is closed.
 func (c *session) handlePublish(r httpwire.Request) bool {
 	s := c.server
 	baseText, idText := r.Fields.Text(VersionField), r.Fields.Text(PublicationField)
@@ -58,16 +58,16 @@
 	id, idErr := strconv.ParseUint(idText, 16, 64)
 	switch {
 	case baseErr != nil:
-		c.reject(400, fmt.Sprintf("%s is %q: the version that the text was made from is wanted", VersionField, baseText))
+		c.reject(400, fmt.Sprintf("%s is %q: expected the number of the version that the text is based on", VersionField, baseText))
 		return false
 	case idErr != nil || id == 0:
-		c.reject(400, fmt.Sprintf("%s is %q: a number in hex is wanted", PublicationField, idText))
+		c.reject(400, fmt.Sprintf("%s is %q: expected a hexadecimal number above 0", PublicationField, idText))
 		return false
 	case len(r.Body) > rollout.MaxTextBytes:
-		c.reject(413, fmt.Sprintf("%d bytes are over the %d that a configuration may have", len(r.Body), rollout.MaxTextBytes))
+		c.reject(413, fmt.Sprintf("configuration has %d bytes, the limit is %d", len(r.Body), rollout.MaxTextBytes))
 		return false
 	case !utf8.Valid(r.Body):
-		c.reject(400, "the text is no UTF-8")
+		c.reject(400, "configuration is not valid UTF-8")
 		return false
 	}
 	if _, err := settings.ParsePublished(r.Body); err != nil {
@@ -88,7 +88,7 @@
 	return true
 }
 
-// publishDone answers the publisher.
+// publishDone answers the publisher with the outcome.
 func (c *session) publishDone(o rollout.Outcome, version uint64) {
 	c.server.counters[counterPublishPrefix+string(o)]++
 	body, _ := json.Marshal(PublishResult{Version: version, Outcome: o, Writer: c.server.writer()})
--- a/internal/rollout/server/server.go
+++ b/internal/rollout/server/server.go
@@ -1,5 +1,5 @@
-// Package server runs one control machine on an event loop. It connects the replica of package rollout, and the lease of package lease under
-// which one machine is the writer, to drivers, publishers and the other machines over one HTTP port, and to storage.
+// Package server runs one control machine on an event loop. It connects the replica of package rollout, and the lease under which one machine
+// is the writer (package lease), to storage and, over one HTTP port, to drivers, publishers and the other machines.
 package server
 
 import (
@@ -14,28 +14,29 @@
 	"passtack/internal/rollout"
 )
 
-// PersistedState is what a machine must find again after a restart.
+// PersistedState is the state of a machine that must survive a restart.
 type PersistedState struct {
 	State    rollout.State
-	Promises map[string]lease.Promise // by lease
+	Promises map[string]lease.Promise // by lease name
 }
 
-// Storage writes a machine's state durably. It calls then on the loop, in the order of the calls, never before Persist has returned.
+// Storage writes a machine's state durably. The done functions are called on the loop in the order of the Persist calls, each after its Persist
+// call has returned.
 type Storage interface {
-	Persist(state PersistedState, then func(error))
+	Persist(state PersistedState, done func(error))
 }
 
 const (
-	idleTimeout = 5 * time.Second // for a complete request, also for the next one after an answer
-	maxLongPoll = 5 * time.Second // that a watch may ask for
+	idleTimeout = 5 * time.Second // to receive a complete request, counted from the connect or the last answer
+	maxLongPoll = 5 * time.Second // limit for the wait that a watch request asks for
 
-	// maxEnvelopeBytes bounds a message of another machine: JSON's quotes may double the text.
+	// maxEnvelopeBytes is the maximum size of a message of another machine. JSON escapes may double the size of the text.
 	maxEnvelopeBytes = 2*rollout.MaxTextBytes + 64<<10
 )
 
 var limits = httpwire.Limits{Target: 64, Head: 2 << 10, Fields: 24, Body: maxEnvelopeBytes}
 
-// Counters of a control machine, by name, as Status reports them.
+// Names of the counters that Status reports.
 const (
 	counterPolls           = "calls"
 	counterBytesReceived   = "bytes_received"
@@ -46,21 +47,21 @@
 	counterPersistFailures = "persist_failures"
 	counterMessagesSent    = "messages_sent"
 	counterMessagesDropped = "messages_dropped"
-	counterPublishPrefix   = "publish_" // and the outcome
+	counterPublishPrefix   = "publish_" // prefix; the outcome follows
 )
 
 // Server is one control machine. Its methods must be called on its loop.
 type Server struct {
 	loop        *loop.Loop
 	config      MachineConfig
-	incarnation uint64 // taken from the time of day, so that it rises from start to start
+	incarnation uint64 // wall-clock time of the start in milliseconds, so that it rises with each start
 	storage     Storage
 	persisted   PersistedState
 	machine     *rollout.Machine
 	election    election
 	peers       map[lease.Node]*peerLink
 	roster      *rollout.Roster
-	watchers    chain.List[*session] // that wait for a newer version
+	watchers    chain.List[*session] // sessions that wait for a newer version
 	publishers  publishers
 	listener    *loop.Listener
 	counters    map[string]int
@@ -70,7 +71,7 @@
 	OnCommit func(version uint64)
 }
 
-// New starts a control machine with the state from its storage, and listens on its port.
+// New starts a control machine with the state found in its storage, and listens on its address.
 func New(l *loop.Loop, config MachineConfig, storage Storage, persisted PersistedState, seed uint64) (*Server, error) {
 	s := &Server{
 		loop:        l,
@@ -104,7 +105,7 @@
 	return s, nil
 }
 
-// node returns the number of this machine, by its name.
+// node returns the lease node ID of this machine, which is derived from its name.
 func (s *Server) node() lease.Node { return lease.NodeOf(s.config.Name) }
 
 func (s *Server) accept(open func(loop.Handler) *loop.Stream) {
@@ -115,12 +116,12 @@
 	}
 }
 
-// heartbeat repeats what may have been lost, every rollout.HeartbeatInterval.
+// heartbeat runs the periodic work of the machine every rollout.HeartbeatInterval.
 func (s *Server) heartbeat() {
 	if s.stopped {
 		return
 	}
-	s.election.joinOnce()
+	s.election.startIfJoined()
 	s.machine.Tick()
 	for _, p := range s.peers {
 		p.checkAckTimeout()
@@ -129,7 +130,7 @@
 	s.loop.At(s.loop.Now()+rollout.HeartbeatInterval, s.heartbeat)
 }
 
-// LogStarted logs that the machine serves.
+// LogStarted logs that the machine has started.
 func (s *Server) LogStarted() {
 	slog.Info("started", "machine", s.config.Name, "listen", s.config.Listen, "version", s.machine.Committed().Version, "votes", s.machine.Joined())
 }
@@ -145,20 +146,20 @@
 // Counter returns the value of a counter by its name.
 func (s *Server) Counter(name string) int { return s.counters[name] }
 
-// Machine returns the replica, to inspect it.
+// Machine returns the replica, for inspection.
 func (s *Server) Machine() *rollout.Machine { return s.machine }
 
 // Send implements rollout.Host.
 func (s *Server) Send(to lease.Node, m rollout.Message) { s.sendEnvelope(to, envelope{Rollout: &m}) }
 
 // Persist implements rollout.Host.
-func (s *Server) Persist(state rollout.State, then func(error)) {
+func (s *Server) Persist(state rollout.State, done func(error)) {
 	s.persisted.State = state
-	s.persist(then)
+	s.persist(done)
 }
 
-// persist writes a copy of the current state to storage. After Shutdown then is no longer called.
-func (s *Server) persist(then func(error)) {
+// persist writes a copy of the current state to storage. After Shutdown, done is no longer called.
+func (s *Server) persist(done func(error)) {
 	state := PersistedState{State: s.persisted.State, Promises: make(map[string]lease.Promise)}
 	for name, p := range s.persisted.Promises {
 		state.Promises[name] = p
@@ -169,12 +170,12 @@
 			slog.Warn("control machine could not persist its state", "machine", s.config.Name, "cause", err)
 		}
 		if !s.stopped {
-			then(err)
+			done(err)
 		}
 	})
 }
 
-// IncarnationSuperseded implements rollout.Host. Incarnations are not in order where the clock was set back between two starts.
+// IncarnationSuperseded implements rollout.Host. It occurs if the clock was set back between two starts.
 func (s *Server) IncarnationSuperseded(incarnation uint64) {
 	if incarnation > s.incarnation {
 		slog.Warn("clock was set back before the start", "machine", s.config.Name, "by_ms", incarnation-s.incarnation)
@@ -182,7 +183,7 @@
 	}
 }
 
-// StepDown implements rollout.Host: it releases the lease, and requests it again after a pause.
+// StepDown implements rollout.Host. It releases the lease, and requests it again after LeaseTTL.
 func (s *Server) StepDown() {
 	s.loop.Defer(func() {
 		s.election.resign()
@@ -193,7 +194,7 @@
 	})
 }
 
-// VersionCommitted implements rollout.Host: it answers all watches that wait for the version.
+// VersionCommitted implements rollout.Host. It answers all watches that wait for a newer version.
 func (s *Server) VersionCommitted(e rollout.Entry) {
 	slog.Info("configuration version committed", "machine", s.config.Name, "version", e.Version, "bytes", len(e.Text))
 	s.OnCommit(e.Version)
@@ -204,14 +205,14 @@
 	}
 }
 
-// PublishDone implements rollout.Host: it answers the publisher.
+// PublishDone implements rollout.Host. It answers the publisher.
 func (s *Server) PublishDone(requestID uint64, o rollout.Outcome, version uint64) {
 	if publisher := s.publishers.remove(requestID); publisher != nil {
 		publisher.publishDone(o, version)
 	}
 }
 
-// writer returns the name of the writer, or "" if this machine knows of none.
+// writer returns the name of the writer, or "" if this machine knows none.
 func (s *Server) writer() string {
 	if s.machine.IsWriter() {
 		return s.config.Name
--- a/internal/rollout/server/server_test.go
+++ b/internal/rollout/server/server_test.go
@@ -16,7 +16,7 @@
 
 const epoch = 1767225600 * time.Second
 
-// testFleet is three machines in simulated time, and a client host.
+// testFleet is a fleet of three machines and a client host in simulated time.
 type testFleet struct {
 	t          *testing.T
 	world      *sim.World
@@ -30,7 +30,7 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(n + 1)}), 7400)
 }
 
-// memoryStorage is a Storage that takes a few milliseconds.
+// memoryStorage is a Storage in memory. Each write takes 3 ms.
 type memoryStorage struct {
 	world     *sim.World
 	host      *sim.Host
@@ -38,15 +38,15 @@
 	fails     bool
 }
 
-func (m *memoryStorage) Persist(k PersistedState, then func(error)) {
+func (m *memoryStorage) Persist(state PersistedState, done func(error)) {
 	m.world.At(m.world.Now()+3*time.Millisecond, func() {
 		m.host.Post(func() {
 			if m.fails {
-				then(fmt.Errorf("the disk is full"))
+				done(fmt.Errorf("the disk is full"))
 				return
 			}
-			m.persisted = k
-			then(nil)
+			m.persisted = state
+			done(nil)
 		})
 	})
 }
@@ -61,13 +61,13 @@
 			t.Fatal(err)
 		}
 		h.Serve(l, func() {})
-		place := MachineConfig{Fleet: "test", Name: h.Name, Listen: addressOf(n)}
+		config := MachineConfig{Fleet: "test", Name: h.Name, Listen: addressOf(n)}
 		for o := range 3 {
 			if o != n {
-				place.Peers = append(place.Peers, Peer{fmt.Sprint("c", o), addressOf(o)})
+				config.Peers = append(config.Peers, Peer{fmt.Sprint("c", o), addressOf(o)})
 			}
 		}
-		s, err := New(l, place, &memoryStorage{world: f.world, host: h}, PersistedState{}, uint64(n+1))
+		s, err := New(l, config, &memoryStorage{world: f.world, host: h}, PersistedState{}, uint64(n+1))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -97,7 +97,7 @@
 	return -1
 }
 
-// testConnection is a connection of the client host and what it received.
+// testConnection is a connection of the client host, with the bytes it has received.
 type testConnection struct {
 	stream   *loop.Stream
 	received []byte
@@ -128,7 +128,7 @@
 	return fmt.Sprintf("%s %s HTTP/1.1\r\nHost: x\r\n%sContent-Length: %d\r\n\r\n%s", verb, path, fields, len(body), body)
 }
 
-// answer parses the first answer.
+// answer parses the first answer on the connection.
 func (c *testConnection) answer(t *testing.T) httpwire.Reply {
 	t.Helper()
 	r, fault := httpwire.NextReply(c.received, false, false, httpwire.Limits{Head: 2000, Fields: 20, Body: 1 << 20})
@@ -148,13 +148,13 @@
 
 const validText = `{"settings":{"caps":{"most_tries":4}}}`
 
-// A watch waits, ends with the time it gave if nothing is new, and is answered as soon as there is a new version, on each machine.
+// A watch is answered on each machine as soon as a newer version is committed, and otherwise at the end of the wait it asked for.
 func TestWatchesReceiveNewVersions(t *testing.T) {
 	f := newFleet(t)
 	idle := f.send(0, watch("d0", 0, 500))
 	f.run(400 * time.Millisecond)
 	if len(idle.received) > 0 {
-		t.Errorf("the watch was answered at once: %q", idle.received)
+		t.Errorf("the watch was answered immediately: %q", idle.received)
 	}
 	if f.run(200 * time.Millisecond); idle.answer(t).Status != 204 {
 		t.Errorf("answered %q", idle.received)
@@ -175,10 +175,10 @@
 		}
 	}
 	late := f.send(1, watch("d1", 1, 100))
-	refuses := f.send(1, request("POST", "/watch", "", `{"fleet":"test","driver":"d2","from":0,"refused":1,"why":"no","needs_restart":["tick_us"],"hold_ms":100}`))
+	rejecting := f.send(1, request("POST", "/watch", "", `{"fleet":"test","driver":"d2","from":0,"refused":1,"why":"no","needs_restart":["tick_us"],"hold_ms":100}`))
 	f.run(300 * time.Millisecond)
-	if late.answer(t).Status != 204 || refuses.answer(t).Status != 204 {
-		t.Errorf("%q, %q", late.received, refuses.received)
+	if late.answer(t).Status != 204 || rejecting.answer(t).Status != 204 {
+		t.Errorf("%q, %q", late.received, rejecting.received)
 	}
 	status := f.send(1, request("GET", "/status", "", ""))
 	f.run(100 * time.Millisecond)
@@ -191,7 +191,8 @@
 	}
 }
 
-// A machine without contact to its peers answers that it is stale, and a publisher at another machine is told the writer.
+// A machine that is partitioned from its peers answers watches with 503 instead of claiming that there is no newer version. A publisher that
+// asks a machine other than the writer receives the name of the writer.
 func TestStaleMachineAnswersUnavailable(t *testing.T) {
 	f := newFleet(t)
 	w := f.writer()
@@ -221,7 +222,7 @@
 	}
 }
 
-// Invalid input is rejected with one line that names it, closes only its own connection, and changes nothing.
+// Invalid input is rejected with an error that names it. It closes only its own connection and changes no state.
 func TestInvalidInputClosesOnlyItsConnection(t *testing.T) {
 	f := newFleet(t)
 	w := f.writer()
@@ -230,41 +231,41 @@
 		text, want string
 		status     int
 	}{
-		"no HTTP":                 {"hello\r\n\r\n", "", 400},
-		"nothing there":           {request("GET", "/secrets", "", ""), "there is no GET /secrets", 404},
-		"a body of 4 MiB":         {publish(7, 0, strings.Repeat("x", 4<<20)), "the body is too long", 413},
-		"a text over its bound":   {publish(7, 0, `{"settings":{"`+strings.Repeat("x", rollout.MaxTextBytes)+`":1}}`), "524307 bytes are over the 524288", 413},
-		"no JSON":                 {publish(7, 0, "{\n \"settings\": oops}"), "2:14: invalid character 'o'", 400},
-		"an unknown key":          {publish(7, 0, `{"settings":{"clases":[]}}`), `settings.clases is \"\": there is no such setting`, 400},
-		"an unknown part":         {publish(7, 0, `{"listen":"x"}`), `unknown field \"listen\"`, 400},
-		"a wrong value":           {publish(7, 0, `{"settings":{"caps":{"most_tries":0}}}`), `settings.caps.most_tries is \"0\": a whole number from 1 on is wanted`, 400},
-		"each driver's own":       {publish(7, 0, `{"settings":{"locality":1}}`), `settings.locality is \"1\": it is each driver's own`, 400},
-		"no version":              {request("POST", "/publish", "Publication: 7\r\n", validText), `Version is \"\"`, 400},
-		"no publication":          {request("POST", "/publish", "Version: 0\r\nPublication: x\r\n", validText), `Publication is \"x\"`, 400},
-		"no UTF-8":                {publish(7, 0, "{\"settings\":{\"caps\":{\"x\":\"\xff\"}}}"), "no UTF-8", 400},
-		"another version":         {publish(7, 5, validText), `"outcome":"outdated"`, 409},
-		"a driver of another":     {request("POST", "/watch", "", `{"fleet":"other","driver":"d0"}`), "no call of a driver of this fleet", 400},
-		"a driver without a name": {request("POST", "/watch", "", `{"fleet":"test"}`), "no call of a driver", 400},
-		"a version of the future": {watch("d9", 1<<62, 100), "from is 4611686018427387904: there is no such version", 400},
-		"a stranger machine":      {machine(`{"fleet":"test","from":"c9","life":1,"rollout":{"Op":"prepare","Ballot":{"Number":99}}}`), "no message of this fleet", 400},
-		"another fleet's machine": {machine(`{"fleet":"other","from":"c1","life":1}`), "no message of this fleet", 400},
-		"a spoilt lease":          {machine(fmt.Sprintf(`{"fleet":"test","from":"c%d","life":1,"lease":"AAAA"}`, (w+1)%3)), "no message of this fleet", 400},
+		"not HTTP":                  {"hello\r\n\r\n", "", 400},
+		"an unknown path":           {request("GET", "/secrets", "", ""), "there is no GET /secrets", 404},
+		"a body of 4 MiB":           {publish(7, 0, strings.Repeat("x", 4<<20)), "the body is too long", 413},
+		"a text over the limit":     {publish(7, 0, `{"settings":{"`+strings.Repeat("x", rollout.MaxTextBytes)+`":1}}`), "configuration has 524307 bytes, the limit is 524288", 413},
+		"not JSON":                  {publish(7, 0, "{\n \"settings\": oops}"), "2:14: invalid character 'o'", 400},
+		"an unknown key":            {publish(7, 0, `{"settings":{"clases":[]}}`), `settings.clases is \"\": there is no such setting`, 400},
+		"an unknown field":          {publish(7, 0, `{"listen":"x"}`), `unknown field \"listen\"`, 400},
+		"a wrong value":             {publish(7, 0, `{"settings":{"caps":{"most_tries":0}}}`), `settings.caps.most_tries is \"0\": a whole number from 1 on is wanted`, 400},
+		"each driver's own":         {publish(7, 0, `{"settings":{"locality":1}}`), `settings.locality is \"1\": it is each driver's own`, 400},
+		"no version":                {request("POST", "/publish", "Publication: 7\r\n", validText), `Version is \"\"`, 400},
+		"no publication":            {request("POST", "/publish", "Version: 0\r\nPublication: x\r\n", validText), `Publication is \"x\"`, 400},
+		"not UTF-8":                 {publish(7, 0, "{\"settings\":{\"caps\":{\"x\":\"\xff\"}}}"), "configuration is not valid UTF-8", 400},
+		"another version":           {publish(7, 5, validText), `"outcome":"outdated"`, 409},
+		"a driver of another fleet": {request("POST", "/watch", "", `{"fleet":"other","driver":"d0"}`), "invalid watch request, or not from a driver of this fleet", 400},
+		"a driver without a name":   {request("POST", "/watch", "", `{"fleet":"test"}`), "invalid watch request, or not from a driver of this fleet", 400},
+		"a version far too high":    {watch("d9", 1<<62, 100), "from is 4611686018427387904: there is no such version", 400},
+		"an unknown machine":        {machine(`{"fleet":"test","from":"c9","life":1,"rollout":{"Op":"prepare","Ballot":{"Number":99}}}`), "no message of this fleet", 400},
+		"another fleet's machine":   {machine(`{"fleet":"other","from":"c1","life":1}`), "no message of this fleet", 400},
+		"a corrupt lease message":   {machine(fmt.Sprintf(`{"fleet":"test","from":"c%d","life":1,"lease":"AAAA"}`, (w+1)%3)), "no message of this fleet", 400},
 	} {
-		call := f.send(w, c.text)
+		connection := f.send(w, c.text)
 		f.run(700 * time.Millisecond)
-		r := call.answer(t)
+		r := connection.answer(t)
 		if r.Status != c.status || !strings.Contains(string(r.Body), c.want) {
 			t.Errorf("%s: %d %s", name, r.Status, r.Body)
 		}
-		if !call.closed && c.status != 409 {
+		if !connection.closed && c.status != 409 {
 			t.Errorf("%s: the connection stays open", name)
 		}
 	}
-	half := f.send(w, "POST /publish HTTP/1.1\r\nContent-Length: 100\r\n\r\n{")
+	incomplete := f.send(w, "POST /publish HTTP/1.1\r\nContent-Length: 100\r\n\r\n{")
 	silent := f.send(w, "")
 	f.run(idleTimeout + 300*time.Millisecond)
-	if !half.closed || !silent.closed {
-		t.Errorf("connection closed with half a request: %v, without one: %v", half.closed, silent.closed)
+	if !incomplete.closed || !silent.closed {
+		t.Errorf("connection closed with an incomplete request: %v, without a request: %v", incomplete.closed, silent.closed)
 	}
 	if v := f.machines[w].Machine().Committed().Version; v != 0 {
 		t.Errorf("version %d is committed", v)
@@ -276,7 +277,8 @@
 	}
 }
 
-// Machines that have lost their storage do not reuse the number of a version that a driver has or has rejected.
+// Machines that have lost their storage must not reuse the number of a version that a driver has in force or has rejected: the driver would
+// ignore the new version.
 func TestRejectedVersionNumbersAreNotReused(t *testing.T) {
 	f := newFleet(t)
 	c := f.send((f.writer()+1)%3, request("POST", "/watch", "", `{"fleet":"test","driver":"d0","from":8,"refused":9,"why":"no","hold_ms":2000}`))
@@ -291,7 +293,7 @@
 	}
 }
 
-// A machine whose storage fails does not vote. One such machine of three does not prevent publications.
+// A machine whose storage fails does not vote. One such machine of three does not prevent a publication, two do.
 func TestFailingStorage(t *testing.T) {
 	f := newFleet(t)
 	w := f.writer()
@@ -305,7 +307,7 @@
 	p = f.send(w, publish(8, 1, validText))
 	f.run(time.Second)
 	if len(p.received) > 0 && p.answer(t).Status == 200 {
-		t.Error("published with the storage of one machine of three")
+		t.Error("published although the storage of two machines of three fails")
 	}
 	for n := range 3 {
 		f.machines[n].storage.(*memoryStorage).fails = false
--- a/internal/rollout/server/session.go
+++ b/internal/rollout/server/session.go
@@ -11,20 +11,20 @@
 
 // Header fields of requests and answers.
 const (
-	VersionField     = "Version"     // of a text; with a publication the version that it was made from
+	VersionField     = "Version"     // version of the text in an answer; in a publication, the version that the text is based on
 	PublicationField = "Publication" // the ID of a publication in hex, the same for each retry
 )
 
-// session is a connection of a driver, a publisher or another machine. Its requests are handled one after the other.
+// session is a connection of a driver, a publisher or another machine. Its requests are handled one at a time.
 type session struct {
 	server *Server
 	stream *loop.Stream
 	timer  loop.Timer // idle timeout, or the end of a long poll; nil: none
 
-	waiting      bool                    // for a newer version, or for the outcome of a publication
-	knownVersion uint64                  // that the driver has or has rejected
-	watcherLink  chain.Element[*session] // in Server.watchers
-	requestID    uint64                  // in Server.publishers; 0: none yet
+	waiting      bool                    // a request waits for a newer version or for the outcome of a publication
+	knownVersion uint64                  // newest version that the driver has in force or has rejected
+	watcherLink  chain.Element[*session] // element of Server.watchers
+	requestID    uint64                  // key in Server.publishers; 0: none yet
 }
 
 // Opened implements loop.Handler.
@@ -36,14 +36,14 @@
 // Closed implements loop.Handler.
 func (c *session) Closed(error) { c.detach() }
 
-// startIdleTimer closes the connection unless a complete request comes in time.
+// startIdleTimer restarts the timer that closes the connection if no complete request arrives within idleTimeout.
 func (c *session) startIdleTimer() {
 	l := c.server.loop
 	l.Cancel(c.timer)
 	c.timer = l.At(l.Now()+idleTimeout, c.close)
 }
 
-// detach removes the session from the server.
+// detach cancels the timer and removes the session from the watchers and publishers.
 func (c *session) detach() {
 	c.server.loop.Cancel(c.timer)
 	c.watcherLink.Remove()
@@ -55,7 +55,7 @@
 	c.stream.Close()
 }
 
-// Input implements loop.Handler. Requests behind one that waits stay in the buffer.
+// Input implements loop.Handler. While a request waits, the following ones stay in the buffer.
 func (c *session) Input(in []byte) (consumed int) {
 	for !c.waiting {
 		r, fault := httpwire.Next(in[consumed:], limits)
@@ -105,7 +105,7 @@
 	return true
 }
 
-// respond sends an answer. An empty version is left out.
+// respond sends an answer. If version is empty, the answer has no version field.
 func (c *session) respond(status int, version string, body []byte) {
 	out := httpwire.AppendStatus(nil, status)
 	if version != "" {
@@ -129,14 +129,14 @@
 	c.stream.CloseWhenSent()
 }
 
-// rejectInvalid counts a request that is not of this fleet and rejects it. It returns false, as handle does then.
+// rejectInvalid counts and rejects an invalid request. It returns false, the result of handle for a closed connection.
 func (c *session) rejectInvalid(status int, reason string) bool {
 	c.server.counters[counterInvalidRequests]++
 	c.reject(status, reason)
 	return false
 }
 
-// resume continues with the requests that came while one waited.
+// resume continues with the requests that arrived while one waited.
 func (c *session) resume() {
 	c.waiting = false
 	c.watcherLink.Remove()
--- a/internal/rollout/server/status.go
+++ b/internal/rollout/server/status.go
@@ -2,25 +2,25 @@
 
 import "slices"
 
-// DriverStatus is a driver as a machine reports it. Times are in milliseconds before the answer.
+// DriverStatus is the status of a driver in Status. Times are in milliseconds before the answer.
 type DriverStatus struct {
 	Name            string   `json:"driver"`
 	Version         uint64   `json:"version"`
-	VersionAgeMS    int64    `json:"since_ms"` // since Version and RejectedVersion were first reported
+	VersionAgeMS    int64    `json:"since_ms"` // since this pair of Version and RejectedVersion was first reported
 	LastSeenMS      int64    `json:"heard_ms"` // since the last poll
 	RejectedVersion uint64   `json:"refused,omitempty"`
 	RejectReason    string   `json:"why,omitempty"`
 	NeedsRestart    []string `json:"needs_restart,omitempty"`
 }
 
-// Status is what a machine reports of itself and of the drivers that poll it.
+// Status is the status of a machine and of the drivers that poll it.
 type Status struct {
 	Machine  string         `json:"machine"`
-	Writer   string         `json:"writer"` // "": unknown
+	Writer   string         `json:"writer"` // name of the writer; "": unknown
 	Votes    bool           `json:"votes"`
-	Fresh    bool           `json:"fresh"` // it may claim that no newer version is committed
+	Fresh    bool           `json:"fresh"` // the machine may claim that no newer version is committed
 	Version  uint64         `json:"version"`
-	Floor    uint64         `json:"floor"` // the newest version that any driver has reported
+	Floor    uint64         `json:"floor"` // newest version that any driver has reported
 	Drivers  []DriverStatus `json:"drivers"`
 	Counters map[string]int `json:"counts"`
 }
--- a/internal/rollout/server/storage.go
+++ b/internal/rollout/server/storage.go
@@ -11,25 +11,25 @@
 	"passtack/internal/storage"
 )
 
-// maxStorageBytes bounds a machine's directory.
+// maxStorageBytes is the maximum size of a machine's directory.
 const maxStorageBytes = 8 << 20
 
-// FileStorage is the Storage of a machine in a directory. A goroutine commits the changes, all that have collected at once. Its methods must be
-// called on the loop.
+// FileStorage is a Storage in a directory. A goroutine commits the changes; those that arrive during a commit are written together by the next
+// one. The methods must be called on the loop.
 type FileStorage struct {
 	store   *storage.Store
-	notify  func() // wakes the loop up; called by the goroutine
+	notify  func() // wakes the loop; called by the goroutine
 	batches chan []storage.Change
 	results chan error
 
-	written          map[string]string // records as the store has them, or will have
-	pendingChanges   map[string][]byte // not handed to the goroutine yet
+	written          map[string]string // records by name, including those not committed yet
+	pendingChanges   map[string][]byte // not passed to the goroutine yet
 	pendingCallbacks []func(error)
-	activeChanges    map[string][]byte // being committed; nil: nothing is
+	activeChanges    map[string][]byte // being committed; nil: no commit is running
 	activeCallbacks  []func(error)
 }
 
-// stateFields returns where the fields of a replica's state are, by the names of their records. Their values are JSON.
+// stateFields returns pointers to the fields of a replica's state by record name. Records hold the values as JSON.
 func stateFields(p *PersistedState) map[string]any {
 	return map[string]any{
 		"joined":    &p.State.Joined,
@@ -57,8 +57,8 @@
 	return records, nil
 }
 
-// OpenFileStorage opens a machine's directory and reads its state. Notify is called by another goroutine when HandleResults is to be called on
-// the loop. A machine whose directory has a corrupt file must join again, as it may have forgotten a promise.
+// OpenFileStorage opens a machine's directory and reads its state. Another goroutine calls notify each time HandleResults must be called on the
+// loop. If the directory has a corrupt file, the machine must join again, since it may have lost a promise.
 func OpenFileStorage(path, machine string, notify func()) (*FileStorage, PersistedState, error) {
 	store, found, err := persist.Open(path, "control machine "+machine, maxStorageBytes)
 	if err != nil {
@@ -92,11 +92,11 @@
 	fields := stateFields(&persisted)
 	f.store.ForEach(func(name string, value []byte) {
 		f.written[name] = string(value)
-		field, known := fields[name]
+		target, known := fields[name]
 		if !known {
 			return
 		}
-		if err := json.Unmarshal(value, field); err != nil {
+		if err := json.Unmarshal(value, target); err != nil {
 			failed = errors.Join(failed, fmt.Errorf("%s: %w", name, err))
 		}
 	})
@@ -104,7 +104,7 @@
 	return persisted, failed
 }
 
-// commitBatches runs on a goroutine of its own until Close.
+// commitBatches commits the batches. It runs on its own goroutine until Close.
 func (f *FileStorage) commitBatches() {
 	for changes := range f.batches {
 		var err error
@@ -117,10 +117,10 @@
 }
 
 // Persist implements Storage.
-func (f *FileStorage) Persist(p PersistedState, then func(error)) {
-	f.pendingCallbacks = append(f.pendingCallbacks, then)
+func (f *FileStorage) Persist(p PersistedState, done func(error)) {
+	f.pendingCallbacks = append(f.pendingCallbacks, done)
 	records, err := encodeRecords(p)
-	if err != nil { // cannot happen, as all values are plain
+	if err != nil { // cannot happen: all values are of types that JSON can encode
 		panic(err)
 	}
 	for name, value := range records {
@@ -131,7 +131,7 @@
 	f.startWrite()
 }
 
-// startWrite hands all pending changes to the goroutine unless it is busy.
+// startWrite passes all pending changes to the goroutine, unless a commit is running.
 func (f *FileStorage) startWrite() {
 	if f.activeChanges != nil || len(f.pendingCallbacks) == 0 {
 		return
@@ -145,7 +145,7 @@
 	f.batches <- changes
 }
 
-// HandleResults reports finished writes to the callers of Persist. Changes that failed are written again with the next ones.
+// HandleResults calls the done functions of finished writes. Changes that could not be written are written again with the next ones.
 func (f *FileStorage) HandleResults() {
 	for {
 		select {
@@ -161,11 +161,11 @@
 	callbacks, changes := f.activeCallbacks, f.activeChanges
 	f.activeCallbacks, f.activeChanges = nil, nil
 	if err != nil {
-		maps.Copy(changes, f.pendingChanges) // newer values win
+		maps.Copy(changes, f.pendingChanges) // newer values replace older ones
 		f.pendingChanges = changes
 	}
-	for _, then := range callbacks {
-		then(err)
+	for _, callback := range callbacks {
+		callback(err)
 	}
 	f.startWrite()
 }
--- a/internal/rollout/server/storage_test.go
+++ b/internal/rollout/server/storage_test.go
@@ -12,35 +12,36 @@
 )
 
 // persistAll persists all states and waits until they are in storage.
-func persistAll(t *testing.T, f *FileStorage, notified chan bool, all ...PersistedState) {
+func persistAll(t *testing.T, f *FileStorage, notified chan bool, states ...PersistedState) {
 	t.Helper()
-	left := len(all)
-	for _, k := range all {
-		f.Persist(k, func(err error) {
-			if left--; err != nil {
+	remaining := len(states)
+	for _, state := range states {
+		f.Persist(state, func(err error) {
+			if remaining--; err != nil {
 				t.Error(err)
 			}
 		})
 	}
-	for left > 0 {
+	for remaining > 0 {
 		<-notified
 		f.HandleResults()
 	}
 }
 
+// A persisted state is read back as it was. A directory that is in use, missing or that of another machine is not opened.
 func TestFileStorageRoundTrip(t *testing.T) {
 	path := t.TempDir()
 	notified := make(chan bool, 100)
 	open := func() (*FileStorage, PersistedState) {
-		f, k, err := OpenFileStorage(path, "c0", func() { notified <- true })
+		f, state, err := OpenFileStorage(path, "c0", func() { notified <- true })
 		if err != nil {
 			t.Fatal(err)
 		}
-		return f, k
+		return f, state
 	}
-	f, k := open()
-	if k.State.Joined || k.State.Accepted.Version != 0 {
-		t.Fatalf("an empty directory has %+v", k)
+	f, state := open()
+	if state.State.Joined || state.State.Accepted.Version != 0 {
+		t.Fatalf("an empty directory is read as %+v", state)
 	}
 	last := PersistedState{
 		Promises: map[string]lease.Promise{"configuration": {FencingToken: 1 << 60, VoterSetVersion: 1}},
@@ -61,9 +62,9 @@
 	first.State.Accepted.Version, first.State.Floor = 2, 1
 	persistAll(t, f, notified, first, last, last)
 	f.Close()
-	f, k = open()
-	if !reflect.DeepEqual(k, last) {
-		t.Errorf("persisted %+v, found %+v", last, k)
+	f, state = open()
+	if !reflect.DeepEqual(state, last) {
+		t.Errorf("persisted %+v, read %+v", last, state)
 	}
 	if _, _, err := OpenFileStorage(path, "c0", func() {}); err == nil {
 		t.Error("a directory is opened twice")
@@ -77,7 +78,7 @@
 	}
 }
 
-// A machine with a corrupt file must join again before it votes: it may have forgotten a promise.
+// A machine with a corrupt file must join again before it votes, since the file may have held a promise.
 func TestCorruptStorageRevokesVote(t *testing.T) {
 	path := t.TempDir()
 	notified := make(chan bool, 100)
@@ -100,9 +101,9 @@
 	if err := os.WriteFile(files[len(files)-1], text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	f, k, err := OpenFileStorage(path, "c0", func() {})
-	if err != nil || k.State.Joined || k.State.Floor >= 5 {
-		t.Fatalf("%v, %+v", err, k.State)
+	f, state, err := OpenFileStorage(path, "c0", func() {})
+	if err != nil || state.State.Joined || state.State.Floor >= 5 {
+		t.Fatalf("%v, %+v", err, state.State)
 	}
 	f.Close()
 }
--- a/internal/rollout/simulation_test.go
+++ b/internal/rollout/simulation_test.go
@@ -15,25 +15,25 @@
 var simulationRuns = flag.Int("runs", 0, "number of seeds to simulate; 0: the default of CI")
 
 // simulation is three machines, some publishers and some drivers in simulated time. Messages are delayed, lost and duplicated. Machines crash,
-// lose what is not in storage yet, and restart, sometimes with empty storage. Leases are random as well: two machines may hold one at a time,
-// since versions must not depend on the exclusion of leases.
+// lose state that is not in storage yet, and restart, sometimes with empty storage. Leases are random too: two machines may hold the lease at
+// the same time, since the safety of versions must not depend on leases being exclusive.
 type simulation struct {
 	now              time.Duration
 	random           *pcg.Source
 	queue            due.Queue[func()]
 	replicas         []*replica
-	drivers          []uint64 // versions in force
+	drivers          []uint64 // version in force of each driver
 	lastNumber       uint64
-	texts            map[uint64]string // by version, as seen anywhere
-	published        map[uint64]uint64 // version of each publication whose publisher was told so
-	violation        string            // the first one; "": none
+	texts            map[uint64]string // text of each version seen on any machine, driver or publisher
+	published        map[uint64]uint64 // version of each publication that was reported as published
+	violation        string            // first violation; "": none
 	lossRate         float64
-	cut              map[[2]int]bool
+	cutLinks         map[[2]int]bool
 	mutate           func(m *Machine)
 	versionsByClock  bool // a mutation: see publishByClock
 	publishAttempts  int
 	publishSuccesses int
-	lastWriter       *replica // after heal
+	lastWriter       *replica // writer that heal has chosen
 }
 
 // replica is one machine across its restarts.
@@ -41,17 +41,17 @@
 	sim                *simulation
 	index              int
 	incarnation        uint64
-	claimedIncarnation uint64   // a later one that it took after IncarnationSuperseded
+	claimedIncarnation uint64   // later incarnation adopted after IncarnationSuperseded
 	machine            *Machine // nil: crashed
 	disk               State
-	diskBusyUntil      time.Duration // with earlier writes
+	diskBusyUntil      time.Duration // end of the earlier writes
 }
 
 func nodeOf(n int) lease.Node { return lease.Node(n + 1) }
 
 func newSimulation(seed uint64, mutate func(m *Machine)) *simulation {
 	s := &simulation{random: pcg.New(seed), drivers: make([]uint64, 5), texts: make(map[uint64]string), published: make(map[uint64]uint64),
-		cut: make(map[[2]int]bool), mutate: mutate}
+		cutLinks: make(map[[2]int]bool), mutate: mutate}
 	for n := range 3 {
 		s.replicas = append(s.replicas, &replica{sim: s, index: n})
 	}
@@ -67,17 +67,17 @@
 	return time.Duration(s.random.Below(n)) * time.Millisecond
 }
 
-// run advances the simulation by a duration, or until a violation.
+// run advances the simulation by a duration. It stops at the first violation.
 func (s *simulation) run(duration time.Duration) {
 	end := s.now + duration
 	for s.violation == "" {
-		at, ok := s.queue.NextDue()
-		if !ok || at > end {
+		dueAt, ok := s.queue.NextDue()
+		if !ok || dueAt > end {
 			break
 		}
-		s.now = max(s.now, at)
-		if act, ok := s.queue.PopDue(s.now); ok {
-			act()
+		s.now = max(s.now, dueAt)
+		if action, ok := s.queue.PopDue(s.now); ok {
+			action()
 		}
 	}
 	s.now = max(s.now, end)
@@ -89,10 +89,10 @@
 	}
 }
 
-// checkText checks that each version has one text wherever it is seen.
-func (s *simulation) checkText(e Entry, who string) {
+// checkText checks that a version has the same text at every observer.
+func (s *simulation) checkText(e Entry, observer string) {
 	if text, known := s.texts[e.Version]; known && text != e.Text {
-		s.fail("version %d is %q at %s and %q somewhere else", e.Version, e.Text, who, text)
+		s.fail("version %d is %q at %s and %q elsewhere", e.Version, e.Text, observer, text)
 	}
 	s.texts[e.Version] = e.Text
 }
@@ -125,34 +125,34 @@
 	return s.lastNumber
 }
 
-// crash loses what is not in storage yet.
+// crash stops the machine. State that is not in storage yet is lost.
 func (r *replica) crash() { r.machine, r.incarnation = nil, 0 }
 
 func (r *replica) Send(to lease.Node, msg Message) {
 	s, target, incarnation := r.sim, r.sim.replicas[to-1], max(r.incarnation, r.claimedIncarnation)
 	for range 1 + s.random.Below(8)/7 {
-		if s.random.Float() < s.lossRate || s.cut[[2]int{r.index, target.index}] {
+		if s.random.Float() < s.lossRate || s.cutLinks[[2]int{r.index, target.index}] {
 			continue
 		}
 		s.schedule(s.randomDelay(60)+s.randomDelay(3)*s.randomDelay(60)/time.Millisecond, func() {
-			if target.machine != nil && !s.cut[[2]int{r.index, target.index}] {
+			if target.machine != nil && !s.cutLinks[[2]int{r.index, target.index}] {
 				target.machine.Receive(nodeOf(r.index), incarnation, msg, s.now)
 			}
 		})
 	}
 }
 
-func (r *replica) Persist(state State, then func(error)) {
+func (r *replica) Persist(state State, done func(error)) {
 	incarnation, s := r.incarnation, r.sim
 	write := time.Millisecond + s.randomDelay(5)
-	stall := s.randomDelay(8) / (7 * time.Millisecond) * s.randomDelay(300) // of one write in eight
+	stall := s.randomDelay(8) / (7 * time.Millisecond) * s.randomDelay(300) // one write in eight stalls
 	r.diskBusyUntil = max(r.diskBusyUntil, s.now) + write + stall
 	s.queue.Push(r.diskBusyUntil, func() {
 		if r.incarnation != incarnation {
 			return
 		}
 		r.disk = state
-		then(nil)
+		done(nil)
 	})
 }
 
@@ -172,14 +172,14 @@
 	}
 	s.publishSuccesses++
 	text := fmt.Sprint("text ", requestID>>32)
-	if was, twice := s.published[requestID]; twice && was != version {
-		s.fail("publication %d became version %d and version %d", requestID, was, version)
+	if previous, known := s.published[requestID]; known && previous != version {
+		s.fail("publication %d became version %d and version %d", requestID, previous, version)
 	}
 	s.published[requestID] = version
 	s.checkText(Entry{Version: version, Text: text}, "a publisher")
 }
 
-// publish sends a publication to a machine. Its text holds its ID.
+// publish sends a publication to a machine. The text contains the publication ID.
 func (s *simulation) publish(index int, id, baseVersion uint64) {
 	if r := s.replicas[index]; r.machine != nil {
 		s.publishAttempts++
@@ -191,7 +191,7 @@
 	}
 }
 
-// publishByClock is a mutation: the writer takes the version from its own clock, and the machines' clocks are some seconds apart.
+// publishByClock is a mutation: the writer derives the version from its own clock, and the machines' clocks differ by 3 s each.
 func (r *replica) publishByClock(p PublishRequest) {
 	if m := r.machine; m.IsWriter() && m.term.proposal == nil {
 		m.term.activePublish = &p
@@ -199,7 +199,7 @@
 	}
 }
 
-// pollDriver lets a driver take the newest version of a machine.
+// pollDriver lets a driver poll a machine and apply its newest version.
 func (s *simulation) pollDriver(d, n int) {
 	r := s.replicas[n]
 	if r.machine == nil {
@@ -218,7 +218,7 @@
 	return !slices.ContainsFunc(s.replicas, func(r *replica) bool { return r.machine == nil || !r.machine.Joined() })
 }
 
-// injectFault injects a random fault, or changes who holds the lease.
+// injectFault injects a random fault or changes the lease holder.
 func (s *simulation) injectFault() {
 	r := s.replicas[s.random.Below(3)]
 	switch s.random.Below(9) {
@@ -227,12 +227,12 @@
 			r.crash()
 			s.schedule(s.randomDelay(1500), func() { r.restart(false) })
 		}
-	case 2: // restart with empty storage, one at a time
+	case 2: // restart with empty storage; only one machine at a time
 		if s.allJoined() {
 			r.crash()
 			s.schedule(s.randomDelay(300), func() { r.restart(true) })
 		}
-	case 3, 4: // gains the lease, whoever else holds one
+	case 3, 4: // gains the lease, even if another machine holds it
 		if r.machine != nil && r.machine.Joined() {
 			r.machine.LeaseLost()
 			r.machine.LeaseGained(s.nextNumber())
@@ -243,8 +243,8 @@
 		}
 	case 6:
 		o := s.random.Below(3)
-		s.cut[[2]int{r.index, o}] = true
-		s.schedule(s.randomDelay(2000), func() { delete(s.cut, [2]int{r.index, o}) })
+		s.cutLinks[[2]int{r.index, o}] = true
+		s.schedule(s.randomDelay(2000), func() { delete(s.cutLinks, [2]int{r.index, o}) })
 	case 7:
 		s.lossRate = s.random.Float() / 3
 	case 8:
@@ -262,7 +262,7 @@
 	r.start()
 }
 
-// simulate runs random faults, publications and polls, then heals everything and checks that all machines converge.
+// simulate runs random faults, publications and polls, then ends all faults and checks that all machines converge.
 func simulate(seed uint64, mutate func(m *Machine), versionsByClock bool) *simulation {
 	s := newSimulation(seed, mutate)
 	s.versionsByClock = versionsByClock
@@ -276,9 +276,9 @@
 		case 1:
 			id++
 			base := s.random.Below(len(s.drivers))
-			n, again := s.random.Below(3), id
+			n, publicationID := s.random.Below(3), id
 			s.publish(n, id, s.drivers[base])
-			s.schedule(s.randomDelay(400), func() { s.publish(s.random.Below(3), again, s.drivers[base]) })
+			s.schedule(s.randomDelay(400), func() { s.publish(s.random.Below(3), publicationID, s.drivers[base]) })
 		default:
 			s.pollDriver(s.random.Below(len(s.drivers)), s.random.Below(3))
 		}
@@ -290,10 +290,10 @@
 	return s
 }
 
-// heal ends all faults, and makes one machine the writer.
+// heal ends all faults and makes one machine the writer.
 func (s *simulation) heal() {
 	s.lossRate = 0
-	clear(s.cut)
+	clear(s.cutLinks)
 	s.run(3 * time.Second)
 	for _, r := range s.replicas {
 		r.restart(false)
@@ -319,17 +319,17 @@
 	for _, r := range s.replicas {
 		e, fresh := r.machine.Committed(), r.machine.IsFresh(s.now)
 		if e.Version <= before || e.Text != fmt.Sprint("text ", 1<<30) || !fresh {
-			s.fail("in the end machine %d has version %d, %q, fresh %v; version %d was there before", r.index, e.Version, e.Text, fresh, before)
+			s.fail("after the faults ended, machine %d has version %d, %q, fresh %v; version %d was committed before", r.index, e.Version, e.Text, fresh, before)
 		}
 	}
 	for d, v := range s.drivers {
 		if v > before {
-			s.fail("driver %d has version %d, newer than any of the machines, %d", d, v, before)
+			s.fail("driver %d has version %d, newer than version %d of the machines", d, v, before)
 		}
 	}
 }
 
-// Whatever happens, no version has two texts, no publication becomes two versions, and in the end all machines have the same version.
+// Under random faults no version has two texts and no publication becomes two versions. After the faults all machines have the same version.
 func TestVersionsAreUniqueAndConverge(t *testing.T) {
 	seeds := 1500
 	if *simulationRuns > 0 {
@@ -346,20 +346,20 @@
 	}
 	t.Logf("%d simulations, %d publish attempts, %d published, newest version %d", seeds, attempts, published, newest)
 	if published < seeds*3 {
-		t.Errorf("too few publications to tell: %d in %d simulations", published, seeds)
+		t.Errorf("too few publications for a meaningful check: %d in %d simulations", published, seeds)
 	}
 }
 
-// Each mutation is detected by the same simulation.
+// The simulation detects each of these faults in the protocol. A check that can no longer fail would pass unnoticed otherwise.
 func TestMutationsAreDetected(t *testing.T) {
-	for name, change := range map[string]func(m *Machine){
-		"a majority of one":           func(m *Machine) { m.majority = 1 },
-		"versions by clock":           nil,
-		"empty storage votes at once": func(m *Machine) { m.state.Joined = true },
+	for name, mutate := range map[string]func(m *Machine){
+		"a majority of one":               func(m *Machine) { m.majority = 1 },
+		"versions by clock":               nil,
+		"empty storage votes immediately": func(m *Machine) { m.state.Joined = true },
 	} {
 		found := 0
 		for seed := uint64(1); seed <= 300 && found == 0; seed++ {
-			if s := simulate(seed, change, change == nil); s.violation != "" {
+			if s := simulate(seed, mutate, mutate == nil); s.violation != "" {
 				found++
 				t.Logf("%s: seed %d: %s", name, seed, s.violation)
 			}
--- a/internal/rollout/writer.go
+++ b/internal/rollout/writer.go
@@ -6,14 +6,14 @@
 	"passtack/internal/lease"
 )
 
-// writerTerm is the state of a machine that holds the lease. Its zero value is that of a machine that does not.
+// writerTerm is the state of a machine while it holds the lease. The zero value means that it does not hold the lease.
 type writerTerm struct {
-	ballot           Ballot                       // zero: no term
+	ballot           Ballot                       // ballot of the term; zero: no term
 	promises         map[lease.Node]Message       // answers to OpPrepare; nil once a majority has promised
-	proposal         *Entry                       // being written; nil: none
+	proposal         *Entry                       // entry being written; nil: none
 	acceptedBy       map[lease.Node]bool          // machines that have the proposal in storage
 	confirmedAt      map[lease.Node]time.Duration // when each peer last acknowledged a heartbeat
-	activePublish    *PublishRequest              // whose text the proposal has; nil: none
+	activePublish    *PublishRequest              // request that the proposal was made for; nil: none
 	pendingPublishes []PublishRequest
 }
 
@@ -22,7 +22,7 @@
 // IsWriter reports whether this machine is the writer: it holds the lease, and a majority has promised.
 func (m *Machine) IsWriter() bool { return m.term.active() && m.term.promises == nil }
 
-// LeaseGained begins a term under the lease's fencing token. The machine asks what was accepted before it writes anything.
+// LeaseGained begins a term under the lease's fencing token. Before the machine writes anything, it asks for the entries accepted so far.
 func (m *Machine) LeaseGained(fencingToken uint64) {
 	m.term.ballot = Ballot{fencingToken, m.self}
 	m.term.promises = make(map[lease.Node]Message)
@@ -32,7 +32,7 @@
 	m.onPrepare(m.self, prepare)
 }
 
-// LeaseLost ends the term. The next writer may still write the current proposal, so its outcome is unknown.
+// LeaseLost ends the term. The next writer may still write the current proposal, so the outcome of its request is unknown.
 func (m *Machine) LeaseLost() {
 	active, pending := m.term.activePublish, m.term.pendingPublishes
 	m.term = writerTerm{}
@@ -44,7 +44,7 @@
 	}
 }
 
-// onReject ends the term if a higher ballot was promised.
+// onReject ends the term if a machine has promised a higher ballot.
 func (m *Machine) onReject(promised Ballot) {
 	if m.term.active() && m.term.ballot.Less(promised) {
 		m.LeaseLost()
@@ -52,7 +52,7 @@
 	}
 }
 
-// onPromise counts the promises. With a majority, the newest entry that any of them has accepted is written again.
+// onPromise counts the promises. Once a majority has promised, the newest entry that any of these machines has accepted is proposed again.
 func (m *Machine) onPromise(from lease.Node, msg Message) {
 	if m.term.promises == nil || msg.Ballot != m.term.ballot {
 		return
@@ -85,7 +85,7 @@
 	m.onAccept(m.self, accept)
 }
 
-// onAccepted counts the machines that have the proposal in storage, and commits it with a majority.
+// onAccepted counts the machines that have the proposal in storage, and commits it once they are a majority.
 func (m *Machine) onAccepted(from lease.Node, msg Message) {
 	if m.term.proposal == nil || msg.Ballot != m.term.ballot || msg.Version != m.term.proposal.Version {
 		return
@@ -110,7 +110,7 @@
 	m.broadcast(Message{Op: OpCommit, Ballot: m.term.ballot, Version: m.state.Committed.Version, Floor: m.state.Floor})
 }
 
-// onCommitAck records that a peer follows, and sends it the committed entry if it lacks that.
+// onCommitAck records that a peer acknowledges the heartbeat, and sends the committed entry if the peer does not have it.
 func (m *Machine) onCommitAck(from lease.Node, msg Message, now time.Duration) {
 	if !m.IsWriter() || msg.Ballot != m.term.ballot {
 		return
@@ -123,9 +123,9 @@
 	m.publishNext()
 }
 
-// repeatPrepare asks again for promises that have not come.
-func (m *Machine) repeatPrepare() {
-	for _, node := range m.members() {
+// resendPrepare sends OpPrepare again to the machines that have not promised.
+func (m *Machine) resendPrepare() {
+	for _, node := range m.allNodes() {
 		if _, promised := m.term.promises[node]; promised {
 			continue
 		}
@@ -138,12 +138,12 @@
 	}
 }
 
-// repeatAccept asks again to accept the proposal where that has not been confirmed.
-func (m *Machine) repeatAccept() {
+// resendAccept sends the proposal again to the machines that have not accepted it.
+func (m *Machine) resendAccept() {
 	if m.term.proposal == nil {
 		return
 	}
-	for _, node := range m.members() {
+	for _, node := range m.allNodes() {
 		if m.term.acceptedBy[node] {
 			continue
 		}
