--- a/driver/driver.go
+++ b/driver/driver.go
@@ -1,18 +1,18 @@
-// Package driver is what the decision module is handed by whatever hosts it: the types of ids, the
-// words for what is told, and the few things that the module may do. It decides nothing.
+// Package driver is the interface between the decision module (package rules) and the hosts that run it: the types of
+// identifiers, the events that are reported to the module, and the actions that the module may take. It decides nothing.
 package driver
 
 import "time"
 
 type (
-	// RPC identifies one request of a client while the host serves it.
-	RPC uint32 // one try of a client
-	// Member identifies a database process; a number is not used again once the member was forgotten.
-	Member uint64 // the address of a database process
+	// RPC identifies one request of a client while the host serves it. A retry by the client is another RPC.
+	RPC uint32
+	// Member identifies a database process. A number is not used again after the member was forgotten.
+	Member uint64
 	// Session identifies a client session; 0 means that the request belongs to none.
-	Session uint64 // 0: none
+	Session uint64
 	// Group identifies a primary and its replicas.
-	Group uint16 // a primary and its replicas
+	Group uint16
 	// Method is the index of a method in the settings.
 	Method uint16
 	// Tenant is the index of a tenant in the settings.
@@ -20,36 +20,36 @@
 	// Zone is the index of an availability zone in the settings.
 	Zone uint16
 	// Peer identifies another driver of the fleet.
-	Peer uint32 // another driver
+	Peer uint32
 )
 
 // EveryPeer addresses all other drivers at once.
 const EveryPeer Peer = 1<<32 - 1
 
-// LongAgo stands for a start that the list gives no time for.
+// LongAgo is an unknown time, earlier than all others: the start of a member for which the endpoint list gives no time.
 const LongAgo = time.Duration(-1 << 62)
 
-// Outcome is how an attempt or a probe ended.
+// Outcome is how an attempt or a health check ended.
 type Outcome uint8
 
 const (
 	// OK means that the member answered and the request succeeded.
 	OK           Outcome = iota
-	Failed               // the member answered with an error; it may have run
-	Full                 // turned away unseen
+	Failed               // the member answered with an error; the request may have run
+	Full                 // the member rejected it for lack of capacity; it did not run
 	TimedOut             // no answer in time; it may still run
-	NoConnection         // never reached the member
-	Broken               // the connection broke while it was out
-	Cancelled            // called off; it may have run
-	Moot                 // not sent
-	Miss                 // turned away untouched: not the primary, or too far behind
+	NoConnection         // it never reached the member
+	Broken               // the connection broke while it was in flight; it may have run
+	Cancelled            // the driver cancelled it; it may have run
+	Moot                 // the driver did not send it
+	Miss                 // the member rejected it as not the primary or too stale; it did not run
 )
 
-// Role is what a member says of itself.
+// Role is the role that a member reports of itself.
 type Role uint8
 
 const (
-	// Unknown means that the answer did not tell the member's role.
+	// Unknown means that the answer did not include the member's role.
 	Unknown Role = iota
 	// Primary accepts writes.
 	Primary
@@ -57,54 +57,56 @@
 	Replica
 )
 
-// Standing is what the member list says of a member.
+// Standing is the state of a member in the endpoint list.
 type Standing uint8
 
 const (
-	// Draining members finish what they have and take nothing new.
+	// Draining members finish the requests that they have and take no new ones.
 	Draining Standing = iota
 	// Ready members take requests.
 	Ready
-	// Gone members were removed.
+	// Gone members were removed from the list.
 	Gone
 )
 
-// Listing tells what a list of members holds.
+// Listing is the kind of an update of the endpoint list.
 type Listing uint8
 
 const (
 	Changes Listing = iota // only the entries that changed
-	// Whole holds every member.
+	// Whole lists every member.
 	Whole
-	Cached // whole, but perhaps out of date
-	NoList // a call failed or the watch broke; nothing is listed
+	Cached // lists every member, but may be out of date
+	NoList // a list call failed or the watch broke; there are no entries
 )
 
-// Known is what is known of a member and may outlast a driver. Times are as Host.Now gives them.
+// Known is the learned state of a member that may be saved and restored after a restart. Times are by Host.Now.
 type Known struct {
-	Position time.Duration // of its log, as it was told
-	Replica  time.Duration // when it last proved to be a replica
-	Timed    time.Duration // when its latencies were last seen
-	Ratio    float64       // they against the usual
+	Position time.Duration // of the member's log, as last reported
+	Replica  time.Duration // latest proof that the member is a replica
+	Timed    time.Duration // when its latency was last measured
+	Ratio    float64       // its latency / the typical latency
 }
 
-// Host is what the module acts through. Times are spans since the count of log positions started, so
-// that a position and a time compare.
+// Host carries out the actions of the decision module. Times are durations since the zero point of log positions, so that
+// a position and a time can be compared.
 type Host interface {
 	Now() time.Duration
-	// Attempt sends an RPC that is whole at the member's by that time, or not at all. Timeout 0: until the client stops waiting.
-	Attempt(rpc RPC, to Member, by, timeout time.Duration)
+	// Attempt sends an RPC to a member. The request is completely sent by writeDeadline or not at all. Timeout 0 means until
+	// the client stops waiting.
+	Attempt(rpc RPC, to Member, writeDeadline, timeout time.Duration)
 	Cancel(rpc RPC, attempt int)
-	PushBack(rpc RPC, comeBack time.Duration) // final; comeBack 0: none said
-	Abort(rpc RPC)                            // final
-	Probe(m Member)
-	CloseIdle(m Member)
-	Remembered(who Session, commit time.Duration) // the latest write of a session, which may outlast the driver
-	Forget(m Member)                              // nothing more is sent to it; listed again, it is another
-	Watch(on bool)
+	PushBack(rpc RPC, retryAfter time.Duration) // the final answer; retryAfter 0: no retry delay is given
+	Abort(rpc RPC)                              // the final answer
+	Probe(m Member)                             // sends a health check
+	CloseIdle(m Member)                         // closes the idle connections to the member
+	// Remembered reports the position of a session's latest write, which may be saved and restored after a restart.
+	Remembered(session Session, commit time.Duration)
+	Forget(m Member) // the module sends nothing more to it; if it is listed again, it gets another number
+	Watch(on bool)   // starts or stops watching the endpoint list
 	FetchList()
 	Tell(to Peer, text []byte)
 	WakeAfter(wait time.Duration)
 	Log(line string)
-	Fault(why string) // the module cannot go on
+	Fault(reason string) // the module cannot continue
 }
--- a/internal/quota/allocator.go
+++ b/internal/quota/allocator.go
@@ -1,35 +1,35 @@
-// Package quota divides limited resources among listeners, so that a flood on one leaves the others their share. It only decides:
-// how much of a resource each may use now, and who should release some.
+// Package quota divides limited resources among listeners, so that a flood of requests to one leaves the others their share. It only
+// decides how much of a resource each listener may use now, and which listeners should release some.
 //
-// Each listener has a fair share by its weight. What another does not use is lent to it, except for half of the other's share,
-// which stays reserved: a listener that becomes busy gets that half at once and the rest as soon as the borrowers have released it.
+// Each listener has a fair share according to its weight. It may borrow what other listeners do not use, except for half of their
+// shares, which stays reserved: a listener that becomes busy gets that half at once and the rest when the borrowers have released it.
 package quota
 
 import "time"
 
-// Resource is what is divided.
+// Resource is a kind of limited resource.
 type Resource uint8
 
 // The resources of a listener.
 const (
 	Connections Resource = iota
-	Bytes                // of long messages
+	Bytes                // of buffers for long messages
 	RPCs                 // in flight
 	resourceCount
 )
 
 const (
-	// reservedPart is the part of its fair share, as a divisor, that is reserved for a listener that does not use it.
+	// reservedPart is the divisor that gives the part of a fair share that stays reserved for a listener that does not use it.
 	reservedPart = 2
 
-	// shortageDuration is for how long a listener that found no capacity counts as short of it.
+	// shortageDuration is how long a listener counts as short of a resource after it found no capacity.
 	shortageDuration = time.Second
 )
 
 // Config is the configuration of one listener.
 type Config struct {
 	Weight float64
-	Limits [resourceCount]int // 0: none of its own
+	Limits [resourceCount]int // 0: no limit of its own
 }
 
 // listener is the state of one listener.
@@ -39,7 +39,7 @@
 	shortages [resourceCount]shortage
 }
 
-// shortage is when a listener last found no capacity.
+// shortage records when a listener last found no capacity.
 type shortage struct {
 	reported bool
 	at       time.Duration
@@ -47,7 +47,7 @@
 
 func (s shortage) current(now time.Duration) bool { return s.reported && now-s.at < shortageDuration }
 
-// Allocator divides the resources of one driver among its listeners, which are numbered from 0.
+// Allocator divides the resources of one driver among its listeners. They are numbered from 0.
 type Allocator struct {
 	listeners   []*listener
 	totalWeight float64
@@ -61,7 +61,7 @@
 	return id
 }
 
-// Update changes the configuration of a listener. What it uses beyond that is released as it ends.
+// Update changes the configuration of a listener. What it uses beyond a new limit is released as the uses end.
 func (a *Allocator) Update(id int, config Config) {
 	a.listeners[id].Config = config
 	a.totalWeight = 0
@@ -73,7 +73,7 @@
 // SetUsage sets how much of a resource a listener uses now.
 func (a *Allocator) SetUsage(id int, r Resource, used int) { a.listeners[id].used[r] = used }
 
-// FairShare returns the listener's share of total by its weight, at least 1.
+// FairShare returns the listener's share of total according to its weight and limit, at least 1.
 func (a *Allocator) FairShare(id int, r Resource, total int) int {
 	l := a.listeners[id]
 	share := int(float64(total) * l.Weight / a.totalWeight)
@@ -83,7 +83,7 @@
 	return max(share, 1)
 }
 
-// Capacity returns how much of a resource, of which there is total, a listener may use now.
+// Capacity returns how much of total a listener may use now.
 func (a *Allocator) Capacity(id int, r Resource, total int) int {
 	capacity := total
 	for other, l := range a.listeners {
@@ -97,12 +97,13 @@
 	return max(capacity, 0)
 }
 
-// ReportShortage reports that a listener found no capacity.
+// ReportShortage records that a listener found no capacity.
 func (a *Allocator) ReportShortage(id int, r Resource, now time.Duration) {
 	a.listeners[id].shortages[r] = shortage{reported: true, at: now}
 }
 
-// Excess returns how much a listener should release: what it uses beyond its share, as far as listeners below theirs are short of it.
+// Excess returns how much a listener should release: what it uses beyond its share, up to what other listeners that are short of the
+// resource lack to reach their shares.
 func (a *Allocator) Excess(id int, r Resource, total int, now time.Duration) int {
 	borrowed := a.listeners[id].used[r] - a.FairShare(id, r, total)
 	if borrowed <= 0 {
--- a/internal/quota/allocator_test.go
+++ b/internal/quota/allocator_test.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// Whatever the listeners request in whatever order, together they use no more than there is. One that becomes busy during a flood gets half
-// of its share at once, and all of it once the borrowers have released it.
+// Whatever the listeners request in whatever order, together they use no more than the total. A listener that becomes busy during a flood
+// gets half of its share at once, and all of it once the borrowers have released their excess.
 func TestFloodsLeaveTheOthersTheirShare(t *testing.T) {
 	seeded.Check(t, func(t *rapid.T) {
 		total := rapid.IntRange(20, 2000).Draw(t, "total")
@@ -35,8 +35,8 @@
 			used[i] = n
 			a.SetUsage(i, Connections, n)
 			sum := 0
-			for _, h := range used {
-				sum += h
+			for _, u := range used {
+				sum += u
 			}
 			if sum > total {
 				t.Fatalf("%v are used of %d", used, total)
@@ -57,7 +57,7 @@
 		if got := a.Capacity(late, Connections, total); got < share/2 {
 			t.Fatalf("the late listener may use %d, its share is %d", got, share)
 		}
-		for range 50 * len(weights) { // it takes what it may use, and the others release their excess
+		for range 50 * len(weights) { // the late listener takes what it may use, and the others release their excess
 			use(late, min(share, max(used[late], a.Capacity(late, Connections, total))))
 			a.ReportShortage(late, Connections, now)
 			for i := range weights {
@@ -65,7 +65,7 @@
 			}
 		}
 		if used[late] < share {
-			t.Fatalf("in the end it uses %d of its share of %d: %v", used[late], share, used)
+			t.Fatalf("in the end the late listener uses %d of its share of %d: %v", used[late], share, used)
 		}
 		for i := range weights {
 			if excess := a.Excess(i, Connections, total, now); excess > 0 {
--- a/internal/settings/flatten.go
+++ b/internal/settings/flatten.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// ParseLines reads settings from lines of the form path=value, with the platform's names. Other lines are ignored.
+// ParseLines reads settings from lines of the form path=value with the platform's names. Other lines are ignored.
 func ParseLines(text string) map[string]string {
 	values := make(map[string]string)
 	for line := range strings.Lines(text) {
@@ -19,8 +19,8 @@
 	return values
 }
 
-// Flatten reads settings from a JSON object with the platform's names, whose numbers are json.Number. A list of objects gives a path for each
-// index and a path "count"; a list of other values gives one value with commas.
+// Flatten reads settings from a JSON object with the platform's names; its numbers are json.Number. A list of objects becomes one path per
+// index and a path "count"; a list of other values becomes one comma-separated value.
 func Flatten(object map[string]any) map[string]string {
 	values := make(map[string]string)
 	flattenInto(values, "", object)
@@ -55,7 +55,7 @@
 	}
 }
 
-// putRenamed stores a setting under the project's names. The value of a path ".name" was chosen by somebody, and stays.
+// putRenamed stores a setting with the project's names. The value of a path ".name" is a name that operators chose, and is not translated.
 func putRenamed(values map[string]string, path, value string) {
 	path = renameParts(path, ".")
 	if !strings.HasSuffix(path, ".name") {
@@ -64,7 +64,7 @@
 	values[path] = value
 }
 
-// separators have a meaning in lines and lists, and may not stand in a value.
+// separators replaces characters that separate items in lines and lists, as a value must not contain them.
 var separators = strings.NewReplacer(" ", "_", ",", "_")
 
 func scalarText(value any) string {
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -13,7 +13,7 @@
 
 var update = flag.Bool("update", false, "rewrite golden files")
 
-// The platform's words, what they are renamed to, and which values a published setting may have, by the words that name them.
+// Fails if a translated name, a description or the set of valid values of a setting changes.
 func TestGoldenNames(t *testing.T) {
 	var lines strings.Builder
 	for _, word := range slices.Sorted(maps.Keys(projectNames)) {
--- a/internal/settings/merge.go
+++ b/internal/settings/merge.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// MergeOver returns the settings of a driver whose own file has local, or why it could not serve by them. Of mergedObjects each published key
-// replaces the local one, of all other settings the whole value does.
+// MergeOver merges the published settings over the local ones of a driver's own file. In mergedObjects each published key replaces the local
+// one; all other settings are replaced as a whole. It returns an error if a driver could not serve with the result.
 func (p *Published) MergeOver(local map[string]string) (map[string]string, error) {
 	merged := maps.Clone(local)
 	for path := range p.settings {
@@ -29,7 +29,7 @@
 	return merged, nil
 }
 
-// validateNamesAndLimits checks that methods have different names, and that no limit is under the soft deadline.
+// validateNamesAndLimits checks that methods have distinct names and that no total limit is less than the soft deadline.
 func (s Settings) validateNamesAndLimits() error {
 	indexes := make(map[string]int)
 	for i := range s.methodCount() {
--- a/internal/settings/methods.go
+++ b/internal/settings/methods.go
@@ -8,39 +8,39 @@
 // Freshness is what a method requires of the data of the member that serves it.
 type Freshness string
 
-// All values of Freshness. No member qualifies for another.
+// All values of Freshness. No member qualifies for any other value.
 const (
 	FreshnessAny     Freshness = "any"
-	FreshnessBounded Freshness = "bounded" // not older than the method's maximum staleness
+	FreshnessBounded Freshness = "bounded" // not staler than the method's MaxStaleness
 	FreshnessSession Freshness = "session" // includes the session's latest write
-	FreshnessLatest  Freshness = "fresh"   // includes all that was committed before the RPC arrived
+	FreshnessLatest  Freshness = "fresh"   // includes all commits from before the RPC arrived
 	FreshnessWrite   Freshness = "write"   // a write, for the primary
 )
 
-// PrefersPrimary reports whether the primary usually serves such methods.
+// PrefersPrimary reports whether the primary usually serves methods with this freshness.
 func (f Freshness) PrefersPrimary() bool { return f == FreshnessWrite || f == FreshnessLatest }
 
-// Effect tells whether a method may run more than once.
+// Effect is whether a method may run more than once.
 type Effect string
 
-// All values of Effect. A method with another is taken for non-idempotent.
+// All values of Effect. Any other value counts as non-idempotent.
 const (
 	NonIdempotent Effect = "non-idempotent"
 	Idempotent    Effect = "idempotent"
-	Keyed         Effect = "tokened" // may be repeated with its idempotency key
+	Keyed         Effect = "tokened" // may run again with the same idempotency key
 )
 
-// DuplicateScope tells which members drop a duplicate of an RPC that has run. Another value than these stands for the members of
-// the group.
+// DuplicateScope is which members drop a duplicate of an RPC that has run. Any value other than the constants means the members of the
+// group.
 type DuplicateScope string
 
-// The values of DuplicateScope besides the group.
+// The values of DuplicateScope other than the group.
 const (
-	DuplicatesInZone   DuplicateScope = "zone" // the members in the zone of the one that it ran at
+	DuplicatesInZone   DuplicateScope = "zone" // the members in the zone of the member that it ran at
 	DuplicatesAnywhere DuplicateScope = "all"
 )
 
-// Method is what the settings say of one method.
+// Method holds the settings of one method.
 type Method struct {
 	Freshness    Freshness
 	MaxStaleness time.Duration // of the data, for FreshnessBounded
@@ -48,12 +48,12 @@
 	Duplicates   DuplicateScope
 	RetryWindow  time.Duration // after the first run, in which members recognize duplicates
 	SoftDeadline time.Duration // later answers are worth less
-	TotalLimit   time.Duration // of the client, for all its tries
+	TotalLimit   time.Duration // how long a client waits over all its tries
 	Utility      float64       // of an answer
-	LateUtility  float64       // the part of Utility that is left past the soft deadline
+	LateUtility  float64       // fraction of Utility that is left after the soft deadline
 }
 
-// Methods returns the methods in the order of their numbers, including retired ones.
+// Methods returns the methods by index, including retired ones.
 func (s Settings) Methods() []Method {
 	methods := make([]Method, 0, s.methodCount())
 	for i := range s.methodCount() {
@@ -70,7 +70,7 @@
 	return methods
 }
 
-// TenantQuotas returns this driver's parts of the tenants' quotas in RPCs a second, in the order of the tenants' numbers.
+// TenantQuotas returns this driver's parts of the tenants' quotas in RPCs per second, by the tenants' indexes.
 func (s Settings) TenantQuotas() []float64 {
 	var quotas []float64
 	for i := range int(s.Number("tenants.count", 0)) {
--- a/internal/settings/names.go
+++ b/internal/settings/names.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// projectNames are the project's names for the platform's, in the paths of settings and in their values.
+// projectNames maps the platform's names to the project's, in the paths of settings and in their values.
 var projectNames = map[string]string{
 	"classes":            "methods",
 	"target_us":          "soft_deadline",
@@ -66,7 +66,7 @@
 	"retry_after":        "timed_pushback",
 }
 
-// ProjectName returns the project's name for one of the platform's, part by part of a path. Parts without one stay.
+// ProjectName translates each part of a path from the platform's name to the project's. Parts without a translation stay.
 func ProjectName(text string) string { return renameParts(text, ".") }
 
 func renameParts(text, separator string) string {
@@ -79,7 +79,7 @@
 	return strings.Join(parts, separator)
 }
 
-// platformName returns the platform's name for one of the project's. Of several it is the first by alphabet.
+// platformName translates one of the project's names to the platform's, the alphabetically first if there are several.
 func platformName(name string) string {
 	found := ""
 	for platform, project := range projectNames {
@@ -93,7 +93,7 @@
 	return found
 }
 
-// platformPath returns platformName for each part of a path.
+// platformPath translates each part of a path with platformName.
 func platformPath(path string) string {
 	parts := strings.Split(path, ".")
 	for i, part := range parts {
--- a/internal/settings/published.go
+++ b/internal/settings/published.go
@@ -20,15 +20,15 @@
 	maxSockets  = 1 << 20
 )
 
-// Published is a configuration that operators publish for a fleet: a JSON object with settings, by the platform's names, and limits. It is
-// merged over each driver's own file.
+// Published is a configuration that operators publish for a fleet: a JSON object with settings, under the platform's names, and limits. It
+// is merged over each driver's own file.
 type Published struct {
-	settings map[string]string // by the project's names
+	settings map[string]string // under the project's names
 	MemoryMB int64             // 0: as in the driver's own file
 	Sockets  int               // 0: as in the driver's own file
 }
 
-// publishedText is the JSON of a published configuration.
+// publishedText is the JSON form of a published configuration.
 type publishedText struct {
 	Settings map[string]any
 	Limits   struct {
@@ -37,8 +37,8 @@
 	}
 }
 
-// ParsePublished reads a published configuration and checks what needs no driver's own file. Its error names the first fault with its place
-// and value.
+// ParsePublished parses a published configuration and checks everything that does not depend on a driver's own file. Its error names the
+// first fault with its place and value.
 func ParsePublished(text []byte) (*Published, error) {
 	decoded, err := decodePublished(text)
 	if err != nil {
@@ -65,7 +65,7 @@
 	return p, nil
 }
 
-// decodePublished decodes one JSON object with no unknown keys and nothing behind it.
+// decodePublished decodes a single JSON object without unknown keys.
 func decodePublished(text []byte) (decoded publishedText, err error) {
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.UseNumber()
@@ -80,7 +80,7 @@
 	return decoded, nil
 }
 
-// checkSetting checks that a setting may be published, with that value.
+// checkSetting checks that a setting may be published with this value.
 func checkSetting(path, value string) error {
 	top, _, _ := strings.Cut(path, ".")
 	if slices.Contains(driverSettings, top) {
@@ -96,13 +96,13 @@
 	return nil
 }
 
-// syntaxError adds the place to an error of the decoder.
+// syntaxError adds line and column to an error of the decoder.
 func syntaxError(text []byte, err error, offset int64) error {
 	var syntax *json.SyntaxError
 	var typed *json.UnmarshalTypeError
 	switch {
 	case errors.As(err, &syntax):
-		offset = max(syntax.Offset-1, 0) // the offset is behind the faulty byte
+		offset = max(syntax.Offset-1, 0) // the offset is that of the byte after the faulty one
 	case errors.As(err, &typed):
 		want := "an object"
 		if kind := typed.Type.Kind(); kind == reflect.Int || kind == reflect.Int64 {
@@ -114,7 +114,7 @@
 	return fmt.Errorf("%s: %w", position(text, offset), err)
 }
 
-// position returns the line and column of an offset, both from 1.
+// position returns the line and column of an offset, both counted from 1.
 func position(text []byte, offset int64) string {
 	before := text[:min(int(offset), len(text))]
 	line := bytes.Count(before, []byte("\n")) + 1
--- a/internal/settings/published_test.go
+++ b/internal/settings/published_test.go
@@ -48,25 +48,25 @@
 	return all
 }
 
-// A published configuration replaces the settings of a driver's own file: merged objects key by key, all others as a whole.
+// A published configuration replaces the settings of a driver's own file: merged objects by key, all other settings as a whole.
 func TestMergeOver(t *testing.T) {
 	if all := mergeOver(t, `{}`); !maps.Equal(all, localFile) {
-		t.Errorf("nothing changes %v", all)
+		t.Errorf("an empty configuration changes the settings to %v", all)
 	}
 	all := mergeOver(t, `{"settings":{"caps":{"most_tries":3},"balancers":470,"tenants":[{"name":"x","quota_rps":50.5}],
 "classes":[{"name":"seek","effect":"unsafe","points":2.5,"target_us":100000,"hard_limit_us":100000}],"family_info":{"class_read":["latest"]}},"limits":{"memory_mb":64}}`)
 	for path, want := range map[string]string{"caps.attempts": "3", "caps.cancel": "true", "drivers": "470", "tenants.count": "1", "tenants.0.quota": "50.5", "methods.count": "1",
 		"methods.0.effect": "non-idempotent", "methods.1.name": "", "family_info.needs": "fresh", "family_info.bounds": "800000,0", "zone": "1", "tick": "5000"} {
 		if all[path] != want {
-			t.Errorf("%s is %q, %q is wanted", path, all[path], want)
+			t.Errorf("%s is %q, want %q", path, all[path], want)
 		}
 	}
-	if _, there := all["tenants"]; there {
-		t.Error("the empty list that was replaced is still there")
+	if _, exists := all["tenants"]; exists {
+		t.Error("the replaced empty list still exists")
 	}
 }
 
-// The first fault is named by its place and value, with the platform's names.
+// The error names the first fault with its place and value, under the platform's names.
 func TestInvalidPublishedTextIsRejected(t *testing.T) {
 	method := func(more string) string {
 		return `{"settings":{"classes":[{"name":"look","effect":"safe","points":1,"target_us":600000,"hard_limit_us":900000` + more + `}],"family_info":{"class_read":["loose"]}}}`
@@ -111,7 +111,7 @@
 	}
 }
 
-// A running driver keeps the indexes of its methods. Removed ones are marked as retired, and what needs a restart stays.
+// A running driver keeps the indexes of its methods: removed methods are marked as retired. Settings that need a restart keep their values.
 func TestMergeRunningKeepsMethodNumbers(t *testing.T) {
 	fresh := mergeOver(t, `{"settings":{"tick_us":9000,"areas":["b","a"],"caps":{"most_tries":3},
 "classes":[{"name":"new","effect":"safe","points":1,"target_us":100000,"hard_limit_us":100000},{"name":"pay","effect":"unsafe","points":9,"target_us":200000,"hard_limit_us":200000}],
@@ -124,7 +124,7 @@
 		"methods.1.name": "pay", "methods.1.effect": "non-idempotent", "methods.1.window": "", "methods.2.name": "new", "family_info.needs": "bounded,write,any",
 		"family_info.bounds": "800000,2,1", "tick": "5000", "zones": "a,b", "caps.attempts": "3"} {
 		if running[path] != want {
-			t.Errorf("%s is %q, %q is wanted", path, running[path], want)
+			t.Errorf("%s is %q, want %q", path, running[path], want)
 		}
 	}
 	if err := New(running).Validate(); err != nil {
@@ -142,13 +142,13 @@
 	}
 	again, err := MergeRunning(back, localFile)
 	if err != nil || !maps.Equal(again, back) {
-		t.Errorf("the same again: %v, %v", err, again)
+		t.Errorf("merging the same settings again: %v, %v", err, again)
 	}
-	for n, by := 0, localFile; ; n++ {
+	for n, current := 0, localFile; ; n++ {
 		next := mergeOver(t, fmt.Sprintf(`{"settings":{"classes":[{"name":"m%d","effect":"safe","points":1,"target_us":1,"hard_limit_us":1}],"family_info":{"class_read":["loose"]}}}`, n))
-		if by, err = MergeRunning(by, next); err != nil {
+		if current, err = MergeRunning(current, next); err != nil {
 			if n < 200 || !strings.Contains(err.Error(), "settings.classes") {
-				t.Errorf("after %d: %v", n, err)
+				t.Errorf("after %d changes: %v", n, err)
 			}
 			break
 		}
--- a/internal/settings/running.go
+++ b/internal/settings/running.go
@@ -8,14 +8,14 @@
 	"strings"
 )
 
-// RetiredKey is the key of a method that is no longer served, while RPCs of it may still be under way. Its value is "true".
+// RetiredKey marks a method that is no longer served while RPCs of it may still be in flight. Its value is "true".
 const RetiredKey = "retired"
 
-// maxMethods bounds the methods of a running driver, including retired ones.
+// maxMethods is the maximum number of methods of a running driver, including retired ones.
 const maxMethods = 256
 
-// NeedsRestart returns the settings, by the platform's names, whose change takes effect only after a restart of a driver that started with
-// others. All other settings take effect at once, or for what begins later.
+// NeedsRestart returns the changed settings, under the platform's names, that take effect only when a driver that was started with other
+// values restarts. All other settings take effect at once or for RPCs that begin later.
 func NeedsRestart(started, fresh map[string]string) (names []string) {
 	for _, path := range restartPaths(started, fresh) {
 		names = append(names, platformPath(path))
@@ -40,13 +40,13 @@
 	return paths
 }
 
-// MergeRunning returns fresh settings in the form in which a driver that runs by others can take them over: methods keep their indexes, those
-// that are gone are marked as retired, and new ones are appended. What needs a restart stays as it was.
+// MergeRunning adapts fresh settings to a running driver: methods keep their indexes, removed methods are marked as retired, and new ones are
+// appended. Settings that need a restart keep their running values.
 func MergeRunning(running, fresh map[string]string) (map[string]string, error) {
 	methods := mergeMethods(New(running), New(fresh))
 	count := len(methods.needs)
 	if count > maxMethods {
-		return nil, fmt.Errorf("settings.classes: with those of before there are %d while the driver runs, %d are the most", count, maxMethods)
+		return nil, fmt.Errorf("settings.classes: %d methods, including those removed since the driver started; at most %d are allowed until it restarts", count, maxMethods)
 	}
 	merged := maps.Clone(fresh)
 	maps.DeleteFunc(merged, func(path, _ string) bool { return strings.HasPrefix(path, "methods.") })
@@ -55,7 +55,7 @@
 	merged["family_info.needs"] = strings.Join(methods.needs, ",")
 	merged["family_info.bounds"] = strings.Join(methods.bounds, ",")
 	for _, path := range restartPaths(running, fresh) {
-		if value, had := running[path]; had {
+		if value, exists := running[path]; exists {
 			merged[path] = value
 		} else {
 			delete(merged, path)
@@ -64,13 +64,13 @@
 	return merged, nil
 }
 
-// methodList collects the settings of methods, under new indexes.
+// methodList collects the settings of methods under new indexes.
 type methodList struct {
 	values        map[string]string
 	needs, bounds []string // by index
 }
 
-// add appends a method of some settings.
+// add appends a method and its settings.
 func (l *methodList) add(from Settings, method map[string]string, index int, retired bool) {
 	path := methodPath(len(l.needs))
 	for key, value := range method {
@@ -104,7 +104,7 @@
 	return merged
 }
 
-// methodNames returns the names of all methods, and the indexes by name of those that are not retired.
+// methodNames returns the names of all methods by index, and the indexes by name of those that are not retired.
 func (s Settings) methodNames() (names []string, indexes map[string]int) {
 	indexes = make(map[string]int)
 	for i := range s.methodCount() {
@@ -122,10 +122,10 @@
 func (s Settings) methodSettings() map[int]map[string]string {
 	all := make(map[int]map[string]string)
 	for path, value := range s.values {
-		rest, ofMethods := strings.CutPrefix(path, "methods.")
+		rest, isMethod := strings.CutPrefix(path, "methods.")
 		number, key, nested := strings.Cut(rest, ".")
 		i, err := strconv.Atoi(number)
-		if !ofMethods || !nested || err != nil {
+		if !isMethod || !nested || err != nil {
 			continue
 		}
 		if all[i] == nil {
--- a/internal/settings/schema.go
+++ b/internal/settings/schema.go
@@ -8,13 +8,13 @@
 	"strings"
 )
 
-// valueKind is what values a setting may have.
+// valueKind is a set of valid values.
 type valueKind struct {
-	description string // of valid values, for errors
+	description string // of the valid values, for error messages
 	valid       func(value string) bool
 }
 
-// numberKind returns the kind of finite numbers within bounds.
+// numberKind returns the kind of the finite numbers for which valid is true.
 func numberKind(description string, valid func(v float64) bool) valueKind {
 	return valueKind{description, func(value string) bool {
 		v, err := strconv.ParseFloat(value, 64)
@@ -22,7 +22,7 @@
 	}}
 }
 
-// enumKind returns the kind of some texts. The description has their names on the platform.
+// enumKind returns the kind of the listed values. The description lists their names on the platform.
 func enumKind(description string, values ...string) valueKind {
 	return valueKind{description, func(value string) bool { return slices.Contains(values, value) }}
 }
@@ -42,8 +42,8 @@
 	anything = valueKind{"", func(string) bool { return true }}
 )
 
-// schema are the settings that may be published, with the values they may have. An asterisk stands for an index. A path without an entry of its
-// own has the kind of the object that it is in. What the program does not read may be anything.
+// schema lists the settings that may be published, with their valid values. An asterisk stands for an index. A path without an entry has the
+// kind of the object that contains it. Settings that the program does not read may have any value.
 var schema = map[string]valueKind{
 	"methods.*.name":            identifier,
 	"methods.*.utility":         positiveNumber,
@@ -96,15 +96,15 @@
 	"family":                    anything,
 }
 
-// driverSettings are each driver's own, and cannot be published.
+// driverSettings are specific to each driver and cannot be published.
 var driverSettings = []string{"driver", "zone", "tier"}
 
-// mergedObjects are objects whose keys are published one by one. All other settings are published as a whole.
+// mergedObjects are objects whose keys are merged one by one. All other published settings replace the local ones as a whole.
 var mergedObjects = []string{"caps", "rules", "family_info", "report"}
 
 var indexPattern = regexp.MustCompile(`\.\d+`)
 
-// lookupKind returns the kind of a path, or of the innermost object around it that has one.
+// lookupKind returns the kind of a path, or of the innermost enclosing object that has one.
 func lookupKind(path string) (kind valueKind, known bool) {
 	for pattern := indexPattern.ReplaceAllString(path, ".*"); ; {
 		if kind, known = schema[pattern]; known {
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -6,12 +6,12 @@
 	"slices"
 )
 
-// Validate returns the first reason why a driver cannot serve by the methods of the settings, with the platform's names. An unknown effect
-// taken for another one would let a method run twice, or reject it always.
+// Validate returns the first reason why a driver cannot serve the methods of the settings, with the platform's names. If an unknown effect
+// were accepted as another one, a method could run twice or always be rejected.
 func (s Settings) Validate() error {
 	count := s.methodCount()
 	if count < 1 {
-		return errors.New("classes: there is none, or it is no list of objects")
+		return errors.New("classes: there is none, or it is not a list of objects")
 	}
 	for i := range count {
 		if err := s.validateMethod(i); err != nil {
@@ -32,7 +32,7 @@
 	}
 	if effect == "tokened" {
 		repeats := s.Text(path + "repeats")
-		if !slices.Contains([]string{"", "all", "zone", "group"}, repeats) { // "" is the group
+		if !slices.Contains([]string{"", "all", "zone", "group"}, repeats) { // "" means the group
 			return invalid("group", repeats, "all, zone or cell is wanted for what is keyed")
 		}
 		if s.Duration(path+"window") <= 0 {
--- a/rules/actionlog_test.go
+++ b/rules/actionlog_test.go
@@ -8,7 +8,7 @@
 	"passtack/driver"
 )
 
-// actionLog is a host that records the actions of the module.
+// actionLog is a simulated host that records the router's actions with their times.
 type actionLog struct {
 	*cluster
 	lines strings.Builder
--- a/rules/admission.go
+++ b/rules/admission.go
@@ -8,31 +8,31 @@
 )
 
 const (
-	latencyMargin   = 1.5  // by which a latency may exceed its prediction
-	utilityExponent = 0.25 // how strongly utility per work ranks RPCs; 0: not at all
+	latencyMargin   = 1.5  // factor by which a latency may exceed its prediction
+	utilityExponent = 0.25 // how strongly utility per work affects which RPCs are shed; 0: not at all
 	maxTimeoutVotes = 16
 )
 
-// queueShare is the share of an RPC's time for which it may wait in the queue.
+// queueShare is the share of an RPC's remaining time for which it may wait in the queue.
 var queueShare = map[settings.Freshness]float64{
 	settings.FreshnessAny: 0.15, settings.FreshnessBounded: 0.15, settings.FreshnessSession: 0.15, settings.FreshnessLatest: 0.45, settings.FreshnessWrite: 0.45,
 }
 
-// requestedSince returns since when the client has wanted the answer. A client waits as long as usual for a try, or until its limit for all
-// tries: a try with another timeout is a retry. What waited during a pause of this driver is older.
+// requestedSince returns when the client first requested the answer. Clients of a method wait for its usual timeout, or until the limit for
+// all their tries: a try with another timeout is a retry. An RPC that is read after a pause of this driver arrived before it was read.
 func (r *Router) requestedSince(q Request, now time.Duration) time.Duration {
-	meth, patience, resumed := r.methods[q.Method], q.Deadline-q.ArrivedAt, now == r.ticks.resumedAt
-	usual := (patience - meth.clientTimeout).Abs() < 2*r.ticks.interval
+	meth, timeout, resumed := r.methods[q.Method], q.Deadline-q.ArrivedAt, now == r.ticks.resumedAt
+	usual := (timeout - meth.clientTimeout).Abs() < 2*r.ticks.interval
 	if !usual && !resumed {
 		if meth.timeoutVotes--; meth.timeoutVotes < 0 {
-			meth.clientTimeout, meth.timeoutVotes, usual = patience, 1, true
+			meth.clientTimeout, meth.timeoutVotes, usual = timeout, 1, true
 		}
 	} else if usual {
 		meth.timeoutVotes = min(meth.timeoutVotes+1, maxTimeoutVotes)
 	}
 	switch {
 	case usual && q.ClientRetry:
-		return q.ArrivedAt - meth.SoftDeadline/4 // the longest wait that giveUp tells a client
+		return q.ArrivedAt - meth.SoftDeadline/4 // minus the longest retry delay after TooSlow
 	case usual:
 		return q.ArrivedAt
 	case resumed:
@@ -41,8 +41,8 @@
 	return min(q.ArrivedAt, q.Deadline-meth.TotalLimit)
 }
 
-// requiredTime returns the time that must be left for an RPC to be sent: more for less utility per work, so that it is shed first. The most
-// useful methods need no margin at a member that has nothing of this driver in flight.
+// requiredTime returns the time that must be left for an RPC to be sent. It is longer for RPCs with less utility per work, so that they are
+// shed first. The methods with the most utility per work need no margin at a member with no attempt of this driver in flight.
 func (r *Router) requiredTime(target *member, meth *method, utility float64) time.Duration {
 	highest := 0.0
 	for _, m := range r.methods {
@@ -57,7 +57,7 @@
 	return time.Duration(float64(r.predictLatency(target, meth)) * latencyMargin * rank)
 }
 
-// enqueue lets an RPC wait for a member, once for a share of its time.
+// enqueue lets an RPC wait for a member, in all for a share of the time that was left when it was first queued.
 func (r *Router) enqueue(q *rpc) {
 	now := r.host.Now()
 	if q.queueUntil == 0 {
@@ -71,13 +71,13 @@
 	r.queue = append(r.queue, q)
 }
 
-// giveUp gives an RPC its final answer without a member's: an abort, or a rejection with the time to retry after if that can do no harm.
-func (r *Router) giveUp(q *rpc, wait time.Duration, why Reason) {
+// giveUp gives an RPC a final answer that is not a member's: a rejection with a retry delay if a retry can do no harm, else an abort.
+func (r *Router) giveUp(q *rpc, retryAfter time.Duration, reason Reason) {
 	meth := q.method
-	r.lastReason = why
+	r.lastReason = reason
 	r.cancelAttempts(q)
 	if meth.Effect == settings.Idempotent || !q.mayHaveRun && q.openAttempts == 0 || meth.Effect == settings.Keyed && meth.Duplicates == settings.DuplicatesAnywhere {
-		r.host.PushBack(q.ID, min(max(wait, 0), r.settings.Duration("caps.longest_wait")))
+		r.host.PushBack(q.ID, min(max(retryAfter, 0), r.settings.Duration("caps.longest_wait")))
 	} else {
 		r.host.Abort(q.ID)
 	}
--- a/rules/admission_test.go
+++ b/rules/admission_test.go
@@ -7,12 +7,12 @@
 	"passtack/driver"
 )
 
-// A try that the client's total limit cuts short is a retry: its soft deadline counts from the first try.
+// A try whose timeout is cut short by the client's total limit is a retry: its soft deadline counts from the first try.
 func TestClientRetryCountsFromTheFirstTry(t *testing.T) {
 	c := newCluster(t, 1, "wait", "methods.0.limit=2000000")
 	for range 5 {
 		if got := c.router.requestedSince(Request{ArrivedAt: c.now, Deadline: c.now + 1500*ms}, c.now); got != c.now {
-			t.Fatalf("a first try counts from %v, arrived at %v", got, c.now)
+			t.Fatalf("a first try counts from %v, it arrived at %v", got, c.now)
 		}
 	}
 	if got := c.router.requestedSince(Request{ArrivedAt: c.now, Deadline: c.now + 1200*ms, ClientRetry: true}, c.now); got != c.now-800*ms {
@@ -20,8 +20,8 @@
 	}
 }
 
-// A request that was queued behind another on its connection is a first try since its arrival: the shorter time that is left is
-// not taken for a retry's and does not change the estimated timeout of clients.
+// A request that waited behind another one on its connection is a first try and counts from its arrival. The shorter time left must not be
+// taken for a retry's timeout and must not change the estimated timeout of clients.
 func TestQueueingInAConnectionIsNoClientRetry(t *testing.T) {
 	c := newCluster(t, 1, "")
 	c.minDeadlineMillis = 1999
@@ -29,24 +29,24 @@
 		c.request(0, 0)
 	}
 	m := c.router.methods[0]
-	lasts := m.clientTimeout
+	timeout := m.clientTimeout
 	for id, waited := range []time.Duration{0, 300 * ms, 900 * ms, 1500 * ms} {
 		before := c.router.load.firstTries.At(c.now, loadWindow)
 		c.lastRPC++
-		c.rpcs[c.lastRPC] = &simulatedRPC{group: 0, arrivedAt: c.now, lastAttempt: -1, commit: driver.LongAgo, deadline: c.now - waited + lasts}
-		c.router.Take(Request{ID: c.lastRPC, Session: 7, ArrivedAt: c.now - waited, Deadline: c.now - waited + lasts})
+		c.rpcs[c.lastRPC] = &simulatedRPC{group: 0, arrivedAt: c.now, lastAttempt: -1, commit: driver.LongAgo, deadline: c.now - waited + timeout}
+		c.router.Take(Request{ID: c.lastRPC, Session: 7, ArrivedAt: c.now - waited, Deadline: c.now - waited + timeout})
 		if q := c.router.rpcs[c.lastRPC]; q != nil && q.requestedAt != c.now-waited {
 			t.Errorf("request %d was queued for %v and counts from %v ago", id, waited, c.now-q.requestedAt)
 		}
-		if c.router.load.firstTries.At(c.now, loadWindow) <= before || m.clientTimeout != lasts {
-			t.Errorf("request %d, queued for %v: counted as first try %v, client timeout %v, before %v", id, waited, c.router.load.firstTries.At(c.now, loadWindow) > before, m.clientTimeout, lasts)
+		if c.router.load.firstTries.At(c.now, loadWindow) <= before || m.clientTimeout != timeout {
+			t.Errorf("request %d, queued for %v: counted as first try %v, client timeout %v, before %v", id, waited, c.router.load.firstTries.At(c.now, loadWindow) > before, m.clientTimeout, timeout)
 		}
 	}
 }
 
 func TestTenantOverQuotaIsShedFirst(t *testing.T) {
 	c := newSettledCluster(t, "wait", "tenants.count=1", "tenants.0.quota=10", "drivers=1", "over_share=0.2")
-	c.advance(1200 * ms) // its quota is full again
+	c.advance(1200 * ms) // its quota is replenished
 	taken := 0
 	for range 20 {
 		for _, m := range c.router.memberList {
@@ -75,14 +75,14 @@
 			ids = append(ids, id)
 		}
 	}
-	calls := c.attempts
+	before := c.attempts
 	c.traffic(100, 5*ms)
 	for _, id := range ids {
 		if c.pushedBack[id] != 0 || c.aborted[id] {
 			t.Fatalf("write %d was given up though a primary took over", id)
 		}
 	}
-	if extra := c.attempts - calls; extra > 4*len(ids) {
+	if extra := c.attempts - before; extra > 4*len(ids) {
 		t.Fatalf("%d attempts to find the primary for %d writes", extra, len(ids))
 	}
 	c.now += 6 * time.Minute
--- a/rules/clock.go
+++ b/rules/clock.go
@@ -7,34 +7,35 @@
 
 const (
 	minTick          = 5 * time.Millisecond
-	scanInterval     = 50 * time.Millisecond // between scans of all members; a timer later than this shows a pause of the driver
-	idleScanInterval = 5 * scanInterval      // while nothing is in flight and no health check may be sent
+	scanInterval     = 50 * time.Millisecond // between scans of all members; a tick that is later than this shows that the driver was paused
+	idleScanInterval = 5 * scanInterval      // used while no RPC is served and no health check may be sent
 )
 
 // ticks is the state of the driver's one periodic timer.
 type ticks struct {
 	interval, lastWakeAt, nextScanAt time.Duration
-	resumedAt, wakeDueAt             time.Duration // end of the latest pause of this driver; ticks before may be skipped, 0: none
+	resumedAt, wakeDueAt             time.Duration // end of this driver's latest pause; time before which ticks may be skipped, 0: none
 }
 
-// detectPause notices a pause of the driver by its late timer. Neither silence nor latencies of members mean anything at its end.
+// detectPause detects a pause of the driver by a late tick. What is measured of members' silence and latencies at the end of a pause is
+// ignored, as it includes the pause.
 func (r *Router) detectPause(now time.Duration) {
 	t := &r.ticks
-	t.lastWakeAt, t.wakeDueAt = max(t.lastWakeAt, min(now, t.wakeDueAt-t.interval)), 0 // skipped ticks count as taken
+	t.lastWakeAt, t.wakeDueAt = max(t.lastWakeAt, min(now, t.wakeDueAt-t.interval)), 0 // skipped ticks count as made
 	if now-t.lastWakeAt > scanInterval {
 		t.resumedAt = now
 	}
 }
 
-// Wake is called on each tick. Hundreds of members are too many to scan on each one.
+// Wake is called on each tick. Members are scanned less often, since hundreds of them are too many to scan on each tick.
 func (r *Router) Wake() {
 	now, t := r.host.Now(), &r.ticks
 	r.runSkippedScans(now - t.interval)
 	r.detectPause(now)
 	t.lastWakeAt = now
 	r.host.WakeAfter(t.interval)
-	for act, ok := r.timers.PopDue(now); ok; act, ok = r.timers.PopDue(now) {
-		act()
+	for callback, ok := r.timers.PopDue(now); ok; callback, ok = r.timers.PopDue(now) {
+		callback()
 	}
 	if now >= t.nextScanAt {
 		t.nextScanAt = now + scanInterval
@@ -56,22 +57,22 @@
 	}
 }
 
-// WakeDelay returns, after a call of Wake, for how long a host may skip ticks unless an RPC or a list comes: until the next scan, or longer
-// if that could send no health check. A later tick still shows a pause.
+// WakeDelay returns, after a call of Wake, for how long the host may skip ticks if no RPC and no endpoint list arrives: until the next scan,
+// or longer if that scan could not send a health check. A later tick still shows a pause.
 func (r *Router) WakeDelay() time.Duration {
 	t := &r.ticks
 	if t.wakeDueAt = t.lastWakeAt + t.interval; len(r.rpcs) == 0 && slices.Equal(r.quotaLeft, r.quotas) {
 		if t.wakeDueAt = max(t.wakeDueAt, t.nextScanAt); r.healthCheckBudget < 1 || !r.settings.Bool("caps.probe") {
 			t.wakeDueAt += idleScanInterval - scanInterval
 		}
-		if at, ok := r.timers.NextDue(); ok {
-			t.wakeDueAt = min(t.wakeDueAt, max(at, t.lastWakeAt+t.interval))
+		if dueAt, ok := r.timers.NextDue(); ok {
+			t.wakeDueAt = min(t.wakeDueAt, max(dueAt, t.lastWakeAt+t.interval))
 		}
 	}
 	return t.wakeDueAt - t.lastWakeAt
 }
 
-// runSkippedScans makes the latest of the scans that were skipped, and the random draws of all, before an event changes anything.
+// runSkippedScans makes up for skipped scans before an event changes the state: the measurements of the latest one, the random draws of all.
 func (r *Router) runSkippedScans(now time.Duration) {
 	t := &r.ticks
 	if now = min(now, t.wakeDueAt-t.interval); t.wakeDueAt > 0 && now >= t.nextScanAt {
@@ -82,10 +83,10 @@
 	}
 }
 
-// SetClockUncertainty tells by how much the members' clock may be behind what the host takes it for. Members count as younger by as much.
+// SetClockUncertainty sets how far the members' clock may be behind the host's estimate of it. Members count as younger by this time.
 func (r *Router) SetClockUncertainty(behind time.Duration) { r.clockUncertainty = behind }
 
-// CorrectClock tells that the members' clock is further ahead of the host's than it was taken for, and corrects the times told by it.
+// CorrectClock corrects the estimate of how far the members' clock is ahead of the host's, and all times that were converted with it.
 func (r *Router) CorrectClock(ahead time.Duration) {
 	r.clockOffset += ahead
 	for _, m := range r.memberList {
@@ -100,10 +101,10 @@
 	}
 }
 
-// shifted leaves alone what stands for no time.
-func shifted(at, ahead time.Duration) time.Duration {
-	if at == unknownTime || at == 0 {
-		return at
+// shifted returns a time corrected by ahead. An unknown or unset time stays as it is.
+func shifted(t, ahead time.Duration) time.Duration {
+	if t == unknownTime || t == 0 {
+		return t
 	}
-	return at - ahead
+	return t - ahead
 }
--- a/rules/clock_test.go
+++ b/rules/clock_test.go
@@ -10,7 +10,7 @@
 	"passtack/internal/pcg"
 )
 
-// After a pause of the driver all events of the meantime are handled late, which says nothing of the members.
+// After a pause of the driver, events from during the pause are handled late. Members must neither be ejected nor look slow for that.
 func TestDriverPauseEjectsNoMember(t *testing.T) {
 	c := newSettledCluster(t, "wait")
 	for range 20 {
@@ -31,8 +31,8 @@
 	}
 }
 
-// The driver's clock is an hour ahead, so a member that has just started seems to have started an hour ago. It is in slow start
-// while the clock is uncertain and after it was corrected; unknown times stay unknown.
+// The driver's clock is an hour ahead, so a member that has just started seems to have started an hour ago. It must be in slow start while
+// the clock is uncertain and after it was corrected. Unknown times stay unknown.
 func TestUncertainClockKeepsMembersInSlowStart(t *testing.T) {
 	c := newSettledCluster(t, "none")
 	fresh, old := c.router.members[102], c.router.members[103]
@@ -56,10 +56,10 @@
 	}
 }
 
-// playDay plays bursts and idle times with members that fail or restart, endpoint lists, failed list calls and pauses of the driver.
-func playDay(t *testing.T, seed uint64, rests bool) (lines string, ticks int) {
+// playDay simulates bursts and idle times with failing and restarting members, endpoint lists, failed list calls and pauses of the driver.
+func playDay(t *testing.T, seed uint64, skipsTicks bool) (lines string, ticks int) {
 	c := newCluster(t, seed, "wait", "tenants.count=1", "tenants.0.quota=8", "over_share=0.5")
-	c.skipsTicks = rests
+	c.skipsTicks = skipsTicks
 	d := &actionLog{cluster: c}
 	c.router.host = d
 	random := pcg.New(seed)
@@ -75,8 +75,8 @@
 			c.members[m].startedAt = c.now
 			c.announce(driver.Changes, m)
 		case 2: // the driver is paused while it is busy (TestPauseDuringSkippedTicksIsDetected covers idle ones)
-			if still := time.Duration(100+5*random.Below(200)) * ms; len(c.router.rpcs) > 0 {
-				c.now += still
+			if pause := time.Duration(100+5*random.Below(200)) * ms; len(c.router.rpcs) > 0 {
+				c.now += pause
 			}
 		}
 		for range random.Below(4) {
@@ -89,7 +89,7 @@
 	return d.lines.String(), c.ticks
 }
 
-// A host that skips ticks as WakeDelay permits gets the same decisions and random draws, and the same pauses are detected.
+// If the host skips ticks as WakeDelay permits, decisions, random draws and detected pauses must be the same as with all ticks.
 func TestSkippedTicksChangeNoDecision(t *testing.T) {
 	for seed := range uint64(12) {
 		all, ticks := playDay(t, seed, false)
@@ -110,25 +110,25 @@
 	}
 }
 
-// A pause is also detected while ticks are skipped, by the first RPC or the next tick; skipped ticks alone are no pause.
+// A pause must also be detected while ticks are skipped, at the first RPC or the next tick. Skipped ticks alone are not a pause.
 func TestPauseDuringSkippedTicksIsDetected(t *testing.T) {
-	for _, still := range []time.Duration{0, 40 * ms, 300 * ms, 2 * time.Second} {
-		for _, how := range []string{"RPC", "tick"} {
+	for _, pause := range []time.Duration{0, 40 * ms, 300 * ms, 2 * time.Second} {
+		for _, firstEvent := range []string{"RPC", "tick"} {
 			for phase := time.Duration(0); phase < idleScanInterval; phase += 5 * ms {
 				c := newSettledCluster(t, "wait")
 				c.skipsTicks = true
 				c.advance(3*time.Second + phase)
-				if len(c.router.rpcs) > 0 || c.wakeAt <= c.now && still == 0 {
+				if len(c.router.rpcs) > 0 || c.wakeAt <= c.now && pause == 0 {
 					t.Fatal("the host skips no ticks")
 				}
 				before := c.router.ticks.resumedAt
-				if c.now += still; how == "RPC" {
+				if c.now += pause; firstEvent == "RPC" {
 					c.request(2, 0)
 				} else if c.now >= c.wakeAt {
 					c.router.Wake()
 				}
-				if noticed := c.router.ticks.resumedAt != before; noticed != (still >= 300*ms) {
-					t.Errorf("pause of %[2]v, %[1]v after the last tick, first event %[3]s: detected %[4]t", phase, still, how, noticed)
+				if detected := c.router.ticks.resumedAt != before; detected != (pause >= 300*ms) {
+					t.Errorf("pause of %[2]v, %[1]v after the last tick, first event %[3]s: detected %[4]t", phase, pause, firstEvent, detected)
 				}
 			}
 		}
--- a/rules/cluster_test.go
+++ b/rules/cluster_test.go
@@ -16,7 +16,7 @@
 	c := newCluster(t, 1, checks, more...)
 	c.traffic(60, 5*ms, 2, 4)
 	if c.router.groups[0].primary == nil || c.router.groups[1].primary == nil {
-		t.Fatal("no primary found without a hint")
+		t.Fatal("no primary was found though writes were sent")
 	}
 	return c
 }
@@ -32,36 +32,36 @@
 
 const ms = time.Millisecond
 
-// simulatedMember is a member of the cluster as it is, whatever the router knows of it.
+// simulatedMember is the actual state of a member, whatever the router knows about it.
 type simulatedMember struct {
 	position, lag             time.Duration
-	reportedPosition          time.Duration // the position that the router was last told
-	wasPrimary, deniedPrimary bool          // it has been primary; its latest answer said that it is not
+	reportedPosition          time.Duration // the latest position that was reported to the router
+	wasPrimary, deniedPrimary bool          // it has been primary; its latest answer reported that it is not
 	state                     driver.Standing
-	leavingSince, startedAt   time.Duration // when the router was told that it drains or is gone, -1: it was not; its start
+	leavingSince, startedAt   time.Duration // when the router was told that it drains or is gone, -1: not told; its start
 	attemptTimes              []time.Duration
 	attemptLoads              []float64
 	answerTimes               []time.Duration
-	maxServedLoad             float64 // most work that it answered in a window since its latest start
+	maxServedLoad             float64 // largest amount of work that it answered in a window since its latest start
 	servedSinceStart          time.Duration
-	capacity, capacityLeft    float64 // RPCs a second that it serves when it is warm, 0: any number; RPCs that it can answer now
+	capacity, capacityLeft    float64 // RPCs per second that it serves when warm, 0: unlimited; RPCs that it can answer now
 }
 
-// simulatedRPC is an RPC as the host sees it.
+// simulatedRPC is the host's state of an RPC.
 type simulatedRPC struct {
 	method, group             int
 	arrivedAt, deadline       time.Duration
 	commit                    time.Duration
-	openAttempts, lastAttempt int // in flight, one at most; number of the latest one
+	openAttempts, lastAttempt int // attempts in flight, at most 1; number of the latest attempt, -1: none
 	member                    driver.Member
-	sentAt, timeoutAt         time.Duration // of the latest attempt
+	sentAt, timeoutAt         time.Duration // of the latest attempt: when it was sent; when it times out
 	mayHaveRun                bool
 	firstRunZone              driver.Zone
 	firstRunAt                time.Duration
 	answered, cancelled       bool
 }
 
-// cluster is a simulated host with eight members in two groups. It checks the rules of the protocol at each action of the router.
+// cluster is a simulated host with eight members in two groups. It checks at each action of the router that the module keeps its rules.
 type cluster struct {
 	t                     testing.TB
 	now                   time.Duration
@@ -87,8 +87,8 @@
 	aborted               map[driver.RPC]bool
 	attempts              int
 	unreachable           []driver.Member
-	minDeadlineMillis     int     // shortest time for which a client waits
-	maxWarmLoad           float64 // most work that a warm member was sent in eight windows
+	minDeadlineMillis     int     // shortest timeout of a client
+	maxWarmLoad           float64 // largest amount of work that was sent to a warm member in eight windows
 }
 
 const drainGrace, loadWindow, slowStartDuration = 250 * ms, time.Second, 10 * time.Second
@@ -116,7 +116,7 @@
 	return c
 }
 
-// testSettings returns the settings of a cluster, of which more replaces some.
+// testSettings returns the settings of a cluster; the path=value items of more replace or add some.
 func testSettings(checks string, more ...string) map[string]string {
 	settings := map[string]string{
 		"family_info.checks": checks, "family_info.token": "carried", "caps.cancel": "true", "caps.probe": "true",
@@ -126,11 +126,11 @@
 	}
 	var needs, bounds []string
 	for i, m := range testMethods {
-		at := fmt.Sprintf("methods.%d.", i)
+		path := fmt.Sprintf("methods.%d.", i)
 		needs, bounds = append(needs, m.need), append(bounds, "500000")
-		settings[at+"effect"], settings[at+"repeats"], settings[at+"utility"] = m.effect, m.repeats, "2"
-		settings[at+"soft_deadline"], settings[at+"window"] = "600000", "1200000"
-		settings[at+"late_utility"] = fmt.Sprint(0.3 * float64(i%2))
+		settings[path+"effect"], settings[path+"repeats"], settings[path+"utility"] = m.effect, m.repeats, "2"
+		settings[path+"soft_deadline"], settings[path+"window"] = "600000", "1200000"
+		settings[path+"late_utility"] = fmt.Sprint(0.3 * float64(i%2))
 	}
 	settings["methods.count"] = fmt.Sprint(len(testMethods))
 	settings["family_info.needs"], settings["family_info.bounds"] = strings.Join(needs, ","), strings.Join(bounds, ",")
@@ -146,12 +146,13 @@
 	c.ids = append(c.ids, m)
 }
 
-func (c *cluster) announce(how driver.Listing, only ...driver.Member) {
-	if how != driver.Changes {
-		only = c.ids
+// announce sends an update of the endpoint list to the router, with the changed members or with all.
+func (c *cluster) announce(kind driver.Listing, changed ...driver.Member) {
+	if kind != driver.Changes {
+		changed = c.ids
 	}
-	c.router.ListBegins(how)
-	for _, m := range only {
+	c.router.ListBegins(kind)
+	for _, m := range changed {
 		n := c.members[m]
 		if n.state != driver.Ready && n.leavingSince < 0 && (!c.onlyDrainingBinds || n.state == driver.Draining) {
 			n.leavingSince = c.now
@@ -161,10 +162,10 @@
 		c.router.EndpointListed(m, c.zoneOf(m), driver.Group(m%2), n.state, 1, n.startedAt, false)
 	}
 	c.resumeTicks()
-	c.router.ListEnds(how)
+	c.router.ListEnds(kind)
 }
 
-// zoneOf puts each group into a zone of its own, or into both zones if they are mixed.
+// zoneOf returns the zone of a member: each group has its own zone, or members in both zones if groups are mixed.
 func (c *cluster) zoneOf(m driver.Member) driver.Zone {
 	if c.mixed {
 		m /= 2
@@ -186,7 +187,7 @@
 
 func (c *cluster) Log(string) {}
 
-func (c *cluster) Fault(why string) { c.t.Fatal("fault: ", why) }
+func (c *cluster) Fault(reason string) { c.t.Fatal("fault: ", reason) }
 
 func (c *cluster) Probe(m driver.Member) { c.probes = append(c.probes, m) }
 
@@ -214,15 +215,16 @@
 	return c.lastRPC
 }
 
-func (c *cluster) endAttempt(id driver.RPC, how driver.Outcome) {
+// endAttempt ends the attempt in flight of an RPC. A write that a replica would have served ends as a miss.
+func (c *cluster) endAttempt(id driver.RPC, outcome driver.Outcome) {
 	q := c.rpcs[id]
 	n := c.members[q.member]
 	role, pos := driver.Unknown, time.Duration(0)
 	isPrimary := c.primaries[q.group] == q.member
-	if m := testMethods[q.method]; how == driver.OK && m.need == "write" && !isPrimary {
-		how = driver.Miss
+	if m := testMethods[q.method]; outcome == driver.OK && m.need == "write" && !isPrimary {
+		outcome = driver.Miss
 	}
-	if how == driver.OK || how == driver.Miss || how == driver.Full || how == driver.Failed {
+	if outcome == driver.OK || outcome == driver.Miss || outcome == driver.Full || outcome == driver.Failed {
 		role, pos = driver.Replica, n.position
 		n.deniedPrimary = !isPrimary
 		if isPrimary {
@@ -237,28 +239,28 @@
 		}
 	}
 	q.openAttempts = 0
-	if !surelyNotRun(how) && !q.mayHaveRun {
+	if !surelyNotRun(outcome) && !q.mayHaveRun {
 		q.mayHaveRun, q.firstRunAt, q.firstRunZone = true, q.sentAt, c.zoneOf(q.member)
 	}
 	if n.servedSinceStart != n.startedAt {
 		n.maxServedLoad, n.servedSinceStart = 0, n.startedAt
 	}
-	if how == driver.OK {
+	if outcome == driver.OK {
 		n.answerTimes = append(slices.DeleteFunc(n.answerTimes, func(at time.Duration) bool { return at <= c.now-loadWindow || at < n.startedAt }), c.now)
 		n.maxServedLoad = max(n.maxServedLoad, float64(len(n.answerTimes))*c.router.methods[q.method].typical.value.Seconds())
 	}
-	complete := q.answered || how == driver.OK
+	complete := q.answered || outcome == driver.OK
 	q.answered = complete
-	c.router.AttemptEnded(id, q.lastAttempt, q.member, how, c.now-q.sentAt, complete, pos.Truncate(ms), role, nil)
+	c.router.AttemptEnded(id, q.lastAttempt, q.member, outcome, c.now-q.sentAt, complete, pos.Truncate(ms), role, nil)
 }
 
 func (c *cluster) Forget(m driver.Member) { c.forgotten = append(c.forgotten, m) }
 
-func (c *cluster) Remembered(who driver.Session, commit time.Duration) {
+func (c *cluster) Remembered(session driver.Session, commit time.Duration) {
 	if c.sessionCommits == nil {
 		c.sessionCommits = make(map[driver.Session]time.Duration)
 	}
-	c.sessionCommits[who] = commit
+	c.sessionCommits[session] = commit
 }
 
 func (c *cluster) advance(by time.Duration) {
@@ -287,13 +289,13 @@
 		}
 		for id, q := range c.rpcs {
 			if !q.answered && c.now > q.deadline+20*ms {
-				c.t.Fatalf("rule 1: %d (method %d) never answered", id, q.method)
+				c.t.Fatalf("rule 1: %d (method %d) not answered by its deadline", id, q.method)
 			}
 		}
 	}
 }
 
-// resumeTicks ends the skipping of ticks with the next one.
+// resumeTicks ends the skipping of ticks: the next one comes.
 func (c *cluster) resumeTicks() { c.wakeAt = min(c.wakeAt, c.now+5*ms) }
 
 func (c *cluster) trafficWithOutcomes(times int, wait time.Duration, outcomeOf func(q *simulatedRPC) driver.Outcome, methods ...int) {
@@ -303,25 +305,26 @@
 		}
 		c.advance(wait)
 		for _, id := range slices.Clone(c.openRPCs) {
-			if how := outcomeOf(c.rpcs[id]); how != noAnswer {
-				c.endAttempt(id, how)
+			if outcome := outcomeOf(c.rpcs[id]); outcome != noAnswer {
+				c.endAttempt(id, outcome)
 			}
 		}
 	}
 }
 
-const noAnswer = driver.Outcome(255) // no answer until the timeout
+const noAnswer = driver.Outcome(255) // leaves the attempt unanswered until its timeout
 
 func (c *cluster) traffic(times int, wait time.Duration, methods ...int) {
 	c.trafficWithOutcomes(times, wait, func(*simulatedRPC) driver.Outcome { return driver.OK }, methods...)
 }
 
-// randomTraffic sends RPCs of several methods at random times, rate a second. Each is answered after 100 ms.
-func (c *cluster) randomTraffic(rate float64, lasts time.Duration) {
+// randomTraffic sends RPCs of several methods at random times, on average rate per second. Each is answered after 100 ms, or later if the
+// member has no capacity left.
+func (c *cluster) randomTraffic(rate float64, duration time.Duration) {
 	next := func() time.Duration {
 		return time.Duration(-math.Log(1-c.random.Float()) / rate * float64(time.Second))
 	}
-	end, due := c.now+lasts, c.now+next()
+	end, due := c.now+duration, c.now+next()
 	for c.now < end {
 		for ; due <= c.now; due += next() {
 			c.request([]int{0, 0, 0, 2, 4, 4}[c.random.Below(6)], 0)
--- a/rules/endpoints.go
+++ b/rules/endpoints.go
@@ -10,14 +10,14 @@
 	"passtack/internal/decay"
 )
 
-// MaxListRetryWait is the longest wait until discovery is asked again after a failed call; internal/discovery relies on it.
+// MaxListRetryWait is the longest wait between a failed call to discovery and the next one; internal/discovery relies on it.
 const MaxListRetryWait = 500 * time.Millisecond
 
-// endpoint is what the endpoint list says of a member.
+// endpoint is what the endpoint list says about a member.
 type endpoint struct {
 	zone                        driver.Zone
-	listed, draining, available bool          // draining: since its latest start; available: may be sent to
-	startedAt, delistedAt       time.Duration // latest start listed; when it left the list, unknownTime while it is listed
+	listed, draining, available bool          // draining: it was listed as draining since its latest start; available: it may get RPCs
+	startedAt, delistedAt       time.Duration // its latest start that was listed; when it left the list, unknownTime while it is listed
 }
 
 // member is a database process.
@@ -28,18 +28,18 @@
 	replication replicationState
 	health      health
 	latency     latencyEstimate
-	load        decay.Sum        // sent while it warms up, else answered
-	servedLoad  decay.Sum        // answered while it warms up
-	inFlight    chain.List[*rpc] // in the order in which they were sent
+	load        decay.Sum        // work sent to it during slow start, else work that it answered; in seconds of typical latency
+	servedLoad  decay.Sum        // work that it answered during slow start
+	inFlight    chain.List[*rpc] // in the order of sending
 }
 
 // group is a primary and its replicas.
 type group struct {
-	members                  []*member // in the order in which they were first listed
-	primary                  *member   // nil: not known
-	primaryProvenAt, drawnAt time.Duration
-	exploratoryAttempts      int     // writes in flight at members that may be the primary
-	draw                     float64 // rounds the slow-start budgets to whole RPCs; one for all members, since each RPC goes to one of them
+	members                  []*member     // in the order of their first listing
+	primary                  *member       // nil: unknown
+	primaryProvenAt, drawnAt time.Duration // drawnAt: when draw was drawn
+	exploratoryAttempts      int           // writes in flight at members that may be the primary but are not known to be
+	draw                     float64       // random; rounds the slow-start budgets to whole RPCs; one for all members, since each RPC goes to one of them
 }
 
 func (r *Router) groupOf(id driver.Group) *group {
@@ -60,9 +60,9 @@
 }
 
 // EndpointListed takes one entry of the endpoint list.
-func (r *Router) EndpointListed(id driver.Member, zone driver.Zone, in driver.Group, state driver.Standing,
+func (r *Router) EndpointListed(id driver.Member, zone driver.Zone, groupID driver.Group, state driver.Standing,
 	weight float64, startedAt time.Duration, primary bool) {
-	m, g := r.members[id], r.groupOf(in)
+	m, g := r.members[id], r.groupOf(groupID)
 	if m == nil {
 		m = &member{
 			id: id, group: g, endpoint: endpoint{zone: zone, startedAt: startedAt, delistedAt: unknownTime},
@@ -83,8 +83,8 @@
 	}
 }
 
-// ListEnds decides which members may be sent to. Where only draining binds, one that is off the list gets one RPC at a time until it
-// answers, so that a wrong list stops no service.
+// ListEnds decides which members may get RPCs. Under rules.only_draining_binds a member that is not listed gets one RPC at a time until it
+// answers, so that a wrong list does not stop the service.
 func (r *Router) ListEnds(kind driver.Listing) {
 	for _, m := range r.memberList {
 		if m.listed {
@@ -105,7 +105,8 @@
 	}
 }
 
-// removeIfExpired removes a member that was off the list and silent for long, unless its drain may still bind; from memberList, if true.
+// removeIfExpired removes a member that has been off the list and silent for long, unless it may have to be remembered as draining. It
+// reports whether it did; the caller then removes the member from memberList.
 func (r *Router) removeIfExpired(m *member) bool {
 	silent := r.host.Now() - max(m.delistedAt, m.replication.reportedAt)
 	if m.listed || m.inFlight.Len() > 0 || silent < maxSessionPin || r.onlyDrainingBinds && (m.draining || silent < commitRetention) {
@@ -120,7 +121,7 @@
 // presumedGone reports whether the member left the list and has not answered since.
 func (m *member) presumedGone() bool { return m.delistedAt > m.replication.reportedAt }
 
-// LearnedMembers visits at most limit members from an index on, with what may outlast this driver. It returns the next index, 0 at the end.
+// LearnedMembers visits at most limit members from an index on, with their learned state to be saved. It returns the next index, 0 at the end.
 func (r *Router) LearnedMembers(from, limit int, visit func(driver.Member, driver.Known)) (next int) {
 	end := min(from+limit, len(r.memberList))
 	for _, m := range r.memberList[min(from, end):end] {
@@ -130,7 +131,7 @@
 	return end % max(len(r.memberList), 1)
 }
 
-// RestoreMember restores what a previous process learned of a member, unless the member has started since it was saved or the clock went
+// RestoreMember restores what a previous process learned about a member, unless the member has started since it was saved or the clock went
 // back. It proves no role: a former replica is the last candidate for primary, a former primary the first, with one exploratory write.
 func (r *Router) RestoreMember(id driver.Member, k driver.Known, savedAt time.Duration) {
 	m, now := r.members[id], r.host.Now()
--- a/rules/endpoints_test.go
+++ b/rules/endpoints_test.go
@@ -7,7 +7,8 @@
 	"passtack/driver"
 )
 
-// An empty list is followed by a stale one with a member that has drained since. The cluster checks rule 3.
+// An empty list, and then a stale one that lists a draining member as ready, must not stop the service. The cluster checks rule 3: the
+// draining member gets no RPCs.
 func TestStaleEndpointListDoesNotStopServiceWhenOnlyDrainingBinds(t *testing.T) {
 	c := newSettledCluster(t, "none", "rules.only_draining_binds=true")
 	c.members[104].state = driver.Draining
@@ -24,7 +25,7 @@
 	}
 }
 
-// Where members are replaced all day, the router's state does not grow, and the host is told to forget them.
+// If members are replaced again and again, the router's state must not grow, and the host must be told to forget the old members.
 func TestReplacedMembersAreRemoved(t *testing.T) {
 	c := newSettledCluster(t, "none")
 	kept := len(c.router.memberList)
@@ -35,7 +36,7 @@
 		c.members[fresh], c.members[old].state = &n, driver.Gone
 		c.ids = append(c.ids, fresh)
 		c.announce(driver.Changes, old, fresh)
-		c.router.groupOf(driver.Group(1000 + i)) // as an RPC for this group does
+		c.router.groupOf(driver.Group(1000 + i)) // as an RPC for this group would
 		c.advance(15 * time.Second)
 	}
 	c.announce(driver.Changes)
--- a/rules/events.go
+++ b/rules/events.go
@@ -7,20 +7,20 @@
 	"passtack/internal/settings"
 )
 
-// Request is a client's RPC as a host takes it. Times are as by Host.Now.
+// Request is an RPC as its client sent it. Times are by Host.Now.
 type Request struct {
 	ID          driver.RPC
 	Method      driver.Method
 	Group       driver.Group
 	Tenant      driver.Tenant
-	ClientRetry bool // the client says that it has tried before
+	ClientRetry bool // the client declares that it has tried before
 	Session     driver.Session
-	ArrivedAt   time.Duration // of its last byte
+	ArrivedAt   time.Duration // when its last byte arrived
 	Deadline    time.Duration // when the client stops waiting
-	SinceWrite  time.Duration // since the write of the session that a read must include; 0: none
+	SinceWrite  time.Duration // time since the session's write that a read must include; 0: there is none
 }
 
-// Take starts a client's RPC, which gets exactly one final answer.
+// Take starts serving an RPC, which gets exactly one final answer.
 func (r *Router) Take(request Request) {
 	now := r.host.Now()
 	if int(request.Method) >= len(r.methods) {
@@ -47,7 +47,7 @@
 	r.route(q)
 }
 
-// AttemptEnded reports how an attempt ended, and what the member said of itself.
+// AttemptEnded reports the outcome of an attempt, and the position, role and load that the member reported with it.
 func (r *Router) AttemptEnded(id driver.RPC, n int, from driver.Member, outcome driver.Outcome, took time.Duration,
 	complete bool, position time.Duration, role driver.Role, report []float64) {
 	now := r.host.Now()
@@ -94,10 +94,10 @@
 	}
 }
 
-// PeerMessage takes a message of another driver. No decision depends on one.
+// PeerMessage receives a message from another driver. No decision depends on it.
 func (r *Router) PeerMessage(from driver.Peer, text []byte) {}
 
-// ClientLeft ends an RPC whose client waits no longer.
+// ClientLeft ends an RPC whose client no longer waits.
 func (r *Router) ClientLeft(id driver.RPC) {
 	if q := r.rpcs[id]; q != nil {
 		r.cancelAttempts(q)
@@ -105,14 +105,14 @@
 	}
 }
 
-// AnswerNow gives an RPC its final answer: the driver ends before the client's deadline.
+// AnswerNow gives an RPC its final answer because the driver stops before the client's deadline.
 func (r *Router) AnswerNow(id driver.RPC) {
 	if q := r.rpcs[id]; q != nil && !q.answered {
 		r.giveUp(q, 0, ShuttingDown)
 	}
 }
 
-// ClientHalfClosed makes the attempt in flight the last one of an RPC.
+// ClientHalfClosed makes the attempt in flight the last one of an RPC. A queued RPC is given up.
 func (r *Router) ClientHalfClosed(id driver.RPC) {
 	if q := r.rpcs[id]; q != nil {
 		if q.sendBy = r.host.Now(); q.queued {
--- a/rules/latency.go
+++ b/rules/latency.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	latencyDecayTime  = 3 * time.Second  // time constant by which a latency that is not observed again loses weight
+	latencyDecayTime  = 3 * time.Second  // time constant with which a measured latency loses weight until the next sample
 	maxSampleRatio    = 3                // a sample counts for at most this many times the expected latency
-	sampleWeight      = 0.1              // least weight of the newest sample of a member; half of it for all members together
-	minTypicalLatency = time.Millisecond // of a method
-	minLatencyRatio   = 0.2              // of a member
+	sampleWeight      = 0.1              // minimum weight of the newest sample in a member's estimate; half of it in estimates over all members
+	minTypicalLatency = time.Millisecond // lower bound for a method
+	minLatencyRatio   = 0.2              // lower bound for a member
 )
 
-// latencyEstimate compares a member's latencies with the typical ones.
+// latencyEstimate relates a member's latencies to the typical ones.
 type latencyEstimate struct {
 	ratio     float64 // member's latency / typical latency
 	depth     float64 // attempts in flight at the member when its samples were sent, smoothed
@@ -28,14 +28,14 @@
 	decay            decay.Cache
 }
 
-// paceEstimate compares the latest latencies of all methods with the typical ones.
+// paceEstimate relates the latest latencies of all methods to the typical ones.
 type paceEstimate struct {
 	value               float64       // latest latencies / typical latencies
 	interval, sampledAt time.Duration // interval: between samples, smoothed
 	decay               decay.Cache
 }
 
-// recordLatency learns from the duration of an attempt. Samples taken just after a pause of the driver mean nothing.
+// recordLatency learns from the duration of an attempt. Samples at the end of a pause of the driver are ignored, as they include the pause.
 func (r *Router) recordLatency(meth *method, m *member, took time.Duration) {
 	now, typical, p, l := r.host.Now(), &meth.typical, &r.pace, &m.latency
 	if r.ticks.resumedAt == now {
@@ -52,7 +52,7 @@
 	l.ratio, l.sampledAt = max(minLatencyRatio, l.ratio+weight*(ratio-l.ratio)), now
 }
 
-// predictLatency predicts how long the method would take at the member with what is in flight there now.
+// predictLatency predicts how long the method would take at the member with the attempts that are in flight there now.
 func (r *Router) predictLatency(m *member, meth *method) time.Duration {
 	return r.predictLatencyAt(meth, r.slowdown(m, r.host.Now()), r.host.Now())
 }
@@ -64,12 +64,13 @@
 	return time.Duration(float64(meth.typical.value) * pace * methodDecay * slowdown)
 }
 
-// slowdown returns the member's expected latency / typical latency with what is in flight there now.
+// slowdown returns the member's expected latency / typical latency with the attempts that are in flight there now.
 func (r *Router) slowdown(m *member, now time.Duration) float64 {
 	return r.latencyRatio(m, now) * (float64(m.inFlight.Len()) + 1) / (m.latency.depth + 1)
 }
 
-// latencyRatio returns the member's ratio. It decays to 1, more slowly where samples are rare: else who was not used for longest looks best.
+// latencyRatio returns the member's ratio. It decays to 1, more slowly where samples are rare; otherwise the member that has been unused for
+// longest would look best.
 func (r *Router) latencyRatio(m *member, now time.Duration) float64 {
 	stretch := max(1, float64(2*len(r.memberList))*r.pace.interval.Seconds()/latencyDecayTime.Seconds())
 	return 1 + (m.latency.ratio-1)*m.latency.decay.Factor(time.Duration(float64(now-m.latency.sampledAt)/stretch), latencyDecayTime)
--- a/rules/outlier.go
+++ b/rules/outlier.go
@@ -9,21 +9,21 @@
 )
 
 const (
-	silenceLatencies      = 4                      // typical latencies without an answer after which a busy member is ejected
+	silenceLatencies      = 4                      // time without an answer after which a busy member is ejected, in typical latencies
 	failureWeight         = 0.25                   // weight of the newest attempt in a member's failure rate
 	ejectionFailureRate   = 0.65                   // failure rate from which a member is ejected
-	maxFailingShare       = 0.5                    // share of failing members from which failures are blamed on none
-	recheckInterval       = 200 * time.Millisecond // until a member that rejected an RPC, or did not report, is tried again
+	maxFailingShare       = 0.5                    // share of failing members from which on no member is ejected for failures
+	recheckInterval       = 200 * time.Millisecond // until a member that rejected an RPC or sent no report is tried again
 	maxProbationBackoff   = 2 * time.Second        // between failed attempts in probation
-	maxProbationAllowance = 16                     // attempts in flight, past which probation ends
-	healthChecksPerRPC    = 0.25                   // added to the budget of health checks
+	maxProbationAllowance = 16                     // number of attempts in flight above which probation ends
+	healthChecksPerRPC    = 0.25                   // added to the budget of health checks by each RPC
 	maxHealthCheckBudget  = 20.0                   // also the budget at the start
 )
 
-// health tells whether a member answers. An ejected member is in probation: it may have a few attempts in flight.
+// health is the state of a member's outlier detection. An ejected member is in probation: it may have a few attempts in flight.
 type health struct {
 	failureRate            float64       // smoothed
-	lastReplyAt, checkedAt time.Duration // latest answer, or start of a busy period; latest health check sent
+	lastReplyAt, checkedAt time.Duration // latest answer, or start of a busy period if that is later; latest health check sent
 	lostReply              bool          // its latest single attempt got no answer in time
 	ejectedAt              time.Duration
 	allowance              int           // attempts that it may have in flight in probation; 0: not ejected
@@ -32,7 +32,7 @@
 
 func (h *health) ejected() bool { return h.allowance > 0 }
 
-// recordSuccess raises the allowance. The answer to an attempt from before the ejection ends probation: the member had only paused.
+// recordSuccess raises the allowance. An answer to an attempt that was sent before the ejection ends probation: the member was only paused.
 func (h *health) recordSuccess(sentAt, now time.Duration) {
 	h.lastReplyAt, h.lostReply, h.failureRate, h.backoff = now, false, h.failureRate*(1-failureWeight), recheckInterval
 	if !h.ejected() {
@@ -44,11 +44,11 @@
 }
 
 // eject ejects the member, or halves its allowance if it is ejected already.
-func (r *Router) eject(m *member, now time.Duration, why string) {
+func (r *Router) eject(m *member, now time.Duration, reason string) {
 	h := &m.health
 	if !h.ejected() {
 		h.ejectedAt = now
-		r.host.Log(fmt.Sprintf("member %012x set aside: it %s", uint64(m.id), why))
+		r.host.Log(fmt.Sprintf("member %012x set aside: it %s", uint64(m.id), reason))
 	}
 	if h.allowance /= 2; h.allowance == 0 {
 		h.allowance, h.nextAttemptAt = 1, now+h.backoff
@@ -56,7 +56,7 @@
 	}
 }
 
-// recordOutcome learns from an attempt. An overtaken one no longer counts as in flight.
+// recordOutcome learns from the outcome of an attempt. An overtaken attempt no longer counted as in flight when it ended.
 func (r *Router) recordOutcome(q *rpc, a *attempt, outcome driver.Outcome, overtaken bool, took, now time.Duration) {
 	m := a.member
 	switch outcome {
@@ -73,13 +73,13 @@
 	case driver.Miss, driver.Full:
 		m.health.lastReplyAt = now
 	case driver.Failed, driver.Broken, driver.NoConnection:
-		// It counts less for an RPC that failed before, which may be the cause itself.
+		// A failure counts less if the RPC failed before, since the RPC itself may be the cause.
 		m.health.failureRate += failureWeight / float64(len(q.attempts)) * (1 - m.health.failureRate)
 		if m.health.failureRate > ejectionFailureRate && r.load.failingShare < maxFailingShare {
 			r.eject(m, now, "fails or takes no connections")
 		}
 	case driver.TimedOut, driver.Cancelled:
-		// It would have taken even longer. Without these samples an overloaded member would look fast.
+		// The attempt would have taken even longer. Without these samples an overloaded member would look fast.
 		if float64(took) > float64(q.method.typical.value)*m.latency.ratio && !overtaken {
 			r.recordLatency(q.method, m, took)
 		}
@@ -89,7 +89,8 @@
 	}
 }
 
-// releaseOvertaken stops counting as in flight what was sent long before the attempt that the member has just answered: it was probably lost.
+// releaseOvertaken stops counting attempts as in flight that were sent long before the one that the member has just answered: they were
+// probably lost.
 func (r *Router) releaseOvertaken(m *member, sentAt, now time.Duration) {
 	slowdown, shortest := r.slowdown(m, now), time.Duration(math.MaxInt64)
 	for _, meth := range r.methods {
@@ -104,8 +105,8 @@
 	}
 }
 
-// checkHealth ejects a member that is silent with attempts in flight; a single one is released, as its answer may be lost, and the next
-// one decides. It also sends a health check, within the budget, where no report is recent.
+// checkHealth ejects a member that is silent with attempts in flight. A single attempt does not suffice, as its answer may be lost: it no
+// longer counts as in flight, and the next one decides. checkHealth also sends a health check, within the budget, if no report is recent.
 func (r *Router) checkHealth(m *member, now time.Duration) {
 	h := &m.health
 	if m.available && now-max(m.replication.reportedAt, h.checkedAt) > recheckInterval && r.healthCheckBudget >= 1 && r.settings.Bool("caps.probe") {
@@ -113,11 +114,11 @@
 		h.checkedAt = now
 		r.host.Probe(m.id)
 	}
-	patience := time.Duration(0)
+	maxSilence := time.Duration(0)
 	for link := m.inFlight.Front(); link != nil; link = link.Next() {
-		patience = max(patience, silenceLatencies*link.Value.method.typical.value)
+		maxSilence = max(maxSilence, silenceLatencies*link.Value.method.typical.value)
 	}
-	silent := !h.ejected() && now-max(h.lastReplyAt, r.ticks.resumedAt) > patience
+	silent := !h.ejected() && now-max(h.lastReplyAt, r.ticks.resumedAt) > maxSilence
 	if silent && m.inFlight.Len() == 1 && !h.lostReply {
 		h.lostReply = true
 		m.inFlight.Front().Remove()
--- a/rules/protocolchecks_test.go
+++ b/rules/protocolchecks_test.go
@@ -7,6 +7,8 @@
 	"passtack/driver"
 )
 
+// recordAnswer records a final answer of the router. It checks rule 1, one answer for each RPC, and rule 2, no duplicate runs: harmless means
+// that the answer tells the client that it may retry.
 func (c *cluster) recordAnswer(id driver.RPC, harmless bool) {
 	q := c.rpcs[id]
 	if q == nil || q.answered {
@@ -22,11 +24,13 @@
 func (c *cluster) Cancel(id driver.RPC, n int) {
 	q := c.rpcs[id]
 	if n > q.lastAttempt {
-		c.t.Fatalf("cancel of an attempt never sent")
+		c.t.Fatalf("cancelled attempt %d of %d, the latest is %d", n, id, q.lastAttempt)
 	}
 	q.cancelled = true
 }
 
+// Attempt checks the rules for attempts: 1, none after the final answer; 2, none that could be a duplicate run; 3, none to a member that was
+// listed as leaving; 4, slow start; 5, freshness of reads.
 func (c *cluster) Attempt(id driver.RPC, to driver.Member, by, timeout time.Duration) {
 	c.attempts++
 	q, n := c.rpcs[id], c.members[to]
@@ -70,7 +74,8 @@
 	c.openRPCs = append(c.openRPCs, id)
 }
 
-// checkSlowStart checks rule 4 by what warm members carried, which is no more than their capacity.
+// checkSlowStart checks rule 4, which limits the work sent to a member in slow start, against the load that warm members carried; that is no
+// more than their capacity.
 func (c *cluster) checkSlowStart(to driver.Member) {
 	n := c.members[to]
 	age := c.now - n.startedAt
--- a/rules/reasons.go
+++ b/rules/reasons.go
@@ -1,24 +1,24 @@
 package rules
 
-// Reason tells why the router gave up an RPC. Hosts log it; no decision depends on it.
+// Reason is why the router gave up an RPC. Hosts log it; no decision depends on it.
 type Reason uint8
 
-// The reasons for which an RPC is given up, NotGivenUp as long as none was.
+// Reasons for giving up an RPC. NotGivenUp means that the router has not given up any RPC yet.
 const (
 	NotGivenUp       Reason = iota
 	NoTimeLeft              // it could not be completely sent to a member in time
 	TooSlow                 // the predicted latency exceeded the time left
-	NoMember                // no member could take it for as long as it could wait
+	NoMember                // no member could take it while it was allowed to wait
 	NoAnswer                // an attempt timed out or was cancelled
 	NoRetry                 // the last attempt failed and no other may follow
 	ClientHalfClosed        // the client half-closed its connection while no attempt was in flight
-	ShuttingDown            // the driver ends before the client's deadline
+	ShuttingDown            // the driver stops before the client's deadline
 )
 
 var reasonNames = [...]string{"none", "no_time_left", "too_slow", "no_member", "no_answer", "no_retry", "client_parted", "shutting_down"}
 
-// String returns the reason as logs spell it.
+// String returns the reason as it is logged.
 func (r Reason) String() string { return reasonNames[r] }
 
-// LastReason returns the reason for the rejection or abort that the host is being told of.
+// LastReason returns the reason for the latest rejection or abort. The host calls it while it handles that.
 func (r *Router) LastReason() Reason { return r.lastReason }
--- a/rules/recording_test.go
+++ b/rules/recording_test.go
@@ -18,7 +18,7 @@
 
 var update = flag.Bool("update", false, "rewrite golden files")
 
-// recordingHost is a host that records every action of the router with its time.
+// recordingHost is a host that records every action of the router with its time, including the reasons for giving up.
 type recordingHost struct {
 	actionLog
 }
@@ -38,9 +38,9 @@
 	r.actionLog.Cancel(id, n)
 }
 
-func (r *recordingHost) Remembered(who driver.Session, commit time.Duration) {
-	r.record("remembered %d at %v", who, commit)
-	r.actionLog.Remembered(who, commit)
+func (r *recordingHost) Remembered(session driver.Session, commit time.Duration) {
+	r.record("remembered %d at %v", session, commit)
+	r.actionLog.Remembered(session, commit)
 }
 
 func (r *recordingHost) Forget(m driver.Member) {
@@ -52,7 +52,8 @@
 func (r *recordingHost) CloseIdle(m driver.Member)    { r.record("close idle %d", m) }
 func (r *recordingHost) FetchList()                   { r.record("fetch list") }
 
-// recordedRuns are random sequences of calls, each with its seed and the settings that differ from testSettings.
+// recordedRuns are random sequences of calls, each with its seed and the settings that differ from testSettings. The names are those of the
+// files in testdata.
 var recordedRuns = map[string]struct {
 	seed   uint64
 	checks string
@@ -68,10 +69,10 @@
 	"rests":          {8, "wait", nil},
 }
 
-// playRun plays a random sequence of requests, endpoint lists, faults, pauses, reloads and clock corrections, and returns every action.
-func playRun(t *testing.T, seed uint64, checks string, more []string, rests bool) string {
+// playRun generates a random sequence of requests, endpoint lists, faults, pauses, reloads and clock corrections, and returns every action.
+func playRun(t *testing.T, seed uint64, checks string, more []string, skipsTicks bool) string {
 	c := newCluster(t, seed, checks, more...)
-	c.minDeadlineMillis, c.skipsTicks = 20, rests
+	c.minDeadlineMillis, c.skipsTicks = 20, skipsTicks
 	r := &recordingHost{actionLog{cluster: c}}
 	c.router.host = r
 	random := pcg.New(seed + 1000)
@@ -126,16 +127,16 @@
 				c.router.AnswerNow(id)
 			}
 		case draw < 869:
-			c.now += time.Duration(100+random.Below(900)) * ms // the driver is suspended
+			c.now += time.Duration(100+random.Below(900)) * ms // a pause of the driver
 		case draw < 871:
 			c.router.ApplySettings(testSettings(checks, append(more, fmt.Sprintf("methods.%d.utility=%d", random.Below(len(testMethods)), 1+random.Below(9)), "caps.attempts=4")...))
 		case draw < 873:
 			c.router.SetClockUncertainty(time.Duration(random.Below(500)) * ms)
-		case draw < 874 && c.membersCheckFreshness && !c.onlyDrainingBinds: // the starts that the cluster lists are not corrected with it
+		case draw < 874 && c.membersCheckFreshness && !c.onlyDrainingBinds: // the starts that the cluster lists are not corrected
 			c.router.CorrectClock(time.Duration(random.Below(200)-100) * ms)
-		case draw < 878 && c.membersCheckFreshness: // what is restored here was never told
+		case draw < 878 && c.membersCheckFreshness: // the restored positions were never reported
 			c.router.RestoreMember(anyMember(), driver.Known{Position: c.now - 5*time.Second, Replica: c.now - 6*time.Second, Timed: c.now - time.Second, Ratio: 1 + random.Float()}, c.now-ms)
-		case draw < 880 && c.membersCheckFreshness: // it takes precedence over the commit that a request carries
+		case draw < 880 && c.membersCheckFreshness: // a restored commit takes precedence over the one that a request carries
 			c.router.RestoreSessionCommit(7, c.now-time.Duration(random.Below(3000))*ms)
 		case draw < 882:
 			c.router.LearnedMembers(0, 100, func(m driver.Member, k driver.Known) { r.record("learned %d %+v", m, k) })
@@ -148,8 +149,8 @@
 	return r.lines.String()
 }
 
-// TestDecisionsAreAsRecorded compares every action of drawn runs with recordings of an earlier version: a change of structure changes no
-// decision. A change that is meant to change decisions rewrites them with -update and says why.
+// Compares every action of random runs with recordings of an earlier version, so that a refactoring does not change decisions unnoticed. A
+// change that is meant to change decisions rewrites the recordings with -update and says why.
 func TestDecisionsMatchRecordings(t *testing.T) {
 	for name, run := range recordedRuns {
 		t.Run(name, func(t *testing.T) {
--- a/rules/replication.go
+++ b/rules/replication.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	positionRounding = 5 * time.Millisecond // by which rounding and late ticks may shift positions
-	maxSessionPin    = 10 * time.Second     // after its last write a session's reads stay on the primary no longer than this
-	commitRetention  = 5 * time.Minute      // for which a session's write is remembered
+	positionRounding = 5 * time.Millisecond // largest error of positions due to rounding and late ticks
+	maxSessionPin    = 10 * time.Second     // longest time for which a session's reads stay on the primary after its last write
+	commitRetention  = 5 * time.Minute      // how long a session's write is remembered
 )
 
-// replicationState is what a member has said of its position and role.
+// replicationState is what a member has reported about its position and role.
 type replicationState struct {
-	position        time.Duration // it has applied all commits up to here
+	position        time.Duration // all commits up to here are applied
 	reportedAt      time.Duration // when it last reported
 	replicaProvenAt time.Duration // latest proof that it is a replica
 }
 
-// recordRole keeps the newest proof of which member is primary.
+// recordRole records a proof of a member's role. The newest proof decides which member is the primary of its group.
 func (r *Router) recordRole(m *member, role driver.Role, at time.Duration) {
 	g := m.group
 	if role == driver.Replica {
@@ -37,11 +37,11 @@
 	}
 }
 
-// applyReport reads position (x0) and role (x1) from a load report. The role is proven as of the position.
+// applyReport reads position (column x0) and role (column x1) from a load report. The role is proven as of that position.
 func (r *Router) applyReport(m *member, report []float64) {
 	x0, x1 := slices.Index(r.reportColumns, "x0"), slices.Index(r.reportColumns, "x1")
 	if x0 < 0 || max(x0, x1) >= len(report) || report[x0] <= 0 || report[x0] > (r.host.Now()+r.clockOffset).Seconds()+1 {
-		return // a position in the future cannot be true
+		return // a position in the future is invalid
 	}
 	position := time.Duration(report[x0]*float64(time.Second)) - time.Millisecond - r.clockOffset
 	m.replication.position = max(m.replication.position, position)
@@ -66,7 +66,7 @@
 	r.host.Remembered(session, r.sessionCommits[session])
 }
 
-// RestoreSessionCommit restores a session's write for the rest of its retention.
+// RestoreSessionCommit restores the position of a session's write for the rest of its retention.
 func (r *Router) RestoreSessionCommit(session driver.Session, commit time.Duration) {
 	if now := r.host.Now(); commit <= now && now-commit < commitRetention {
 		r.rememberCommit(session, commit)
--- a/rules/replication_test.go
+++ b/rules/replication_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// A pinned read that the primary would answer late goes to a replica that has caught up, and to no other.
+// A read that is pinned to the primary, but would be late there, must go to a replica that has caught up and to no other.
 func TestPinnedReadAvoidsASlowPrimary(t *testing.T) {
 	c := newSettledCluster(t, "none")
 	c.members[102].lag, c.members[103].lag = time.Minute, time.Minute
@@ -52,12 +52,12 @@
 	}
 }
 
-// Restored state orders the candidates for primary and proves nothing: a restored primary gets one RPC until it has answered, also where
-// another has taken over meanwhile. It is ignored for members that have started since, and if the clock went back.
+// Restored state only orders the candidates for primary: a restored primary gets one write until it has answered, also if another member has
+// taken over meanwhile. It must be ignored for members that have started since, and if the clock went back.
 func TestRestoredStateIsNoProofOfRoles(t *testing.T) {
 	old := newSettledCluster(t, "none")
 	learned := make(map[driver.Member]driver.Known)
-	for from := 0; ; { // in slices, as a host takes them
+	for from := 0; ; { // in batches, as hosts do it
 		if from = old.router.LearnedMembers(from, 1, func(m driver.Member, k driver.Known) { learned[m] = k }); from == 0 {
 			break
 		}
@@ -95,7 +95,7 @@
 				first[q.group] = q.member
 			}
 		}
-		if first[1] != 101 || first[0] != 100 && first[0] != 104 { // nothing is known of 104, which has started since
+		if first[1] != 101 || first[0] != 100 && first[0] != 104 { // nothing was restored for 104, which has started since
 			t.Errorf("the first writes go to %v", first)
 		}
 		c.traffic(100, 5*ms)
--- a/rules/retries.go
+++ b/rules/retries.go
@@ -8,38 +8,38 @@
 	"passtack/internal/settings"
 )
 
-const deliveryTime = 20 * time.Millisecond // allowed between writing an RPC and its arrival at the member
+const deliveryTime = 20 * time.Millisecond // time allowed between sending an RPC and its arrival at the member
 
-// rpc is a client's request until it is answered and no attempt is in flight.
+// rpc is a client's RPC. It is kept until it is answered and no attempt is in flight.
 type rpc struct {
 	Request
 	method               *method
 	group                *group
-	takenAt, requestedAt time.Duration // when it was taken; since when the client has wanted the answer, over all its tries
-	sendBy               time.Duration // when it must be completely sent to a member, if at all
+	takenAt, requestedAt time.Duration // when it was taken; when the client first requested the answer, over all its tries
+	sendBy               time.Duration // latest time at which it may be completely sent to a member
 	commit               time.Duration // position of the session's latest write
 	attempts             []attempt
-	openAttempts         int           // without an outcome yet
-	firstRunAt           time.Duration // when the first attempt was sent that may have run at a member
-	queueUntil           time.Duration // 0: it was not queued yet
+	openAttempts         int           // attempts without an outcome yet
+	firstRunAt           time.Duration // when the first attempt that may have run at a member was sent
+	queueUntil           time.Duration // end of its time in the queue; 0: it was not queued yet
 	firstRunZone         driver.Zone
-	mayHaveRun           bool // at a member
+	mayHaveRun           bool // an attempt may have run at a member
 	queued, answered     bool
 	inFlightLink         chain.Element[*rpc] // in member.inFlight
 }
 
-// attempt is one sending of an RPC to a member.
+// attempt is one transmission of an RPC to a member.
 type attempt struct {
 	member            *member
 	sentAt            time.Duration
 	depth             int           // attempts in flight at the member when it was sent
-	rejectedAt        time.Duration // when the member rejected it or was not reached
+	rejectedAt        time.Duration // when the member rejected it or could not be reached
 	open, exploratory bool          // open: without an outcome yet; exploratory: a write to a member that may be the primary
 }
 
 func (q *rpc) lastSentAt() time.Duration { return q.attempts[len(q.attempts)-1].sentAt }
 
-// send makes an attempt. Timeout 0 means that it lasts until the client stops waiting.
+// send makes an attempt. With timeout 0 it may last until the client stops waiting.
 func (r *Router) send(q *rpc, to *member, timeout time.Duration, exploratory bool) {
 	now, depth := r.host.Now(), to.inFlight.Len()
 	if depth == 0 {
--- a/rules/router.go
+++ b/rules/router.go
@@ -1,7 +1,7 @@
-// Package rules is passtack's decision module: every decision of a driver is made here.
+// Package rules is passtack's decision module: it makes every decision of a driver.
 //
-// A host (internal/node on sockets, cmd/simhost on the bench) makes one Router per driver with New and calls a method for each
-// event. The Router acts by calling the host (driver.Host). docs/design.md explains the design.
+// A host (internal/node on sockets, cmd/simhost on the bench) creates one Router per driver with New and calls one of its methods
+// for each event. The Router acts by calling the host (driver.Host). docs/design.md explains the design.
 package rules
 
 import (
@@ -14,14 +14,14 @@
 	"passtack/internal/settings"
 )
 
-const unknownTime = driver.LongAgo // lies before all other times
+const unknownTime = driver.LongAgo // earlier than all other times
 
-// method is one method of the settings and what was learned of it.
+// method is a configured method and what the router has learned about it.
 type method struct {
 	settings.Method
 	typical       typicalLatency
-	clientTimeout time.Duration // for which clients usually wait for one try
-	timeoutVotes  int           // tries with this timeout less those with another
+	clientTimeout time.Duration // how long clients usually wait for one try
+	timeoutVotes  int           // tries with clientTimeout minus those with another timeout, at most maxTimeoutVotes
 }
 
 // Router is the decision module of one driver. Its methods are called from one goroutine.
@@ -30,26 +30,26 @@
 	random                                   *pcg.Source
 	settings                                 settings.Settings
 	methods                                  []*method // by driver.Method
-	quotas, quotaLeft                        []float64 // this driver's parts of the tenants' quotas: RPCs a second; RPCs that may be sent now
-	membersCheckFreshness, onlyDrainingBinds bool      // members reject reads for which they lag too far; members off the list may be used
+	quotas, quotaLeft                        []float64 // this driver's parts of the tenants' quotas: RPCs per second; RPCs that may be sent now
+	membersCheckFreshness, onlyDrainingBinds bool      // members check the freshness of reads themselves; unlisted members may be used
 	zone                                     driver.Zone
-	reportColumns                            []string // of load reports
+	reportColumns                            []string // columns of load reports
 	groups                                   map[driver.Group]*group
 	members                                  map[driver.Member]*member
-	memberList                               []*member // in the order in which they were first listed
+	memberList                               []*member // in the order of their first listing
 	rpcs                                     map[driver.RPC]*rpc
-	queue                                    []*rpc                           // wait for a member
+	queue                                    []*rpc                           // RPCs that wait for a member
 	sessionCommits                           map[driver.Session]time.Duration // position of each session's latest write
 	timers                                   due.Queue[func()]
 	ticks                                    ticks
-	clockOffset, clockUncertainty            time.Duration // of the members' clock: ahead of the host's; by how much it may be behind that
+	clockOffset, clockUncertainty            time.Duration // how far the members' clock is ahead of the host's; how far it may be behind that
 	pace                                     paceEstimate
 	load                                     driverLoad
-	healthCheckBudget                        float64 // health checks that may be sent now
-	lastReason                               Reason  // of the latest RPC that was given up
+	healthCheckBudget                        float64 // number of health checks that may be sent now
+	lastReason                               Reason  // why the latest RPC was given up
 }
 
-// New returns a router that acts through the host and decides by the settings.
+// New returns a router that acts through the host and decides according to the settings.
 func New(host driver.Host, seed uint64, values map[string]string) *Router {
 	r := &Router{
 		host: host, random: pcg.New(seed), healthCheckBudget: maxHealthCheckBudget,
@@ -70,8 +70,8 @@
 	return r
 }
 
-// ApplySettings replaces the settings but for those that need a restart: the driver's zone, its tick, the report columns and the way
-// endpoint lists arrive. Methods keep their number and what was learned; RPCs in flight keep the method that they began with.
+// ApplySettings replaces all settings except those that need a restart: the driver's zone, its tick, the report columns and how it gets
+// endpoint lists. Methods keep their index and what was learned about them; RPCs in flight keep the method settings that they began with.
 func (r *Router) ApplySettings(values map[string]string) {
 	before, s := r.methods, settings.New(values)
 	r.settings, r.methods, r.quotas, r.quotaLeft = s, nil, s.TenantQuotas(), s.TenantQuotas()
--- a/rules/selection.go
+++ b/rules/selection.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	primaryReadShare   = 0.1 // of bounded reads that a replica could serve
-	maxPrimarySlowdown = 1.5 // up to which the primary takes reads that replicas could serve
-	explorationShare   = 0.2 // of reads that go to an idle replica with no recent report
-	otherZoneCost      = 1.3 // by which a latency in another zone is multiplied for comparison
+	primaryReadShare   = 0.1 // share of bounded reads that go to the primary though a replica could serve them
+	maxPrimarySlowdown = 1.5 // slowdown of the primary from which on it gets no reads that replicas could serve
+	explorationShare   = 0.2 // share of reads that go to an idle replica with no recent report
+	otherZoneCost      = 1.3 // factor on predicted latencies in another zone when members are compared
 )
 
 // route sends the RPC to a member, queues it briefly, or gives it up.
@@ -52,7 +52,8 @@
 	r.send(q, target, timeout, exploratory)
 }
 
-// chooseMember returns the member for an RPC, nil if none qualifies. The primary is nil if it is unknown or takes no RPC now.
+// chooseMember returns the member for an RPC, nil if none qualifies. The primary is passed as nil if it is
+// unknown or does not accept this RPC now.
 func (r *Router) chooseMember(q *rpc, primary *member, now time.Duration) *member {
 	switch q.method.Freshness {
 	case settings.FreshnessWrite:
@@ -82,8 +83,8 @@
 	return nil
 }
 
-// chooseAlternative returns another member for an RPC that would be shed: a caught-up replica for a pinned read, the primary, unless slow,
-// for a read that replicas serve.
+// chooseAlternative returns another member for an RPC that would be shed at the target: a replica that has caught up for a session read
+// that is pinned to the primary; the primary, unless it is slow, for a read that replicas serve.
 func (r *Router) chooseAlternative(q *rpc, target, primary *member, now time.Duration) *member {
 	f := q.method.Freshness
 	if f == settings.FreshnessSession && target == primary {
@@ -107,22 +108,23 @@
 	return !slices.ContainsFunc(q.attempts, rejected) && r.slowStartAdmits(m, q, now)
 }
 
-// chooseReplica returns the replica of lowest cost among those known to have reached a position. An idle one with no recent report is
-// explored now and then, so that its state stays known; if it checks reads itself, after some seconds even before the position.
+// chooseReplica returns the replica of lowest cost among those known to have reached a position. Some reads go to an idle replica with no
+// recent report, so that its state stays known; if members check freshness themselves, also to one that has not reported for some seconds
+// and is not known to have reached the position.
 func (r *Router) chooseReplica(q *rpc, required, now time.Duration) (best *member) {
 	all := q.group.members
 	for n, start := 0, r.random.Below(len(all)+1); n < len(all); n++ {
 		m := all[(start+n)%len(all)]
 		sinceReport, position := now-m.replication.reportedAt, m.replication.position
-		unheard := m.inFlight.Len() == 0 && sinceReport > recheckInterval
-		mayAsk := r.membersCheckFreshness && unheard && sinceReport > maxProbationBackoff
-		if r.membersCheckFreshness && m.replication.reportedAt != unknownTime { // if it has not advanced, it rejects the read
+		unreported := m.inFlight.Len() == 0 && sinceReport > recheckInterval
+		mayExplore := r.membersCheckFreshness && unreported && sinceReport > maxProbationBackoff
+		if r.membersCheckFreshness && m.replication.reportedAt != unknownTime { // if it has not advanced this far, it rejects the read
 			position += sinceReport
 		}
-		if m == q.group.primary || position < required && !mayAsk || !r.accepts(m, q, now) {
+		if m == q.group.primary || position < required && !mayExplore || !r.accepts(m, q, now) {
 			continue
 		}
-		if unheard && r.random.Float() < explorationShare && 2*r.predictLatency(m, q.method) < q.method.SoftDeadline {
+		if unreported && r.random.Float() < explorationShare && 2*r.predictLatency(m, q.method) < q.method.SoftDeadline {
 			return m
 		}
 		if best == nil || r.cost(m, q.method) < r.cost(best, q.method) {
--- a/rules/settings_test.go
+++ b/rules/settings_test.go
@@ -8,8 +8,8 @@
 	"passtack/driver"
 )
 
-// A keyed write that may have run keeps the retry window that it began with after a longer or shorter one is configured; later RPCs get the
-// new one.
+// A keyed write that may have run must keep the retry window that it began with when a longer or shorter one is configured. Later RPCs get
+// the new window.
 func TestRPCInFlightKeepsItsRetryWindow(t *testing.T) {
 	for text, window := range map[string]time.Duration{"5000000": 5 * time.Second, "100000": 100 * ms} {
 		c := newSettledCluster(t, "none")
@@ -31,7 +31,7 @@
 	}
 }
 
-// An RPC keeps the effect that it was taken with when its method becomes non-idempotent; the next RPC is not retried.
+// An RPC must keep the effect that it was taken with when its method becomes non-idempotent. Later RPCs are not retried.
 func TestEffectChangeAppliesToLaterRPCs(t *testing.T) {
 	c := newSettledCluster(t, "none")
 	old := c.request(0, 0)
@@ -52,18 +52,18 @@
 	}
 }
 
-// What was learned of methods and members outlasts a change of settings. New methods begin with a latency from their deadline; quotas and the
-// slow-start budget apply at once.
+// A change of settings must not discard what was learned about methods and members. New methods begin with a latency derived from their soft
+// deadline; quotas and the slow-start budget apply at once.
 func TestSettingsChangeKeepsLearnedState(t *testing.T) {
 	c := newSettledCluster(t, "none")
-	usual := c.router.TypicalLatencies()
+	before := c.router.TypicalLatencies()
 	more := testSettings("none", "methods.count=9", "methods.8.effect=idempotent", "methods.8.utility=4", "methods.8.soft_deadline=800000", "methods.0.soft_deadline=100000",
 		"tenants.count=1", "tenants.0.quota=30", "drivers=3", "rules.cold_multiple=7", "caps.attempts=2")
 	more["family_info.needs"] += ",any"
 	more["family_info.bounds"] += ",0"
 	c.router.ApplySettings(more)
-	if got := c.router.TypicalLatencies(); !slices.Equal(got[:8], usual) || got[8] != 200*ms {
-		t.Errorf("typical latencies were %v and are %v", usual, got)
+	if got := c.router.TypicalLatencies(); !slices.Equal(got[:8], before) || got[8] != 200*ms {
+		t.Errorf("typical latencies were %v and are %v", before, got)
 	}
 	if m := c.router.methods[0]; m.SoftDeadline != 100*ms || m.Freshness != "bounded" || m.MaxStaleness != 500*ms {
 		t.Errorf("%+v", m)
@@ -79,7 +79,7 @@
 		}
 	}
 	if q := c.rpcs[id]; !q.answered || q.lastAttempt != 1 {
-		t.Errorf("with two attempts at the most: %d, ended %v", q.lastAttempt+1, q.answered)
+		t.Errorf("at most two attempts are allowed: %d, ended %v", q.lastAttempt+1, q.answered)
 	}
 	c.traffic(50, 20*ms, 0, 1, 2, 4, 5)
 }
--- a/rules/slowstart.go
+++ b/rules/slowstart.go
@@ -8,20 +8,21 @@
 	"passtack/internal/decay"
 )
 
-const slowStartShare = 0.4 // of a member's slow-start budget; the rest is for bursts and unknown load
+const slowStartShare = 0.4 // used share of a member's slow-start budget; the rest is a reserve for bursts and unknown load
 
-// driverLoad is what this driver is asked for and what its members carry.
+// driverLoad is the load that clients request of this driver and that its members carry: seconds of typical latency, each weighted by its
+// age (decay.Sum) with the time constant loadWindow.
 type driverLoad struct {
-	requested, firstTries          decay.Sum // by clients in all, and without their retries
-	carried                        float64   // by a warm member of the busier role, as member.load
-	availableMembers, failingShare float64   // failingShare: of members with recent failures
+	requested, firstTries          decay.Sum // by clients: all RPCs; RPCs that are no retries
+	carried                        float64   // load of a warm member of the busier role, as in member.load
+	availableMembers, failingShare float64   // failingShare: share of members with recent failures
 }
 
 func (r *Router) loadWindow() time.Duration {
 	return max(r.settings.Duration("rules.cold_window"), r.ticks.interval)
 }
 
-// age returns the least time since the member started, as starts are told by another clock.
+// age returns the shortest possible time since the member started; its start is known by another clock.
 func (r *Router) age(m *member, now time.Duration) time.Duration {
 	return now - r.clockUncertainty - m.startedAt
 }
@@ -31,9 +32,9 @@
 	return m.startedAt != unknownTime && r.age(m, now) < r.settings.Duration("rules.cold_lasts")
 }
 
-// slowStartAdmits reports whether a member's slow-start budget has capacity for this RPC. The budget is this driver's part of what warm
-// members carry, or a multiple of what the member has answered (docs/recovery.md). It is rounded to whole RPCs by a random draw for each
-// window; the draw is weighed by the work expected for the member in a window, so that drivers with few RPCs use their part as well.
+// slowStartAdmits reports whether a member's slow-start budget has capacity for this RPC. The budget is this driver's part of the load of a
+// warm member, or a multiple of the work that the member has answered (docs/recovery.md). It is rounded to whole RPCs by a random draw per
+// window; the draw is weighted by the work expected for the member in a window, so that drivers with few RPCs use their part as well.
 func (r *Router) slowStartAdmits(m *member, q *rpc, now time.Duration) bool {
 	if !r.warmingUp(m, now) {
 		return true
@@ -44,7 +45,7 @@
 	}
 	multiple, share := r.settings.Number("rules.cold_multiple", 1), r.settings.Number("rules.cold_share", 1)
 	share += (1 - share) * max(0, float64(r.age(m, now))/float64(r.settings.Duration("rules.cold_lasts")))
-	// Where no load of warm members is known, half of what clients ask for stands in for it.
+	// Where no load of warm members is known, half of the load that clients request is used instead.
 	carried := max(r.load.carried, r.load.firstTries.At(now, window)/float64(len(r.memberList))/2)
 	budget := max(slowStartShare*share*multiple*carried, math.Sqrt(multiple)*m.servedLoad.At(now, window))
 	work := q.method.typical.value.Seconds()
@@ -54,7 +55,7 @@
 	return m.load.At(now, window)+min(work, expected)*g.draw <= budget
 }
 
-// eligibleMembers counts the members of the group that usually take such RPCs, and those left for this one.
+// eligibleMembers counts the members of the group that usually serve such RPCs, and those of them that are left for this RPC.
 func (g *group) eligibleMembers(q *rpc) (usual, left float64) {
 	for _, m := range g.members {
 		if m.available && (m == g.primary) == q.method.Freshness.PrefersPrimary() {
@@ -67,15 +68,15 @@
 	return max(usual, 1), max(left, 1)
 }
 
-// measureMembers measures the share of failing members and the load of warm ones. The latter holds once no warm one is left.
+// measureMembers measures the share of failing members and the load of warm members. If no warm member is left, the latest load is kept.
 func (r *Router) measureMembers(now time.Duration) {
-	load, count := make(map[bool]float64), make(map[bool]float64) // of replicas and of primaries
+	load, count := make(map[bool]float64), make(map[bool]float64) // by whether the members are primaries
 	r.load.failingShare, r.load.availableMembers = 0, 0
 	for _, m := range r.memberList {
 		if m.available {
 			r.load.availableMembers++
 		}
-		r.load.failingShare += math.Ceil(m.health.failureRate-failureWeight/2) / float64(len(r.memberList)) // 1 if it failed lately
+		r.load.failingShare += math.Ceil(m.health.failureRate-failureWeight/2) / float64(len(r.memberList)) // numerator 1 if it failed recently
 		if m.available && !m.health.ejected() && !r.warmingUp(m, now) {
 			isPrimary := m == m.group.primary
 			load[isPrimary] += m.load.At(now, r.loadWindow())
--- a/rules/slowstart_test.go
+++ b/rules/slowstart_test.go
@@ -12,14 +12,14 @@
 	"passtack/driver"
 )
 
-// Many drivers with little traffic see a whole group restart: each one's part of the slow-start budget is far less than one RPC, and together
-// they use some of the budget and no more.
+// Many drivers with little traffic see all members restart. Each driver's part of the slow-start budget is far less than one RPC; together
+// they must use some of the budget and no more.
 func TestSlowStartBudgetOfRestartedGroupsAddsUp(t *testing.T) {
-	const drivers, carried = 60, 0.05 // a quarter of an attempt a window; it stays, as no warm member is left
+	const drivers, carried = 60, 0.05 // carried: a quarter of an attempt per window; it is kept, as no warm member is left
 	sent := 0.0
 	for seed := range uint64(drivers) {
 		c := newCluster(t, seed, "wait")
-		c.traffic(7, 150*ms, 2) // clients request over twice as much
+		c.traffic(7, 150*ms, 2) // clients request more than twice as much
 		c.router.load.carried = carried
 		for _, m := range c.ids {
 			c.members[m].attemptTimes, c.members[m].attemptLoads, c.members[m].startedAt = nil, nil, c.now
@@ -33,15 +33,15 @@
 		}
 	}
 	if budget := 3 * 0.25 * carried * drivers * 8; sent > budget || sent < budget/10 {
-		t.Fatalf("%.1f s of work sent to warming members in a window, %.1f would overload them", sent, budget)
+		t.Fatalf("%.1f s of work sent to members in slow start in a window, their budget is %.1f", sent, budget)
 	}
 }
 
-// All but one member of each group leave the list, and those two restart. Their budgets do not grow by that.
+// All members but one of each group leave the list, and the two that are left restart. Their slow-start budgets must not grow by that.
 func TestLastWarmingMembersGetNoLargerBudget(t *testing.T) {
 	c := newCluster(t, 1, "wait")
 	c.traffic(100, 10*ms, 0, 2) // for a second
-	asked, heaviest := c.router.load.firstTries.At(c.now-10*ms, loadWindow), 0.0
+	requested, heaviest := c.router.load.firstTries.At(c.now-10*ms, loadWindow), 0.0
 	for _, m := range c.router.methods {
 		heaviest = max(heaviest, m.typical.value.Seconds())
 	}
@@ -62,17 +62,17 @@
 		for _, work := range c.members[m].attemptLoads {
 			sent += work
 		}
-		if most := slowStartShare*3*0.3*asked/8 + heaviest; sent == 0 || sent > most {
+		if most := slowStartShare*3*0.3*requested/8 + heaviest; sent == 0 || sent > most {
 			t.Errorf("%.2f s of work went to %d, %.2f at most are allowed", sent, m, most)
 		}
 	}
 }
 
-// The same load comes through few drivers or many, one of them five times busier, with or without a restart of the drivers. Then a replica of
-// each group restarts, or a whole group, or a warming member becomes primary. Together the drivers stay within the slow-start budget in
-// every window and do not leave most of it unused.
+// The same load comes through few or many drivers, one of them five times busier. Then replicas or all members restart, with or without the
+// drivers, or a member in slow start becomes primary. Together the drivers must stay within the slow-start budget in every window and must not
+// leave most of it unused.
 func TestSlowStartBudgetAddsUpOverManyDrivers(t *testing.T) {
-	const perMember, warmFor = 24.0, 6 * time.Second // RPCs a second that a member gets from all
+	const perMember, warmFor = 24.0, 6 * time.Second // perMember: RPCs per second that a member gets from all drivers
 	for _, drivers := range []int{2, 20, 30, 300} {
 		for name, restarted := range map[string][]driver.Member{
 			"a replica of each": {104, 105}, "replicas of a group": {102, 104, 106}, "a primary": {100},
@@ -98,20 +98,20 @@
 						loads[kind] += float64(len(c.members[m].attemptTimes)) / float64(2+4*kind) / warmFor.Seconds()
 						c.members[m].attemptTimes, c.members[m].attemptLoads = nil, nil
 					}
-					if strings.HasSuffix(name, "drivers too") { // they restart and know nothing but a list
-						known := c.now
+					if strings.HasSuffix(name, "drivers too") { // the drivers restart and know only an endpoint list
+						before := c.now
 						c = newCluster(t, uint64(n)*7919+4, "wait", "drivers="+strconv.Itoa(drivers))
-						c.advance(known - c.now)
+						c.advance(before - c.now)
 					}
-					for _, m := range restarted { // their capacity is the load of the primaries
+					for _, m := range restarted { // their capacity is the load of a primary
 						c.members[m].startedAt, c.members[m].capacity, c.members[m].capacityLeft = c.now, perMember*8*part/6, c.random.Float()
 					}
 					c.announce(driver.Changes, restarted...)
-					c.maxWarmLoad = math.Inf(1) // the check by what one driver sees does not apply
+					c.maxWarmLoad = math.Inf(1) // the check by the load that one driver sees does not apply
 					switch name {
 					case "the last replica of a group":
 						c.unreachable = []driver.Member{102, 106}
-					case "the next primary": // after two seconds without one, in which its RPCs are queued and retried
+					case "the next primary": // after two seconds without a primary, in which its RPCs are queued and retried
 						c.primaries[0], c.unreachable = 0, []driver.Member{100}
 						c.randomTraffic(perMember*8*part, 2*time.Second)
 						c.primaries[0] = 104
@@ -125,7 +125,7 @@
 						sent[m-100] = append(sent[m-100], c.members[m].attemptTimes...)
 					}
 				}
-				carried, fullest := max(loads[0], loads[1]), 0.0 // all have the capacity of the busier role
+				carried, fullest := max(loads[0], loads[1]), 0.0 // all members have the capacity of the busier role
 				for _, m := range restarted {
 					times := sent[m-100]
 					slices.Sort(times)
@@ -141,15 +141,15 @@
 						}
 					}
 					part := 0.12
-					if strings.HasSuffix(name, "drivers too") { // they begin by what members have served
+					if strings.HasSuffix(name, "drivers too") { // they begin with what members have answered
 						part = 0.08
 					}
-					if least := part * 3 * (0.25 + 0.15) * carried * 4; float64(len(times)) < least && name != "a replica of each" { // there other members serve
+					if least := part * 3 * (0.25 + 0.15) * carried * 4; float64(len(times)) < least && name != "a replica of each" { // there other members serve the load
 						t.Errorf("%d drivers, %s: %d RPCs to %d in 4 s, want %.1f", drivers, name, len(times), m, least)
 					}
 				}
 				most := 0.95
-				if name == "the last replica of a group" || strings.HasSuffix(name, "burst") { // the primary carries more meanwhile, which the drivers see
+				if name == "the last replica of a group" || strings.HasSuffix(name, "burst") { // the primary carries more meanwhile, and the drivers see that
 					most = 1.2
 				}
 				if t.Logf("%d drivers, %s: the fullest window has %.2f of the budget", drivers, name, fullest); fullest > most {
