--- a/driver/interfaces.go
+++ b/driver/interfaces.go
@@ -14,8 +14,8 @@
 	Forms                  // number of forms
 )
 
-// Ask is the request that an RPC sends to a member, in the form of the member's group. It is valid while the RPC is served.
-type Ask struct {
+// MemberRequest is the request that an RPC sends to a member, in the form of the member's group. It is valid while the RPC is served.
+type MemberRequest struct {
 	Form          Form
 	Before, After []byte // of a statement: the text before and after the time left in milliseconds
 	Verb, Path    string // of an HTTP request
@@ -24,9 +24,9 @@
 }
 
 // Copy returns a deep copy.
-func (a *Ask) Copy() *Ask {
-	c := *a
-	all := make([]byte, 0, len(a.Before)+len(a.After)+len(a.Fields)+len(a.Body))
+func (r *MemberRequest) Copy() *MemberRequest {
+	c := *r
+	all := make([]byte, 0, len(r.Before)+len(r.After)+len(r.Fields)+len(r.Body))
 	for _, part := range []*[]byte{&c.Before, &c.After, &c.Fields, &c.Body} {
 		from := len(all)
 		all = append(all, *part...)
@@ -37,44 +37,44 @@
 
 // Answer is the response of a member. It is valid only during the call that it is passed to.
 type Answer struct {
-	Form     Form
-	Parts    [][]byte      // of a statement: the messages as they were received
-	Value    []byte        // of a statement: the value that was queried; of an HTTP response: the body
-	Status   int           // of an HTTP response
-	Fields   []byte        // of an HTTP response, as they were received
-	Position time.Duration // of the member's log, for a write that of its commit; 0: not reported
-	Told     time.Duration // the position as it was reported, even if it is implausible
+	Form             Form
+	Parts            [][]byte      // of a statement: the messages as they were received
+	Value            []byte        // of a statement: the value that was queried; of an HTTP response: the body
+	Status           int           // of an HTTP response
+	Fields           []byte        // of an HTTP response, as they were received
+	Position         time.Duration // of the member's log, for a write that of its commit; 0: not reported
+	ReportedPosition time.Duration // the position as it was reported, even if it is implausible
 }
 
 // Front is a listener of one protocol for clients. Each client gets one answer to each of its RPCs.
 type Front interface {
-	Ask(from Client) *Ask // the client's request; nil: the client no longer waits
+	MemberRequest(from Client) *MemberRequest // the client's request; nil: the client no longer waits
 	Answer(to Client, a *Answer)
 	PushBack(to Client, retryAfter time.Duration) // retryAfter 0: no retry delay is given
 	Abort(to Client)
-	Shut()                        // takes no new connections, except those that already wait to be accepted
-	Leave()                       // closes each connection as soon as no RPC of it is served
-	Sweep(idle time.Duration) int // closes connections that were idle for this long; returns the number of those left
-	Finish()                      // closes all connections on which no RPC is served, and stops reading
-	Open() int                    // number of connections
+	StopAccepting()                   // takes no new connections, except those that already wait to be accepted
+	Drain()                           // closes each connection as soon as no RPC of it is served
+	CloseIdle(idle time.Duration) int // closes connections that were idle for this long; returns the number of those left
+	CloseAll()                        // closes all connections on which no RPC is served, and stops reading
+	Open() int                        // number of connections
 }
 
-// Clerk takes the RPCs of the fronts' clients and tells fronts about groups and the members' clock.
-type Clerk interface {
+// RPCHandler takes the RPCs of the fronts' clients and tells fronts about groups and the members' clock.
+type RPCHandler interface {
 	// Take admits an RPC whose last byte arrived at arrivedAt and whose client waits until the deadline; sinceWrite is as in
 	// rules.Request. An RPC for which it returns 0 has already been answered.
 	Take(front Front, from Client, method Method, group Group, session Session, arrivedAt, deadline, sinceWrite time.Duration, clientRetry bool) RPC
-	ClientLeft(rpc RPC)  // the client no longer waits
-	ClientParts(rpc RPC) // the client closed its sending side and may still read: attempts in flight go on, no others are sent
+	ClientLeft(rpc RPC)       // the client no longer waits
+	ClientHalfClosed(rpc RPC) // the client closed its sending side and may still read: attempts in flight go on, no others are sent
 	FormOf(group Group) Form
 	Count(name string)         // adds 1 to a counter
 	MembersNow() time.Duration // the time by the members' clock, in which positions are given
 }
 
-// Side holds the connections to the members that speak one protocol.
-type Side interface {
+// MemberPool holds the connections to the members that speak one protocol.
+type MemberPool interface {
 	// Attempt sends a request to a member, completely by writeDeadline or not at all. The attempt ends at the deadline at the latest.
-	Attempt(rpc RPC, n int, to Member, writeDeadline, deadline time.Duration, request *Ask) (handle uint32)
+	Attempt(rpc RPC, n int, to Member, writeDeadline, deadline time.Duration, request *MemberRequest) (handle uint32)
 	Cancel(handle uint32)
 	Withdraw(handle uint32) // cancels an attempt unless it is completely sent
 	Probe(m Member)
@@ -82,8 +82,8 @@
 	Forget(m Member)
 }
 
-// Ledger receives the outcomes of attempts and health checks.
-type Ledger interface {
+// OutcomeHandler receives the outcomes of attempts and health checks.
+type OutcomeHandler interface {
 	AttemptEnded(rpc RPC, n int, from Member, outcome Outcome, took, position time.Duration, role Role, report []float64, a *Answer)
 	Probed(m Member, ok bool, took time.Duration, report []float64)
 	Count(name string) // adds 1 to a counter
--- a/internal/front/odata/front.go
+++ b/internal/front/odata/front.go
@@ -18,7 +18,7 @@
 // Front is one listener. It implements driver.Front.
 type Front struct {
 	loop        *loop.Loop
-	handler     driver.Clerk
+	handler     driver.RPCHandler
 	connections *front.Connections
 	config      *config.OData
 	methods     []string // the names in statements, by number
@@ -32,7 +32,7 @@
 }
 
 // Listen accepts clients. The methods are named by number. Members serve below memberRoot.
-func Listen(l *loop.Loop, handler driver.Clerk, address netip.AddrPort, limits loop.AcceptLimiter, activeIDs front.ActiveIDs, settings *config.OData,
+func Listen(l *loop.Loop, handler driver.RPCHandler, address netip.AddrPort, limits loop.AcceptLimiter, activeIDs front.ActiveIDs, settings *config.OData,
 	methods []string, memberRoot string, seed uint64) (*Front, error) {
 	f := &Front{
 		loop: l, handler: handler, activeIDs: activeIDs, methods: methods, memberRoot: memberRoot, registry: idempotency.New(l.Now()), random: pcg.New(seed),
@@ -68,8 +68,8 @@
 // Connections returns the listener's connections.
 func (f *Front) Connections() *front.Connections { return f.connections }
 
-// Ask implements driver.Front.
-func (f *Front) Ask(from driver.Client) *driver.Ask {
+// MemberRequest implements driver.Front.
+func (f *Front) MemberRequest(from driver.Client) *driver.MemberRequest {
 	if req := f.requests.Get(slots.Handle(from)); req != nil {
 		return &req.memberRequest
 	}
@@ -97,17 +97,17 @@
 	}
 }
 
-// Leave implements driver.Front.
-func (f *Front) Leave() { f.connections.Drain() }
+// Drain implements driver.Front.
+func (f *Front) Drain() { f.connections.Drain() }
 
-// Shut implements driver.Front.
-func (f *Front) Shut() { f.connections.StopAccepting() }
+// StopAccepting implements driver.Front.
+func (f *Front) StopAccepting() { f.connections.StopAccepting() }
 
-// Sweep implements driver.Front.
-func (f *Front) Sweep(idle time.Duration) int { return f.connections.CloseIdle(idle) }
+// CloseIdle implements driver.Front.
+func (f *Front) CloseIdle(idle time.Duration) int { return f.connections.CloseIdle(idle) }
 
-// Finish implements driver.Front.
-func (f *Front) Finish() { f.connections.CloseAll() }
+// CloseAll implements driver.Front.
+func (f *Front) CloseAll() { f.connections.CloseAll() }
 
 // Open implements driver.Front.
 func (f *Front) Open() int { return f.connections.Count() }
--- a/internal/front/odata/request.go
+++ b/internal/front/odata/request.go
@@ -25,7 +25,7 @@
 	handle        slots.Handle
 	rpc           driver.RPC
 	id            string
-	memberRequest driver.Ask
+	memberRequest driver.MemberRequest
 	ended         bool
 	operationRequest
 	repeatability
@@ -184,6 +184,6 @@
 // stopRetries prevents further attempts of a request that nobody waits for.
 func (req *request) stopRetries() {
 	if req.exchange == nil && len(req.entry.Waiters) == 0 {
-		req.front.handler.ClientParts(req.rpc)
+		req.front.handler.ClientHalfClosed(req.rpc)
 	}
 }
--- a/internal/front/pg/client.go
+++ b/internal/front/pg/client.go
@@ -35,7 +35,7 @@
 	admitting    bool // it is being admitted
 	rpc          driver.RPC
 	id           string
-	request      driver.Ask
+	request      driver.MemberRequest
 	messageSize  int    // bytes of its message
 	textOffset   int    // of the statement in the message
 	budgetSpan   [2]int // where the time that is left stands in the statement
@@ -80,7 +80,7 @@
 		return nil
 	}
 	if c.busy {
-		c.front.handler.ClientParts(c.rpc)
+		c.front.handler.ClientHalfClosed(c.rpc)
 	}
 	return pgwire.AppendParameter(nil, "client_encoding", "UTF8")
 }
--- a/internal/front/pg/front.go
+++ b/internal/front/pg/front.go
@@ -16,7 +16,7 @@
 // Front is one listener. It implements driver.Front.
 type Front struct {
 	loop        *loop.Loop
-	handler     driver.Clerk
+	handler     driver.RPCHandler
 	methods     map[string]driver.Method
 	sessions    map[driver.Method]bool // methods whose quoted key names the session
 	keyed       map[driver.Method]bool // methods that need an idempotency key
@@ -27,7 +27,7 @@
 
 // Listen accepts clients. The slices are indexed by method: its name, whether its key names the session, and whether it needs
 // an idempotency key. The seed is that of the cancel keys.
-func Listen(l *loop.Loop, handler driver.Clerk, address netip.AddrPort, limits loop.AcceptLimiter, activeIDs front.ActiveIDs, methods []string,
+func Listen(l *loop.Loop, handler driver.RPCHandler, address netip.AddrPort, limits loop.AcceptLimiter, activeIDs front.ActiveIDs, methods []string,
 	sessions, keyed []bool, seed uint64) (*Front, error) {
 	f := &Front{cancelKeys: pcg.New(seed), loop: l, handler: handler, activeIDs: activeIDs}
 	f.SetMethods(methods, sessions, keyed)
@@ -56,8 +56,8 @@
 	return nil
 }
 
-// Ask implements driver.Front. It returns the client's statement, before and after the time in its comment.
-func (f *Front) Ask(from driver.Client) *driver.Ask {
+// MemberRequest implements driver.Front. It returns the client's statement, before and after the time in its comment.
+func (f *Front) MemberRequest(from driver.Client) *driver.MemberRequest {
 	c := f.busyClient(from)
 	if c == nil {
 		return nil
@@ -116,17 +116,17 @@
 // Connections returns the listener's connections.
 func (f *Front) Connections() *front.Connections { return f.connections }
 
-// Shut implements driver.Front.
-func (f *Front) Shut() { f.connections.StopAccepting() }
+// StopAccepting implements driver.Front.
+func (f *Front) StopAccepting() { f.connections.StopAccepting() }
 
-// Leave implements driver.Front.
-func (f *Front) Leave() { f.connections.Drain() }
+// Drain implements driver.Front.
+func (f *Front) Drain() { f.connections.Drain() }
 
-// Sweep implements driver.Front.
-func (f *Front) Sweep(idle time.Duration) int { return f.connections.CloseIdle(idle) }
+// CloseIdle implements driver.Front.
+func (f *Front) CloseIdle(idle time.Duration) int { return f.connections.CloseIdle(idle) }
 
-// Finish implements driver.Front.
-func (f *Front) Finish() { f.connections.CloseAll() }
+// CloseAll implements driver.Front.
+func (f *Front) CloseAll() { f.connections.CloseAll() }
 
 // Open implements driver.Front.
 func (f *Front) Open() int { return f.connections.Count() }
--- a/internal/member/attempt.go
+++ b/internal/member/attempt.go
@@ -25,7 +25,7 @@
 	writeDeadline time.Duration // by when it must be fully written
 	deadline      time.Duration // by when its response is due
 	connection    *connection
-	request       *driver.Ask // a copy, until it is written
+	request       *driver.MemberRequest // a copy, until it is written
 	timer         loop.Timer
 	queued        chain.Element[*attempt] // in the member's queue
 }
@@ -33,7 +33,7 @@
 // Attempt sends a request to a member with the time that is left until the deadline. It is fully written by writeDeadline or
 // cut off. Each attempt ends with exactly one outcome, never during this call. The result identifies it for Cancel and
 // Withdraw.
-func (p *Pool) Attempt(rpc driver.RPC, number int, target driver.Member, writeDeadline, deadline time.Duration, request *driver.Ask) uint32 {
+func (p *Pool) Attempt(rpc driver.RPC, number int, target driver.Member, writeDeadline, deadline time.Duration, request *driver.MemberRequest) uint32 {
 	m := p.members[target]
 	a := &attempt{
 		rpc: rpc, number: number, target: target, startedAt: p.loop.Now(),
--- a/internal/member/connection.go
+++ b/internal/member/connection.go
@@ -100,7 +100,7 @@
 }
 
 // write sends the attempt, with the time that is left at this moment: the iteration of the loop may have taken long.
-func (c *connection) write(request *driver.Ask) {
+func (c *connection) write(request *driver.MemberRequest) {
 	c.responseStarted, c.errorReceived, c.written = false, false, true
 	left := max(c.attempt.deadline-c.pool.loop.Clock(), time.Millisecond)
 	c.stream.Send(c.pool.protocol.EncodeRequest(request, left)...)
--- a/internal/member/odata/odata.go
+++ b/internal/member/odata/odata.go
@@ -28,7 +28,7 @@
 func (*Protocol) Greeting() []byte { return nil }
 
 // EncodeRequest implements member.Protocol. It returns a request with the time that is left in a header field.
-func (t *Protocol) EncodeRequest(ask *driver.Ask, left time.Duration) [][]byte {
+func (t *Protocol) EncodeRequest(ask *driver.MemberRequest, left time.Duration) [][]byte {
 	t.header = httpwire.AppendRequest(t.header[:0], ask.Verb, ask.Path)
 	t.header = httpwire.AppendField(t.header, "Host", t.Host)
 	t.trailer = strconv.AppendInt(append(t.trailer[:0], "Deadline-Ms: "...), int64(left/time.Millisecond), 10)
@@ -68,7 +68,7 @@
 	response.Answer.Form, response.Answer.Status, response.Answer.Fields, response.Answer.Value = driver.Requests, reply.Status, reply.Fields, reply.Body
 	if text, _ := reply.Fields.Get("replay-position"); text != nil {
 		response.Answer.Position = member.PlausiblePosition(text, now, 0)
-		response.Answer.Told = member.ParsePosition(text)
+		response.Answer.ReportedPosition = member.ParsePosition(text)
 	}
 	if text, _ := reply.Fields.Get("node-role"); text != nil {
 		response.Role = member.ParseRole(text, driver.Unknown)
--- a/internal/member/pg/pg.go
+++ b/internal/member/pg/pg.go
@@ -31,7 +31,7 @@
 var terminator = []byte{0}
 
 // EncodeRequest implements member.Protocol. It returns a simple query with the time that is left in its comment.
-func (t *Protocol) EncodeRequest(request *driver.Ask, left time.Duration) [][]byte {
+func (t *Protocol) EncodeRequest(request *driver.MemberRequest, left time.Duration) [][]byte {
 	budget := strconv.AppendInt(t.header[8:8], int64(left/time.Millisecond), 10)
 	header := pgwire.AppendHead(t.header[:0], 'Q', len(request.Before)+len(budget)+len(request.After)+1)
 	t.parts = [5][]byte{header, request.Before, budget, request.After, terminator}
@@ -134,7 +134,7 @@
 	switch string(name) {
 	case "replay_position":
 		r.Answer.Position = member.PlausiblePosition(value, now, r.Answer.Position)
-		r.Answer.Told = member.ParsePosition(value)
+		r.Answer.ReportedPosition = member.ParsePosition(value)
 	case "node_role":
 		r.Role = member.ParseRole(value, r.Role)
 	case "server_load":
--- a/internal/member/pool.go
+++ b/internal/member/pool.go
@@ -17,10 +17,10 @@
 // MaxResponseBytes bounds a response that is buffered.
 const MaxResponseBytes = 1088<<10 + 1
 
-// Pool holds the connections to all members of one protocol. It implements driver.Side.
+// Pool holds the connections to all members of one protocol. It implements driver.MemberPool.
 type Pool struct {
 	loop           *loop.Loop
-	ledger         driver.Ledger
+	ledger         driver.OutcomeHandler
 	protocol       Protocol
 	members        map[driver.Member]*member
 	connections    slots.Map[*connection]
@@ -47,7 +47,7 @@
 
 // New creates a pool. Connections must be established within connectTimeout and are not used after having been idle for
 // idleTimeout. All pools of a driver share the limiter of connections that are being established.
-func New(l *loop.Loop, ledger driver.Ledger, protocol Protocol, connectLimiter *recovery.ConnectLimiter,
+func New(l *loop.Loop, ledger driver.OutcomeHandler, protocol Protocol, connectLimiter *recovery.ConnectLimiter,
 	connectTimeout, idleTimeout time.Duration) *Pool {
 	p := &Pool{
 		loop: l, ledger: ledger, protocol: protocol, members: make(map[driver.Member]*member), connectLimiter: connectLimiter,
--- a/internal/member/protocol.go
+++ b/internal/member/protocol.go
@@ -11,7 +11,7 @@
 	// Greeting returns the first bytes on a new connection. If it is nil, the connection is ready once it is open.
 	Greeting() []byte
 	// EncodeRequest encodes an attempt with the time that is left for it. The parts are valid until the next call.
-	EncodeRequest(request *driver.Ask, left time.Duration) [][]byte
+	EncodeRequest(request *driver.MemberRequest, left time.Duration) [][]byte
 	// EncodeProbe encodes a health check, which costs the member next to nothing.
 	EncodeProbe() []byte
 	// ParseResponse parses what has been received so far of one response into the response; of the greeting where greeted is
--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -31,7 +31,7 @@
 	if timeout != 0 {
 		deadline = min(deadline, t.node.loop.Now()+timeout)
 	}
-	request := q.listener.front.Ask(q.client)
+	request := q.listener.front.MemberRequest(q.client)
 	if q.answered || len(q.attempts) >= t.maxAttempts || request == nil {
 		deadline = 0 // the pool ends it as not sent
 	}
@@ -62,7 +62,7 @@
 	q.lastOutcome = how
 	if role == driver.Primary {
 		n.recovery.PrimaryAnswered(uint16(q.group))
-		n.observePosition(answer.Told)
+		n.observePosition(answer.ReportedPosition)
 	}
 	if position > 0 {
 		position -= n.memberClock.Offset()
--- a/internal/node/listeners.go
+++ b/internal/node/listeners.go
@@ -183,15 +183,15 @@
 func (s *listenerSet) closeClients(phase shutdown.Phase) (left int) {
 	for _, l := range s.all {
 		idle := earlyCloseIdle
-		l.front.Shut()
+		l.front.StopAccepting()
 		if phase >= shutdown.Closing {
-			l.front.Leave()
+			l.front.Drain()
 			idle = 0
 		}
 		if phase == shutdown.Finished {
-			l.front.Finish()
+			l.front.CloseAll()
 		}
-		left += l.front.Sweep(idle) + l.rpcs
+		left += l.front.CloseIdle(idle) + l.rpcs
 	}
 	return left
 }
--- a/internal/node/rpcs.go
+++ b/internal/node/rpcs.go
@@ -15,7 +15,7 @@
 type rpc struct {
 	listener     *listener
 	client       driver.Client
-	pool         driver.Side // of the members of its group
+	pool         driver.MemberPool // of the members of its group
 	deadline     time.Duration
 	group        driver.Group
 	attempts     []uint32 // the pool's handles, by number of the attempt
@@ -44,8 +44,8 @@
 // String returns the conclusion as the log has it.
 func (c conclusion) String() string { return conclusionNames[c] }
 
-// rpcTable has the RPCs that are being served. Listeners hand it RPCs (driver.Clerk), pools report the ends of attempts
-// (driver.Ledger), and the module acts on RPCs through it (moduleHost).
+// rpcTable has the RPCs that are being served. Listeners hand it RPCs (driver.RPCHandler), pools report the ends of attempts
+// (driver.OutcomeHandler), and the module acts on RPCs through it (moduleHost).
 type rpcTable struct {
 	node        *Node
 	table       slots.Map[*rpc]
@@ -162,9 +162,9 @@
 	}
 }
 
-// ClientParts takes note that the client has closed its sending side: no more attempts are sent, and the client may still be
+// ClientHalfClosed takes note that the client has closed its sending side: no more attempts are sent, and the client may still be
 // answered by those in flight.
-func (t *rpcTable) ClientParts(id driver.RPC) {
+func (t *rpcTable) ClientHalfClosed(id driver.RPC) {
 	q := t.get(id)
 	if q == nil || q.answered {
 		return
