--- a/rules/admission.go
+++ b/rules/admission.go
@@ -19,7 +19,8 @@
 }
 
 // requestedSince returns when the client first requested the answer. Clients of a method wait for its usual timeout, or until the limit for
-// all their tries: a try with another timeout is a retry. An RPC that is read after a pause of this driver arrived before it was read.
+// all their tries: a try with another timeout is a retry. An RPC that is read at the end of a pause of this driver may have arrived earlier: it
+// counts from its deadline minus the usual timeout.
 func (r *Router) requestedSince(q Request, now time.Duration) time.Duration {
 	meth, timeout, resumed := r.methods[q.Method], q.Deadline-q.ArrivedAt, now == r.ticks.resumedAt
 	usual := (timeout - meth.clientTimeout).Abs() < 2*r.ticks.interval
--- a/rules/clock_test.go
+++ b/rules/clock_test.go
@@ -10,7 +10,7 @@
 	"passtack/internal/pcg"
 )
 
-// After a pause of the driver, events from during the pause are handled late. Members must neither be ejected nor look slow for that.
+// After a pause of the driver, all events of that time are handled late. Members must neither be ejected nor look slow because of it.
 func TestDriverPauseEjectsNoMember(t *testing.T) {
 	c := newSettledCluster(t, "wait")
 	for range 20 {
--- a/rules/selection.go
+++ b/rules/selection.go
@@ -52,8 +52,8 @@
 	r.send(q, target, timeout, exploratory)
 }
 
-// chooseMember returns the member for an RPC, nil if none qualifies. The primary is passed as nil if it is
-// unknown or does not accept this RPC now.
+// chooseMember returns the member for an RPC, nil if none qualifies. The primary is passed as nil if it is unknown or
+// does not accept this RPC now.
 func (r *Router) chooseMember(q *rpc, primary *member, now time.Duration) *member {
 	switch q.method.Freshness {
 	case settings.FreshnessWrite:
--- a/rules/slowstart.go
+++ b/rules/slowstart.go
@@ -13,7 +13,7 @@
 // driverLoad is the load that clients request of this driver and that its members carry: seconds of typical latency, each weighted by its
 // age (decay.Sum) with the time constant loadWindow.
 type driverLoad struct {
-	requested, firstTries          decay.Sum // by clients: all RPCs; RPCs that are no retries
+	requested, firstTries          decay.Sum // by clients: all RPCs; without their retries
 	carried                        float64   // load of a warm member of the busier role, as in member.load
 	availableMembers, failingShare float64   // failingShare: share of members with recent failures
 }
