--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -6,7 +6,7 @@
 	"passtack/driver"
 )
 
-// Names of the outcomes of attempts, in the log and in counters.
+// Names of attempt outcomes in the log, and names of the counters for them.
 var (
 	outcomeNames = [...]string{
 		driver.OK: "ok", driver.Failed: "failed", driver.Full: "full", driver.TimedOut: "timed_out",
@@ -20,9 +20,9 @@
 	}
 )
 
-// attempt sends an RPC to a member, to be written completely by a time or not at all. With a timeout of 0 it may last until
-// the deadline of the RPC.
-func (t *rpcTable) attempt(id driver.RPC, to driver.Member, writtenBy, timeout time.Duration) {
+// attempt sends an RPC to a member. If the request is not completely written by writeDeadline, it is not sent at all. With a
+// timeout of 0 the attempt ends at the RPC's deadline at the latest, otherwise after the timeout if that is earlier.
+func (t *rpcTable) attempt(id driver.RPC, to driver.Member, writeDeadline, timeout time.Duration) {
 	q := t.get(id)
 	if q == nil {
 		return
@@ -33,12 +33,12 @@
 	}
 	request := q.listener.front.Ask(q.client)
 	if q.answered || len(q.attempts) >= t.maxAttempts || request == nil {
-		deadline = 0 // the pool ends it as not sent
+		deadline = 0 // a deadline in the past: the pool reports the attempt as not sent
 	}
 	t.Count("attempts_sent")
 	t.node.traceAttempt(id, q, to, deadline)
 	q.inFlight++
-	q.attempts = append(q.attempts, q.pool.Attempt(id, len(q.attempts), to, writtenBy, deadline, request))
+	q.attempts = append(q.attempts, q.pool.Attempt(id, len(q.attempts), to, writeDeadline, deadline, request))
 }
 
 // cancel cancels an attempt that is in flight.
@@ -48,18 +48,18 @@
 	}
 }
 
-// AttemptEnded takes the outcome of an attempt. An answer is passed on to the client unless the RPC is answered. The outcome
-// is passed on to the module in any case.
-func (t *rpcTable) AttemptEnded(id driver.RPC, attempt int, from driver.Member, how driver.Outcome, took, position time.Duration,
+// AttemptEnded handles the end of an attempt. The client receives the answer unless the RPC has its final answer already. The
+// module receives the outcome in either case.
+func (t *rpcTable) AttemptEnded(id driver.RPC, attempt int, from driver.Member, outcome driver.Outcome, took, position time.Duration,
 	role driver.Role, report []float64, answer *driver.Answer) {
 	n := t.node
-	n.Count(outcomeCounters[how])
-	n.traceEnded(id, attempt, from, how, took)
+	n.Count(outcomeCounters[outcome])
+	n.traceEnded(id, attempt, from, outcome, took)
 	q := t.get(id)
 	if q == nil {
 		return
 	}
-	q.lastOutcome = how
+	q.lastOutcome = outcome
 	if role == driver.Primary {
 		n.recovery.PrimaryAnswered(uint16(q.group))
 		n.observePosition(answer.Told)
@@ -67,15 +67,15 @@
 	if position > 0 {
 		position -= n.memberClock.Offset()
 	}
-	if how == driver.OK && t.conclude(id, concludedOK) != nil {
+	if outcome == driver.OK && t.conclude(id, concludedOK) != nil {
 		q.listener.front.Answer(q.client, answer)
 	}
 	q.inFlight--
 	defer t.removeIfDone(id, q)
-	n.module.AttemptEnded(id, attempt, from, how, took, q.answered, position, role, report)
+	n.module.AttemptEnded(id, attempt, from, outcome, took, q.answered, position, role, report)
 }
 
-// Probed passes the result of a health check on to the module.
+// Probed passes the result of a health check to the module.
 func (t *rpcTable) Probed(m driver.Member, ok bool, took time.Duration, report []float64) {
 	t.node.module.HealthCheckEnded(m, ok, took, report)
 }
--- a/internal/node/batch_test.go
+++ b/internal/node/batch_test.go
@@ -31,17 +31,17 @@
 	return body + "--b--\r\n", "Content-Type: multipart/mixed; boundary=b"
 }
 
-// TestBatchWhilePrimaryFails sends batches of reads around a write: the reads after the write see it. Then the primary fails right after
-// the write: no lagging replica answers a read that has to see it.
+// TestBatchWhilePrimaryFails sends batches with reads before and after a write. The reads after the write must see it. If the primary
+// fails right after the write, no lagging replica may answer these reads.
 func TestBatchWhilePrimaryFails(t *testing.T) {
-	for _, speaks := range []string{"pg", "odata"} {
-		t.Run(speaks, func(t *testing.T) {
+	for _, protocol := range []string{"pg", "odata"} {
+		t.Run(protocol, func(t *testing.T) {
 			var g *fakeCluster
-			died := make(chan bool, 1)
-			g = startFakeCluster(t, speaks, 3, func(c *memberCall, nth int) memberFault {
+			killed := make(chan bool, 1)
+			g = startFakeCluster(t, protocol, 3, func(c *memberCall, nth int) memberFault {
 				if c.key == "new-2" && !c.write && c.member == 0 {
 					select {
-					case died <- true:
+					case killed <- true:
 						go g.kill(0)
 					default:
 					}
@@ -50,60 +50,61 @@
 				return faultNone
 			})
 			g.members[1].lag, g.members[2].lag = 5*time.Second, 5*time.Second
-			d, at := serveOData(t, "", 200, g, "")
-			c := dialHTTP(t, at)
+			d, odataAddress := serveOData(t, "", 200, g, "")
+			c := dialHTTP(t, odataAddress)
 			c.do("POST", "Applications", `{"Id":"first"}`)
 			body, media := multipartBatch("GET Applications('a')", `POST Applications {"Id":"new-1"}`, "GET Applications('new-1')", "GET Applications('b')")
 			got := c.do("POST", "$batch", body, media)
 			if fmt.Sprint(batchStatuses(got.body)) != "[200 201 200 200]" {
-				t.Errorf("with a primary: %d %s", got.status, got.body)
+				t.Errorf("with a primary: status %d, %s", got.status, got.body)
 			}
 			body, media = multipartBatch("GET Applications('a')", `POST Applications {"Id":"new-2"}`, "GET Applications('new-2')", "GET Applications('c')")
 			got = c.do("POST", "$batch", body, media, "Deadline-Ms: 2000")
 			if s := fmt.Sprint(batchStatuses(got.body)); s != "[200 201 503 503]" && s != "[200 201 503 200]" { // the two reads run concurrently
-				t.Errorf("the primary dies behind the write: %d %s", got.status, got.body)
+				t.Errorf("primary fails after the write: status %d, %s", got.status, got.body)
 			}
 			got = c.do("POST", "$batch", body, media, "Prefer: continue-on-error", "Deadline-Ms: 2000")
 			if s := batchStatuses(got.body); len(s) != 4 || s[1] != "503" || s[2] == "424" {
-				t.Errorf("then without a primary, going on: %d %s", got.status, got.body)
+				t.Errorf("without a primary, continue on error: status %d, %s", got.status, got.body)
 			}
 			behindWrites := 0
 			for _, call := range g.receivedCalls() {
 				if call.after > 0 {
 					behindWrites++
 				}
-				if call.after > 0 && (call.ran && call.member != 0 || call.method != "own" && speaks == "pg") {
-					t.Errorf("member %d, which lags, answered what must see %d by %s", call.member, call.after, call.method)
+				if call.after > 0 && (call.ran && call.member != 0 || call.method != "own" && protocol == "pg") {
+					t.Errorf("member %d received a read that must see position %d, by method %s: lagging members must reject it", call.member, call.after, call.method)
 				}
 			}
 			if behindWrites < 3 {
-				t.Errorf("only %d reads behind a write", behindWrites)
+				t.Errorf("only %d reads that must see a write, want at least 3", behindWrites)
 			}
 			d.stop()
 			if d.rpcs.Len() != 0 || d.counters["rpcs_overdue"] != 0 {
-				t.Errorf("counted %v", d.counters)
+				t.Errorf("RPCs left over or overdue, counters %v", d.counters)
 			}
 		})
 	}
 }
 
-// TestBatchSemantics checks references between parts, atomicity groups, and batches that are incomplete, late or abandoned by their client.
+// TestBatchSemantics checks references between parts, atomicity groups, and batches that are incomplete, exceed their deadline or are
+// abandoned by their client.
 func TestBatchSemantics(t *testing.T) {
 	g := startFakeCluster(t, "pg", 2, alwaysFault(faultNone))
-	d, at := serveOData(t, "", 200, g, "")
-	c := dialHTTP(t, at)
+	d, odataAddress := serveOData(t, "", 200, g, "")
+	c := dialHTTP(t, odataAddress)
 	c.do("POST", "Applications", `{"Id":"first"}`)
 	checkJSONBatch(t, g, c)
-	checkIncompleteBatch(t, g, at)
+	checkIncompleteBatch(t, g, odataAddress)
 	checkLateBatch(t, g, c)
-	checkAbandonedBatch(t, g, at)
+	checkAbandonedBatch(t, g, odataAddress)
 	d.stop()
 	if d.rpcs.Len() != 0 {
-		t.Errorf("%d RPCs are left", d.rpcs.Len())
+		t.Errorf("%d RPCs left over", d.rpcs.Len())
 	}
 }
 
-// checkJSONBatch sends parts that refer to others, fail, or form an atomicity group, which is not supported.
+// checkJSONBatch sends a batch with parts that refer to others, that fail, and that form an atomicity group, which is not supported.
 func checkJSONBatch(t *testing.T, g *fakeCluster, c *httpClient) {
 	t.Helper()
 	got := c.do("POST", "$batch", `{"requests":[
@@ -117,36 +118,36 @@
 	for _, want := range []string{`"id":"1","status":201`, `"id":"2","status":200`, `"value":"sent"`, `"id":"3","status":404`, `"id":"4","atomicityGroup":"g","status":501`,
 		`"id":"5","atomicityGroup":"g","status":501`, `"id":"6","status":4`, `"id":"7","status":200`} {
 		if !strings.Contains(got.body, want) {
-			t.Errorf("no %s in %s", want, got.body)
+			t.Errorf("%s is missing in %s", want, got.body)
 		}
 	}
 	for _, call := range g.receivedCalls() {
 		if call.key == "x" || call.key == "y" {
-			t.Errorf("a part of an atomicity group was sent: %s", call.text)
+			t.Errorf("a member received a part of an atomicity group: %s", call.text)
 		}
 	}
 	if got := c.do("POST", "$batch", `{"requests":[]}`); got.status != 400 {
-		t.Errorf("an empty batch: %d", got.status)
+		t.Errorf("empty batch: status %d, want 400", got.status)
 	}
 }
 
-// checkIncompleteBatch closes the connection in the middle of a batch: none of it is sent.
-func checkIncompleteBatch(t *testing.T, g *fakeCluster, at string) {
+// checkIncompleteBatch closes the connection in the middle of a batch. No part of it may reach a member.
+func checkIncompleteBatch(t *testing.T, g *fakeCluster, odataAddress string) {
 	t.Helper()
 	before := len(g.receivedCalls())
 	body, media := multipartBatch(`POST Applications {"Id":"half-1"}`, `POST Applications {"Id":"half-2"}`)
 	text := httpRequest("POST", "$batch", body, media)
-	half := dialHTTP(t, at)
+	half := dialHTTP(t, odataAddress)
 	half.Write(text[:len(text)-20])
 	time.Sleep(50 * time.Millisecond)
 	half.Close()
 	time.Sleep(100 * time.Millisecond)
-	if now := len(g.receivedCalls()); now != before {
-		t.Errorf("%d attempts of half a batch", now-before)
+	if after := len(g.receivedCalls()); after != before {
+		t.Errorf("%d attempts for an incomplete batch, want none", after-before)
 	}
 }
 
-// twelveCreates are the parts of a batch.
+// twelveCreates returns twelve parts of a batch, each of which creates an entity.
 func twelveCreates(name string) (parts []string) {
 	for i := range 12 {
 		parts = append(parts, fmt.Sprintf(`POST Applications {"Id":"%s-%d"}`, name, i))
@@ -154,7 +155,8 @@
 	return parts
 }
 
-// checkLateBatch sends a batch that takes longer than its deadline: no part is sent after it, and the client receives all statuses before it.
+// checkLateBatch sends a batch that takes longer than its deadline. The client must receive all statuses before the
+// deadline: parts that cannot run in time are rejected.
 func checkLateBatch(t *testing.T, g *fakeCluster, c *httpClient) {
 	t.Helper()
 	g.mutex.Lock()
@@ -164,29 +166,29 @@
 	began := time.Now()
 	got := c.do("POST", "$batch", body, media, "Deadline-Ms: 700", "Prefer: continue-on-error")
 	took := time.Since(began)
-	answers := make(map[string]int)
+	statuses := make(map[string]int)
 	for _, s := range batchStatuses(got.body) {
-		answers[s]++
+		statuses[s]++
 	}
-	if took > 700*time.Millisecond || answers["503"] == 0 || answers["201"]+answers["503"]+answers["500"] != 12 {
-		t.Errorf("after %v: %v", took, answers)
+	if took > 700*time.Millisecond || statuses["503"] == 0 || statuses["201"]+statuses["503"]+statuses["500"] != 12 {
+		t.Errorf("statuses %[2]v after %[1]v", took, statuses)
 	}
 }
 
-// checkAbandonedBatch closes the connection while a batch runs: attempts that are in flight may end, no other begins.
-func checkAbandonedBatch(t *testing.T, g *fakeCluster, at string) {
+// checkAbandonedBatch closes the connection while a batch runs. Attempts in flight may end, but no others may start.
+func checkAbandonedBatch(t *testing.T, g *fakeCluster, odataAddress string) {
 	t.Helper()
-	sent := len(g.receivedCalls())
-	leaver := dialHTTP(t, at)
+	before := len(g.receivedCalls())
+	client := dialHTTP(t, odataAddress)
 	creates := twelveCreates("long")
 	body, media := multipartBatch(slices.Concat(creates, creates)...)
-	leaver.send("POST", "$batch", body, media)
+	client.send("POST", "$batch", body, media)
 	time.Sleep(200 * time.Millisecond)
-	leaver.Close()
+	client.Close()
 	time.Sleep(100 * time.Millisecond)
 	atClose := len(g.receivedCalls())
 	time.Sleep(400 * time.Millisecond)
-	if now := len(g.receivedCalls()); now > atClose || now == sent {
-		t.Errorf("%d attempts before the client left, %d after", atClose-sent, now-atClose)
+	if after := len(g.receivedCalls()); after > atClose || after == before {
+		t.Errorf("%d attempts before the client left, %d after", atClose-before, after-atClose)
 	}
 }
--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -17,8 +17,8 @@
 	"passtack/internal/pgwire"
 )
 
-// quickMember is a member that answers at once.
-func quickMember(b testing.TB, role, protocol string) net.Addr {
+// startInstantMember starts a member that answers at once, and returns its address.
+func startInstantMember(b testing.TB, role, protocol string) net.Addr {
 	l := listenLocal(b)
 	go serveConnections(l, func(c net.Conn) {
 		defer c.Close()
@@ -43,23 +43,23 @@
 	return l.Addr()
 }
 
-// cpuTime is the CPU time of a thread of this process.
+// cpuTime returns the CPU time used by a thread of this process.
 func cpuTime(b *testing.B, thread int) time.Duration {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/self/task/%d/schedstat", thread))
 	if err != nil {
-		b.Skip("the system does not tell a thread's CPU time")
+		b.Skip("the system does not report the CPU time of threads")
 	}
 	nanos, _ := strconv.ParseInt(strings.Fields(string(text))[0], 10, 64)
 	return time.Duration(nanos)
 }
 
-// serveOnThread runs the driver on a thread of its own and names it.
+// serveOnThread runs the driver on a thread of its own and returns the number of the thread.
 func serveOnThread(b *testing.B, n *Node) (thread int) {
-	named := make(chan int)
+	threadID := make(chan int)
 	done := make(chan bool)
 	go func() {
 		runtime.LockOSThread()
-		named <- unix.Gettid()
+		threadID <- unix.Gettid()
 		n.loop.Run(func() {})
 		close(done)
 	}()
@@ -68,17 +68,18 @@
 		n.loop.Wake()
 		<-done
 	})
-	return <-named
+	return <-threadID
 }
 
-// The whole driver with members that answer at once: its CPU time an RPC should not grow with how many clients ask.
+// BenchmarkDriver measures the whole driver with members that answer at once. The CPU time per RPC should not grow with the number of
+// clients.
 func BenchmarkDriver(b *testing.B) {
 	for _, clients := range []int{1, 16, 200, 1000} {
 		b.Run(fmt.Sprint(clients), func(b *testing.B) { serveAll(b, clients, "pg", "pg") })
 	}
 }
 
-// The same for OData's clients, with members of either protocol.
+// BenchmarkOData does the same for OData clients, with members of either protocol.
 func BenchmarkOData(b *testing.B) {
 	for _, members := range []string{"pg", "odata"} {
 		for _, clients := range []int{1, 16, 200, 1000} {
@@ -91,21 +92,21 @@
 	var targets []string
 	for i := range 4 {
 		role := roleName(i == 0)
-		targets = append(targets, endpointEntry(i, 0, quickMember(b, role, members), "in_service"))
+		targets = append(targets, endpointEntry(i, 0, startInstantMember(b, role, members), "in_service"))
 	}
-	offered := ""
-	var wanted func(string) string
+	odataAddress := ""
+	var configFor func(string) string
 	if front == "odata" {
-		wanted = func(at string) string {
-			offered = at
-			return officesConfig(at, "", members == "pg")
+		configFor = func(address string) string {
+			odataAddress = address
+			return officesConfig(address, "", members == "pg")
 		}
 	}
-	n := buildDriverWithConfig(b, "", 8192, endpointList(1, true, targets...), testSettings, wanted)
+	n := buildDriverWithConfig(b, "", 8192, endpointList(1, true, targets...), testSettings, configFor)
 	thread := serveOnThread(b, n)
 	var ready, all sync.WaitGroup
 	start := make(chan bool)
-	share := b.N/clients + 1
+	rpcsPerClient := b.N/clients + 1
 	for i := range clients {
 		ready.Add(1)
 		all.Go(func() {
@@ -113,7 +114,7 @@
 			var query, end []byte
 			write := i%4 == 0 && clients > 1
 			if front == "odata" {
-				c = dialHTTP(b, offered).Conn
+				c = dialHTTP(b, odataAddress).Conn
 				if query, end = httpRequest("GET", "Applications('k')", ""), []byte("}"); write {
 					query = httpRequest("POST", "Applications", `{"Id":"k"}`)
 				}
@@ -128,9 +129,9 @@
 					}
 				}
 			}
-			ask := func(times int) {
+			sendRPCs := func(count int) {
 				in := make([]byte, 4096)
-				for range times {
+				for range count {
 					c.Write(query)
 					for got := 0; ; {
 						k, err := c.Read(in[got:])
@@ -144,10 +145,10 @@
 					}
 				}
 			}
-			ask(20) // until everybody is known
+			sendRPCs(20) // until the driver knows the roles of all members
 			ready.Done()
 			<-start
-			ask(share)
+			sendRPCs(rpcsPerClient)
 		})
 	}
 	ready.Wait()
@@ -157,10 +158,10 @@
 	close(start)
 	all.Wait()
 	b.StopTimer()
-	total := float64(share * clients)
+	total := float64(rpcsPerClient * clients)
 	b.ReportMetric(float64(cpuTime(b, thread)-before)/total/1000, "cpu_µs/RPC")
 	b.ReportMetric(total/time.Since(began).Seconds(), "RPC/s")
 	if n.counters["rpcs_ok"] < int(total) {
-		b.Errorf("%d of %.0f RPCs are ok", n.counters["rpcs_ok"], total)
+		b.Errorf("%d of %.0f RPCs succeeded", n.counters["rpcs_ok"], total)
 	}
 }
--- a/internal/node/client_disconnect_test.go
+++ b/internal/node/client_disconnect_test.go
@@ -13,24 +13,25 @@
 	"passtack/internal/pgwire"
 )
 
-// disconnections are the ways in which a client leaves. A half-close is none: that client still reads.
+// disconnections are the ways in which a client can leave. A half-close is not among them, as such a client still reads.
 var disconnections = map[string]func(s *scenario){
 	"closes": func(s *scenario) { s.client.stream.Close() },
 	"resets": func(s *scenario) { s.client.stream.Reset() },
 	"cancels": func(s *scenario) {
-		by := &scriptedClient{loop: s.client.loop}
-		stream, err := by.loop.Dial(s.node.site.Listen, by, 1<<10)
+		canceller := &scriptedClient{loop: s.client.loop}
+		stream, err := canceller.loop.Dial(s.node.site.Listen, canceller, 1<<10)
 		if err != nil {
 			s.t.Fatal(err)
 		}
-		ask := binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint32(nil, 16), pgwire.Cancel)
-		stream.Send(append(ask, s.client.secret[:]...))
+		request := binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint32(nil, 16), pgwire.Cancel)
+		stream.Send(append(request, s.client.secret[:]...))
 	},
 }
 
-// waitingPlaces are where RPC b can be when its client leaves at 150 ms. Each function prepares the scenario and returns the
-// statements to send at 100 ms.
-var waitingPlaces = map[string]func(s *scenario) []string{
+// rpcStates are the states in which RPC b can be when its client leaves at 150 ms. Each function prepares the scenario and returns the
+// statements to send at 100 ms. In states whose names end with "one iteration" the driver is paused meanwhile, so that it sees several
+// events in one iteration of its loop.
+var rpcStates = map[string]func(s *scenario) []string{
 	"unread behind another": func(s *scenario) []string {
 		for _, m := range s.members {
 			m.respond = func(_ *scriptedMemberConn, id string, answer func()) { m.loop.At(s.world.Now()+200*ms, answer) }
@@ -43,13 +44,13 @@
 		}
 		return []string{order("b")}
 	},
-	"waiting for a connection to come up": func(s *scenario) []string {
+	"waiting for a connection to open": func(s *scenario) []string {
 		for _, m := range s.members {
 			m.connectDelay = 200 * ms
 		}
 		return []string{order("b")}
 	},
-	"between two attempts, in one turn": func(s *scenario) []string {
+	"between two attempts, in one iteration": func(s *scenario) []string {
 		for _, m := range s.members {
 			m.respond = func(c *scriptedMemberConn, id string, _ func()) {
 				m.loop.At(epoch+140*ms, func() { c.respondError("53300") })
@@ -58,28 +59,28 @@
 		s.at(120*ms, func() { s.driver.Pause(epoch + 400*ms) })
 		return []string{order("b")}
 	},
-	"unread behind one that is held, in one turn": func(s *scenario) []string {
+	"unread behind one that is held, in one iteration": func(s *scenario) []string {
 		for _, m := range s.members {
 			m.respond = func(c *scriptedMemberConn, id string, _ func()) { c.respondError("25006") }
 		}
 		s.at(120*ms, func() { s.driver.Pause(epoch + 400*ms) })
 		return []string{order("a"), order("b")}
 	},
-	"held, and both are due in one turn": func(s *scenario) []string {
+	"held, and both due in one iteration": func(s *scenario) []string {
 		for _, m := range s.members {
 			m.respond = func(c *scriptedMemberConn, id string, _ func()) { c.respondError("25006") }
 		}
 		s.at(120*ms, func() { s.driver.Pause(epoch + 400*ms) })
 		return []string{order("b")}
 	},
-	"come up and gone in one turn": func(s *scenario) []string {
+	"connection opened and client gone in one iteration": func(s *scenario) []string {
 		for _, m := range s.members {
 			m.connectDelay = 35 * ms
 		}
 		s.at(120*ms, func() { s.driver.Pause(epoch + 320*ms) })
 		return []string{order("b")}
 	},
-	"written in part": func(s *scenario) []string {
+	"partly written": func(s *scenario) []string {
 		slow := sim.LocalLink
 		slow.BytesPerSecond = 300 << 10
 		for i := range s.members {
@@ -89,30 +90,30 @@
 	},
 }
 
-// No attempt begins over 0.1 s after the client has left, in whatever way and wherever its RPC waits, also if attempts in
-// flight may not be cancelled. An iteration of the loop that has both events handles the client's first.
+// No attempt may begin more than 0.1 s after its client has left, however the client leaves and whatever state its RPC is in, also
+// if attempts in flight may not be cancelled. An iteration of the loop with both events must handle the client's first.
 func TestNoAttemptForADisconnectedClient(t *testing.T) {
-	for place, prepare := range waitingPlaces {
+	for state, prepare := range rpcStates {
 		for way, leave := range disconnections {
-			for _, may := range []string{"true", "false"} {
-				// A cancel ends what is served, not what waits behind it; and it comes by a connection of its own, which must be
-				// accepted and read: after a suspension that is one iteration late.
-				if way == "cancels" && (strings.HasPrefix(place, "unread") || strings.HasSuffix(place, "one turn")) {
+			for _, cancelAllowed := range []string{"true", "false"} {
+				// A CancelRequest ends only the RPC that is being served, not those behind it. It arrives on a connection of its own
+				// that must be accepted and read, so after a pause of the driver it is one iteration late.
+				if way == "cancels" && (strings.HasPrefix(state, "unread") || strings.HasSuffix(state, "one iteration")) {
 					continue
 				}
-				t.Run(fmt.Sprintf("%s/%s/cancel=%s", place, way, may), func(t *testing.T) {
-					s := newScenario(t, func(settings map[string]string) { settings["caps.cancel"] = may }, 256)
-					asked := prepare(s)
-					s.send(100*ms, asked...)
+				t.Run(fmt.Sprintf("%s/%s/cancel=%s", state, way, cancelAllowed), func(t *testing.T) {
+					s := newScenario(t, func(settings map[string]string) { settings["caps.cancel"] = cancelAllowed }, 256)
+					statements := prepare(s)
+					s.send(100*ms, statements...)
 					s.disconnect(150*ms, leave)
 					s.world.Run(epoch + 4*time.Second)
-					for _, at := range s.receivedAt["b"] {
-						if at > epoch+250*ms {
-							t.Errorf("a member had it whole %v after its client had gone", at-epoch-150*ms)
+					for _, receivedAt := range s.receivedAt["b"] {
+						if receivedAt > epoch+250*ms {
+							t.Errorf("a member received the complete RPC %v after the client left, want at most 100 ms", receivedAt-epoch-150*ms)
 						}
 					}
 					if s.node.rpcs.Len() != 0 || s.node.members.pools[0].InFlight() != 0 || s.node.members.pools[0].Waiting() != 0 {
-						t.Errorf("%d RPCs are left, %d attempts out, %d waiting", s.node.rpcs.Len(), s.node.members.pools[0].InFlight(), s.node.members.pools[0].Waiting())
+						t.Errorf("left over: %d RPCs, %d attempts in flight, %d waiting", s.node.rpcs.Len(), s.node.members.pools[0].InFlight(), s.node.members.pools[0].Waiting())
 					}
 				})
 			}
@@ -120,15 +121,15 @@
 	}
 }
 
-// A client that closes only its sending side receives one answer to each RPC that it sent, and then the end of the
-// connection. On real sockets.
+// A client that closes only its sending side must receive one answer to each RPC that it sent, and then the end of the connection.
+// This test uses real sockets.
 func TestHalfClosedClientReceivesItsAnswers(t *testing.T) {
 	for name, c := range map[string]struct {
-		asked []string
-		out   bool // the first is at the member before the end comes
+		ids      []string
+		inFlight bool // whether a member has the first RPC before the client half-closes
 	}{
-		"one that is out": {[]string{"b"}, true}, "two behind each other": {[]string{"c", "d"}, true},
-		"one that comes with the end": {[]string{"e"}, false},
+		"one in flight": {[]string{"b"}, true}, "two pipelined": {[]string{"c", "d"}, true},
+		"one sent together with the half-close": {[]string{"e"}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			arrived, release := make(chan bool, 9), make(chan bool, 9)
@@ -147,35 +148,35 @@
 				}
 			}
 			var all []byte
-			for _, id := range c.asked {
+			for _, id := range c.ids {
 				all = append(all, queryMessage(taggedStatement(id, "look", 2000, 0))...)
 			}
 			client.Write(all)
-			if c.out {
+			if c.inFlight {
 				<-arrived
 			}
 			if err := client.Conn.(*net.TCPConn).CloseWrite(); err != nil {
 				t.Fatal(err)
 			}
-			// The driver asks who is there with a status: it has noticed.
+			// The driver sends a parameter status to find out whether the client still reads: it has noticed the half-close.
 			if kind, _, err := readMessage(client.r); kind != 'S' || err != nil {
-				t.Fatalf("a message %q came, %v", kind, err)
+				t.Fatalf("after the half-close: message %q, error %v, want a parameter status", kind, err)
 			}
-			for _, id := range c.asked {
+			for _, id := range c.ids {
 				release <- true
-				// What had not gone out when the end came may be pushed back.
-				if got := client.readAnswer(); got != "ok value of "+id && (c.out || got != "53300") {
-					t.Errorf("%s was answered %q", id, got)
+				// An RPC that was not in flight at the half-close may be rejected.
+				if got := client.readAnswer(); got != "ok value of "+id && (c.inFlight || got != "53300") {
+					t.Errorf("%s: the client received %q", id, got)
 				}
 			}
 			if n, err := client.r.Read(make([]byte, 10)); n > 0 || err != io.EOF {
-				t.Errorf("%d bytes came behind the answers, %v", n, err)
+				t.Errorf("after the answers: %d bytes, error %v, want 0 bytes and EOF", n, err)
 			}
 		})
 	}
 }
 
-// A CancelRequest with another secret, or for another connection, has no effect.
+// A CancelRequest with a wrong secret must have no effect: any client could cancel RPCs of others otherwise.
 func TestCancelRequestNeedsTheSecret(t *testing.T) {
 	s := newScenario(t, nil, 256)
 	for _, m := range s.members {
@@ -186,6 +187,6 @@
 	s.disconnect(150*ms, disconnections["cancels"])
 	s.world.Run(epoch + time.Second)
 	if got := strings.Join(s.client.received, " "); got != "value of b" {
-		t.Errorf("it heard %q", got)
+		t.Errorf("the client received %q", got)
 	}
 }
--- a/internal/node/client_input_test.go
+++ b/internal/node/client_input_test.go
@@ -12,6 +12,7 @@
 	"passtack/internal/pgwire"
 )
 
+// However the bytes of three pipelined queries are split between reads, each must be answered, in order.
 func TestQueriesSplitAnywhereAreAnsweredInOrder(t *testing.T) {
 	m := startFakeMember(t, respondAsLeader)
 	d := startDriver(t, "", 100, endpointList(1, true, endpointEntry(1, 0, m.listener.Addr(), "in_service")))
@@ -35,10 +36,12 @@
 		c.Close()
 	}
 	if m.connections > 3 {
-		t.Errorf("%d connections were opened for RPCs that came one after the other", m.connections)
+		t.Errorf("%d connections to the member for sequential RPCs, want at most 3", m.connections)
 	}
 }
 
+// Invalid statements must be answered with an error and must not reach a member. A client that sends many of them, or an invalid
+// message, is disconnected.
 func TestInvalidInputIsAnswered(t *testing.T) {
 	m := startFakeMember(t, respondAsLeader)
 	d := startDriver(t, "", 100, endpointList(1, true, endpointEntry(1, 0, m.listener.Addr(), "in_service")))
@@ -48,11 +51,11 @@
 		"/* c=look,d=100,cluster=0 */", "/* c=look,d=100,cluster=70000 */ SELECT 'x'", "/* never ends",
 	} {
 		if got := c.query(t, text); got != codeInvalidRequest {
-			t.Errorf("%q is answered by %s", text, got)
+			t.Errorf("%q: the client received %s", text, got)
 		}
 	}
 	if got := c.query(t, taggedStatement("a1", "order", 5000, 0)); got != "ok value of a1" || len(m.seen()) != 1 {
-		t.Errorf("after bad statements: %s, the member saw %d", got, len(m.seen()))
+		t.Errorf("after invalid statements: the client received %s, the member %d queries", got, len(m.seen()))
 	}
 	c = dialPG(t, d.address)
 	good := taggedStatement("a2", "order", 5000, 0)
@@ -60,67 +63,68 @@
 		"d=5000>d=5000,after=99999999999999"} {
 		old, new, _ := strings.Cut(change, ">")
 		if got := c.query(t, strings.Replace(good, old, new, 1)); got != codeInvalidRequest {
-			t.Errorf("with %q the client hears %s", change, got)
+			t.Errorf("with %q: the client received %s", change, got)
 		}
 	}
-	for range 20 { // a client that continues like this is disconnected
+	for range 20 { // a client that sends only invalid statements is disconnected
 		c.Write(queryMessage("SELECT 1"))
 	}
 	if got := c.readAnswer(); got != codeInvalidRequest+"closed" {
-		t.Errorf("to one useless query after the other: %s", got)
+		t.Errorf("after 20 invalid statements: the client received %s", got)
 	}
 	if got := c.readAnswer(); got != "closed" {
-		t.Errorf("the client is still heard: %s", got)
+		t.Errorf("the connection is still open: the client received %s", got)
 	}
-	c = dialPG(t, d.address) // a client that is still sending hears it too
+	c = dialPG(t, d.address) // a client that is still sending must receive the error too
 	go c.Write(append(pgwire.AppendHead(nil, 'Q', 60<<20), make([]byte, 60<<20)...))
 	if got := c.readAnswer(); got != codeInvalidRequest+"closed" {
-		t.Errorf("a value of 60 MB: %s", got)
+		t.Errorf("value of 60 MB: the client received %s", got)
 	}
-	for what, bytes := range map[string][]byte{
-		"a length that cannot be": {'Q', 255, 255, 255, 255}, "another message": {'P', 0, 0, 0, 4},
-		"a text without end": {'Q', 0, 0, 0, 5, 'x'}, "a text of nothing": {'Q', 0, 0, 0, 4},
+	for name, bytes := range map[string][]byte{
+		"impossible length": {'Q', 255, 255, 255, 255}, "unsupported message": {'P', 0, 0, 0, 4},
+		"query without terminator": {'Q', 0, 0, 0, 5, 'x'}, "query without text": {'Q', 0, 0, 0, 4},
 	} {
 		c := dialPG(t, d.address)
 		c.Write(bytes)
 		if got := c.readAnswer(); got != codeInvalidRequest+"closed" {
-			t.Errorf("%s: %s", what, got)
+			t.Errorf("%s: the client received %s", name, got)
 		}
 	}
 }
 
-// Input behind an RPC in flight that is invalid or has its id neither waits for it nor reaches a member.
+// Invalid input that follows an RPC in flight, or a statement with the same id on another connection, must be rejected at once and must
+// not reach a member.
 func TestInvalidInputBehindAnRPCInFlight(t *testing.T) {
 	m := startFakeMember(t, func(c net.Conn, q *receivedQuery) bool {
 		time.Sleep(500 * time.Millisecond)
 		return respondAsLeader(c, q)
 	})
 	d := startDriver(t, "", 100, endpointList(1, true, endpointEntry(1, 0, m.listener.Addr(), "in_service")))
-	first, same, bad := dialPG(t, d.address), dialPG(t, d.address), dialPG(t, d.address)
+	first, sameID, invalid := dialPG(t, d.address), dialPG(t, d.address), dialPG(t, d.address)
 	first.Write(queryMessage(taggedStatement("a1", "order", 5000, 0)))
 	waitFor(t, "an attempt reaches the member", func() bool { return len(m.seen()) > 0 })
-	if got := same.query(t, taggedStatement("a1", "order", 5000, 0)); got != codeInvalidRequest {
-		t.Errorf("the id of an open RPC: %s", got)
+	if got := sameID.query(t, taggedStatement("a1", "order", 5000, 0)); got != codeInvalidRequest {
+		t.Errorf("id of an RPC in service: the client received %s", got)
 	}
-	bad.Write(append(queryMessage(taggedStatement("a2", "order", 5000, 0)), queryMessage("SET x = 1")...))
+	invalid.Write(append(queryMessage(taggedStatement("a2", "order", 5000, 0)), queryMessage("SET x = 1")...))
 	time.Sleep(50 * time.Millisecond)
-	bad.Write([]byte{'Q', 255, 255, 255, 255})
-	if got := bad.readAnswer(); got != codeInvalidRequest+"closed" {
-		t.Errorf("behind an open RPC: %s", got)
+	invalid.Write([]byte{'Q', 255, 255, 255, 255})
+	if got := invalid.readAnswer(); got != codeInvalidRequest+"closed" {
+		t.Errorf("after an RPC in service: the client received %s", got)
 	}
 	if got := first.readAnswer(); got != "ok value of a1" {
-		t.Errorf("the RPC that was served meanwhile: %s", got)
+		t.Errorf("RPC served meanwhile: the client received %s", got)
 	}
-	if got := same.query(t, taggedStatement("a1", "order", 5000, 0)); got != "ok value of a1" {
-		t.Errorf("the id of an RPC that is done: %s", got)
+	if got := sameID.query(t, taggedStatement("a1", "order", 5000, 0)); got != "ok value of a1" {
+		t.Errorf("id of an RPC that has ended: the client received %s", got)
 	}
 	d.stop()
 	if d.counters["rpcs_left"] != 1 || d.counters["rpcs_ok"] != 2 || d.rpcs.Len() != 0 {
-		t.Errorf("counted %v", d.counters)
+		t.Errorf("RPCs left over or wrongly counted, counters %v", d.counters)
 	}
 }
 
-// Input that waited in the kernel, as while new connections wait for a descriptor, has that much less time left.
+// A deadline must include the time that the input waited in the kernel, for instance while new connections wait for a descriptor.
 func TestDeadlineCountsFromTheLastByte(t *testing.T) {
 	m := startFakeMember(t, respondAsLeader)
 	n := buildDriver(t, "", 100, endpointList(1, true, endpointEntry(1, 0, m.listener.Addr(), "in_service")), testSettings)
@@ -130,19 +134,19 @@
 	time.Sleep(600 * time.Millisecond)
 	runDriver(t, n)
 	if got := short.readAnswer(); got != codeRejected {
-		t.Errorf("an RPC whose time was over hears %s", got)
+		t.Errorf("RPC whose deadline had passed: the client received %s", got)
 	}
 	if got := long.readAnswer(); got != "ok value of a2" {
-		t.Errorf("an RPC with time left hears %s", got)
+		t.Errorf("RPC with time left: the client received %s", got)
 	}
 	for _, q := range m.seen() {
 		if left, _ := strconv.Atoi(field(q.text, "d")); field(q.text, "id") != "a2" || left > 8450 {
-			t.Errorf("the member was sent %q", q.text)
+			t.Errorf("the member received %q", q.text)
 		}
 	}
 }
 
-// A value of 512 KiB is carried in both directions: in hex within the statement, unchanged in the answer.
+// Values of 512 KiB must pass in both directions: hex-encoded in the statement, unchanged in the answer.
 func TestLargeValues(t *testing.T) {
 	value := strings.Repeat("v", 512<<10)
 	m := startFakeMember(t, func(c net.Conn, q *receivedQuery) bool {
@@ -154,14 +158,15 @@
 	for i := range 20 {
 		large := taggedStatement(fmt.Sprint(i), "order", 9000, 0) + " /* " + strings.Repeat("0a", 512<<10)
 		if got := c.query(t, large); got[3:] != value[:len(got)-3] || len(got) < len(value) {
-			t.Fatalf("the client hears %.40s of %d bytes", got, len(got))
+			t.Fatalf("the client received %.40s of %d bytes", got, len(got))
 		}
 		if seen := m.seen(); len(seen) != i+1 || len(seen[i].text) < 1<<20 {
-			t.Fatalf("%d statements reached the member", len(seen))
+			t.Fatalf("the member received %d statements", len(seen))
 		}
 	}
 }
 
+// A client that reads slowly must receive all answers in order and must not delay another client.
 func TestSlowReadersGetAllInOrder(t *testing.T) {
 	value := strings.Repeat("v", 60000)
 	m := startFakeMember(t, func(c net.Conn, q *receivedQuery) bool {
@@ -170,13 +175,13 @@
 	})
 	d := startDriver(t, "", 100, endpointList(1, true, endpointEntry(1, 0, m.listener.Addr(), "in_service")))
 	slow, quick := dialPG(t, d.address), dialPG(t, d.address)
-	const queries = 200 // 12 MB: more than the sockets take
+	const queries = 200 // with 12 MB of answers, more than the socket buffers hold
 	for i := range queries {
 		slow.Write(queryMessage(taggedStatement(fmt.Sprint(i), "look", 20000, 0)))
 	}
 	for i := range 20 {
 		if got := quick.query(t, taggedStatement(fmt.Sprint("q", i), "order", 5000, 0)); got != "ok q"+fmt.Sprint(i)+value {
-			t.Fatalf("the quick client hears %.40s", got)
+			t.Fatalf("the quick client received %.40s", got)
 		}
 	}
 	for i := range queries {
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// startDiscovery starts a discovery that announces each call on a channel and answers it with the next text of another.
+// startDiscovery starts a discovery service and returns its address. It sends to calls for each request, and answers with the next text
+// from answers.
 func startDiscovery(t *testing.T, calls chan bool, answers chan string) string {
 	l := listenLocal(t)
 	go serveConnections(l, func(c net.Conn) {
@@ -29,6 +30,8 @@
 	return l.Addr().String()
 }
 
+// Changes of the endpoint list (a new address, a draining member, a new member) must be applied while RPCs are served, and a failed request
+// to discovery must leave the last list in force.
 func TestEndpointListChangesAreApplied(t *testing.T) {
 	first, second := startFakeMember(t, func(c net.Conn, q *receivedQuery) bool {
 		if field(q.text, "id") == "slow" {
@@ -39,38 +42,38 @@
 	calls, answers := make(chan bool, 100), make(chan string)
 	d := startDriver(t, startDiscovery(t, calls, answers), 100, endpointList(1, true, endpointEntry(1, 0, first.listener.Addr(), "in_service")))
 	c := dialPG(t, d.address)
-	ask := func(id, want string) {
+	query := func(id, want string) {
 		t.Helper()
 		if got := c.query(t, taggedStatement(id, "order", 400, 0)); got != want {
-			t.Fatalf("%s: the client hears %s", id, got)
+			t.Fatalf("%s: the client received %s", id, got)
 		}
 	}
-	change := func(texts ...string) {
-		for _, text := range texts {
-			answers <- text
-			<-calls // the next one shows that this has been read
+	publish := func(lists ...string) {
+		for _, list := range lists {
+			answers <- list
+			<-calls // the next request shows that the driver has read this list
 		}
 	}
 	<-calls
-	ask("a1", "ok value of a1")
+	query("a1", "ok value of a1")
 	slow := dialPG(t, d.address)
 	slow.Write(queryMessage(taggedStatement("slow", "order", 5000, 0)))
 	waitFor(t, "the slow attempt reaches the member", func() bool { return len(first.seen()) >= 2 })
-	change(endpointList(2, false), endpointList(3, false, endpointEntry(1, 0, second.listener.Addr(), "in_service"))) // its address has changed
+	publish(endpointList(2, false), endpointList(3, false, endpointEntry(1, 0, second.listener.Addr(), "in_service"))) // its address has changed
 	if got := slow.readAnswer(); got != "ok value of slow" {
-		t.Fatalf("an RPC that was out when its member moved hears %s", got)
+		t.Fatalf("RPC in flight when the address of its member changed: the client received %s", got)
 	}
-	ask("a2", "ok value of a2")
+	query("a2", "ok value of a2")
 	if len(first.seen()) != 2 || len(second.seen()) != 1 {
-		t.Fatalf("%d and %d attempts", len(first.seen()), len(second.seen()))
+		t.Fatalf("the first member received %d attempts, the second %d, want 2 and 1", len(first.seen()), len(second.seen()))
 	}
-	change(endpointList(4, false, endpointEntry(1, 0, second.listener.Addr(), "terminating")))
-	ask("a3", codeRejected)
-	change(`{"rev":"broken"}`) // a failed call: the last list holds
-	ask("a4", codeRejected)
-	change(endpointList(5, true, endpointEntry(2, 0, first.listener.Addr(), "in_service")))
-	ask("a5", "ok value of a5")
+	publish(endpointList(4, false, endpointEntry(1, 0, second.listener.Addr(), "terminating")))
+	query("a3", codeRejected)
+	publish(`{"rev":"broken"}`) // a failed request: the last list stays in force
+	query("a4", codeRejected)
+	publish(endpointList(5, true, endpointEntry(2, 0, first.listener.Addr(), "in_service")))
+	query("a5", "ok value of a5")
 	if len(second.seen()) != 1 {
-		t.Errorf("%d attempts reached a member that drains", len(second.seen())-1)
+		t.Errorf("a draining member received %d attempts", len(second.seen())-1)
 	}
 }
--- a/internal/node/discovery_watcher.go
+++ b/internal/node/discovery_watcher.go
@@ -12,29 +12,30 @@
 )
 
 const (
-	announceInterval     = 300 * time.Millisecond // between two messages of the holder while its list does not change
-	holderTimeout        = time.Second            // after which drivers watch for themselves if the holder is silent
-	revisionPollInterval = 20 * time.Millisecond  // in which the holder notices that its list has changed
-	maxPauseOfPolls      = discovery.MaxWatch     // after which a paused driver asks discovery all the same, as the holder may be wrong
+	announceInterval     = 300 * time.Millisecond // between two announcements of the holder while its list does not change
+	holderTimeout        = time.Second            // without an announcement, after which drivers watch discovery themselves
+	revisionPollInterval = 20 * time.Millisecond  // between two checks of the holder for a change of its list
+	maxPauseOfPolls      = discovery.MaxWatch     // without a poll of its own, after which a paused driver polls discovery once, as the holder may be wrong
 )
 
-// discoveryWatcher is the task of watching discovery for all drivers: the holder announces the revision of its endpoint list, and the other
-// drivers pause their own watch and ask discovery only once the announced revision is newer than theirs. Each driver gets the list itself
-// from discovery. While the holder is silent, or has no list from discovery, all drivers watch for themselves.
+// discoveryWatcher is the task of watching discovery for all drivers. The driver that holds the task's lease announces the revision of its
+// endpoint list. The other drivers pause their own watch and poll discovery only if the announced revision is newer than theirs. Each driver
+// fetches the list from discovery itself. While the holder sends no announcements, or has no list from discovery, all drivers watch
+// discovery themselves.
 type discoveryWatcher struct {
 	leases            *leaseService
 	candidate         *lease.Candidate
-	holding           bool
-	announcedRevision int64
-	timer             loop.Timer    // the holder's next check, or the end of another driver's pause
-	paused            bool          // this driver's own watch
-	lastActive        time.Duration // when the holder last announced, or another driver last asked discovery or began a pause
+	holding           bool          // whether this driver holds the lease
+	announcedRevision int64         // as announced last by this driver
+	timer             loop.Timer    // the next check if this driver is the holder, otherwise the end of the pause
+	paused            bool          // whether this driver's own watch is paused
+	lastActive        time.Duration // when the holder last sent an announcement, or another driver last polled discovery or paused its watch
 }
 
-// DiscoveryWatcherStatus is the status of the task on one driver.
+// DiscoveryWatcherStatus is the status of the discovery watcher task on one driver.
 type DiscoveryWatcherStatus struct {
-	Paused   bool  `json:"rests"`    // its own watch of discovery is paused
-	Revision int64 `json:"revision"` // of its endpoint list
+	Paused   bool  `json:"rests"`    // whether its own watch of discovery is paused
+	Revision int64 `json:"revision"` // revision of its endpoint list
 }
 
 func (w *discoveryWatcher) acquired() {
@@ -48,7 +49,8 @@
 	w.leases.node.loop.Cancel(w.timer)
 }
 
-// announce tells the other drivers the revision of the holder's list, at once where it is new, and checks it again soon.
+// announce sends the revision of the holder's list to the other drivers if it is new or announceInterval has passed, and schedules the
+// next check.
 func (w *discoveryWatcher) announce() {
 	n := w.leases.node
 	if !w.holding {
@@ -63,11 +65,11 @@
 		n.Count("revisions_sent")
 		w.leases.messenger.send(driver.EveryPeer, peers.Revision, encodeRevision(revision))
 	}
-	n.loop.Cancel(w.timer) // a driver that lost the lease and acquired it again has one already
+	n.loop.Cancel(w.timer) // a driver that lost the lease and acquired it again already has a timer
 	w.timer = n.loop.At(now+revisionPollInterval, w.announce)
 }
 
-// receive takes the holder's announcement.
+// receive handles an announcement of the holder.
 func (w *discoveryWatcher) receive(_ lease.Node, m peers.Message) {
 	revision, ok := decodeRevision(m)
 	if !ok || w.holding {
--- a/internal/node/driver_test.go
+++ b/internal/node/driver_test.go
@@ -14,6 +14,7 @@
 	"passtack/internal/pgwire"
 )
 
+// freeAddress returns a local address that was free a moment ago.
 func freeAddress(t testing.TB) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -33,7 +34,7 @@
 	return l
 }
 
-// serveConnections serves each connection in a goroutine of its own, until the listener is closed.
+// serveConnections serves each connection in its own goroutine until the listener is closed.
 func serveConnections(l net.Listener, serve func(net.Conn)) {
 	for {
 		c, err := l.Accept()
@@ -44,49 +45,50 @@
 	}
 }
 
-// runningDriver is a driver under test. stop sends it SIGTERM and waits until it has stopped.
+// runningDriver is a driver under test. stop sends SIGTERM to the process and waits until the driver has stopped.
 type runningDriver struct {
 	*Node
 	address string
 	stop    func()
 }
 
-func startDriver(t *testing.T, discovery string, sockets int, known string) *runningDriver {
-	return runDriver(t, buildDriver(t, discovery, sockets, known, testSettings))
+func startDriver(t *testing.T, discovery string, sockets int, initialList string) *runningDriver {
+	return runDriver(t, buildDriver(t, discovery, sockets, initialList, testSettings))
 }
 
-func buildDriver(t testing.TB, discovery string, sockets int, known, settings string) *Node {
-	return buildDriverWithConfig(t, discovery, sockets, known, settings, nil)
+func buildDriver(t testing.TB, discovery string, sockets int, initialList, settings string) *Node {
+	return buildDriverWithConfig(t, discovery, sockets, initialList, settings, nil)
 }
 
-// buildDriverWithConfig also writes an operator's file, which wanted returns for a free address of a listener.
-func buildDriverWithConfig(t testing.TB, discovery string, sockets int, known, settings string, wanted func(at string) string) *Node {
+// buildDriverWithConfig builds a driver with an initial endpoint list and settings. If configFor is not nil, it also writes an operator's
+// file: configFor returns its text, with a free address for a listener.
+func buildDriverWithConfig(t testing.TB, discovery string, sockets int, initialList, settings string, configFor func(address string) string) *Node {
 	if discovery == "" {
 		discovery = freeAddress(t)
 	}
-	open, err := os.ReadDir("/proc/self/fd") // the fake members and clients of this process use some too
+	open, err := os.ReadDir("/proc/self/fd") // the fake members and clients of this process use descriptors too
 	if err != nil {
 		t.Fatal(err)
 	}
 	file := filepath.Join(t.TempDir(), "site.json")
-	for range 5 { // an address that was free may have been taken meanwhile
+	for range 5 { // another process may have taken a free address meanwhile
 		os.WriteFile(file, fmt.Appendf(nil, `{"name":"n0","listen":"%s","discovery":"%s","seed":"8c1f30d27a5be964",
 "limits":{"cores":1.0,"memory_mb":192,"sockets":%d},"peer_listen":"%s","peers":["127.0.0.1:9"],"peers_all":"127.0.0.1:9",
-"known":%s,"settings":%s}`, freeAddress(t), discovery, sockets+len(open), freeAddress(t), known, settings), 0o600)
+"known":%s,"settings":%s}`, freeAddress(t), discovery, sockets+len(open), freeAddress(t), initialList, settings), 0o600)
 		site, failed := ReadSite(file, func(string) string { return "" })
 		if failed != nil {
 			t.Fatal(failed)
 		}
-		if wanted != nil {
+		if configFor != nil {
 			site.ConfigFile = filepath.Join(t.TempDir(), "passtack.hcl")
-			os.WriteFile(site.ConfigFile, []byte(wanted(freeAddress(t))), 0o600)
+			os.WriteFile(site.ConfigFile, []byte(configFor(freeAddress(t))), 0o600)
 		}
-		wants, failed := site.ReadConfig()
+		cfg, failed := site.ReadConfig()
 		if failed != nil {
 			t.Fatal(failed)
 		}
 		var n *Node
-		if n, err = New(site, wants); err == nil {
+		if n, err = New(site, cfg); err == nil {
 			return n
 		}
 	}
@@ -106,34 +108,34 @@
 				t.Error(err)
 			}
 		case <-time.After(30 * time.Second):
-			t.Error("the driver does not stop")
+			t.Error("the driver has not stopped after 30 s")
 		}
 	})
 	t.Cleanup(d.stop)
-	if got := dialPG(t, d.address).query(t, ""); got != "empty" { // Run listens to signals from before it serves
-		t.Fatalf("the empty query is answered by %s", got)
+	if got := dialPG(t, d.address).query(t, ""); got != "empty" { // an answer shows that Run has registered for signals
+		t.Fatalf("the empty query was answered with %s", got)
 	}
 	return d
 }
 
-// waitFor waits until a condition holds, and fails the test if it does not hold soon.
-func waitFor(t testing.TB, what string, come func() bool) {
+// waitFor waits until a condition holds, and fails the test if it does not hold within 20 s.
+func waitFor(t testing.TB, condition string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(20 * time.Second); !come(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(20 * time.Second); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("after 20 s it is not so that %s", what)
+			t.Fatalf("after 20 s, not fulfilled: %s", condition)
 		}
 	}
 }
 
-// pgClient is a client that speaks PostgreSQL's protocol and waits 30 s for an answer.
+// pgClient is a client that speaks the PostgreSQL protocol. All its answers must arrive within 30 s.
 type pgClient struct {
 	net.Conn
 	r *bufio.Reader
 }
 
-func dialPG(t testing.TB, at string) *pgClient {
-	c, err := net.Dial("tcp", at)
+func dialPG(t testing.TB, address string) *pgClient {
+	c, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -151,7 +153,8 @@
 	return fmt.Sprintf("/* id=%s,c=%s,d=%d,k=key-%s,cluster=%d */ INSERT INTO items (id, doc) VALUES ('%s', 'x')", id, method, millis, id, group, id)
 }
 
-// readAnswer reads one complete answer and returns its row, its error code, or what came instead.
+// readAnswer reads one complete answer. It returns "ok" and the value of the row, the error code, "empty" or "done" for an answer
+// without a row, or a text that ends with "closed" if the connection ended.
 func (c *pgClient) readAnswer() string {
 	got := ""
 	for {
@@ -190,6 +193,7 @@
 
 const codeRejected, codeAborted, codeInvalidRequest = "53300", "58000", "08P01"
 
+// outcomes returns the number of attempts that have ended, from the counters of all outcomes.
 func (d *runningDriver) outcomes() (sum int) {
 	for _, name := range outcomeNames {
 		sum += d.counters["attempts_"+name]
--- a/internal/node/eviction_test.go
+++ b/internal/node/eviction_test.go
@@ -11,28 +11,30 @@
 	"passtack/internal/pgwire"
 )
 
+// More clients connect than there are descriptors for. Idle clients must be evicted, and new ones must wait until a descriptor is free
+// instead of failing.
 func TestNewClientsWaitForDescriptors(t *testing.T) {
 	const limit = 40
 	m := startFakeMember(t, respondAsLeader)
 	d := startDriver(t, "", limit, endpointList(1, true, endpointEntry(1, 0, m.listener.Addr(), "in_service")))
 	var clients []*pgClient
-	for i := range 3 * limit { // more than may be connected; idle ones are evicted
+	for i := range 3 * limit { // more than may be connected at once
 		c := dialPG(t, d.address)
 		if got := c.query(t, taggedStatement(fmt.Sprint(i), "order", 5000, 0)); got != "ok value of "+fmt.Sprint(i) {
-			t.Fatalf("client %d hears %s", i, got)
+			t.Fatalf("client %d received %s", i, got)
 		}
 		clients = append(clients, c)
 	}
 	d.stop()
 	if _, most := d.loop.DescriptorCounts(); most > d.site.Descriptors || d.counters["clients_closed_idle"] == 0 {
-		t.Errorf("%d descriptors of %d, counted %v", most, d.site.Descriptors, d.counters)
+		t.Errorf("%d descriptors used of %d, counters %v", most, d.site.Descriptors, d.counters)
 	}
 	for _, c := range clients {
 		c.Close()
 	}
 }
 
-// Clients that send nothing, half a message, or read nothing are evicted in the end, however many they are.
+// Many clients that send nothing, send half a message, or do not read must all be evicted in the end, or they would block new clients.
 func TestSilentClientsAreEvicted(t *testing.T) {
 	const limit = 40
 	value := strings.Repeat("v", 60000)
@@ -41,47 +43,48 @@
 		return true
 	})
 	d := startDriver(t, "", limit, endpointList(1, true, endpointEntry(1, 0, m.listener.Addr(), "in_service")))
-	for i, says := range []func(c *pgClient){
+	for i, behave := range []func(c *pgClient){
 		func(c *pgClient) {},
 		func(c *pgClient) { c.Write(queryMessage(taggedStatement("half", "look", 5000, 0))[:20]) },
 		func(c *pgClient) {
-			for range 200 { // 12 MB that nobody reads
-				c.Write(queryMessage(taggedStatement("deaf", "look", 9000, 0)))
+			for range 200 { // 12 MB of answers that the client does not read
+				c.Write(queryMessage(taggedStatement("unread", "look", 9000, 0)))
 			}
 		},
 	} {
 		for range limit >> i {
-			says(dialPG(t, d.address))
+			behave(dialPG(t, d.address))
 		}
 		began := time.Now()
 		if got := dialPG(t, d.address).query(t, taggedStatement("last", "look", 9000, 0)); got != "ok "+value {
-			t.Errorf("behind them one hears %.40s", got)
+			t.Errorf("a client that connected after them received %.40s", got)
 		} else if waited := time.Since(began); waited > 10*time.Second {
-			t.Errorf("it is heard after %v", waited)
+			t.Errorf("a client that connected after them was answered after %v, want 10 s at most", waited)
 		}
 	}
-	quiet := dialPG(t, d.address)
-	quiet.query(t, "")
-	quiet.SetDeadline(time.Now().Add(3 * time.Second))
-	if got := quiet.readAnswer(); got != "closed" {
-		t.Errorf("who says nothing hears %s", got)
+	silent := dialPG(t, d.address)
+	silent.query(t, "")
+	silent.SetDeadline(time.Now().Add(3 * time.Second))
+	if got := silent.readAnswer(); got != "closed" {
+		t.Errorf("a silent client received %s, want its connection closed", got)
 	}
 }
 
-// Clients that have sent a request and stay are evicted for others that do; those that never sent one are evicted first.
+// Clients that never sent a request must be evicted first. Clients that have sent one are evicted only if others that also have need
+// the descriptors.
 func TestEvictionOrder(t *testing.T) {
 	m := startFakeMember(t, respondAsLeader)
 	d := startDriver(t, "", 100, endpointList(1, true, endpointEntry(1, 0, m.listener.Addr(), "in_service")))
-	var stay []*pgClient
+	var clients []*pgClient
 	for i := range 40 {
 		c := dialPG(t, d.address)
 		if got := c.query(t, taggedStatement(fmt.Sprint(i), "order", 5000, 0)); got != "ok value of "+fmt.Sprint(i) {
-			t.Fatalf("client %d hears %s", i, got)
+			t.Fatalf("client %d received %s", i, got)
 		}
-		stay = append(stay, c)
+		clients = append(clients, c)
 	}
-	if got := stay[5].readAnswer(); got != "closed" {
-		t.Errorf("an early one hears %s", got)
+	if got := clients[5].readAnswer(); got != "closed" {
+		t.Errorf("an early client received %s, want its connection closed", got)
 	}
 	for range 4 {
 		for range 20 {
@@ -89,27 +92,28 @@
 		}
 		time.Sleep(300 * time.Millisecond)
 	}
-	for i, c := range stay[25:] {
+	for i, c := range clients[25:] {
 		if got := c.query(t, taggedStatement(fmt.Sprint("again", i), "order", 5000, 0)); got != "ok value of again"+fmt.Sprint(i) {
-			t.Errorf("beside those who say nothing client %d hears %s", i, got)
+			t.Errorf("beside silent clients, client %d received %s", i, got)
 		}
 	}
 }
 
-// Idle clients use all descriptors while discovery is down. When it returns, the list is fetched at once and RPCs are served.
+// While discovery is down, idle clients use all descriptors. When discovery is available again, the driver must fetch the list at once,
+// and serve RPCs.
 func TestIdleClientsDoNotStarveDiscovery(t *testing.T) {
 	s := newScenario(t, nil, 48)
-	crowd, err := loop.NewWithSystem(s.world.AddHost("crowd"), 1000, 1<<20)
+	clientLoop, err := loop.NewWithSystem(s.world.AddHost("clients"), 1000, 1<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.world.Hosts()[len(s.world.Hosts())-1].Serve(crowd, func() {})
-	var come func()
-	come = func() { s.dial(crowd).reconnect = come } // they send nothing, and reconnect when they are evicted
+	s.world.Hosts()[len(s.world.Hosts())-1].Serve(clientLoop, func() {})
+	var connect func()
+	connect = func() { s.dial(clientLoop).reconnect = connect } // these clients send nothing, and reconnect when they are evicted
 	for range 60 {
-		come()
+		connect()
 	}
-	fetched := time.Duration(0)
+	fetchedAt := time.Duration(0)
 	s.at(5*time.Second, func() {
 		l, err := loop.NewWithSystem(s.world.AddHost("agent"), 100, 1<<20)
 		if err != nil {
@@ -117,7 +121,7 @@
 		}
 		s.world.Hosts()[len(s.world.Hosts())-1].Serve(l, func() {})
 		if _, err := l.Listen(s.node.site.Discovery, 1<<12, loop.AcceptLimiter{}, func(open func(loop.Handler) *loop.Stream) {
-			open(&fetchedBy{at: &fetched, loop: l})
+			open(&requestTimer{firstInputAt: &fetchedAt, loop: l})
 		}, func(bool) {}); err != nil {
 			t.Fatal(err)
 		}
@@ -125,36 +129,37 @@
 	s.send(5500*ms, order("b"))
 	s.at(5400*ms, func() { s.client = s.dial(s.client.loop) })
 	s.world.Run(epoch + 7*time.Second)
-	if fetched == 0 || fetched > epoch+5600*ms {
-		t.Errorf("the list was asked for %v after discovery came back", fetched-epoch-5*time.Second)
+	if fetchedAt == 0 || fetchedAt > epoch+5600*ms {
+		t.Errorf("the list was requested %v after discovery was available again, want 600 ms at most", fetchedAt-epoch-5*time.Second)
 	}
 	if got := strings.Join(s.client.received, " "); got != "value of b" {
-		t.Errorf("a client that came then heard %q", got)
+		t.Errorf("a client that connected then received %q", got)
 	}
-	if now, _ := s.node.loop.DescriptorCounts(); now > 48 {
-		t.Errorf("%d descriptors are open", now)
+	if inUse, _ := s.node.loop.DescriptorCounts(); inUse > 48 {
+		t.Errorf("%d descriptors are open, want 48 at most", inUse)
 	}
 }
 
-type fetchedBy struct {
-	at   *time.Duration
-	loop *loop.Loop
+// requestTimer records the time of the first input on its connection.
+type requestTimer struct {
+	firstInputAt *time.Duration
+	loop         *loop.Loop
 }
 
-func (f *fetchedBy) Opened() {}
+func (r *requestTimer) Opened() {}
 
-func (f *fetchedBy) Closed(error) {}
+func (r *requestTimer) Closed(error) {}
 
-func (f *fetchedBy) Panicked(error) {}
+func (r *requestTimer) Panicked(error) {}
 
-func (f *fetchedBy) Input(in []byte) int {
-	if *f.at == 0 {
-		*f.at = f.loop.Now()
+func (r *requestTimer) Input(in []byte) int {
+	if *r.firstInputAt == 0 {
+		*r.firstInputAt = r.loop.Now()
 	}
 	return len(in)
 }
 
-// If a descriptor is needed and none is free, an idle client is evicted, and an idle connection to a member is closed at once.
+// If a descriptor is needed and none is free, the driver must evict an idle client and close an idle connection to a member at once.
 func TestIdleClientsAreEvictedForRequests(t *testing.T) {
 	s := newScenario(t, nil, 48)
 	for range 5 {
@@ -170,73 +175,73 @@
 	})
 	s.at(450*ms, func() {
 		if clients, members := s.node.listeners.openClients(), s.node.members.pools[0].Open(); clients != 6 || members != 1 {
-			t.Errorf("%d clients and %d connections to members before", clients, members)
+			t.Errorf("before: %d clients and %d connections to members, want 6 and 1", clients, members)
 		}
 	})
 	s.at(700*ms, func() {
 		if clients, members := s.node.listeners.openClients(), s.node.members.pools[0].Open(); clients != 4 || members != 0 {
-			t.Errorf("%d clients and %d connections to members are left", clients, members)
+			t.Errorf("after: %d clients and %d connections to members, want 4 and 0", clients, members)
 		}
 	})
 	s.world.Run(epoch + time.Second)
 	if got := strings.Join(s.client.received, " "); got != "value of a" {
-		t.Errorf("it heard %q", got)
+		t.Errorf("the client received %q", got)
 	}
 }
 
-// A client that has sent a request is kept while there is capacity, however long it is idle. One that has sent none, or half a
-// message after being idle, is not.
+// A client that has sent a request must be kept while there is capacity, however long it is idle. A client that has sent none, or that
+// sends half a message after being idle, must be evicted.
 func TestIdleClientsAreKeptWhileThereIsCapacity(t *testing.T) {
 	s := newScenario(t, nil, 100)
 	silent := s.dial(s.client.loop)
-	halves := s.dial(s.client.loop)
-	say := func(c *scriptedClient, at time.Duration, text []byte) {
-		s.at(at, func() { c.loop.At(s.world.Now(), func() { c.stream.Send(text) }) })
+	partial := s.dial(s.client.loop)
+	send := func(c *scriptedClient, after time.Duration, bytes []byte) {
+		s.at(after, func() { c.loop.At(s.world.Now(), func() { c.stream.Send(bytes) }) })
 	}
 	s.send(100*ms, order("a"))
-	say(halves, 100*ms, queryMessage(order("h")))
-	say(halves, 15*time.Second, queryMessage("")) // which is no RPC
-	say(halves, 20*time.Second, queryMessage(order("i"))[:30])
+	send(partial, 100*ms, queryMessage(order("h")))
+	send(partial, 15*time.Second, queryMessage("")) // an empty query, which is not an RPC
+	send(partial, 20*time.Second, queryMessage(order("i"))[:30])
 	s.send(30*time.Second, order("b"))
 	s.world.Run(epoch + 31*time.Second)
 	if got := strings.Join(s.client.received, " "); got != "value of a value of b" || s.client.closedAt != 0 {
-		t.Errorf("who rests hears %q, and is let go after %v", got, s.client.closedAt-epoch)
+		t.Errorf("the idle client received %q and was evicted after %v, want two answers and no eviction", got, s.client.closedAt-epoch)
 	}
-	if late := silent.closedAt - epoch; late < 2*time.Second || late > 2500*ms {
-		t.Errorf("who never asked is let go after %v", late)
+	if closedAfter := silent.closedAt - epoch; closedAfter < 2*time.Second || closedAfter > 2500*ms {
+		t.Errorf("a client without any request was evicted after %v, want 2 s to 2.5 s", closedAfter)
 	}
-	if late := halves.closedAt - epoch; late < 21900*ms || late > 22500*ms {
-		t.Errorf("who said half of something after 20 s is let go after %v", late)
+	if closedAfter := partial.closedAt - epoch; closedAfter < 21900*ms || closedAfter > 22500*ms {
+		t.Errorf("a client that sent half a message after 20 s was evicted after %v, want 21.9 s to 22.5 s", closedAfter)
 	}
 	if s.node.counters["clients_accepted"] != 3 {
-		t.Errorf("%d connections were taken in", s.node.counters["clients_accepted"])
+		t.Errorf("%d connections accepted, want 3", s.node.counters["clients_accepted"])
 	}
 }
 
-// Of many idle connections the longest idle is closed first, once they use their quota.
+// Once idle connections use their full share of descriptors, the one that has been idle longest must be closed first.
 func TestLongestIdleConnectionIsEvictedFirst(t *testing.T) {
 	s := newScenario(t, nil, 100)
-	all := make([]*scriptedClient, 40)
-	for i := range all {
+	clients := make([]*scriptedClient, 40)
+	for i := range clients {
 		s.at(time.Duration(100+i*100)*ms, func() {
 			c := s.dial(s.client.loop)
-			all[i] = c
+			clients[i] = c
 			c.loop.Defer(func() { c.stream.Send(queryMessage(order(fmt.Sprint("o", i)))) })
 		})
 	}
 	s.world.Run(epoch + 10*time.Second)
 	kept := 0
-	for i, c := range all {
+	for i, c := range clients {
 		if len(c.received) != 1 || c.received[0] != fmt.Sprint("value of o", i) {
-			t.Errorf("client %d hears %v", i, c.received)
+			t.Errorf("client %d received %v", i, c.received)
 		}
 		if c.closedAt == 0 {
 			kept++
 		} else if kept > 0 {
-			t.Errorf("client %d is let go, and one that has rested for longer is kept", i)
+			t.Errorf("client %d was evicted, and one that has been idle longer was kept", i)
 		}
 	}
 	if kept < 15 || kept > 21 {
-		t.Errorf("%d are kept, a fifth of 100 descriptors are allowed", kept)
+		t.Errorf("%d idle clients kept, want about a fifth of 100 descriptors", kept)
 	}
 }
--- a/internal/node/fake_cluster_test.go
+++ b/internal/node/fake_cluster_test.go
@@ -17,32 +17,33 @@
 	"passtack/internal/pgwire"
 )
 
-// This file has a fake group whose members speak either protocol with the same behaviour, after the public descriptions of
-// both.
+// This file implements a fake group. Its members speak either protocol with the same behaviour, implemented after the public
+// descriptions of both protocols.
 
 // memberFault is what a member does with one attempt.
 type memberFault uint8
 
 const (
 	faultNone               memberFault = iota
-	faultNotPrimary                     // rejected; it has not run
-	faultStale                          // rejected; it has not run
-	faultFull                           // rejected before it was read
-	faultError                          // an error; it has run
-	faultDisconnect                     // the connection ends without an answer; it has run
-	faultDisconnectInAnswer             // it ends in the middle of the answer
-	faultUnreadable                     // an answer that cannot be read; it has run
-	faultTruncated                      // the answer stops in the middle and nothing follows
-	faultHang                           // nothing comes; it has run
+	faultNotPrimary                     // rejected as not the primary; it has not run
+	faultStale                          // rejected as too far behind; it has not run
+	faultFull                           // rejected as full, before it was read
+	faultError                          // answered with an error; it has run
+	faultDisconnect                     // the connection is closed without an answer; it has run
+	faultDisconnectInAnswer             // the connection is closed in the middle of the answer; it has run
+	faultUnreadable                     // the answer violates the protocol; it has run
+	faultTruncated                      // the answer stops in the middle and the connection stays open; it has run
+	faultHang                           // no answer, and the connection stays open; it has run
 )
 
+// mayRun reports whether an attempt with this fault runs.
 func (f memberFault) mayRun() bool { return f == faultNone || f >= faultError }
 
 // memberCall is one attempt as a member received it.
 type memberCall struct {
 	id, token, key, verb string
-	method               string // where the protocol names it
-	after                int64  // position that its answer has to include, ms
+	method               string // empty if the protocol does not carry it
+	after                int64  // position that the answer must include, ms
 	write                bool
 	member               int
 	began                time.Time
@@ -50,23 +51,24 @@
 	text                 string
 }
 
-// fakeCluster is one group.
+// fakeCluster is one fake group.
 type fakeCluster struct {
 	t        testing.TB
 	protocol string
 	mutex    sync.Mutex
 	members  []*fakeClusterMember
 	calls    []*memberCall
-	effects  map[string]int // by token, or by key and id where there is none
-	latest   map[string]time.Time
+	effects  map[string]int       // number of executions, by token, or by key and id if there is no token
+	lastRun  map[string]time.Time // time of the last execution, by the same names
 	faultFor func(c *memberCall, nth int) memberFault
-	nth      map[string]int
+	nth      map[string]int // number of attempts, by key
 	values   func(c *memberCall) string
-	wait     time.Duration
+	wait     time.Duration // before each answer
 }
 
+// fakeClusterMember is a member of a fakeCluster.
 type fakeClusterMember struct {
-	of       *fakeCluster
+	cluster  *fakeCluster
 	number   int
 	listener net.Listener
 	role     string
@@ -76,10 +78,10 @@
 }
 
 func startFakeCluster(t testing.TB, protocol string, size int, faultFor func(*memberCall, int) memberFault) *fakeCluster {
-	g := &fakeCluster{t: t, protocol: protocol, faultFor: faultFor, effects: make(map[string]int), latest: make(map[string]time.Time), nth: make(map[string]int)}
+	g := &fakeCluster{t: t, protocol: protocol, faultFor: faultFor, effects: make(map[string]int), lastRun: make(map[string]time.Time), nth: make(map[string]int)}
 	g.values = func(c *memberCall) string { return fmt.Sprintf(`{"Id":%q,"Status":"sent","Version":7}`, c.key) }
 	for i := range size {
-		m := &fakeClusterMember{of: g, number: i, listener: listenLocal(t), role: roleName(i == 0), conns: make(map[net.Conn]bool)}
+		m := &fakeClusterMember{cluster: g, number: i, listener: listenLocal(t), role: roleName(i == 0), conns: make(map[net.Conn]bool)}
 		g.members = append(g.members, m)
 		go serveConnections(m.listener, m.serve)
 	}
@@ -93,7 +95,7 @@
 	return all
 }
 
-// kill ends a member. Another one may be promoted.
+// kill stops a member. A test may promote another one.
 func (g *fakeCluster) kill(i int) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -123,15 +125,15 @@
 
 func (m *fakeClusterMember) serve(c net.Conn) {
 	defer c.Close()
-	m.of.mutex.Lock()
+	m.cluster.mutex.Lock()
 	down := m.down
 	m.conns[c] = true
-	m.of.mutex.Unlock()
+	m.cluster.mutex.Unlock()
 	if down {
 		return
 	}
 	r := bufio.NewReader(c)
-	if m.of.protocol == "pg" {
+	if m.cluster.protocol == "pg" {
 		var length [4]byte
 		if _, err := io.ReadFull(r, length[:]); err != nil {
 			return
@@ -141,7 +143,7 @@
 	}
 	for {
 		var call *memberCall
-		if m.of.protocol == "pg" {
+		if m.cluster.protocol == "pg" {
 			call = statementCall(r)
 		} else {
 			call = requestCall(r)
@@ -193,9 +195,9 @@
 	return c
 }
 
-// answer handles an attempt as faultFor says, and records it.
+// answer records an attempt and answers it, with the fault that faultFor returns. It reports whether the connection stays open.
 func (m *fakeClusterMember) answer(conn net.Conn, c *memberCall) (open bool) {
-	g := m.of
+	g := m.cluster
 	g.mutex.Lock()
 	c.member, c.began = m.number, time.Now()
 	g.nth[c.key]++
@@ -215,10 +217,10 @@
 		if name == "" {
 			name = c.key + " " + c.id
 		}
-		if last, known := g.latest[name]; !known || c.token == "" || time.Since(last) > 1200*time.Millisecond {
-			g.effects[name]++ // a group recognizes a repeat within its window
+		if last, known := g.lastRun[name]; !known || c.token == "" || time.Since(last) > 1200*time.Millisecond {
+			g.effects[name]++ // within its window a group recognizes a repeat and does not run it again
 		}
-		g.latest[name] = time.Now()
+		g.lastRun[name] = time.Now()
 	}
 	g.calls = append(g.calls, c)
 	value := g.values(c)
@@ -226,42 +228,42 @@
 	if wait > 0 {
 		time.Sleep(wait)
 	}
-	whole := m.encodeAnswer(f, role, position, value, c)
+	encoded := m.encodeAnswer(f, role, position, value, c)
 	switch f {
 	case faultDisconnect:
 		return false
 	case faultDisconnectInAnswer:
-		conn.Write(whole[:len(whole)/2])
+		conn.Write(encoded[:len(encoded)/2])
 		return false
 	case faultTruncated:
-		conn.Write(whole[:len(whole)/2])
+		conn.Write(encoded[:len(encoded)/2])
 		io.Copy(io.Discard, conn)
 		return false
 	case faultHang:
 		io.Copy(io.Discard, conn)
 		return false
 	}
-	_, err := conn.Write(whole)
+	_, err := conn.Write(encoded)
 	return err == nil
 }
 
 // encodeAnswer returns a member's answer in its protocol.
 func (m *fakeClusterMember) encodeAnswer(f memberFault, role string, position int64, value string, c *memberCall) []byte {
-	if m.of.protocol == "pg" {
-		notes := func(out []byte) []byte {
+	if m.cluster.protocol == "pg" {
+		appendStatus := func(out []byte) []byte {
 			out = pgwire.AppendParameter(out, "node_role", role)
 			out = pgwire.AppendParameter(out, "replay_position", strconv.FormatInt(position, 10))
 			return pgwire.AppendReady(out)
 		}
 		if code := map[memberFault]string{faultNotPrimary: "25006", faultStale: "72000", faultFull: "53300", faultError: "XX000"}[f]; code != "" {
-			return notes(pgwire.AppendError(nil, false, code, "no", -1))
+			return appendStatus(pgwire.AppendError(nil, false, code, "no", -1))
 		}
 		out := rowResponse(value)
 		if f == faultUnreadable {
 			out[len(out)-3] = 0xff
 			out = append(out, 0xff, 0xff, 0xff)
 		}
-		return notes(out)
+		return appendStatus(out)
 	}
 	status := map[memberFault]int{faultNotPrimary: 421, faultStale: 425, faultFull: 429, faultError: 500}[f]
 	if status == 0 {
@@ -291,15 +293,15 @@
 	return out.Bytes()
 }
 
-// httpClient sends requests over one connection and waits 30 s for an answer.
+// httpClient sends requests over one connection. All its answers must arrive within 30 s.
 type httpClient struct {
 	t testing.TB
 	net.Conn
 	r *bufio.Reader
 }
 
-func dialHTTP(t testing.TB, at string) *httpClient {
-	c, err := net.Dial("tcp", at)
+func dialHTTP(t testing.TB, address string) *httpClient {
+	c, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -308,12 +310,12 @@
 	return &httpClient{t, c, bufio.NewReader(c)}
 }
 
-// httpAnswer is an answer.
+// httpAnswer is the answer to a request. Its body is "closed" or "broken off" if the connection ended before or in the answer.
 type httpAnswer struct {
 	status int
 	header http.Header
 	body   string
-	last   bool // the connection is closed after it
+	last   bool // whether the server closes the connection after it
 }
 
 func (c *httpClient) send(verb, target, body string, fields ...string) {
--- a/internal/node/fake_member_test.go
+++ b/internal/node/fake_member_test.go
@@ -18,10 +18,11 @@
 // receivedQuery is one statement that a member received.
 type receivedQuery struct {
 	text         string
-	began, ended time.Time
+	began, ended time.Time // when the member received it and when it began to send the last part of its answer, or closed
 	mayHaveRun   bool
 }
 
+// field returns the value of a field in the comment of a statement, empty if there is none.
 func field(text, name string) string {
 	value := ""
 	pgwire.Comment([]byte(text), func(n, v []byte, _, _ int) {
@@ -32,7 +33,8 @@
 	return value
 }
 
-// fakeMember answers each statement by respond, and closes the connection if respond returns false.
+// fakeMember is a member that calls respond to answer each statement, and closes the connection if respond returns false. onConnect, if
+// set, is called first for each connection.
 type fakeMember struct {
 	listener    net.Listener
 	respond     func(c net.Conn, q *receivedQuery) (open bool)
@@ -82,43 +84,45 @@
 		m.mutex.Lock()
 		m.queries = append(m.queries, q)
 		m.mutex.Unlock()
-		answering := &timedConn{c, m, q}
-		if !m.respond(answering, q) {
-			answering.Close()
+		conn := &timedConn{c, m, q}
+		if !m.respond(conn, q) {
+			conn.Close()
 			return
 		}
 	}
 }
 
-// timedConn records when a member ended a query, before the driver can know of it.
+// timedConn records when a member answered a query or closed the connection, before the driver can notice it.
 type timedConn struct {
 	net.Conn
 	member *fakeMember
 	query  *receivedQuery
 }
 
-func (s *timedConn) recordEnd() {
-	s.member.mutex.Lock()
-	s.query.ended = time.Now()
-	s.member.mutex.Unlock()
+func (c *timedConn) recordEnd() {
+	c.member.mutex.Lock()
+	c.query.ended = time.Now()
+	c.member.mutex.Unlock()
 }
 
-func (s *timedConn) Write(text []byte) (int, error) {
-	s.recordEnd()
-	return s.Conn.Write(text)
+func (c *timedConn) Write(text []byte) (int, error) {
+	c.recordEnd()
+	return c.Conn.Write(text)
 }
 
-func (s *timedConn) Close() error {
-	s.recordEnd()
-	return s.Conn.Close()
+func (c *timedConn) Close() error {
+	c.recordEnd()
+	return c.Conn.Close()
 }
 
+// seen returns the queries received so far.
 func (m *fakeMember) seen() []*receivedQuery {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return append([]*receivedQuery(nil), m.queries...)
 }
 
+// rowResponse encodes a response with one row of one column.
 func rowResponse(value string) []byte {
 	out := append(pgwire.AppendHead(nil, 'T', 2+4+18), 0, 1, 'd', 'o', 'c', 0)
 	out = append(out, make([]byte, 18)...)
@@ -127,12 +131,13 @@
 	return append(pgwire.AppendHead(out, 'C', 9), "SELECT 1\x00"...)
 }
 
+// appendReport appends the parameters with which a member reports its role, its position and its load.
 func appendReport(out []byte, role string) []byte {
 	now := time.Now()
 	out = pgwire.AppendParameter(out, "node_role", role)
 	out = pgwire.AppendParameter(out, "replay_position", strconv.FormatInt(now.UnixMilli(), 10))
-	leads := map[string]int{"leader": 1, "follower": 0}[role]
-	return pgwire.AppendParameter(out, "server_load", fmt.Sprintf("x0=%.3f,x1=%d,util=0.5", float64(now.UnixMilli())/1000, leads))
+	isLeader := map[string]int{"leader": 1, "follower": 0}[role]
+	return pgwire.AppendParameter(out, "server_load", fmt.Sprintf("x0=%.3f,x1=%d,util=0.5", float64(now.UnixMilli())/1000, isLeader))
 }
 
 func respondOK(c net.Conn, q *receivedQuery, role string) bool {
@@ -145,6 +150,7 @@
 	return true
 }
 
+// waitForClose waits until the driver closes the connection.
 func waitForClose(c net.Conn) bool {
 	c.Read(make([]byte, 1))
 	return false
@@ -152,14 +158,15 @@
 
 func respondAsLeader(c net.Conn, q *receivedQuery) bool { return respondOK(c, q, "leader") }
 
-// endpointEntry is an entry of an endpoint list, JSON.
-func endpointEntry(number int, group int, at net.Addr, state string) string {
+// endpointEntry returns an entry of an endpoint list in JSON.
+func endpointEntry(number int, group int, address net.Addr, state string) string {
 	return fmt.Sprintf(`{"uid":"s-%d","endpoint":"%s","az":"a","model":"m","pod_group":%d,"state":"%s","capacity_hint":1,"boot_ms":0}`,
-		number, at, group, state)
+		number, address, group, state)
 }
 
-func endpointList(rev int, all bool, targets ...string) string {
-	return fmt.Sprintf(`{"rev":%d,"all":%t,"targets":[%s]}`, rev, all, strings.Join(targets, ","))
+// endpointList returns an endpoint list in JSON, complete or with changes only.
+func endpointList(revision int, complete bool, targets ...string) string {
+	return fmt.Sprintf(`{"rev":%d,"all":%t,"targets":[%s]}`, revision, complete, strings.Join(targets, ","))
 }
 
 const testSettings = `{"areas":["a"],"balancers":1,"tick_us":5000,"locality":0,"registry_mode":"automatic","position":0,
@@ -174,7 +181,7 @@
 "report":{"columns":["x0","x1","load_share"],"how":"inline"},
 "rules":{"cold_us":16000000,"drain_grace_us":250000,"fall_multiple":4.0,"start_capacity":0.25,"tip_after_us":1000000}}`
 
-// roleName is what members report as their role.
+// roleName returns the name of a role as members report it.
 func roleName(primary bool) string {
 	if primary {
 		return "leader"
--- a/internal/node/host.go
+++ b/internal/node/host.go
@@ -8,30 +8,30 @@
 	"passtack/driver"
 )
 
-// moduleHost is the driver.Host through which the decision module acts. Methods that only pass a call on to one part of the
-// node are described there and in package driver.
+// moduleHost implements driver.Host, the interface through which the decision module acts. Most methods call one part of the
+// node; that part and package driver describe them in full.
 type moduleHost struct {
 	node  *Node
-	fault error // why the module cannot go on, nil while it can
+	fault error // fatal error of the module, nil if there is none
 }
 
-// Now returns the time of the event loop's iteration.
+// Now returns the time at which the event loop's current iteration began.
 func (h *moduleHost) Now() time.Duration { return h.node.loop.Now() }
 
 // Attempt sends an RPC to a member.
-func (h *moduleHost) Attempt(id driver.RPC, to driver.Member, by, timeout time.Duration) {
-	h.node.rpcs.attempt(id, to, by, timeout)
+func (h *moduleHost) Attempt(id driver.RPC, to driver.Member, writeDeadline, timeout time.Duration) {
+	h.node.rpcs.attempt(id, to, writeDeadline, timeout)
 }
 
 // Cancel cancels an attempt that is in flight.
 func (h *moduleHost) Cancel(id driver.RPC, attempt int) { h.node.rpcs.cancel(id, attempt) }
 
-// PushBack gives an RPC its final answer: rejected, and when to retry.
+// PushBack gives an RPC its final answer: it is rejected and has not run, and the client may retry it after a time.
 func (h *moduleHost) PushBack(id driver.RPC, retryAfter time.Duration) {
 	h.node.rpcs.pushBack(id, retryAfter)
 }
 
-// Abort gives an RPC its final answer: it failed, and may have run.
+// Abort gives an RPC its final answer: it failed and may have run.
 func (h *moduleHost) Abort(id driver.RPC) { h.node.rpcs.abort(id) }
 
 // Probe sends a health check to a member.
@@ -40,15 +40,15 @@
 // CloseIdle closes the idle connections to a member.
 func (h *moduleHost) CloseIdle(m driver.Member) { h.node.members.closeIdle(m) }
 
-// Remembered persists the latest write of a session.
+// Remembered persists the position of the latest write of a session.
 func (h *moduleHost) Remembered(session driver.Session, commit time.Duration) {
 	h.node.learned.sessionWrote(session, commit)
 }
 
-// Forget removes a member.
+// Forget removes a member from the node.
 func (h *moduleHost) Forget(m driver.Member) { h.node.members.forget(m) }
 
-// Watch starts or stops the watch on the endpoint list.
+// Watch starts or stops watching the endpoint list.
 func (h *moduleHost) Watch(on bool) { h.node.discovery.SetWatching(on) }
 
 // FetchList requests the complete endpoint list.
@@ -60,7 +60,7 @@
 // WakeAfter schedules the module's next tick.
 func (h *moduleHost) WakeAfter(wait time.Duration) { h.node.timer.wakeAfter(wait) }
 
-// Log logs a line, and counts one that is a repetition instead.
+// Log writes a line of the module to the log. A line that was logged shortly before is only counted.
 func (h *moduleHost) Log(line string) {
 	n := h.node
 	if !n.moduleLog.write(line, n.loop.Now()) {
@@ -68,10 +68,10 @@
 	}
 }
 
-// Fault stops the driver, because the module cannot go on.
-func (h *moduleHost) Fault(why string) {
-	h.fault = errors.New(why)
-	slog.Error("decision module failed", "cause", why)
+// Fault stops the driver after a fatal error of the module.
+func (h *moduleHost) Fault(reason string) {
+	h.fault = errors.New(reason)
+	slog.Error("decision module failed", "cause", reason)
 	h.node.loop.Stop()
 }
 
@@ -83,8 +83,8 @@
 	}
 }
 
-// takePeerMessage passes a message of another driver to the parts that talk with other drivers, and any other one to the module.
-func (n *Node) takePeerMessage(from driver.Peer, message []byte) {
+// receivePeerMessage handles a message of another driver. Messages that the messenger does not handle go to the module.
+func (n *Node) receivePeerMessage(from driver.Peer, message []byte) {
 	n.Count("peer_datagrams_received")
 	if n.messenger == nil || !n.messenger.receive(from, message) {
 		n.module.PeerMessage(from, message)
--- a/internal/node/hostile_clients_test.go
+++ b/internal/node/hostile_clients_test.go
@@ -13,12 +13,13 @@
 	"passtack/internal/pcg"
 )
 
-// TestConnectionFloodLeavesOtherListenerItsQuota floods one listener with connections: clients of the other connect and are answered as usual.
+// TestConnectionFloodLeavesOtherListenerItsQuota floods one listener with connections. Without quotas they would use the descriptors of
+// the other listener, whose clients must connect and be answered as usual.
 func TestConnectionFloodLeavesOtherListenerItsQuota(t *testing.T) {
 	for _, flooded := range []string{"odata", "pg"} {
 		t.Run(flooded, func(t *testing.T) {
 			g := startFakeCluster(t, "pg", 2, alwaysFault(faultNone))
-			d, at := serveOData(t, "", 120, g, "")
+			d, odataAddress := serveOData(t, "", 120, g, "")
 			dialPG(t, d.address).query(t, taggedStatement("first", "order", 5000, 0))
 			end := make(chan bool)
 			var flood sync.WaitGroup
@@ -35,7 +36,7 @@
 			}
 			connect := func(i int) (request func() bool, connection io.Closer) {
 				if flooded == "odata" {
-					c := dialHTTP(t, at)
+					c := dialHTTP(t, odataAddress)
 					return func() bool { return c.do("GET", "Applications('x')", "").status != 0 }, c
 				}
 				c := dialPG(t, d.address)
@@ -43,7 +44,7 @@
 				return func() bool { return !strings.Contains(c.query(t, statement), "closed") }, c
 			}
 			for i := range 200 {
-				flood.Go(func() { // most send requests without end, some are silent
+				flood.Go(func() { // most clients send requests until the end, one in eight is silent
 					for !ended() {
 						request, connection := connect(i)
 						for i%8 > 0 && request() {
@@ -65,7 +66,7 @@
 					if got := dialPG(t, d.address).query(t, taggedStatement(fmt.Sprintf("o%d", i), "order", 2000, 0)); strings.HasPrefix(got, "ok") {
 						answered++
 					}
-				} else if got := dialHTTP(t, at).do("POST", "Applications", fmt.Sprintf(`{"Id":"o%d"}`, i), "Deadline-Ms: 2000"); got.status == 201 {
+				} else if got := dialHTTP(t, odataAddress).do("POST", "Applications", fmt.Sprintf(`{"Id":"o%d"}`, i), "Deadline-Ms: 2000"); got.status == 201 {
 					answered++
 				}
 				slowest = max(slowest, time.Since(began))
@@ -73,26 +74,26 @@
 			}
 			close(end)
 			flood.Wait()
-			t.Logf("%d of 40 answered beside the flood, in %v each, the slowest in %v", answered, total/40, slowest)
-			if answered < 38 || total/40 > 100*time.Millisecond { // without quotas it takes twice as long
-				t.Errorf("%d of 40 answered, in %v each, the slowest in %v", answered, total/40, slowest)
+			t.Logf("%d of 40 answered during the flood, mean %v, slowest %v", answered, total/40, slowest)
+			if answered < 38 || total/40 > 100*time.Millisecond { // without quotas the mean is twice as long
+				t.Errorf("%d of 40 answered, mean %v, slowest %v; want at least 38 and a mean of 100 ms at most", answered, total/40, slowest)
 			}
 		})
 	}
 }
 
-// TestHostileRequestsAreRejected sends ten thousand hostile requests to the OData listener: each is answered with an error or a close, none
-// reaches a member, and the memory that they leave behind is bounded.
+// TestHostileRequestsAreRejected sends ten thousand hostile requests to the OData listener. Each must be answered with an error or have its
+// connection closed, none may reach a member, and the memory in use afterwards must be bounded.
 func TestHostileRequestsAreRejected(t *testing.T) {
 	g := startFakeCluster(t, "pg", 1, alwaysFault(faultNone))
-	d, at := serveOData(t, "", 300, g, "")
-	chance := pcg.New(7)
+	d, odataAddress := serveOData(t, "", 300, g, "")
+	random := pcg.New(7)
 	head := "POST /odata/Applications HTTP/1.1\r\nHost: x\r\nContent-Type: application/json\r\n"
 	hostile := []func() string{
 		func() string {
-			noise := make([]byte, 1+chance.Below(3000))
+			noise := make([]byte, 1+random.Below(3000))
 			for i := range noise {
-				noise[i] = byte(chance.Uint32())
+				noise[i] = byte(random.Uint32())
 			}
 			return string(noise)
 		},
@@ -121,11 +122,11 @@
 		return m.HeapInuse
 	}
 	before := heap()
-	var lanes sync.WaitGroup
-	for lane := range 20 {
-		lanes.Go(func() {
-			for i := lane; i < len(texts); i += 20 {
-				c, err := net.Dial("tcp", at)
+	var workers sync.WaitGroup
+	for worker := range 20 {
+		workers.Go(func() {
+			for i := worker; i < len(texts); i += 20 {
+				c, err := net.Dial("tcp", odataAddress)
 				if err != nil {
 					t.Error(err)
 					return
@@ -135,25 +136,25 @@
 				answer := make([]byte, 64)
 				n, _ := c.Read(answer)
 				if n > 0 && !strings.HasPrefix(string(answer[:n]), "HTTP/1.1 4") && !strings.HasPrefix(string(answer[:n]), "HTTP/1.1 5") {
-					t.Errorf("%.40q is answered by %q", texts[i], answer[:n])
+					t.Errorf("%.40q was answered with %q", texts[i], answer[:n])
 				}
 				c.Close()
 			}
 		})
 	}
-	lanes.Wait()
+	workers.Wait()
 	time.Sleep(300 * time.Millisecond)
 	after := heap()
 	runtime.KeepAlive(texts)
 	t.Logf("heap in use: %d KB before, %d KB after", before>>10, after>>10)
 	if after > before+16<<20 {
-		t.Errorf("heap in use grew from %d to %d KB", before>>10, after>>10)
+		t.Errorf("heap in use grew from %d to %d KB, want 16 MB more at most", before>>10, after>>10)
 	}
-	if got := dialHTTP(t, at).do("GET", "Applications('a')", ""); got.status != 200 {
-		t.Errorf("afterwards: %d %s", got.status, got.body)
+	if got := dialHTTP(t, odataAddress).do("GET", "Applications('a')", ""); got.status != 200 {
+		t.Errorf("valid request afterwards: status %d, %s", got.status, got.body)
 	}
 	if calls := len(g.receivedCalls()); calls != 1 {
-		t.Errorf("a member saw %d attempts", calls)
+		t.Errorf("the member received %d attempts, want 1", calls)
 	}
 	d.stop()
 }
--- a/internal/node/invariants_test.go
+++ b/internal/node/invariants_test.go
@@ -14,8 +14,8 @@
 	"passtack/internal/pcg"
 )
 
-// Members and clients fail at random. For each RPC: one attempt at a time, none after the answer, no rejection of what may have
-// run, and no second execution of what must not run twice.
+// Members and clients fail at random. Each RPC must have at most one attempt at a time and none after its answer. An RPC that may have
+// run must not be rejected, and a method that is unsafe to repeat must not run twice.
 func TestInvariantsUnderRandomFaults(t *testing.T) {
 	const clients, perClient = 8, 30
 	for seed := range uint64(3) {
@@ -44,17 +44,17 @@
 				}
 			}
 			if answered < 100 {
-				t.Errorf("only %d of %d RPCs are ok", answered, clients*perClient)
+				t.Errorf("only %d of %d RPCs succeeded, want at least 100", answered, clients*perClient)
 			}
 			concluded := d.counters["rpcs_ok"] + d.counters["rpcs_pushed_back"] + d.counters["rpcs_aborted"] + d.counters["rpcs_left"]
 			if d.rpcs.Len() != 0 || d.counters["rpcs_taken"] != concluded || d.counters["rpcs_overdue"] != 0 || d.counters["attempts_sent"] != d.outcomes() {
-				t.Errorf("%d RPCs are left, counted %v", d.rpcs.Len(), d.counters)
+				t.Errorf("%d RPCs left over, counters %v", d.rpcs.Len(), d.counters)
 			}
 		})
 	}
 }
 
-// startRandomMember starts a member that fails at random. As a replica it rejects writes.
+// startRandomMember starts a member that fails at random. A replica rejects all writes.
 func startRandomMember(t *testing.T, seed uint64, role string) *fakeMember {
 	random, mutex := pcg.New(seed), sync.Mutex{}
 	return startFakeMember(t, func(c net.Conn, q *receivedQuery) bool {
@@ -88,13 +88,13 @@
 	})
 }
 
-// clientResult is what a client received for one RPC; answer is "left" if it left before.
+// clientResult is what a client received for one RPC. The answer is "left" if the client disconnected before it.
 type clientResult struct {
 	id, method, answer string
 	sent, answered     time.Time
 }
 
-// runRandomClient sends RPCs of random methods, one after the other, and sometimes leaves before the answer.
+// runRandomClient sends RPCs of random methods, one after the other, and sometimes disconnects before the answer.
 func runRandomClient(t *testing.T, d *runningDriver, number int, random *pcg.Source, count int, results chan<- clientResult) {
 	c := dialPG(t, d.address)
 	for i := range count {
@@ -113,14 +113,14 @@
 	}
 }
 
-// attemptsByID returns the attempts that members received, which must be for groups of their own.
+// attemptsByID returns the attempts that members received, by RPC. It checks that each member received only RPCs for its own group.
 func attemptsByID(t *testing.T, members []*fakeMember) map[string][]*receivedQuery {
 	attempts := make(map[string][]*receivedQuery)
 	for i, m := range members {
 		for _, q := range m.seen() {
 			attempts[field(q.text, "id")] = append(attempts[field(q.text, "id")], q)
 			if field(q.text, "cluster") != strconv.Itoa(i/2) {
-				t.Errorf("member %d was sent %q", i, q.text)
+				t.Errorf("member %d received an RPC of another group: %q", i, q.text)
 			}
 		}
 	}
@@ -136,10 +136,10 @@
 			mayHaveRun++
 		}
 		if r.answer != "left" && q.began.After(r.answered.Add(100*time.Millisecond)) {
-			t.Errorf("%s: an attempt after the answer %s", r.id, r.answer)
+			t.Errorf("%s: an attempt began after the answer %s", r.id, r.answer)
 		}
-		for _, o := range attempts[:i] {
-			if q.began.Before(o.ended) && o.began.Before(q.ended) && !(q.mayHaveRun && o.mayHaveRun && r.answer == "left") {
+		for _, other := range attempts[:i] {
+			if q.began.Before(other.ended) && other.began.Before(q.ended) && !(q.mayHaveRun && other.mayHaveRun && r.answer == "left") {
 				t.Errorf("%s: two attempts at once", r.id)
 			}
 		}
@@ -147,11 +147,11 @@
 	switch r.answer {
 	case codeRejected:
 		if mayHaveRun > 0 && (r.method == "pay" || r.method == "order") {
-			t.Errorf("%s: %s is rejected though it may have run", r.id, r.method)
+			t.Errorf("%s: %s was rejected though it may have run", r.id, r.method)
 		}
 	case "ok value of " + r.id, codeAborted, "left":
 	default:
-		t.Errorf("%s: the client receives %q", r.id, r.answer)
+		t.Errorf("%s: the client received %q", r.id, r.answer)
 	}
 	if r.method == "pay" && mayHaveRun > 1 {
 		t.Errorf("%s: may have run %d times", r.id, mayHaveRun)
@@ -161,7 +161,8 @@
 	}
 }
 
-// RPCs and members that have ended leave no state behind, also if the client's deadline is weeks away.
+// RPCs that have ended and members that were forgotten must leave no state behind, even if a client's deadline is weeks away: it would
+// accumulate until memory runs out.
 func TestNoStateIsLeaked(t *testing.T) {
 	m := startFakeMember(t, respondAsLeader)
 	n := buildDriver(t, "", 100, endpointList(1, true, endpointEntry(1, 0, m.listener.Addr(), "in_service")), testSettings)
@@ -170,7 +171,7 @@
 		n.members.forget(n.members.lastID)
 	}
 	if len(n.members.ids) != 1 || len(n.members.uids) != 1 || n.members.lastID != 4 {
-		t.Errorf("%d and %d members are known, the last number is %d", len(n.members.ids), len(n.members.uids), n.members.lastID)
+		t.Errorf("the registry has %d uids and %d numbers, the last number is %d; want 1, 1 and 4", len(n.members.ids), len(n.members.uids), n.members.lastID)
 	}
 	d := runDriver(t, n)
 	c := dialPG(t, d.address)
@@ -180,7 +181,7 @@
 		}
 	}
 	d.stop()
-	if dues := d.loop.PendingTimers(); dues > 20 {
-		t.Errorf("%d due times are left", dues)
+	if pending := d.loop.PendingTimers(); pending > 20 {
+		t.Errorf("%d timers left over, want 20 at most", pending)
 	}
 }
--- a/internal/node/listeners.go
+++ b/internal/node/listeners.go
@@ -17,35 +17,35 @@
 )
 
 const (
-	maxRPCs           = 1 << 15                // in service by all listeners together
-	rebalanceInterval = 100 * time.Millisecond // between two checks whether a listener has borrowed connections that another needs
+	maxRPCs           = 1 << 15                // limit for RPCs being served by all listeners together
+	rebalanceInterval = 100 * time.Millisecond // between two checks for connections that one listener has borrowed and another needs
 )
 
-// listenerSet is all listeners for clients and the quotas between them.
+// listenerSet is the set of listeners for clients, with the quotas that they share.
 type listenerSet struct {
 	node        *Node
-	all         []*listener // the platform's first
+	all         []*listener // the platform's listener is the first
 	byFront     map[driver.Front]*listener
 	quotas      quota.Allocator
-	rebalanceAt time.Duration // of the next rebalancing
+	rebalanceAt time.Duration // time of the next rebalancing
 }
 
-// listener is one listener and what it has in use.
+// listener is one listener for clients and the resources that it uses.
 type listener struct {
 	set         *listenerSet
 	name        string
 	front       driver.Front
 	connections *front.Connections
-	quotaID     int // in the set's quotas
-	rpcs        int // in service
-	rpcsTaken   int // since the start
+	quotaID     int // its number in the set's quotas
+	rpcs        int // being served
+	rpcsTaken   int // admitted since the start
 }
 
 func newListenerSet(n *Node) listenerSet {
 	return listenerSet{node: n, byFront: make(map[driver.Front]*listener)}
 }
 
-// open listens for all fronts of the operator's file, the platform's first.
+// open opens the listeners of all fronts in the operator's file, the platform's listener first.
 func (s *listenerSet) open() error {
 	n := s.node
 	methods := n.site.methods()
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// open listens for clients of one front.
+// open opens the listener of one front.
 func (l *listener) open(f *config.Listener, address netip.AddrPort, ids front.ActiveIDs, methods siteMethods) error {
 	n := l.set.node
 	seed := n.site.Seed + uint64(l.quotaID)
@@ -87,7 +87,7 @@
 	return nil
 }
 
-// applySettings takes the methods of the site's settings. Retired ones are not served any more.
+// applySettings applies the methods in the site's settings. Retired methods are no longer served.
 func (s *listenerSet) applySettings(site *Site) {
 	methods := site.methods()
 	served := slices.Clone(methods.names)
@@ -100,34 +100,35 @@
 		switch f := l.front.(type) {
 		case *pgfront.Front:
 			f.SetMethods(served, methods.inSession, methods.tokened)
-		case *odatafront.Front: // its operations name no retired method
+		case *odatafront.Front: // the operations of an OData front use no retired methods
 			f.SetMethods(methods.names)
 		}
 	}
 }
 
-// limits bounds what the listener's connections use to its quota.
+// limits returns limits that keep the descriptors and buffers of the listener's connections within its quota.
 func (l *listener) limits() loop.AcceptLimiter {
-	capacity := func(kind quota.Resource) func(int) int {
-		return func(total int) int { return l.capacity(kind, total) }
+	capacity := func(resource quota.Resource) func(int) int {
+		return func(total int) int { return l.capacity(resource, total) }
 	}
 	return loop.AcceptLimiter{Descriptors: capacity(quota.Connections), Bytes: capacity(quota.Bytes)}
 }
 
-// capacity returns how much of a total the listener may use now. Without a free connection it is noted as one that needs some.
-func (l *listener) capacity(kind quota.Resource, total int) int {
+// capacity returns how much of a total the listener may use at present. If all its connections are in use, a shortage is reported to
+// the quotas.
+func (l *listener) capacity(resource quota.Resource, total int) int {
 	s := l.set
 	s.reportUsage()
-	capacity := s.quotas.Capacity(l.quotaID, kind, total)
+	capacity := s.quotas.Capacity(l.quotaID, resource, total)
 	if l.connections != nil {
-		if open, _ := l.connections.Usage(); kind == quota.Connections && open >= capacity {
-			s.quotas.ReportShortage(l.quotaID, kind, s.node.loop.Now())
+		if open, _ := l.connections.Usage(); resource == quota.Connections && open >= capacity {
+			s.quotas.ReportShortage(l.quotaID, resource, s.node.loop.Now())
 		}
 	}
 	return capacity
 }
 
-// admits reports whether the listener may have one more RPC in service.
+// admits reports whether the listener may serve one more RPC.
 func (l *listener) admits() bool {
 	if len(l.set.all) == 1 && l.set.node.config.Listeners[0].Quota.Limits[quota.RPCs] == 0 {
 		return true
@@ -135,7 +136,7 @@
 	return l.rpcs < l.capacity(quota.RPCs, maxRPCs)
 }
 
-// reportUsage reports to the quotas what all listeners use.
+// reportUsage reports the current usage of all listeners to the quotas.
 func (s *listenerSet) reportUsage() {
 	for _, l := range s.all {
 		connections, bytes := l.connections.Usage()
@@ -145,7 +146,7 @@
 	}
 }
 
-// rebalanceConnections lets listeners that have borrowed connections close some that another one needs.
+// rebalanceConnections closes connections of listeners that use more than their share, as far as another listener needs them.
 func (s *listenerSet) rebalanceConnections() {
 	l := s.node.loop
 	if len(s.all) < 2 || l.Now() < s.rebalanceAt {
@@ -153,12 +154,12 @@
 	}
 	s.rebalanceAt = l.Now() + rebalanceInterval
 	s.reportUsage()
-	for _, each := range s.all {
-		each.connections.Shed(s.quotas.Excess(each.quotaID, quota.Connections, l.MaxDescriptors()*5/8, l.Now()))
+	for _, listener := range s.all {
+		listener.connections.Shed(s.quotas.Excess(listener.quotaID, quota.Connections, l.MaxDescriptors()*5/8, l.Now()))
 	}
 }
 
-// openClients counts the connections of clients.
+// openClients returns the number of client connections.
 func (s *listenerSet) openClients() (open int) {
 	for _, l := range s.all {
 		open += l.front.Open()
@@ -166,7 +167,7 @@
 	return open
 }
 
-// gauges are what the counters line has of each listener, if there are several.
+// gauges returns the values of each listener for the counters line of the log, if there are several listeners.
 func (s *listenerSet) gauges() (line []any) {
 	if len(s.all) < 2 {
 		return nil
@@ -178,9 +179,9 @@
 	return line
 }
 
-// closeClients closes the connections that may be closed in a phase of a shutdown. It returns how much is left: connections,
-// and RPCs that no connection waits for but whose outcome may still be asked for.
-func (s *listenerSet) closeClients(phase shutdown.Phase) (left int) {
+// closeClients closes the connections that may be closed in a phase of a shutdown. It returns the number of remaining connections
+// plus the number of RPCs in service. An RPC whose connection is closed counts, as a client may still ask for its outcome.
+func (s *listenerSet) closeClients(phase shutdown.Phase) (remaining int) {
 	for _, l := range s.all {
 		idle := earlyCloseIdle
 		l.front.Shut()
@@ -191,13 +192,13 @@
 		if phase == shutdown.Finished {
 			l.front.Finish()
 		}
-		left += l.front.Sweep(idle) + l.rpcs
+		remaining += l.front.Sweep(idle) + l.rpcs
 	}
-	return left
+	return remaining
 }
 
-// evictIdle frees a descriptor: it closes the connection to a member that has been idle for longest. It also closes an idle
-// client's, whose descriptor is free a moment later, so that the next need no member's.
+// evictIdle frees a descriptor: it closes the connection to a member that has been idle longest. It also closes an idle client
+// connection. That descriptor becomes free shortly after, so that the next need of one may cost no connection to a member.
 func (n *Node) evictIdle() bool {
 	for _, l := range n.listeners.all {
 		if l.connections.EvictIdle() {
--- a/internal/node/member_clock.go
+++ b/internal/node/member_clock.go
@@ -7,10 +7,10 @@
 	"passtack/driver"
 )
 
-// MembersNow is the time by the clock of the members, which their positions are by.
+// MembersNow returns the current time on the members' clock. Positions in their logs are times on that clock.
 func (n *Node) MembersNow() time.Duration { return n.loop.Now() + n.memberClock.Offset() }
 
-// onLocalClock converts the start of a member, as an endpoint list tells it, to the driver's own clock.
+// onLocalClock converts the start time of a member from the members' clock, which the endpoint list uses, to the driver's clock.
 func (n *Node) onLocalClock(startedAt time.Duration) time.Duration {
 	if startedAt == driver.LongAgo {
 		return startedAt
@@ -18,8 +18,8 @@
 	return startedAt - n.memberClock.Offset()
 }
 
-// observePosition takes the position that a primary reported, 0 for none. Where it proves that the members' clock differs from the driver's,
-// the pools and the module correct what they know by it.
+// observePosition updates the estimate of the members' clock with the position that a primary reported, 0 for none. If the estimated
+// offset to the driver's clock changes, the pools and the module correct the times that they have stored.
 func (n *Node) observePosition(position time.Duration) {
 	if position == 0 {
 		return
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -16,23 +16,23 @@
 	"passtack/internal/settings"
 )
 
-// Limits for connections to members, for sites whose settings have none.
+// Default limits for connections to members.
 const (
 	defaultConnectTimeout = 250 * time.Millisecond
 	defaultIdleTimeout    = time.Hour
 )
 
-// memberRegistry numbers the members of the endpoint list and owns the pools of connections to them. It is the discovery.Host: it
-// receives the endpoint list, and passes it on to the module.
+// memberRegistry assigns numbers to the members of the endpoint list and owns the connection pools. It implements discovery.Host:
+// it receives the endpoint list from the discovery client and passes it to the module.
 type memberRegistry struct {
 	node           *Node
-	pools          [driver.Forms]*member.Pool // by the protocol of the members
+	pools          [driver.Forms]*member.Pool // indexed by the protocol of the members
 	connectLimiter recovery.ConnectLimiter
-	ids            map[string]driver.Member // by uid
+	ids            map[string]driver.Member // keyed by uid
 	uids           map[driver.Member]string
-	lastID         driver.Member  // the latest that was given out
-	zones          []string       // in the order of their numbers
-	listKind       driver.Listing // of the list that is being received
+	lastID         driver.Member  // number assigned last
+	zones          []string       // indexed by zone number
+	listKind       driver.Listing // kind of the list that is being received
 }
 
 func newMemberRegistry(n *Node) memberRegistry {
@@ -42,7 +42,7 @@
 	}
 }
 
-// openPools creates a pool of connections for each protocol of members.
+// openPools creates a connection pool for each protocol that members speak.
 func (r *memberRegistry) openPools() {
 	n := r.node
 	load := member.LoadReportParser{Columns: n.site.reportColumns(), Translate: settings.ProjectName}
@@ -59,7 +59,7 @@
 	r.pools[form] = member.New(n.loop, &n.rpcs, protocol, &r.connectLimiter, defaultConnectTimeout, defaultIdleTimeout)
 }
 
-// applySettings takes what the site's settings say of zones and of connections to members.
+// applySettings applies the site's settings for zones and for connections to members.
 func (r *memberRegistry) applySettings(site *Site) {
 	r.zones = strings.Split(site.Settings["zones"], ",")
 	connectTimeout := site.duration("caps.connect_timeout", defaultConnectTimeout)
@@ -70,25 +70,25 @@
 	}
 }
 
-// poolOf returns the pool for the protocol that the members of a group speak.
+// poolOf returns the connection pool for the members of a group.
 func (r *memberRegistry) poolOf(group driver.Group) *member.Pool {
 	return r.pools[r.node.formOf(group)]
 }
 
-// formOf reports the protocol that the members of a group speak.
+// formOf returns the protocol that the members of a group speak.
 func (n *Node) formOf(group driver.Group) driver.Form { return n.config.Forms[group] }
 
 // Count adds one to a counter.
 func (r *memberRegistry) Count(name string) { r.node.Count(name) }
 
-// ListBegins starts an endpoint list or a set of changes to it.
+// ListBegins marks the start of an endpoint list, or of a set of changes to it.
 func (r *memberRegistry) ListBegins(kind driver.Listing) {
 	r.listKind = kind
 	r.node.module.ListBegins(kind)
 }
 
-// Listed takes one entry of the endpoint list. A member keeps its number until it is forgotten, whatever its address; no
-// number is used twice.
+// Listed handles one entry of the endpoint list. A member keeps its number until it is forgotten, even if its address changes.
+// Numbers are never reused.
 func (r *memberRegistry) Listed(uid string, address netip.AddrPort, zone string, group driver.Group, state driver.Standing,
 	size float64, started time.Duration, primary bool) {
 	n := r.node
@@ -110,7 +110,7 @@
 	n.module.EndpointListed(id, zoneNumber, group, state, size, n.onLocalClock(started), primary)
 }
 
-// ListEnds completes an endpoint list, or reports that none came.
+// ListEnds marks the end of an endpoint list. With driver.NoList, discovery has returned no list.
 func (r *memberRegistry) ListEnds(kind driver.Listing) {
 	n := r.node
 	if kind != driver.Cached && kind != driver.NoList {
@@ -123,7 +123,7 @@
 	}
 }
 
-// forget removes a member. If it is listed again, it gets another number.
+// forget removes a member. A member that is listed again later gets a new number.
 func (r *memberRegistry) forget(m driver.Member) {
 	for _, p := range r.pools {
 		p.Forget(m)
@@ -132,7 +132,7 @@
 	delete(r.uids, m)
 }
 
-// probe sends a health check to a member, which one of the pools knows.
+// probe sends a health check to a member. Only the pool that has an address for the member sends one.
 func (r *memberRegistry) probe(m driver.Member) {
 	for _, p := range r.pools {
 		p.Probe(m)
@@ -146,7 +146,7 @@
 	}
 }
 
-// openConnections counts the connections to all members.
+// openConnections returns the number of connections to all members.
 func (r *memberRegistry) openConnections() (open int) {
 	for _, p := range r.pools {
 		open += p.Open()
@@ -154,7 +154,7 @@
 	return open
 }
 
-// waitingAttempts counts the attempts that wait for a connection.
+// waitingAttempts returns the number of attempts that wait for a connection.
 func (r *memberRegistry) waitingAttempts() (waiting int) {
 	for _, p := range r.pools {
 		waiting += p.Waiting()
@@ -162,14 +162,14 @@
 	return waiting
 }
 
-// evictIdle closes the connection to a member that has been idle for longest, and reports whether there was one.
+// evictIdle closes the connection to a member that has been idle longest, and reports whether there was an idle one.
 func (r *memberRegistry) evictIdle() bool {
-	var longest *member.Pool
-	longestSince := time.Duration(0)
+	var oldestPool *member.Pool
+	oldestSince := time.Duration(0)
 	for _, p := range r.pools {
-		if since, ok := p.OldestIdle(); ok && (longest == nil || since < longestSince) {
-			longest, longestSince = p, since
+		if since, ok := p.OldestIdle(); ok && (oldestPool == nil || since < oldestSince) {
+			oldestPool, oldestSince = p, since
 		}
 	}
-	return longest != nil && longest.EvictIdle()
+	return oldestPool != nil && oldestPool.EvictIdle()
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,21 +1,21 @@
 // Package node assembles one driver: it connects the decision module to clients, members, the endpoint list and the other
-// drivers. No decision about an RPC is taken here.
+// drivers. It makes no decisions about RPCs.
 //
-// Node creates the parts of a driver and connects them. Each part is a type with a file of its own:
+// Node creates the components of a driver and connects them. Each component is a type with a file of its own:
 //
-//	Site                the platform's file
-//	listenerSet         listeners for clients, and the quotas between them
-//	rpcTable            RPCs in service, their attempts and answers
-//	memberRegistry      numbers of members, the endpoint list, pools of connections to members
-//	moduleHost          what the decision module acts through
+//	Site                the site file of the platform
+//	listenerSet         listeners for clients, and the quotas that they share
+//	rpcTable            RPCs being served, their attempts and answers
+//	memberRegistry      numbers of members, the endpoint list, connection pools for members
+//	moduleHost          the interface through which the decision module acts
 //	moduleTimer         the ticks of the decision module
-//	recoveryMonitor     how far the driver has recovered since its start
+//	recoveryMonitor     the stage of recovery that the driver has reached since its start
 //	gracefulShutdown    the phases of a shutdown
 //	signals             SIGTERM, SIGHUP and SIGUSR1
 //	telemetry           counters and the log
 //	backgroundJobs, workerPool
-//	                    work beside RPCs, and the goroutines for what would block the loop
-//	features            the parts that the operator's file may ask for: messenger, fleetMembership, leaseService,
+//	                    work outside of RPCs, and goroutines for operations that would block the event loop
+//	features            optional components, enabled by the operator's file: messenger, fleetMembership, leaseService,
 //	                    configuration, learnedState
 package node
 
@@ -38,19 +38,19 @@
 	"passtack/rules"
 )
 
-// bufferFraction is the part of the memory limit, as a divisor, that buffers of long messages may take.
+// bufferFraction divides the memory limit. The quotient is the limit for buffers of long messages.
 const bufferFraction = 4
 
-// Node is one driver. All of it runs on its event loop; workers touch none of its state.
+// Node is one driver. All its code runs on its event loop, except for workers, which do not access its state.
 type Node struct {
 	site      *Site
-	config    *config.File // in force
-	simulated bool         // time stands still within an iteration of the loop, and there are no workers
+	config    *config.File // the operator's file, as currently applied
+	simulated bool         // whether an event loop of the caller is used: time may stand still within an iteration, and there are no workers
 
 	loop      *loop.Loop
 	module    *rules.Router
 	discovery *discovery.Client
-	peers     *peers.Peers // nil: the site has no address for messages between drivers
+	peers     *peers.Peers // nil if the site has no address for messages between drivers
 
 	host      moduleHost
 	listeners listenerSet
@@ -61,14 +61,14 @@
 	shutdown  gracefulShutdown
 	signals   *signals
 
-	memberClock memberclock.Estimator // the members' clock against the loop's
+	memberClock memberclock.Estimator // estimates the offset of the members' clock to the loop's
 	background  *backgroundJobs
 	workers     workerPool
 	telemetry
 	features
 }
 
-// features are the parts that a driver has only if the operator's file asks for them. Each is nil otherwise.
+// features are the optional components of a driver. Each is nil unless the operator's file enables it.
 type features struct {
 	messenger     *messenger
 	membership    *fleetMembership
@@ -77,7 +77,7 @@
 	learned       *learnedState
 }
 
-// New opens all sockets of a driver on the system's event loop and listens for signals. Run serves.
+// New creates a driver with an event loop of its own, opens all its sockets and registers for signals. Call Run to serve.
 func New(site *Site, cfg *config.File) (*Node, error) {
 	debug.SetMemoryLimit(runtimeMemory(site))
 	var l *loop.Loop
@@ -97,15 +97,16 @@
 	return n, nil
 }
 
-// On assembles a driver on an event loop of the caller's, real or simulated, which the caller runs.
+// On creates a driver on an event loop, real or simulated, that the caller provides and runs.
 func On(l *loop.Loop, site *Site, cfg *config.File) (*Node, error) {
 	return assemble(l, site, cfg, true)
 }
 
-// runtimeMemory is the memory limit of the Go runtime in bytes. The rest of the site's limit is left to what the runtime does not count.
+// runtimeMemory returns the memory limit for the Go runtime in bytes. The rest of the site's limit is for memory that the runtime does
+// not count.
 func runtimeMemory(site *Site) int64 { return site.Memory * 3 / 4 }
 
-// assemble creates all parts of a driver and opens its sockets.
+// assemble creates all components of a driver and opens its sockets.
 func assemble(l *loop.Loop, site *Site, cfg *config.File, simulated bool) (*Node, error) {
 	n := newNode(l, site, cfg, simulated)
 	n.restoreConfiguration()
@@ -134,7 +135,7 @@
 	return n, nil
 }
 
-// newNode creates the parts that need no socket, file or setting.
+// newNode creates the components that need no socket, file or setting.
 func newNode(l *loop.Loop, site *Site, cfg *config.File, simulated bool) *Node {
 	n := &Node{site: site, config: cfg, simulated: simulated, loop: l, telemetry: newTelemetry()}
 	n.background = newBackgroundJobs(l, simulated)
@@ -149,14 +150,14 @@
 	return n
 }
 
-// listenToPeers opens the socket for messages of other drivers, if the site has an address for it.
+// listenToPeers opens the socket for messages between drivers, if the site has an address for it.
 func (n *Node) listenToPeers() error {
 	s := n.site
 	if !s.PeerListen.IsValid() {
 		return nil
 	}
 	err := n.openWithRetry(func() (err error) {
-		n.peers, err = peers.Listen(n.loop, s.PeerListen, s.PeerBroadcast, s.Peers, n.takePeerMessage)
+		n.peers, err = peers.Listen(n.loop, s.PeerListen, s.PeerBroadcast, s.Peers, n.receivePeerMessage)
 		return err
 	})
 	if err != nil {
@@ -165,7 +166,7 @@
 	return nil
 }
 
-// startModule creates the decision module and restores what an earlier process has learned.
+// startModule creates the decision module and restores the learned state that an earlier process saved.
 func (n *Node) startModule() error {
 	n.module = rules.New(&n.host, n.site.Seed, n.site.Settings)
 	if n.host.fault != nil {
@@ -175,7 +176,7 @@
 	return nil
 }
 
-// restoreEndpointList takes the list of the site's file, and the one that was persisted if that is newer.
+// restoreEndpointList applies the endpoint list in the site's file, and then the saved one if that is newer.
 func (n *Node) restoreEndpointList() error {
 	if len(n.site.InitialList) > 0 {
 		if err := n.discovery.Restore(n.site.InitialList); err != nil {
@@ -186,7 +187,7 @@
 	return nil
 }
 
-// listenForOperators opens the control endpoint, if the operator's file has an address for it.
+// listenForOperators opens the socket for operators' requests, if the operator's file has an address for it.
 func (n *Node) listenForOperators() error {
 	address := n.config.Control
 	if !address.IsValid() {
@@ -202,8 +203,8 @@
 	return nil
 }
 
-// openWithRetry opens a resource that the driver needs to start, and retries while the system is short of something. In
-// simulated time nothing is ever short.
+// openWithRetry opens a resource that the driver needs to start, and retries while the system lacks resources. In simulated time
+// it tries once, as no resource can run out.
 func (n *Node) openWithRetry(open func() error) error {
 	if n.simulated {
 		return open()
@@ -211,10 +212,10 @@
 	return retryOnResourceShortage(open)
 }
 
-// RecoveryStage reports how far the driver has recovered since its start.
+// RecoveryStage returns the stage of recovery that the driver has reached since its start.
 func (n *Node) RecoveryStage() recovery.Stage { return n.recovery.Stage() }
 
-// Run serves until a signal has stopped the driver and all RPCs that it took are answered.
+// Run serves until a signal stops the driver and all admitted RPCs are answered.
 func (n *Node) Run() error {
 	debug.SetMemoryLimit(runtimeMemory(n.site))
 	n.lines = logs.Start(os.Stderr)
--- a/internal/node/odata_test.go
+++ b/internal/node/odata_test.go
@@ -12,7 +12,7 @@
 	"passtack/internal/pcg"
 )
 
-// odataSet is an entity set of the operator's file; its statements are left out if members speak OData.
+// odataSet returns an entity set for the operator's file. It has statements only if members speak PostgreSQL's protocol.
 func odataSet(name, read, groups string, statements bool) string {
 	operation := func(name, method, after, statement string) string {
 		if after != "" {
@@ -42,35 +42,38 @@
 		operation("delete", "pay", "", "DELETE FROM items WHERE id = {key} RETURNING doc") + "}\n"
 }
 
-func officesConfig(at, more string, statements bool) string {
+// officesConfig returns an operator's file with an OData front that has two entity sets; more is added to the front.
+func officesConfig(odataAddress, more string, statements bool) string {
 	members := ""
 	if !statements {
 		members = "members \"odata\" { groups = [0] }\n"
 	}
-	return fmt.Sprintf("%sfront \"odata\" \"offices\" {\nlisten = %q\nroot = \"/odata/\"\n%s%s%s}\n", members, at, more,
+	return fmt.Sprintf("%sfront \"odata\" \"offices\" {\nlisten = %q\nroot = \"/odata/\"\n%s%s%s}\n", members, odataAddress, more,
 		odataSet("Applications", "look", "0", statements), odataSet("Mine", "own", "0", statements))
 }
 
-// serveOData starts a driver with listeners for both protocols and returns the address of the one for OData.
-func serveOData(t testing.TB, discovery string, sockets int, g *fakeCluster, more string) (d *runningDriver, at string) {
+// serveOData starts a driver with listeners for both protocols and returns the address of the OData listener.
+func serveOData(t testing.TB, discovery string, sockets int, g *fakeCluster, more string) (d *runningDriver, odataAddress string) {
 	t.Helper()
 	n := buildDriverWithConfig(t, discovery, sockets, endpointList(1, true, g.targets()...), testSettings, func(free string) string {
-		at = free
+		odataAddress = free
 		return officesConfig(free, more, g.protocol == "pg")
 	})
-	return runDriver(t, n), at
+	return runDriver(t, n), odataAddress
 }
 
+// alwaysFault returns a faultFor of a fakeCluster that gives each attempt the same fault.
 func alwaysFault(f memberFault) func(*memberCall, int) memberFault {
 	return func(*memberCall, int) memberFault { return f }
 }
 
+// Each kind of OData request, valid or not, must be answered with the right status, whatever protocol members speak.
 func TestODataRequests(t *testing.T) {
-	for _, speaks := range []string{"pg", "odata"} {
-		t.Run(speaks, func(t *testing.T) {
-			g := startFakeCluster(t, speaks, 2, alwaysFault(faultNone))
-			d, at := serveOData(t, "", 200, g, "")
-			c := dialHTTP(t, at)
+	for _, protocol := range []string{"pg", "odata"} {
+		t.Run(protocol, func(t *testing.T) {
+			g := startFakeCluster(t, protocol, 2, alwaysFault(faultNone))
+			d, odataAddress := serveOData(t, "", 200, g, "")
+			c := dialHTTP(t, odataAddress)
 			const entity = `{"Id":"a","Status":"sent","Version":7}`
 			for _, q := range []struct {
 				verb, target, body string
@@ -104,38 +107,38 @@
 				{"DELETE", "Applications('a')", "", []string{"Repeatability-Request-ID: x", "Repeatability-First-Sent: Tue, 01 Dec 2026 10:00:00 GMT"}, 501, "repeatable delete"},
 			} {
 				got := c.do(q.verb, q.target, q.body, q.fields...)
-				if strings.Contains(q.target, " ") { // a target that has to be encoded ends the connection
-					c = dialHTTP(t, at)
+				if strings.Contains(q.target, " ") { // an unencoded space in the target makes the driver close the connection
+					c = dialHTTP(t, odataAddress)
 				}
 				if got.status != q.status || !strings.Contains(got.body, q.want) || got.header.Get("OData-Version") != "4.01" {
-					t.Errorf("%s %s %v: %d %v %s", q.verb, q.target, q.fields, got.status, got.header, got.body)
+					t.Errorf("%s %s %v: status %d, %v, %s", q.verb, q.target, q.fields, got.status, got.header, got.body)
 				}
 				if got.status >= 400 && !json.Valid([]byte(got.body)) {
-					t.Errorf("%s %s: the error %q is no JSON", q.verb, q.target, got.body)
+					t.Errorf("%s %s: the error %q is not valid JSON", q.verb, q.target, got.body)
 				}
 			}
 			if head := c.do("HEAD", "Applications('a')", ""); head.header.Get("Content-Length") == "0" || head.header.Get("Date") == "" {
-				t.Errorf("HEAD is answered with %v", head.header)
+				t.Errorf("HEAD was answered with the header %v", head.header)
 			}
 			created := c.do("POST", "Applications", entity, "OData-MaxVersion: 4.0")
 			if created.header.Get("Location") != "/odata/Applications('a')" || created.header.Get("Session-Position") == "" ||
 				created.header.Get("OData-Version") != "4.0" {
-				t.Errorf("a create is answered with %v", created.header)
+				t.Errorf("a create was answered with the header %v", created.header)
 			}
 			d.stop()
 			if d.rpcs.Len() != 0 || d.counters["rpcs_overdue"] != 0 || d.counters["attempts_sent"] != d.outcomes() {
-				t.Errorf("counted %v", d.counters)
+				t.Errorf("RPCs left over, overdue or wrongly counted, counters %v", d.counters)
 			}
 			for _, call := range g.receivedCalls() {
 				if call.write != (call.token != "") || call.id == "" {
-					t.Errorf("a member saw %+v", call)
+					t.Errorf("a member received a call without an id, or with a token that does not fit its kind: %+v", call)
 				}
 			}
 		})
 	}
 }
 
-// With members that take statements the listener itself computes pages, projections, ETags and conditions.
+// For members that take statements, the listener itself must compute pages, projections, ETags and conditions.
 func TestODataOverStatements(t *testing.T) {
 	g := startFakeCluster(t, "pg", 1, alwaysFault(faultNone))
 	g.values = func(c *memberCall) string {
@@ -153,8 +156,8 @@
 		}
 		return fmt.Sprintf(`{"Id":%q,"Status":"it's","Version":7}`, c.key)
 	}
-	_, at := serveOData(t, "", 100, g, "")
-	c := dialHTTP(t, at)
+	_, odataAddress := serveOData(t, "", 100, g, "")
+	c := dialHTTP(t, odataAddress)
 	for _, q := range []struct {
 		verb, target, body string
 		fields             []string
@@ -188,11 +191,11 @@
 	} {
 		got := c.do(q.verb, q.target, q.body, q.fields...)
 		if got.status != q.status || !strings.Contains(got.body, q.want) {
-			t.Errorf("%s %s %v: %d %s", q.verb, q.target, q.fields, got.status, got.body)
+			t.Errorf("%s %s %v: status %d, %s", q.verb, q.target, q.fields, got.status, got.body)
 		}
 	}
 	if got := c.do("POST", "Applications", `{"Id":"x"}`, "Prefer: return=minimal"); got.status != 204 || got.header.Get("OData-EntityId") == "" {
-		t.Errorf("a create that wants no entity back: %d %v", got.status, got.header)
+		t.Errorf("create with return=minimal: status %d, %v", got.status, got.header)
 	}
 	c.do("GET", "Applications('it''s')?$select=Id", "")
 	calls := g.receivedCalls()
@@ -202,44 +205,45 @@
 			upserts++
 		}
 	}
-	if upserts != 1 { // not where If-Match says that there must be one
-		t.Errorf("%d upserts", upserts)
+	if upserts != 1 { // with If-Match: * the entity must exist, so that request is an update
+		t.Errorf("%d upserts, want 1", upserts)
 	}
 	if last := calls[len(calls)-1].text; last != "SELECT doc FROM items WHERE id = 'it''s'" {
-		t.Errorf("the member was sent %q", last)
+		t.Errorf("the member received %q", last)
 	}
 }
 
-// Requests of one connection are answered in order, however they are fragmented; one that cannot be read ends it.
+// Requests on one connection must be answered in order, however their bytes are split between reads. A request that cannot be parsed must
+// end the connection.
 func TestODataConnections(t *testing.T) {
 	g := startFakeCluster(t, "pg", 1, alwaysFault(faultNone))
-	d, at := serveOData(t, "", 100, g, "limits {\nbody_bytes = 1000\nhead_bytes = 1000\n}\n")
+	d, odataAddress := serveOData(t, "", 100, g, "limits {\nbody_bytes = 1000\nhead_bytes = 1000\n}\n")
 	all := slices.Concat(httpRequest("POST", "Applications", `{"Id":"one"}`), httpRequest("GET", "Applications('two')", ""), httpRequest("GET", "", ""))
 	for split := 0; split < len(all); split += 3 {
-		c := dialHTTP(t, at)
+		c := dialHTTP(t, odataAddress)
 		c.Write(all[:split])
 		if split%9 == 0 {
 			time.Sleep(time.Millisecond)
 		}
 		c.Write(all[split:])
 		if a, b, e := c.readAnswer("POST"), c.readAnswer("GET"), c.readAnswer("GET"); !strings.Contains(a.body, "one") || !strings.Contains(b.body, "two") || e.status != 200 {
-			t.Fatalf("split at %d: %s, %s, %d", split, a.body, b.body, e.status)
+			t.Fatalf("split at %d: %s, %s, status %d", split, a.body, b.body, e.status)
 		}
 		c.Close()
 	}
-	c := dialHTTP(t, at)
+	c := dialHTTP(t, odataAddress)
 	c.Write([]byte("POST /odata/Applications HTTP/1.1\r\nHost: x\r\nExpect: 100-continue\r\nContent-Type: application/json\r\nContent-Length: 11\r\n\r\n"))
 	if line, _ := c.r.ReadString('\n'); line != "HTTP/1.1 100 Continue\r\n" {
-		t.Errorf("who waits to be told to go on hears %q", line)
+		t.Errorf("a client with Expect: 100-continue received %q", line)
 	}
 	c.r.ReadString('\n')
 	c.Write([]byte(`{"Id":"ex"}`))
 	if got := c.readAnswer("POST"); got.status != 201 {
-		t.Errorf("then %d %s", got.status, got.body)
+		t.Errorf("body after 100 Continue: status %d, %s", got.status, got.body)
 	}
 	c.Write([]byte("POST /odata/Applications HTTP/1.1\r\nHost: x\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n6\r\n{\"Id\":\r\n4\r\n\"c\"}\r\n0\r\n\r\n"))
 	if got := c.readAnswer("POST"); got.status != 201 || !strings.Contains(got.body, `"Id":"c"`) {
-		t.Errorf("a body in chunks: %d %s", got.status, got.body)
+		t.Errorf("chunked body: status %d, %s", got.status, got.body)
 	}
 	for text, want := range map[string]int{
 		"POST /odata/Applications HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n": 400,
@@ -250,36 +254,36 @@
 		"GET /odata/ HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n":                    200,
 		"GET /odata/ HTTP/1.0\r\n\r\n":                                                    200,
 	} {
-		c := dialHTTP(t, at)
+		c := dialHTTP(t, odataAddress)
 		c.Write([]byte(text))
 		if got := c.readAnswer("GET"); got.status != want || !got.last {
-			t.Errorf("%.50q: %d %v", text, got.status, got.header)
+			t.Errorf("%.50q: status %d, %v", text, got.status, got.header)
 		}
 		began := time.Now()
-		if got := c.readAnswer("GET"); got.body != "closed" || time.Since(began) > time.Second { // idle connections are closed later
-			t.Errorf("%.50q: the connection goes on for %v", text, time.Since(began))
+		if got := c.readAnswer("GET"); got.body != "closed" || time.Since(began) > time.Second { // sooner than an idle connection would be closed
+			t.Errorf("%.50q: the connection was still open after %v", text, time.Since(began))
 		}
 	}
 	began := time.Now()
-	c = dialHTTP(t, at)
+	c = dialHTTP(t, odataAddress)
 	c.Write([]byte("GET /odata/ HTTP/1.1\r\nHost"))
 	if got := c.readAnswer("GET"); got.status != 408 || time.Since(began) < time.Second || time.Since(began) > 4*time.Second {
-		t.Errorf("half of a head: %d after %v", got.status, time.Since(began))
+		t.Errorf("incomplete head: status %d after %v", got.status, time.Since(began))
 	}
 	d.stop()
 	if d.rpcs.Len() != 0 {
-		t.Errorf("%d RPCs are left", d.rpcs.Len())
+		t.Errorf("%d RPCs left over", d.rpcs.Len())
 	}
 }
 
-// scriptedOperation is one RPC of a scripted run: a read, a read of its session's writes, an idempotent write, or a write that
-// must never run twice; and what members do with each of its attempts.
+// scriptedOperation is one RPC of a scripted run, with the faults of its attempts. Its kind is "read", "own" (a read that must see the
+// writes of its session), "write" (idempotent) or "delete" (must not run twice).
 type scriptedOperation struct {
 	key, kind string
 	faults    []memberFault
 }
 
-// operationOutcome is what a client received and how often members were called.
+// operationOutcome is the answer that the client received, and how many attempts members received and ran.
 type operationOutcome struct {
 	answer     string
 	ran, calls int
@@ -292,7 +296,8 @@
 	"delete": {"DELETE FROM items WHERE id = '%s' RETURNING doc", "pay", "DELETE", "Applications('%s')", ""},
 }
 
-// runOperation sends one RPC by a protocol and returns what the client received. A read has to see what was committed until after.
+// runOperation sends one RPC over a protocol and returns what the client received. A read must see all commits until the time after, if
+// that is not zero.
 func runOperation(t testing.TB, front string, c *pgClient, h *httpClient, s scriptedOperation, millis int, after time.Time) string {
 	k := operationKinds[s.kind]
 	position, session := "", "X: y"
@@ -330,8 +335,8 @@
 	return fmt.Sprint(got.status, got.body)
 }
 
-// One scripted run of faults is run against both protocols: clients and members of PostgreSQL's, clients and members of OData,
-// and OData's clients on members of PostgreSQL's. What clients and members receive must be the same, and keep the rules.
+// The same script of faults runs with PostgreSQL clients and members, OData clients and members, and OData clients with PostgreSQL
+// members. All clients must receive the same answers, members must run the same attempts, and no unsafe RPC may run twice.
 func TestSameOutcomesOnBothProtocols(t *testing.T) {
 	var script []scriptedOperation
 	add := func(kind string, faults ...memberFault) {
@@ -346,17 +351,17 @@
 			add("own")
 		}
 	}
-	chance := pcg.New(20261201)
-	for range 24 { // and several in a row
-		kind := []string{"read", "own", "write", "delete"}[chance.Below(4)]
-		add(kind, all[1+chance.Below(6)], all[1+chance.Below(6)])
+	random := pcg.New(20261201)
+	for range 24 { // and pairs of faults in a row
+		kind := []string{"read", "own", "write", "delete"}[random.Below(4)]
+		add(kind, all[1+random.Below(6)], all[1+random.Below(6)])
 		add("read")
 		add("write")
 		add("read")
 	}
 	results := make(map[string][]operationOutcome)
 	var names []string
-	var playing sync.WaitGroup
+	var runs sync.WaitGroup
 	var mutex sync.Mutex
 	for _, pair := range [][2]string{{"pg", "pg"}, {"odata", "odata"}, {"odata", "pg"}} {
 		name := pair[0] + " clients, " + pair[1] + " members"
@@ -371,9 +376,9 @@
 			}
 			return faultNone
 		})
-		d, at := serveOData(t, "", 200, g, "")
-		playing.Go(func() {
-			c, h := dialPG(t, d.address), dialHTTP(t, at)
+		d, odataAddress := serveOData(t, "", 200, g, "")
+		runs.Go(func() {
+			c, h := dialPG(t, d.address), dialHTTP(t, odataAddress)
 			var got []operationOutcome
 			for _, s := range script {
 				answer := runOperation(t, pair[0], c, h, s, 400, time.Time{})
@@ -393,7 +398,7 @@
 			}
 			for token, times := range g.effects {
 				if strings.HasPrefix(token, "k") && times > 1 {
-					t.Errorf("%s: %s ran %d times without a token", name, token, times)
+					t.Errorf("%s: %s had %d effects, want 1 at most", name, token, times)
 				}
 			}
 			mutex.Lock()
@@ -401,7 +406,7 @@
 			mutex.Unlock()
 		})
 	}
-	playing.Wait()
+	runs.Wait()
 	counts := make(map[string]int)
 	for i, s := range script {
 		want := results[names[0]][i]
@@ -412,23 +417,23 @@
 			}
 		}
 	}
-	t.Logf("%d RPCs each, answered %v", len(script), counts)
+	t.Logf("%d RPCs per pair of protocols, answers %v", len(script), counts)
 	if counts["ok"] < len(script)/2 || counts["pushed back"] == 0 || counts["aborted"] == 0 {
-		t.Errorf("the run is of no use: %v", counts)
+		t.Errorf("the script does not produce enough answers of each kind: %v", counts)
 	}
 }
 
-// checkRules compares what a client received with what members were sent.
+// checkRules checks that the answer that a client received agrees with what members ran.
 func checkRules(t *testing.T, name string, s scriptedOperation, o operationOutcome) {
 	t.Helper()
 	switch {
 	case o.answer != "ok" && o.answer != "pushed back" && o.answer != "aborted":
-		t.Errorf("%s: %s %s hears %s", name, s.kind, s.key, o.answer)
+		t.Errorf("%s: %s %s was answered with %s", name, s.kind, s.key, o.answer)
 	case s.kind == "delete" && o.ran > 1:
 		t.Errorf("%s: %s %s may have run %d times", name, s.kind, s.key, o.ran)
 	case (s.kind == "delete" || s.kind == "write") && o.answer == "pushed back" && o.ran > 0:
-		t.Errorf("%s: %s %s is pushed back though it may have run", name, s.kind, s.key)
+		t.Errorf("%s: %s %s was pushed back though it may have run", name, s.kind, s.key)
 	case o.answer == "ok" && o.ran == 0:
-		t.Errorf("%s: %s %s is ok though nothing ran", name, s.kind, s.key)
+		t.Errorf("%s: %s %s was answered with ok though no attempt ran", name, s.kind, s.key)
 	}
 }
--- a/internal/node/retry.go
+++ b/internal/node/retry.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	shortageRetryDuration = 10 * time.Second       // for which an operation is retried
-	shortageRetryInterval = 100 * time.Millisecond // between two retries
+	shortageRetryDuration = 10 * time.Second       // how long an operation is retried
+	shortageRetryInterval = 100 * time.Millisecond // pause before each retry
 )
 
-// isResourceShortage reports whether an error may pass without a change of the driver's files: the system or the process is
-// short of something, or a disk or an address does not respond at present.
+// isResourceShortage reports whether an error may disappear without a change to the driver's files: the system or the process has
+// run out of a resource, or a disk or an address is unavailable at present.
 func isResourceShortage(err error) bool {
 	var code unix.Errno
 	if !errors.As(err, &code) {
@@ -27,8 +27,8 @@
 	return false
 }
 
-// retryOnResourceShortage calls an operation until it succeeds, fails for a reason that retries do not cure, or has been
-// retried for shortageRetryDuration. It blocks.
+// retryOnResourceShortage calls an operation until it succeeds, fails with an error other than a resource shortage, or has been
+// retried for shortageRetryDuration. It blocks the calling goroutine.
 func retryOnResourceShortage(operation func() error) error {
 	start := time.Now()
 	for logged := false; ; logged = true {
--- a/internal/node/rpcs.go
+++ b/internal/node/rpcs.go
@@ -11,29 +11,29 @@
 	"passtack/rules"
 )
 
-// rpc is one RPC of a client, from its arrival until it is answered and all its attempts have ended.
+// rpc is the state of one RPC, kept from its arrival until it is answered and all its attempts have ended.
 type rpc struct {
 	listener     *listener
 	client       driver.Client
-	pool         driver.Side // of the members of its group
+	pool         driver.Side // connection pool of the members of its group
 	deadline     time.Duration
 	group        driver.Group
-	attempts     []uint32 // the pool's handles, by number of the attempt
+	attempts     []uint32 // the pool's handles, indexed by the number of the attempt
 	inFlight     int      // attempts that have not ended
 	answered     bool
-	answerForced bool           // the module was asked to answer it before its deadline
-	lastOutcome  driver.Outcome // of the attempt that ended last
+	answerForced bool           // whether the module was told to answer it before its deadline
+	lastOutcome  driver.Outcome // outcome of the attempt that ended last
 	overdueTimer loop.Timer
 }
 
-// conclusion is how an RPC got its one final answer.
+// conclusion is the kind of final answer that an RPC received.
 type conclusion uint8
 
 const (
 	concludedOK         conclusion = iota
-	concludedPushedBack            // rejected: it has not run
-	concludedAborted               // failed: it may have run
-	concludedLeft                  // the client does not wait any more
+	concludedPushedBack            // rejected; the RPC has not run
+	concludedAborted               // failed; the RPC may have run
+	concludedLeft                  // no answer; the client no longer waited for one
 )
 
 var (
@@ -41,59 +41,59 @@
 	conclusionCounters = [...]string{"rpcs_ok", "rpcs_pushed_back", "rpcs_aborted", "rpcs_left"}
 )
 
-// String returns the conclusion as the log has it.
+// String returns the name of the conclusion for the log.
 func (c conclusion) String() string { return conclusionNames[c] }
 
-// rpcTable has the RPCs that are being served. Listeners hand it RPCs (driver.Clerk), pools report the ends of attempts
-// (driver.Ledger), and the module acts on RPCs through it (moduleHost).
+// rpcTable stores the RPCs that are being served. Listeners pass new RPCs to it (driver.Clerk), connection pools report the ends of
+// attempts to it (driver.Ledger), and moduleHost calls it on behalf of the module.
 type rpcTable struct {
 	node        *Node
 	table       slots.Map[*rpc]
-	maxAttempts int           // of one RPC
-	tick        time.Duration // between two ticks of the module, in which it answers what is at its deadline
+	maxAttempts int           // limit for one RPC
+	tick        time.Duration // between two ticks of the module, on which it answers RPCs that have reached their deadline
 }
 
-// applySettings takes what the site's settings say of RPCs. The module's tick changes with a restart only.
+// applySettings applies the site's settings for RPCs. A change of the module's tick takes effect at the next start only.
 func (t *rpcTable) applySettings(site *Site) {
 	t.maxAttempts = int(settings.New(site.Settings).Number("caps.attempts", 1))
 }
 
-// Len returns how many RPCs are being served.
+// Len returns the number of RPCs that are being served.
 func (t *rpcTable) Len() int { return t.table.Len() }
 
 // Count adds one to a counter.
 func (t *rpcTable) Count(name string) { t.node.Count(name) }
 
-// FormOf reports the protocol that the members of a group speak.
+// FormOf returns the protocol that the members of a group speak.
 func (t *rpcTable) FormOf(group driver.Group) driver.Form { return t.node.formOf(group) }
 
-// MembersNow is the time by the clock of the members.
+// MembersNow returns the current time on the members' clock.
 func (t *rpcTable) MembersNow() time.Duration { return t.node.MembersNow() }
 
-// Take admits an RPC and hands it to the module. It returns 0 for an RPC that was rejected.
-func (t *rpcTable) Take(by driver.Front, from driver.Client, method driver.Method, group driver.Group,
+// Take admits an RPC and passes it to the module. It returns 0 if the RPC was rejected; the client has its answer then.
+func (t *rpcTable) Take(front driver.Front, client driver.Client, method driver.Method, group driver.Group,
 	session driver.Session, arrivedAt, deadline, sinceWrite time.Duration, repeat bool) driver.RPC {
 	n := t.node
 	n.Count("rpcs_taken")
 	deadline, accepts := n.shutdown.bound(deadline)
 	if !accepts {
-		return t.reject(by, from, "rpcs_rejected_in_shutdown", "shutdown")
+		return t.reject(front, client, "rpcs_rejected_in_shutdown", "shutdown")
 	}
-	l := n.listeners.byFront[by]
+	l := n.listeners.byFront[front]
 	n.recovery.GroupUsed(uint16(group))
 	if !l.admits() {
-		return t.reject(by, from, "rpcs_over_quota", "over_quota")
+		return t.reject(front, client, "rpcs_over_quota", "over_quota")
 	}
-	q := &rpc{listener: l, client: from, pool: n.members.poolOf(group), deadline: deadline, group: group}
+	q := &rpc{listener: l, client: client, pool: n.members.poolOf(group), deadline: deadline, group: group}
 	handle := t.table.Insert(q)
 	if handle == 0 {
-		return t.reject(by, from, "rpcs_table_full", "table_full")
+		return t.reject(front, client, "rpcs_table_full", "table_full")
 	}
 	id := driver.RPC(handle)
 	l.rpcsTaken++
 	l.rpcs++
 	q.overdueTimer = n.loop.At(deadline+t.tick, func() { t.answerOverdue(id) })
-	n.traceTaken(id, from, deadline)
+	n.traceTaken(id, client, deadline)
 	n.timer.resume()
 	n.module.Take(rules.Request{
 		ID: id, Method: method, Group: group, Session: session,
@@ -102,17 +102,18 @@
 	return id
 }
 
-// reject answers an RPC that is not handed to the module.
-func (t *rpcTable) reject(by driver.Front, from driver.Client, counter, reason string) driver.RPC {
+// reject answers an RPC that is not passed to the module.
+func (t *rpcTable) reject(front driver.Front, client driver.Client, counter, reason string) driver.RPC {
 	t.Count(counter)
-	slog.Debug("RPC rejected", "client", from, "reason", reason)
-	by.PushBack(from, 0)
+	slog.Debug("RPC rejected", "client", client, "reason", reason)
+	front.PushBack(client, 0)
 	return 0
 }
 
 func (t *rpcTable) get(id driver.RPC) *rpc { return t.table.Get(slots.Handle(id)) }
 
-// answerOverdue answers an RPC that a panic in the module has left without an answer. It may have run.
+// answerOverdue aborts an RPC that has no answer although its deadline has passed, as after a panic in the module. The RPC may have
+// run.
 func (t *rpcTable) answerOverdue(id driver.RPC) {
 	q := t.get(id)
 	if q == nil || q.answered {
@@ -124,8 +125,8 @@
 	t.node.module.ClientLeft(id)
 }
 
-// conclude marks an RPC as answered for good. It returns nil if the RPC had its answer already.
-func (t *rpcTable) conclude(id driver.RPC, how conclusion) *rpc {
+// conclude records that an RPC has its final answer. It returns nil if the RPC had one already.
+func (t *rpcTable) conclude(id driver.RPC, result conclusion) *rpc {
 	q := t.get(id)
 	if q == nil || q.answered {
 		return nil
@@ -135,14 +136,14 @@
 	q.withdraw()
 	n.loop.Cancel(q.overdueTimer)
 	q.listener.rpcs--
-	n.Count(conclusionCounters[how])
-	n.traceAnswered(id, q, how)
-	n.recovery.RPCAnswered(how == concludedPushedBack)
+	n.Count(conclusionCounters[result])
+	n.traceAnswered(id, q, result)
+	n.recovery.RPCAnswered(result == concludedPushedBack)
 	t.removeIfDone(id, q)
 	return q
 }
 
-// withdraw takes back all attempts that are not written yet, whether or not those in flight may be cancelled.
+// withdraw ends all attempts that are not completely written yet. This does not depend on whether attempts in flight may be cancelled.
 func (q *rpc) withdraw() {
 	for _, attempt := range q.attempts {
 		q.pool.Withdraw(attempt)
@@ -155,15 +156,15 @@
 	}
 }
 
-// ClientLeft takes note that the client does not wait for its answer any more.
+// ClientLeft handles a client that no longer waits for its answer.
 func (t *rpcTable) ClientLeft(id driver.RPC) {
 	if t.conclude(id, concludedLeft) != nil {
 		t.node.module.ClientLeft(id)
 	}
 }
 
-// ClientParts takes note that the client has closed its sending side: no more attempts are sent, and the client may still be
-// answered by those in flight.
+// ClientParts handles a client that has closed its sending side: no further attempts are sent, but the client still receives the
+// answer of an attempt in flight.
 func (t *rpcTable) ClientParts(id driver.RPC) {
 	q := t.get(id)
 	if q == nil || q.answered {
@@ -174,22 +175,22 @@
 	q.withdraw()
 }
 
-// pushBack answers an RPC that has not run, and may be retried.
+// pushBack gives an RPC its final answer: it has not run, and the client may retry it.
 func (t *rpcTable) pushBack(id driver.RPC, retryAfter time.Duration) {
 	if q := t.conclude(id, concludedPushedBack); q != nil {
 		q.listener.front.PushBack(q.client, retryAfter)
 	}
 }
 
-// abort answers an RPC that has failed, and may have run.
+// abort gives an RPC its final answer: it has failed and may have run.
 func (t *rpcTable) abort(id driver.RPC) {
 	if q := t.conclude(id, concludedAborted); q != nil {
 		q.listener.front.Abort(q.client)
 	}
 }
 
-// forceAnswers has each RPC answered now that is not: its client would wait, but the driver stops. Each is answered in a call
-// of its own, so that a panic of the module at one does not affect the others.
+// forceAnswers has all unanswered RPCs answered before their deadlines, because the driver stops. Each RPC is handled in a separate
+// call of the event loop, so that a panic of the module on one RPC does not affect the others.
 func (t *rpcTable) forceAnswers() {
 	t.table.ForEach(func(handle slots.Handle, q *rpc) {
 		if !q.answered {
@@ -198,7 +199,7 @@
 	})
 }
 
-// forceAnswer lets the module answer an RPC, and aborts the RPC if that has failed before.
+// forceAnswer tells the module to answer an RPC. If the module was told before and has not answered, the RPC is aborted.
 func (t *rpcTable) forceAnswer(id driver.RPC) {
 	q := t.get(id)
 	if q == nil || q.answered {
--- a/internal/node/scenario_test.go
+++ b/internal/node/scenario_test.go
@@ -18,7 +18,7 @@
 
 const ms = time.Millisecond
 
-// scenario is one driver, two members of one group and a client, in simulated time.
+// scenario is a driver, two members of one group and a client in simulated time.
 type scenario struct {
 	t          *testing.T
 	world      *sim.World
@@ -26,41 +26,42 @@
 	node       *Node
 	members    [2]*scriptedMember
 	client     *scriptedClient
-	receivedAt map[string][]time.Duration // when members had received each RPC completely, by id
+	receivedAt map[string][]time.Duration // when members had received all bytes of each attempt, by id of the RPC
 }
 
 // scriptedMember is a member whose behaviour a test sets.
 type scriptedMember struct {
-	scene          *scenario
+	scenario       *scenario
 	loop           *loop.Loop
-	at             netip.AddrPort
-	connectDelay   time.Duration                                         // until it accepts the startup of a connection
-	respond        func(c *scriptedMemberConn, id string, answer func()) // to each query; answer sends the row
-	onQuery        func(text string)                                     // is called with each query before respond
-	reads          int                                                   // bytes of one query that it takes
+	address        netip.AddrPort
+	connectDelay   time.Duration                                         // from the startup message of a connection to the response
+	respond        func(c *scriptedMemberConn, id string, answer func()) // is called for each query; answer sends a row
+	onQuery        func(text string)                                     // is called for each query before respond
+	reads          int                                                   // limit for the bytes of one query, not enforced
 	closedByDriver int                                                   // connections that the driver has closed
 }
 
+// scriptedMemberConn is a connection of the driver to a scriptedMember.
 type scriptedMemberConn struct {
-	actor  *scriptedMember
-	stream *loop.Stream
-	began  bool
+	member  *scriptedMember
+	stream  *loop.Stream
+	started bool // whether the startup message was received
 }
 
 func (c *scriptedMemberConn) Opened() {}
 
-func (c *scriptedMemberConn) Closed(error) { c.actor.closedByDriver++ }
+func (c *scriptedMemberConn) Closed(error) { c.member.closedByDriver++ }
 
 func (c *scriptedMemberConn) Panicked(error) {}
 
 func (c *scriptedMemberConn) Input(in []byte) int {
-	a := c.actor
-	if !c.began {
+	m := c.member
+	if !c.started {
 		if _, size, err := pgwire.First(in); err != nil || size == 0 {
 			return 0
 		}
-		c.began = true
-		a.loop.At(a.loop.Now()+a.connectDelay, func() { c.stream.Send(pgwire.AppendWelcome(nil, 1, 1)) })
+		c.started = true
+		m.loop.At(m.loop.Now()+m.connectDelay, func() { c.stream.Send(pgwire.AppendWelcome(nil, 1, 1)) })
 		return len(in)
 	}
 	_, body, size, err := pgwire.Next(in)
@@ -68,10 +69,10 @@
 		return 0
 	}
 	id := field(string(body[:len(body)-1]), "id")
-	s := a.scene
+	s := m.scenario
 	s.receivedAt[id] = append(s.receivedAt[id], s.world.Now())
-	a.onQuery(string(body[:len(body)-1]))
-	a.respond(c, id, func() { c.stream.Send(pgwire.AppendReady(appendReport(rowResponse("value of "+id), "leader"))) })
+	m.onQuery(string(body[:len(body)-1]))
+	m.respond(c, id, func() { c.stream.Send(pgwire.AppendReady(appendReport(rowResponse("value of "+id), "leader"))) })
 	return size
 }
 
@@ -83,10 +84,10 @@
 type scriptedClient struct {
 	loop      *loop.Loop
 	stream    *loop.Stream
-	received  []string // codes of errors and values of rows, in order
-	closedAt  time.Duration
-	secret    [8]byte
-	reconnect func()
+	received  []string      // codes of errors and values of rows, in order
+	closedAt  time.Duration // 0 while the connection is open
+	secret    [8]byte       // identifies the connection in a CancelRequest
+	reconnect func()        // is called 100 ms after the connection was closed, if not nil
 }
 
 func (c *scriptedClient) Opened() {}
@@ -119,20 +120,21 @@
 	return size
 }
 
-func newScenario(t *testing.T, change func(map[string]string), descriptors int) *scenario {
-	return newScenarioWithConfig(t, change, descriptors, "")
+// newScenario creates a scenario. changeSettings, if not nil, changes the site's settings.
+func newScenario(t *testing.T, changeSettings func(map[string]string), descriptors int) *scenario {
+	return newScenarioWithConfig(t, changeSettings, descriptors, "")
 }
 
-// newScenarioWithConfig also gives the driver an operator's file.
-func newScenarioWithConfig(t *testing.T, change func(map[string]string), descriptors int, wanted string) *scenario {
-	return newScenarioOn(t, change, descriptors, wanted, func(h *sim.Host) loop.System { return h })
+// newScenarioWithConfig also gives the driver an operator's file, unless its text is empty.
+func newScenarioWithConfig(t *testing.T, changeSettings func(map[string]string), descriptors int, operatorFile string) *scenario {
+	return newScenarioOn(t, changeSettings, descriptors, operatorFile, func(h *sim.Host) loop.System { return h })
 }
 
-// newScenarioOn runs the driver on a system of the test's own.
-func newScenarioOn(t *testing.T, change func(map[string]string), descriptors int, wanted string, system func(*sim.Host) loop.System) *scenario {
+// newScenarioOn runs the driver on the loop.System that system returns for its host.
+func newScenarioOn(t *testing.T, changeSettings func(map[string]string), descriptors int, operatorFile string, system func(*sim.Host) loop.System) *scenario {
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	s := &scenario{t: t, world: sim.New(1, epoch), receivedAt: make(map[string][]time.Duration)}
-	on := func(h *sim.Host) *loop.Loop {
+	newLoop := func(h *sim.Host) *loop.Loop {
 		l, err := loop.NewWithSystem(h, 1000, 16<<20)
 		if err != nil {
 			t.Fatal(err)
@@ -142,47 +144,48 @@
 	}
 	var targets []string
 	for i := range s.members {
-		a := &scriptedMember{scene: s, at: netip.MustParseAddrPort(fmt.Sprintf("10.0.1.%d:5432", i+1)), reads: 1 << 20}
-		a.loop = on(s.world.AddHost(fmt.Sprint("m", i)))
-		a.respond = func(_ *scriptedMemberConn, _ string, answer func()) { answer() }
-		a.onQuery = func(string) {}
-		if _, err := a.loop.Listen(a.at, 1<<20, loop.AcceptLimiter{}, func(open func(loop.Handler) *loop.Stream) {
-			c := &scriptedMemberConn{actor: a}
+		m := &scriptedMember{scenario: s, address: netip.MustParseAddrPort(fmt.Sprintf("10.0.1.%d:5432", i+1)), reads: 1 << 20}
+		m.loop = newLoop(s.world.AddHost(fmt.Sprint("m", i)))
+		m.respond = func(_ *scriptedMemberConn, _ string, answer func()) { answer() }
+		m.onQuery = func(string) {}
+		if _, err := m.loop.Listen(m.address, 1<<20, loop.AcceptLimiter{}, func(open func(loop.Handler) *loop.Stream) {
+			c := &scriptedMemberConn{member: m}
 			c.stream = open(c)
 		}, func(bool) {}); err != nil {
 			t.Fatal(err)
 		}
-		s.members[i] = a
-		targets = append(targets, fmt.Sprintf(`{"uid":"s-%d","endpoint":"%s","az":"a","pod_group":0,"state":"in_service","capacity_hint":1,"boot_ms":0}`, i, a.at))
+		s.members[i] = m
+		targets = append(targets, fmt.Sprintf(`{"uid":"s-%d","endpoint":"%s","az":"a","pod_group":0,"state":"in_service","capacity_hint":1,"boot_ms":0}`, i, m.address))
 	}
 	site := &Site{
 		Name: "d", Listen: netip.MustParseAddrPort("10.0.0.1:6543"), Discovery: netip.MustParseAddrPort("10.0.9.1:8500"), Seed: 5,
 		Descriptors: descriptors, Memory: 64 << 20, InitialList: []byte(endpointList(1, true, targets...)), Settings: settings.Flatten(simSettings(t)),
 	}
-	if change != nil {
-		change(site.Settings)
+	if changeSettings != nil {
+		changeSettings(site.Settings)
 	}
 	s.driver = s.world.AddHost("d")
 	l, err := loop.NewWithSystem(system(s.driver), descriptors, 16<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
-	wants := config.Default()
-	if wanted != "" {
+	cfg := config.Default()
+	if operatorFile != "" {
 		site.ConfigFile = filepath.Join(t.TempDir(), "passtack.hcl")
-		os.WriteFile(site.ConfigFile, []byte(wanted), 0o600)
-		if wants, err = site.ReadConfig(); err != nil {
+		os.WriteFile(site.ConfigFile, []byte(operatorFile), 0o600)
+		if cfg, err = site.ReadConfig(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if s.node, err = On(l, site, wants); err != nil {
+	if s.node, err = On(l, site, cfg); err != nil {
 		t.Fatal(err)
 	}
 	s.driver.Serve(l, func() {})
-	s.client = s.dial(on(s.world.AddHost("c")))
+	s.client = s.dial(newLoop(s.world.AddHost("c")))
 	return s
 }
 
+// dial connects a client to the driver.
 func (s *scenario) dial(l *loop.Loop) *scriptedClient {
 	c := &scriptedClient{loop: l}
 	l.Defer(func() {
@@ -195,10 +198,10 @@
 	return c
 }
 
-// at schedules an action by the time after the start.
+// at schedules an action at a time after the start.
 func (s *scenario) at(after time.Duration, action func()) { s.world.At(epoch+after, action) }
 
-// send lets the client send statements in one write.
+// send makes the client send statements in one write.
 func (s *scenario) send(after time.Duration, texts ...string) {
 	s.at(after, func() {
 		s.client.loop.At(s.world.Now(), func() {
@@ -211,7 +214,7 @@
 	})
 }
 
-// disconnect lets the client end its connection in one of the ways of disconnections.
+// disconnect makes the client leave in one of the ways in disconnections.
 func (s *scenario) disconnect(after time.Duration, how func(*scenario)) {
 	s.at(after, func() { s.client.loop.At(s.world.Now(), func() { how(s) }) })
 }
--- a/internal/node/timer.go
+++ b/internal/node/timer.go
@@ -6,47 +6,47 @@
 	"passtack/internal/loop"
 )
 
-// moduleTimer wakes the decision module. It is the driver's only periodic timer: other periodic work is done on its ticks,
-// and ticks that would do nothing are left out.
+// moduleTimer wakes the decision module. It is the driver's only periodic timer: other periodic work is done on its ticks.
+// Ticks on which the module would have nothing to do are skipped.
 type moduleTimer struct {
-	node     *Node
-	timer    loop.Timer
-	last     time.Duration // when the module last asked to be woken
-	next     time.Duration // when it will be woken
-	interval time.Duration // between two ticks while the module does not rest
+	node        *Node
+	timer       loop.Timer
+	requestedAt time.Duration // when the module last asked to be woken
+	nextTick    time.Duration // when it will be woken
+	interval    time.Duration // between two ticks while none are skipped
 }
 
-// wakeAfter schedules the next tick, on behalf of the module.
+// wakeAfter schedules the next tick at the request of the module.
 func (t *moduleTimer) wakeAfter(wait time.Duration) {
-	t.last, t.interval = t.node.loop.Now(), wait
-	t.schedule(t.last + wait)
+	t.requestedAt, t.interval = t.node.loop.Now(), wait
+	t.schedule(t.requestedAt + wait)
 }
 
 func (t *moduleTimer) schedule(at time.Duration) {
 	t.node.loop.Cancel(t.timer)
-	t.next = at
+	t.nextTick = at
 	t.timer = t.node.loop.At(at, t.tick)
 }
 
-// tick wakes the module, does the periodic work that is due, and leaves out the ticks through which the module rests.
+// tick wakes the module, does the periodic work that is due, and skips the ticks on which the module will have nothing to do.
 func (t *moduleTimer) tick() {
 	n := t.node
 	now := n.loop.Now()
-	delay := now - t.next
+	delay := now - t.nextTick
 	n.module.Wake()
 	if now >= n.recovery.nextCheck {
 		n.background.scheduler.ReportLateness(delay, now)
 		n.recovery.check()
 	}
-	if rest := n.module.WakeDelay(); rest > t.interval {
-		t.schedule(now + rest)
+	if wait := n.module.WakeDelay(); wait > t.interval {
+		t.schedule(now + wait)
 	}
 }
 
-// resume ends a rest: the next tick comes when it would have come without one.
+// resume stops skipping ticks. The next tick comes at the time at which it would have come if none had been skipped.
 func (t *moduleTimer) resume() {
-	missed := (t.node.loop.Now() - t.last + t.interval - 1) / t.interval
-	if at := t.last + missed*t.interval; at < t.next {
+	elapsed := (t.node.loop.Now() - t.requestedAt + t.interval - 1) / t.interval
+	if at := t.requestedAt + elapsed*t.interval; at < t.nextTick {
 		t.schedule(at)
 	}
 }
