--- a/internal/node/attempts_test.go
+++ b/internal/node/attempts_test.go
@@ -67,20 +67,20 @@
 
 // corruptAnswers returns answers that violate the protocol, keyed by a description of the fault.
 func corruptAnswers() map[string][]byte {
-	whole := pgwire.AppendReady(appendReport(rowResponse("value"), "leader"))
-	row, tag := bytes.Index(whole, []byte("value")), bytes.Index(whole, []byte("SELECT 1"))
+	valid := pgwire.AppendReady(appendReport(rowResponse("value"), "leader"))
+	row, tag := bytes.Index(valid, []byte("value")), bytes.Index(valid, []byte("SELECT 1"))
 	return map[string][]byte{
-		"row shorter than its value":               slices.Replace(bytes.Clone(whole), row-4, row, 0, 0, 0, 4),
-		"value length of 3 GB":                     slices.Replace(bytes.Clone(whole), row-4, row, 0xb2, 0xd0, 0x5e, 0),
-		"row with two columns":                     slices.Replace(bytes.Clone(whole), row-6, row-4, 0, 2),
-		"row description without columns":          slices.Replace(bytes.Clone(whole), 5, 7, 0, 0),
-		"invalid command tag":                      slices.Replace(bytes.Clone(whole), tag, tag+1, 7),
-		"command tag without terminator":           slices.Replace(bytes.Clone(whole), tag+8, tag+9, '1'),
-		"row sent twice":                           slices.Insert(bytes.Clone(whole), row-11, whole[row-11:row+5]...),
-		"invalid transaction status":               slices.Replace(bytes.Clone(whole), len(whole)-1, len(whole), 'x'),
+		"row shorter than its value":               slices.Replace(bytes.Clone(valid), row-4, row, 0, 0, 0, 4),
+		"value length of 3 GB":                     slices.Replace(bytes.Clone(valid), row-4, row, 0xb2, 0xd0, 0x5e, 0),
+		"row with two columns":                     slices.Replace(bytes.Clone(valid), row-6, row-4, 0, 2),
+		"row description without columns":          slices.Replace(bytes.Clone(valid), 5, 7, 0, 0),
+		"invalid command tag":                      slices.Replace(bytes.Clone(valid), tag, tag+1, 7),
+		"command tag without terminator":           slices.Replace(bytes.Clone(valid), tag+8, tag+9, '1'),
+		"row sent twice":                           slices.Insert(bytes.Clone(valid), row-11, valid[row-11:row+5]...),
+		"invalid transaction status":               slices.Replace(bytes.Clone(valid), len(valid)-1, len(valid), 'x'),
 		"error without a code":                     pgwire.AppendReady(append(pgwire.AppendHead(nil, 'E', 6), "SERR\x00\x00"...)),
 		"error with an invalid code":               pgwire.AppendReady(pgwire.AppendError(nil, false, "5330\x01", "no", -1)),
-		"parameter without a value":                append(append(pgwire.AppendHead(nil, 'S', 2), "x\x00"...), whole...),
+		"parameter without a value":                append(append(pgwire.AppendHead(nil, 'S', 2), "x\x00"...), valid...),
 		"rejection followed by an invalid message": append(pgwire.AppendError(nil, false, "53300", "no", -1), 'Z', 0, 0, 0, 5, 'x'),
 		"startup response instead of an answer":    pgwire.AppendWelcome(nil, 1, 1),
 	}
--- a/internal/node/client_disconnect_test.go
+++ b/internal/node/client_disconnect_test.go
@@ -73,7 +73,7 @@
 		s.at(120*ms, func() { s.driver.Pause(epoch + 400*ms) })
 		return []string{order("b")}
 	},
-	"connection opened and client gone in one iteration": func(s *scenario) []string {
+	"connection opened and client disconnected in one iteration": func(s *scenario) []string {
 		for _, m := range s.members {
 			m.connectDelay = 35 * ms
 		}
--- a/internal/node/eviction_test.go
+++ b/internal/node/eviction_test.go
@@ -26,8 +26,8 @@
 		clients = append(clients, c)
 	}
 	d.stop()
-	if _, most := d.loop.DescriptorCounts(); most > d.site.Descriptors || d.counters["clients_closed_idle"] == 0 {
-		t.Errorf("%d descriptors used of %d, counters %v", most, d.site.Descriptors, d.counters)
+	if _, peak := d.loop.DescriptorCounts(); peak > d.site.Descriptors || d.counters["clients_closed_idle"] == 0 {
+		t.Errorf("%d descriptors used of %d, counters %v", peak, d.site.Descriptors, d.counters)
 	}
 	for _, c := range clients {
 		c.Close()
--- a/internal/node/odata_test.go
+++ b/internal/node/odata_test.go
@@ -336,7 +336,7 @@
 }
 
 // The same script of faults runs with PostgreSQL clients and members, OData clients and members, and OData clients with PostgreSQL
-// members. All clients must receive the same answers, members must run the same attempts, and no unsafe RPC may run twice.
+// members. All clients must receive the same answers, members must run the same number of attempts, and no unsafe RPC may run twice.
 func TestSameOutcomesOnBothProtocols(t *testing.T) {
 	var script []scriptedOperation
 	add := func(kind string, faults ...memberFault) {
@@ -398,7 +398,7 @@
 			}
 			for token, times := range g.effects {
 				if strings.HasPrefix(token, "k") && times > 1 {
-					t.Errorf("%s: %s had %d effects, want 1 at most", name, token, times)
+					t.Errorf("%s: %s had %d effects without a token, want 1 at most", name, token, times)
 				}
 			}
 			mutex.Lock()
--- a/internal/node/pipeline_test.go
+++ b/internal/node/pipeline_test.go
@@ -62,9 +62,9 @@
 			t.Errorf("%s reached a member, want it rejected", id)
 		}
 	}
-	for id, most := range map[string]int{"head": 2000, "long": 900, "last": 1000} {
-		if left[id] > most || left[id] < most-50 {
-			t.Errorf("a member was told that %s has %d ms left, want %d at most and 50 less at least", id, left[id], most)
+	for id, maxLeft := range map[string]int{"head": 2000, "long": 900, "last": 1000} {
+		if left[id] > maxLeft || left[id] < maxLeft-50 {
+			t.Errorf("a member was told that %s has %d ms left, want %d at most and 50 less at least", id, left[id], maxLeft)
 		}
 	}
 	if s.node.rpcs.Len() != 0 {
@@ -82,9 +82,9 @@
 	s.sendBytes(300*ms, slices.Concat(b[20:], c[:len(c)-1])) // one read with the end of b and all but the last byte of c
 	s.sendBytes(500*ms, c[len(c)-1:])
 	s.world.Run(epoch + 900*ms)
-	for id, most := range map[string]int{"b": 1100, "c": 1300} { // the head is answered 700 ms after the start
-		if left[id] > most || left[id] < most-50 {
-			t.Errorf("a member was told that %s has %d ms left, want %d at most and 50 less at least", id, left[id], most)
+	for id, maxLeft := range map[string]int{"b": 1100, "c": 1300} { // the head is answered 700 ms after the start
+		if left[id] > maxLeft || left[id] < maxLeft-50 {
+			t.Errorf("a member was told that %s has %d ms left, want %d at most and 50 less at least", id, left[id], maxLeft)
 		}
 	}
 }
@@ -109,8 +109,8 @@
 		if len(s.receivedAt[id]) == 0 { // rejected, as it had no time left
 			continue
 		}
-		if most := after + 2400*ms - (s.receivedAt[id][0] - epoch); left[id] > int(most/ms)+1 || left[id] < int(most/ms)-80 {
-			t.Errorf("a member was told that %s has %d ms left, it has %v", id, left[id], most)
+		if maxLeft := after + 2400*ms - (s.receivedAt[id][0] - epoch); left[id] > int(maxLeft/ms)+1 || left[id] < int(maxLeft/ms)-80 {
+			t.Errorf("a member was told that %s has %d ms left, it has %v", id, left[id], maxLeft)
 		}
 	}
 }
--- a/internal/node/protocol_parity_test.go
+++ b/internal/node/protocol_parity_test.go
@@ -104,7 +104,7 @@
 	}
 	for _, call := range g.receivedCalls()[before:] {
 		if !call.write && (call.after == 0 || call.ran && call.member != 0) {
-			r.t.Errorf("%s: a read after a write was sent to lagging member %d with position %d", r.name, call.member, call.after)
+			r.t.Errorf("%s: a read after a write ran on lagging member %d or had no position: position %d", r.name, call.member, call.after)
 		}
 	}
 	setLag(0)
@@ -163,7 +163,7 @@
 	}
 	for _, call := range g.receivedCalls() {
 		if !call.write && (call.after == 0 || call.ran && call.member != 0) {
-			t.Errorf("a read that must see position %d was sent to lagging member %d or has no position", call.after, call.member)
+			t.Errorf("a read that must see position %d ran on lagging member %d or had no position", call.after, call.member)
 		}
 	}
 }
--- a/internal/node/timer.go
+++ b/internal/node/timer.go
@@ -11,7 +11,7 @@
 type moduleTimer struct {
 	node        *Node
 	timer       loop.Timer
-	requestedAt time.Duration // when the module last asked to be woken
+	requestedAt time.Duration // when the module last requested a tick
 	nextTick    time.Duration // when it will be woken
 	interval    time.Duration // between two ticks while none are skipped
 }
