--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -1,5 +1,5 @@
-// Package discovery is the client of the discovery agent: it watches the list of endpoints, or polls it, and reports each list
-// to its host. All calls come from the goroutine of the event loop.
+// Package discovery is the client of the discovery agent: it watches or polls the endpoint list, and reports each list to its
+// host. All calls come from the goroutine of the event loop.
 package discovery
 
 import (
@@ -18,9 +18,10 @@
 
 // Host receives endpoint lists.
 type Host interface {
-	// ListBegins starts a list, which Listed and ListEnds follow at once. A failure is reported as an empty list of driver.NoList.
+	// ListBegins starts a list. The calls of Listed and ListEnds follow at once. A failure is reported as an empty list of the
+	// kind driver.NoList.
 	ListBegins(kind driver.Listing)
-	// Listed reports one entry. The address is invalid where a removed member has none.
+	// Listed reports one entry. The address is invalid if a removed member is listed without one.
 	Listed(uid string, address netip.AddrPort, zone string, group driver.Group, state driver.Standing,
 		size float64, started time.Duration, primary bool)
 	// ListEnds completes the list.
@@ -29,47 +30,49 @@
 	Count(name string)
 }
 
-// A change is reported within 6 s after discovery has it, whatever requests fail meanwhile. In the worst case it comes just
-// after the last response, and the watch that was opened then gets none: it is given up after watchHold + responseSlack, the
-// next request follows rules.MaxListRetryWait later at most, and is answered within responseSlack: 2.5 + 1 + 0.5 + 1 = 5 s. If that
-// request fails too, and responses come at once, the one after it is answered after 5.5 s at most.
+// A change is reported within 6 s after discovery has it, even if requests fail in that time. In the worst case it happens just
+// after the last response, and the watch opened then gets no response: the watch times out after watchHold + responseSlack, the
+// next request follows at most rules.MaxListRetryWait later, and is answered within responseSlack: 2.5 + 1 + 0.5 + 1 = 5 s. If that
+// request fails too, and failures and responses arrive at once, the request after it is answered after 5.5 s at most.
 const (
-	watchHold     = 2500 * time.Millisecond // for which discovery may hold a watch without a change
-	responseSlack = time.Second             // for a response, beyond watchHold
+	watchHold     = 2500 * time.Millisecond // how long discovery may hold a watch without a change
+	responseSlack = time.Second             // time limit of a response, beyond watchHold
 	maxListBytes  = 4 << 20
 	listPath      = "/discovery/hosts"
 )
 
-// MaxWatch is the longest time from sending a watch until it is answered or given up.
+// MaxWatch is the longest time from sending a watch until it is answered or times out.
 const MaxWatch = watchHold + responseSlack
 
-var errTimeout = errors.New("no response in time")
+var errTimeout = errors.New("no complete response within the time limit")
 
-// StatusError reports a response of discovery with another status than 200.
+// StatusError reports a response from discovery with a status other than 200.
 type StatusError int
 
 // Error implements error.
-func (s StatusError) Error() string { return fmt.Sprintf("status %d", int(s)) }
+func (s StatusError) Error() string {
+	return fmt.Sprintf("response with status %d, expected 200", int(s))
+}
 
 // Client is the connection to discovery. One request is outstanding at a time. It implements loop.Handler.
 type Client struct {
 	loop        *loop.Loop
 	host        Host
 	address     netip.AddrPort
-	stream      *loop.Stream // nil: not connected
-	revision    int64        // of the latest list
-	requests    uint64       // sent so far
-	outstanding uint64       // number of the request without a response, 0: none
-	timeout     loop.Timer   // of that request
-	fetching    bool         // that request, or the latest, is for the complete list
-	fetchNext   bool         // the next request is for the complete list
-	pollNext    bool         // the next request does not wait for a change, as the latest failed or the watch is paused
-	watching    bool         // a watch follows each response
-	paused      bool         // the watch is paused
-	respondedAt time.Duration
-
-	// OnList receives every list before the host does, for storage. It may be nil. Entries are by uid; those of removed members
-	// are nil.
+	stream      *loop.Stream  // nil: not connected
+	revision    int64         // revision of the latest list
+	requests    uint64        // number of requests sent so far
+	outstanding uint64        // number of the request without a response, 0: none
+	timeout     loop.Timer    // timeout of that request
+	fetching    bool          // the outstanding or latest request is for the complete list
+	fetchNext   bool          // the next request is for the complete list
+	pollNext    bool          // the next request does not wait for a change: the latest one failed, or Poll was called
+	watching    bool          // the next watch is sent after each response
+	paused      bool          // the watch is paused
+	respondedAt time.Duration // time of the latest valid list
+
+	// OnList receives every list before the host does, for storage. It may be nil. The entries are keyed by uid, and nil for
+	// removed members.
 	OnList func(revision int64, complete bool, entries map[string][]byte)
 }
 
@@ -88,7 +91,7 @@
 	}
 }
 
-// Poll requests the changes so far, also while the watch is paused.
+// Poll requests the changes since the latest list without waiting for one, also while the watch is paused.
 func (c *Client) Poll() {
 	c.pollNext = true
 	c.send()
@@ -114,7 +117,7 @@
 	c.Fetch()
 }
 
-// Fresh reports whether discovery has responded recently enough for a watch that goes on.
+// Fresh reports whether the latest response is no older than it may be while the watch is running.
 func (c *Client) Fresh() bool { return c.respondedAt > 0 && c.loop.Now()-c.respondedAt < MaxWatch }
 
 // Revision returns the revision of the latest list.
@@ -211,7 +214,7 @@
 	c.send()
 }
 
-// Closed implements loop.Handler. The end of the connection completes a response without a length.
+// Closed implements loop.Handler. The orderly end of the connection completes a response without a length.
 func (c *Client) Closed(cause error) {
 	in := c.stream.Unread()
 	c.stream = nil
@@ -228,8 +231,8 @@
 // Panicked implements loop.Handler.
 func (c *Client) Panicked(cause error) { c.fail(cause) }
 
-// fail reports that a request brought no list. The latest list remains valid. The watch stops until the host starts it again;
-// then a request for the complete list that failed is repeated.
+// fail reports to the host that a request returned no list. The latest list remains valid. The watch stops until the host starts
+// it again; a failed request for the complete list is then sent again.
 func (c *Client) fail(cause error) {
 	slog.Warn("endpoint list request failed", "revision", c.revision, "cause", cause)
 	c.disconnect()
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -14,18 +14,18 @@
 	"passtack/internal/pcg"
 )
 
-// recorder records lists as text.
+// recorder is a host that records the reported lists as text.
 type recorder struct {
 	text      strings.Builder
 	openLists int
 }
 
-func (t *recorder) ListBegins(how driver.Listing) { t.openLists++; fmt.Fprintf(&t.text, "%d[", how) }
-func (t *recorder) ListEnds(how driver.Listing)   { t.openLists--; fmt.Fprintf(&t.text, "]%d ", how) }
-func (t *recorder) Count(string)                  {}
-func (t *recorder) Listed(uid string, at netip.AddrPort, zone string, group driver.Group, state driver.Standing,
+func (r *recorder) ListBegins(kind driver.Listing) { r.openLists++; fmt.Fprintf(&r.text, "%d[", kind) }
+func (r *recorder) ListEnds(kind driver.Listing)   { r.openLists--; fmt.Fprintf(&r.text, "]%d ", kind) }
+func (r *recorder) Count(string)                   {}
+func (r *recorder) Listed(uid string, address netip.AddrPort, zone string, group driver.Group, state driver.Standing,
 	size float64, started time.Duration, primary bool) {
-	fmt.Fprintf(&t.text, "%s %s %s %d %d %v %d %t;", uid, at, zone, group, state, size, started, primary)
+	fmt.Fprintf(&r.text, "%s %s %s %d %d %v %d %t;", uid, address, zone, group, state, size, started, primary)
 }
 
 var idleLoop = sync.OnceValues(func() (*loop.Loop, error) { return loop.New(1000, 0) })
@@ -41,28 +41,29 @@
 
 const entry = `{"uid":"s-1","endpoint":"127.0.0.1:7001","az":"a","model":"m","pod_group":3,"state":"in_service","capacity_hint":1.5,"boot_ms":1767225600123}`
 
+// Guards against lists reported as the wrong kind or with wrong entries: a stored one, complete ones and changes.
 func TestCompleteListsAndChanges(t *testing.T) {
-	d, recorded := newClient(t)
-	if err := d.Restore([]byte(`{"rev":41,"all":true,"targets":[` + entry + `]}`)); err != nil || d.revision != 41 {
-		t.Fatal(err, d.revision)
+	client, recorded := newClient(t)
+	if err := client.Restore([]byte(`{"rev":41,"all":true,"targets":[` + entry + `]}`)); err != nil || client.revision != 41 {
+		t.Fatal(err, client.revision)
 	}
-	d.receive(200, []byte(`{"rev":42,"all":false,"targets":[]}`), false)
-	d.receive(200, []byte(`{"rev":43,"all":false,"targets":[{"uid":"s-2","state":"terminated","pod_group":1,"role":"leader"}]}`), false)
-	d.receive(200, []byte(`{"rev":44,"all":true,"targets":[]}`), false)
+	client.receive(200, []byte(`{"rev":42,"all":false,"targets":[]}`), false)
+	client.receive(200, []byte(`{"rev":43,"all":false,"targets":[{"uid":"s-2","state":"terminated","pod_group":1,"role":"leader"}]}`), false)
+	client.receive(200, []byte(`{"rev":44,"all":true,"targets":[]}`), false)
 	want := "2[s-1 127.0.0.1:7001 a 3 1 1.5 1767225600123000000 false;]2 0[]0 " +
 		fmt.Sprintf("0[s-2 invalid AddrPort  1 2 0 %d true;]0 1[]1 ", int64(driver.LongAgo))
-	if recorded.text.String() != want || d.revision != 44 {
-		t.Fatalf("reported %s, want %s, revision %d", recorded.text.String(), want, d.revision)
+	if recorded.text.String() != want || client.revision != 44 {
+		t.Fatalf("reported %s, want %s, revision %d", recorded.text.String(), want, client.revision)
 	}
 }
 
-// Stored entries are read by later builds.
+// Guards against a changed encoding of stored entries, which later builds must be able to read.
 func TestStoredEntriesKeepTheirEncoding(t *testing.T) {
-	c, _ := newClient(t)
+	client, _ := newClient(t)
 	var stored map[string][]byte
-	c.OnList = func(_ int64, _ bool, entries map[string][]byte) { stored = entries }
+	client.OnList = func(_ int64, _ bool, entries map[string][]byte) { stored = entries }
 	body := `{"rev":42,"all":false,"targets":[` + entry + `,{"uid":"s-2","state":"terminated"}]}`
-	if err := c.Restore([]byte(body)); err != nil {
+	if err := client.Restore([]byte(body)); err != nil {
 		t.Fatal(err)
 	}
 	const want = `{"UID":"s-1","Endpoint":"127.0.0.1:7001","az":"a","pod_group":3,"State":"in_service","capacity_hint":1.5,` +
@@ -72,9 +73,10 @@
 	}
 }
 
+// Guards against a partly reported list: of one with a malformed entry, the host gets only the failure.
 func TestMalformedListsReportOnlyTheFailure(t *testing.T) {
-	d, recorded := newClient(t)
-	d.revision = 7
+	client, recorded := newClient(t)
+	client.revision = 7
 	for _, body := range []string{
 		"", "[]", "{", `{"all":true,"targets":[` + entry + `]}`, `{"rev":8,"targets":[` + entry + `,{}]}`,
 		strings.Replace(`{"rev":8,"targets":[`+entry+`]}`, "in_service", "dancing", 1),
@@ -82,19 +84,19 @@
 		strings.Replace(`{"rev":8,"targets":[`+entry+`]}`, ":3", ":-3", 1),
 	} {
 		recorded.text.Reset()
-		d.outstanding = 1
-		d.receive(200, []byte(body), false)
-		if recorded.text.String() != "3[]3 " || d.revision != 7 || d.outstanding != 0 {
-			t.Errorf("%s: reported %s, revision %d", body, recorded.text.String(), d.revision)
+		client.outstanding = 1
+		client.receive(200, []byte(body), false)
+		if recorded.text.String() != "3[]3 " || client.revision != 7 || client.outstanding != 0 {
+			t.Errorf("%s: reported %s, revision %d", body, recorded.text.String(), client.revision)
 		}
 	}
-	d.receive(503, []byte(`{"rev":9,"all":true,"targets":[]}`), false)
-	if d.revision != 7 {
+	client.receive(503, []byte(`{"rev":9,"all":true,"targets":[]}`), false)
+	if client.revision != 7 {
 		t.Error("a response with status 503 was used")
 	}
 }
 
-// A response without a length ends with its connection.
+// Guards against waiting for more of a response without a length, which is complete when its connection ends.
 func TestResponseThatEndsWithItsConnection(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -117,14 +119,15 @@
 		t.Fatal(err)
 	}
 	recorded := new(recorder)
-	d := New(l, recorded, netip.MustParseAddrPort(listener.Addr().String()))
-	d.Fetch()
+	client := New(l, recorded, netip.MustParseAddrPort(listener.Addr().String()))
+	client.Fetch()
 	l.At(l.Now()+200*time.Millisecond, l.Stop)
-	if err := l.Run(func() {}); err != nil || d.revision != 7 || !strings.HasPrefix(recorded.text.String(), "1[s-1 ") {
-		t.Fatalf("revision %d, reported %s, %v", d.revision, recorded.text.String(), err)
+	if err := l.Run(func() {}); err != nil || client.revision != 7 || !strings.HasPrefix(recorded.text.String(), "1[s-1 ") {
+		t.Fatalf("revision %d, reported %s, %v", client.revision, recorded.text.String(), err)
 	}
 }
 
+// Guards against a panic on a damaged list, and against a malformed list of which a part is reported.
 func FuzzLists(f *testing.F) {
 	whole := `{"rev":41,"all":true,"targets":[` + entry + `,` + strings.Replace(entry, "s-1", "s-2", 1) + `]}`
 	for seed := range uint64(100) {
@@ -136,8 +139,8 @@
 		f.Add(damaged)
 	}
 	f.Fuzz(func(t *testing.T, body []byte) {
-		d, recorded := newClient(t)
-		err := d.apply(body, false)
+		client, recorded := newClient(t)
+		err := client.apply(body, false)
 		if recorded.openLists != 0 || (err != nil) != (recorded.text.Len() == 0) {
 			t.Fatalf("%v, but reported %s", err, recorded.text.String())
 		}
--- a/internal/discovery/delay_test.go
+++ b/internal/discovery/delay_test.go
@@ -14,37 +14,37 @@
 	"passtack/rules"
 )
 
-// maxDelay is how long after a change the host must have it, whatever requests failed meanwhile.
+// maxDelay is the longest allowed time from a change until the host has it, even if requests fail in between.
 const maxDelay = 6 * time.Second
 
-// watcher is the host of a client. After a failure it resumes the watch as late as the decision module ever does.
+// watcher is the host of a client. After a failure it resumes the watch after the longest time that the decision module may take.
 type watcher struct {
 	loop       *loop.Loop
 	client     *discovery.Client
 	reportedAt map[string]time.Duration // when a member was first reported
 }
 
-func (r *watcher) ListBegins(driver.Listing) {}
-func (r *watcher) ListEnds(how driver.Listing) {
-	if how == driver.NoList {
-		r.loop.At(r.loop.Now()+rules.MaxListRetryWait, func() { r.client.SetWatching(true) })
+func (w *watcher) ListBegins(driver.Listing) {}
+func (w *watcher) ListEnds(kind driver.Listing) {
+	if kind == driver.NoList {
+		w.loop.At(w.loop.Now()+rules.MaxListRetryWait, func() { w.client.SetWatching(true) })
 	}
 }
-func (r *watcher) Count(string) {}
-func (r *watcher) Listed(uid string, _ netip.AddrPort, _ string, _ driver.Group, _ driver.Standing, _ float64, _ time.Duration, _ bool) {
-	if r.reportedAt[uid] == 0 {
-		r.reportedAt[uid] = r.loop.Now()
+func (w *watcher) Count(string) {}
+func (w *watcher) Listed(uid string, _ netip.AddrPort, _ string, _ driver.Group, _ driver.Standing, _ float64, _ time.Duration, _ bool) {
+	if w.reportedAt[uid] == 0 {
+		w.reportedAt[uid] = w.loop.Now()
 	}
 }
 
-// agent is a discovery agent. It applies to each request the fault that faultOf returns for its number.
+// agent is a discovery agent. It applies to each request the fault that faultOf returns for the request's number.
 type agent struct {
 	loop      *loop.Loop
 	revision  int64
 	changedAt map[int64]time.Duration // when each revision began
 	requests  int
 	waiting   []*agentConnection
-	faultOf   func(call int) fault
+	faultOf   func(number int) fault
 	indent    bool
 }
 
@@ -59,7 +59,7 @@
 	resetInBody
 	closedInBody
 	malformed
-	failing
+	status503
 	endless
 	closedAtOnce // the connection is closed instead of a response
 	faultCount
@@ -73,37 +73,37 @@
 	closed       bool
 }
 
-func (a *agentConnection) Opened()        {}
-func (a *agentConnection) Closed(error)   { a.closed = true }
-func (a *agentConnection) Panicked(error) { a.closed = true }
+func (c *agentConnection) Opened()        {}
+func (c *agentConnection) Closed(error)   { c.closed = true }
+func (c *agentConnection) Panicked(error) { c.closed = true }
 
-func (a *agentConnection) Input(in []byte) int {
+func (c *agentConnection) Input(in []byte) int {
 	if !strings.Contains(string(in), "\r\n\r\n") {
 		return 0
 	}
 	var hold int
-	g := a.agent
-	a.fromRevision, a.fault = -1, g.faultOf(g.requests)
-	g.requests++
-	fmt.Sscanf(string(in), "GET /discovery/hosts?from=%d&hold_ms=%d ", &a.fromRevision, &hold)
-	switch a.fault {
+	agent := c.agent
+	c.fromRevision, c.fault = -1, agent.faultOf(agent.requests)
+	agent.requests++
+	fmt.Sscanf(string(in), "GET /discovery/hosts?from=%d&hold_ms=%d ", &c.fromRevision, &hold)
+	switch c.fault {
 	case closedAtOnce:
-		a.stream.Close()
+		c.stream.Close()
 		return len(in)
 	case resetAtOnce:
-		a.stream.Reset()
+		c.stream.Reset()
 		return len(in)
 	}
-	if a.fromRevision < g.revision || hold == 0 {
-		a.respond()
+	if c.fromRevision < agent.revision || hold == 0 {
+		c.respond()
 		return len(in)
 	}
-	g.waiting = append(g.waiting, a)
-	g.loop.At(g.loop.Now()+time.Duration(hold)*time.Millisecond, func() {
-		for i, o := range g.waiting {
-			if o == a {
-				g.waiting = append(g.waiting[:i], g.waiting[i+1:]...)
-				a.respond()
+	agent.waiting = append(agent.waiting, c)
+	agent.loop.At(agent.loop.Now()+time.Duration(hold)*time.Millisecond, func() {
+		for i, other := range agent.waiting {
+			if other == c {
+				agent.waiting = append(agent.waiting[:i], agent.waiting[i+1:]...)
+				c.respond()
 				return
 			}
 		}
@@ -111,216 +111,219 @@
 	return len(in)
 }
 
-func (a *agentConnection) respond() {
-	if a.closed || a.fault == silent {
+func (c *agentConnection) respond() {
+	if c.closed || c.fault == silent {
 		return
 	}
-	g := a.agent
+	agent := c.agent
 	var entries []string
-	for rev := max(a.fromRevision, 0) + 1; rev <= g.revision; rev++ {
+	for rev := max(c.fromRevision, 0) + 1; rev <= agent.revision; rev++ {
 		entries = append(entries, fmt.Sprintf(`{"uid":"s-%d","endpoint":"10.0.1.1:5432","az":"a","pod_group":0,"state":"terminating","capacity_hint":1,"boot_ms":0}`, rev))
 	}
-	body := fmt.Sprintf(`{"rev":%d,"all":%t,"targets":[%s]}`, g.revision, a.fromRevision < 0, strings.Join(entries, ","))
-	if g.indent {
+	body := fmt.Sprintf(`{"rev":%d,"all":%t,"targets":[%s]}`, agent.revision, c.fromRevision < 0, strings.Join(entries, ","))
+	if agent.indent {
 		body = strings.NewReplacer("{", "{\n\t", ",\"", ",\n\t\t\"", "[", "[\n ").Replace(body)
 	}
 	whole := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-	switch a.fault {
+	switch c.fault {
 	case none:
-		a.stream.Send([]byte(whole))
+		c.stream.Send([]byte(whole))
 	case silentInHead:
-		a.stream.Send([]byte(whole[:20]))
+		c.stream.Send([]byte(whole[:20]))
 	case silentInBody:
-		a.stream.Send([]byte(whole[:len(whole)-5]))
+		c.stream.Send([]byte(whole[:len(whole)-5]))
 	case resetInBody:
-		a.stream.Send([]byte(whole[:len(whole)-5]))
-		g.loop.At(g.loop.Now()+time.Millisecond, a.stream.Reset)
-	case closedInBody: // without a length, so only a close in order would end it
-		a.stream.Send([]byte("HTTP/1.1 200 OK\r\n\r\n" + body[:len(body)-3]))
-		a.stream.CloseWhenSent()
+		c.stream.Send([]byte(whole[:len(whole)-5]))
+		agent.loop.At(agent.loop.Now()+time.Millisecond, c.stream.Reset)
+	case closedInBody: // without a length, so only an orderly close would complete it
+		c.stream.Send([]byte("HTTP/1.1 200 OK\r\n\r\n" + body[:len(body)-3]))
+		c.stream.CloseWhenSent()
 	case malformed:
-		a.stream.Send([]byte(strings.Replace(whole, "rev", "v\x00r", 1)))
-	case failing:
-		a.stream.Send([]byte("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"))
+		c.stream.Send([]byte(strings.Replace(whole, "rev", "v\x00r", 1)))
+	case status503:
+		c.stream.Send([]byte("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"))
 	case endless:
-		a.stream.Send([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"))
-		a.sendEndlessly()
+		c.stream.Send([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"))
+		c.sendEndlessly()
 	}
 }
 
-func (a *agentConnection) sendEndlessly() {
-	if !a.closed {
-		a.stream.Send([]byte("5\r\n     \r\n"))
-		a.agent.loop.At(a.agent.loop.Now()+50*time.Millisecond, a.sendEndlessly)
+func (c *agentConnection) sendEndlessly() {
+	if !c.closed {
+		c.stream.Send([]byte("5\r\n     \r\n"))
+		c.agent.loop.At(c.agent.loop.Now()+50*time.Millisecond, c.sendEndlessly)
 	}
 }
 
-func (g *agent) change() {
-	g.revision++
-	g.changedAt[g.revision] = g.loop.Now()
-	waiting := g.waiting
-	g.waiting = nil
-	for _, a := range waiting {
-		a.respond()
+func (a *agent) change() {
+	a.revision++
+	a.changedAt[a.revision] = a.loop.Now()
+	waiting := a.waiting
+	a.waiting = nil
+	for _, c := range waiting {
+		c.respond()
 	}
 }
 
 var agentAddress = netip.MustParseAddrPort("10.0.9.1:8500")
 
 // newWorld returns a simulated network with a watcher and an agent.
-func newWorld(t *testing.T, befalls func(int) fault) (*sim.World, *watcher, *agent) {
-	w := sim.New(1, time.Hour)
-	r, g := &watcher{reportedAt: make(map[string]time.Duration)}, &agent{changedAt: make(map[int64]time.Duration), faultOf: befalls}
-	r.loop, g.loop = newLoop(t, w, "driver"), newLoop(t, w, "agent")
-	g.listen(t, agentAddress)
-	r.client = discovery.New(r.loop, r, agentAddress)
-	r.loop.Defer(func() { r.client.SetWatching(true) })
-	return w, r, g
+func newWorld(t *testing.T, faultOf func(int) fault) (*sim.World, *watcher, *agent) {
+	world := sim.New(1, time.Hour)
+	host, discoveryAgent := &watcher{reportedAt: make(map[string]time.Duration)}, &agent{changedAt: make(map[int64]time.Duration), faultOf: faultOf}
+	host.loop, discoveryAgent.loop = newLoop(t, world, "driver"), newLoop(t, world, "agent")
+	discoveryAgent.listen(t, agentAddress)
+	host.client = discovery.New(host.loop, host, agentAddress)
+	host.loop.Defer(func() { host.client.SetWatching(true) })
+	return world, host, discoveryAgent
 }
 
-func newLoop(t *testing.T, w *sim.World, name string) *loop.Loop {
-	h := w.AddHost(name)
-	l, err := loop.NewWithSystem(h, 1000, 16<<20)
+func newLoop(t *testing.T, world *sim.World, name string) *loop.Loop {
+	host := world.AddHost(name)
+	ownLoop, err := loop.NewWithSystem(host, 1000, 16<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
-	h.Serve(l, func() {})
-	return l
+	host.Serve(ownLoop, func() {})
+	return ownLoop
 }
 
-func (g *agent) listen(t *testing.T, at netip.AddrPort) *loop.Listener {
-	n, err := g.loop.Listen(at, 1<<20, loop.AcceptLimiter{}, func(open func(loop.Handler) *loop.Stream) {
-		a := &agentConnection{agent: g}
-		a.stream = open(a)
+func (a *agent) listen(t *testing.T, address netip.AddrPort) *loop.Listener {
+	listener, err := a.loop.Listen(address, 1<<20, loop.AcceptLimiter{}, func(open func(loop.Handler) *loop.Stream) {
+		c := &agentConnection{agent: a}
+		c.stream = open(c)
 	}, func(bool) {})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return n
+	return listener
 }
 
-// check checks the delay of each change, from when the agent had it or became reachable again.
-func check(t *testing.T, name string, r *watcher, g *agent, reachableAt time.Duration) {
+// check checks the delay of each change, counted from when the agent had it or, if later, from reachableAt.
+func check(t *testing.T, name string, host *watcher, discoveryAgent *agent, reachableAt time.Duration) {
 	t.Helper()
-	for rev, had := range g.changedAt {
-		at := r.reportedAt[fmt.Sprint("s-", rev)]
-		if had = max(had, reachableAt); at == 0 || at-had > maxDelay {
-			t.Errorf("%s: change %d at %v was reported %v later", name, rev, had, at-had)
+	for rev, availableAt := range discoveryAgent.changedAt {
+		at := host.reportedAt[fmt.Sprint("s-", rev)]
+		if availableAt = max(availableAt, reachableAt); at == 0 || at-availableAt > maxDelay {
+			t.Errorf("%s: change %d at %v was reported %v later", name, rev, availableAt, at-availableAt)
 		}
 	}
 }
 
-// Every pair of faults hits the request that is outstanding when the change comes and the one after it, at many moments of a
-// watch.
+// Guards against a change that is reported late after failed requests. Every pair of faults affects the request that is
+// outstanding when the change happens and the one after it, at many moments of a watch.
 func TestChangesArriveWithinSixSecondsDespiteFaults(t *testing.T) {
-	for what := none; what < faultCount; what++ {
-		for after := none; after < faultCount; after++ {
+	for firstFault := none; firstFault < faultCount; firstFault++ {
+		for secondFault := none; secondFault < faultCount; secondFault++ {
 			for step := time.Duration(0); step < 3*time.Second; step += 300 * time.Millisecond {
-				w, r, g := newWorld(t, func(call int) fault {
-					switch call {
+				world, host, discoveryAgent := newWorld(t, func(number int) fault {
+					switch number {
 					case 1:
-						return what
+						return firstFault
 					case 2:
-						return after
+						return secondFault
 					}
 					return none
 				})
-				g.indent = step%(600*time.Millisecond) == 0
-				g.revision = 1 // since the start
-				g.loop.At(g.loop.Now()+5*time.Millisecond+step, g.change)
-				w.Run(time.Hour + 20*time.Second)
-				check(t, fmt.Sprintf("%d, then %d, %v after the watch began", what, after, step), r, g, 0)
+				discoveryAgent.indent = step%(600*time.Millisecond) == 0
+				discoveryAgent.revision = 1 // the agent has it from the start
+				discoveryAgent.loop.At(discoveryAgent.loop.Now()+5*time.Millisecond+step, discoveryAgent.change)
+				world.Run(time.Hour + 20*time.Second)
+				check(t, fmt.Sprintf("%d, then %d, %v after the watch began", firstFault, secondFault, step), host, discoveryAgent, 0)
 			}
 		}
 	}
 }
 
-// A list that the agent has at the start is reported at once.
+// Guards against a delay of the first list, which the agent has from the start.
 func TestTheFirstListArrivesAtOnce(t *testing.T) {
-	w, r, g := newWorld(t, func(int) fault { return none })
-	g.revision, g.changedAt[1] = 1, time.Hour
-	w.Run(time.Hour + 100*time.Millisecond)
-	if at := r.reportedAt["s-1"]; at == 0 || at > time.Hour+10*time.Millisecond {
+	world, host, discoveryAgent := newWorld(t, func(int) fault { return none })
+	discoveryAgent.revision, discoveryAgent.changedAt[1] = 1, time.Hour
+	world.Run(time.Hour + 100*time.Millisecond)
+	if at := host.reportedAt["s-1"]; at == 0 || at > time.Hour+10*time.Millisecond {
 		t.Fatalf("reported after %v", at-time.Hour)
 	}
 }
 
-// Discovery is down for a while, refusing or silent. Delays count from when it is up again.
+// Guards against a change that is reported late after an outage of discovery, which either refuses connections or drops all
+// packets. Delays count from the end of the outage.
 func TestChangesArriveWithinSixSecondsAfterAnOutage(t *testing.T) {
 	for _, down := range []time.Duration{500 * time.Millisecond, 3 * time.Second, 7*time.Second + 300*time.Millisecond, 30 * time.Second} {
-		for _, cut := range []bool{false, true} {
-			w, r, g := newWorld(t, func(int) fault { return none })
-			caller, back := w.Hosts()[0], time.Hour+time.Second+down
-			w.At(time.Hour+time.Second, func() {
-				if cut {
-					gone := sim.LocalLink
-					gone.Cut = true
-					w.SetRoute(caller, agentAddress, gone, gone)
+		for _, silentLink := range []bool{false, true} {
+			world, host, discoveryAgent := newWorld(t, func(int) fault { return none })
+			driverHost, reachableAt := world.Hosts()[0], time.Hour+time.Second+down
+			world.At(time.Hour+time.Second, func() {
+				if silentLink {
+					link := sim.LocalLink
+					link.Cut = true
+					world.SetRoute(driverHost, agentAddress, link, link)
 				} else {
-					gone := sim.LocalLink
-					gone.RefuseConnects = true
-					w.SetRoute(caller, agentAddress, gone, gone)
-					w.ResetRoute(caller, agentAddress)
+					link := sim.LocalLink
+					link.RefuseConnects = true
+					world.SetRoute(driverHost, agentAddress, link, link)
+					world.ResetRoute(driverHost, agentAddress)
 				}
 			})
-			w.At(time.Hour+time.Second+down/2, g.change)
-			w.At(back, func() { w.ClearRoute(caller, agentAddress) })
-			w.Run(back + 20*time.Second)
-			check(t, fmt.Sprintf("down for %v, cut %t", down, cut), r, g, back)
+			world.At(time.Hour+time.Second+down/2, discoveryAgent.change)
+			world.At(reachableAt, func() { world.ClearRoute(driverHost, agentAddress) })
+			world.Run(reachableAt + 20*time.Second)
+			check(t, fmt.Sprintf("down for %v, cut %t", down, silentLink), host, discoveryAgent, reachableAt)
 		}
 	}
 }
 
-// After a change of the address, the list of the new agent arrives within 4 s, even if the first request fails.
+// Guards against a list of a new agent that arrives more than 4 s after the address was changed. The first request to it fails
+// in various ways, and the former address does not respond.
 func TestListsArriveWithinFourSecondsAfterAMove(t *testing.T) {
-	for what := none; what < faultCount; what++ {
-		w, r, g := newWorld(t, func(call int) fault {
-			if call == 0 {
-				return what
+	for firstFault := none; firstFault < faultCount; firstFault++ {
+		world, host, discoveryAgent := newWorld(t, func(number int) fault {
+			if number == 0 {
+				return firstFault
 			}
 			return none
 		})
 		other := netip.MustParseAddrPort("10.0.9.2:8500")
-		g.listen(t, other)
-		r.client = discovery.New(r.loop, r, netip.MustParseAddrPort("10.0.9.3:8500"))          // nothing listens there
-		if err := r.client.Restore([]byte(`{"rev":50,"all":true,"targets":[]}`)); err != nil { // the other agent has its own revisions
+		discoveryAgent.listen(t, other)
+		host.client = discovery.New(host.loop, host, netip.MustParseAddrPort("10.0.9.3:8500"))    // nothing listens there
+		if err := host.client.Restore([]byte(`{"rev":50,"all":true,"targets":[]}`)); err != nil { // the other agent has its own revisions
 			t.Fatal(err)
 		}
-		g.revision, g.changedAt[1] = 1, time.Hour+2*time.Second
-		r.loop.At(time.Hour+2*time.Second, func() { r.client.SetAddress(other) })
-		w.Run(time.Hour + 20*time.Second)
-		if at := r.reportedAt["s-1"] - time.Hour - 2*time.Second; at < 0 || at > 4*time.Second {
-			t.Errorf("%d: reported %v after the move", what, at)
+		discoveryAgent.revision, discoveryAgent.changedAt[1] = 1, time.Hour+2*time.Second
+		host.loop.At(time.Hour+2*time.Second, func() { host.client.SetAddress(other) })
+		world.Run(time.Hour + 20*time.Second)
+		if at := host.reportedAt["s-1"] - time.Hour - 2*time.Second; at < 0 || at > 4*time.Second {
+			t.Errorf("%d: reported %v after the move", firstFault, at)
 		}
 	}
 }
 
-// A driver whose watch is paused polls as often as the task does, even if no announcement comes and some polls fail.
+// Guards against a change that is reported late while the watch is paused. The client is polled as rarely as the driver does it
+// without announcements from other drivers, and every third poll fails.
 func TestChangesArriveInTimeWhilePaused(t *testing.T) {
-	const announceInterval = 300 * time.Millisecond // in which the task checks whether to poll
-	for _, what := range []fault{none, silent, resetAtOnce, failing} {
+	const announceInterval = 300 * time.Millisecond // interval at which the driver checks whether to poll
+	for _, repeatedFault := range []fault{none, silent, resetAtOnce, status503} {
 		for step := time.Duration(0); step < 4*time.Second; step += 400 * time.Millisecond {
 			calls := 0
-			w, r, g := newWorld(t, func(int) fault {
+			world, host, discoveryAgent := newWorld(t, func(int) fault {
 				if calls++; calls%3 == 0 {
-					return what
+					return repeatedFault
 				}
 				return none
 			})
-			var catch func()
-			catch = func() {
-				r.client.Poll()
-				r.loop.At(r.loop.Now()+discovery.MaxWatch+announceInterval, catch)
+			var poll func()
+			poll = func() {
+				host.client.Poll()
+				host.loop.At(host.loop.Now()+discovery.MaxWatch+announceInterval, poll)
 			}
-			r.loop.At(r.loop.Now()+time.Millisecond, func() {
-				r.client.SetPaused(true)
-				catch()
+			host.loop.At(host.loop.Now()+time.Millisecond, func() {
+				host.client.SetPaused(true)
+				poll()
 			})
 			for at := time.Second; at < 30*time.Second; at += 4 * time.Second {
-				g.loop.At(time.Hour+at+step, g.change)
+				discoveryAgent.loop.At(time.Hour+at+step, discoveryAgent.change)
 			}
-			w.Run(time.Hour + 45*time.Second)
-			check(t, fmt.Sprintf("%d, %v", what, step), r, g, 0)
+			world.Run(time.Hour + 45*time.Second)
+			check(t, fmt.Sprintf("%d, %v", repeatedFault, step), host, discoveryAgent, 0)
 		}
 	}
 }
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -10,7 +10,7 @@
 	"passtack/driver"
 )
 
-// ErrMalformedList is wrapped by errors on lists that cannot be used. Nothing of such a list is reported.
+// ErrMalformedList is wrapped by errors about lists that cannot be used. No part of such a list is reported to the host.
 var ErrMalformedList = errors.New("malformed endpoint list")
 
 // removedState is the state of a member that was removed.
@@ -20,10 +20,10 @@
 	"in_service": driver.Ready, "terminating": driver.Draining, removedState: driver.Gone,
 }
 
-// endpointList is a response of discovery.
+// endpointList is a response from discovery.
 type endpointList struct {
 	Revision *int64   `json:"rev"`
-	Complete bool     `json:"all"` // it has every member, not only changes
+	Complete bool     `json:"all"` // it has every member, not only those that changed
 	Targets  []target `json:"targets"`
 }
 
@@ -45,20 +45,21 @@
 		return list, nil, fmt.Errorf("%w: %w", ErrMalformedList, err)
 	}
 	if list.Revision == nil {
-		return list, nil, fmt.Errorf("%w: it has no revision", ErrMalformedList)
+		return list, nil, fmt.Errorf("%w: the revision is missing", ErrMalformedList)
 	}
 	addresses = make([]netip.AddrPort, len(list.Targets))
 	for i, t := range list.Targets {
 		var err error
 		addresses[i], err = netip.ParseAddrPort(t.Endpoint)
 		if _, ok := states[t.State]; !ok || t.UID == "" || err != nil && t.State != removedState {
-			return list, nil, fmt.Errorf("%w: entry %d, uid %q, state %q, endpoint %q", ErrMalformedList, i, t.UID, t.State, t.Endpoint)
+			return list, nil, fmt.Errorf("%w: entry %d needs a uid, a known state and an address: uid %q, state %q, endpoint %q", ErrMalformedList, i, t.UID, t.State, t.Endpoint)
 		}
 	}
 	return list, addresses, nil
 }
 
-// apply reports a list to the host, or nothing of it if it is malformed. A list that was stored earlier is reported as cached.
+// apply reports a list to the host, or returns an error if the list is malformed. A list that was stored earlier is reported as
+// cached.
 func (c *Client) apply(body []byte, cached bool) error {
 	list, addresses, err := parseList(body)
 	if err != nil {
--- a/internal/front/connection.go
+++ b/internal/front/connection.go
@@ -15,97 +15,97 @@
 	Handle slots.Handle
 	Ended  bool // nothing more is read or sent
 
-	set          *Connections
+	connections  *Connections
 	handler      Handler
 	reading      bool          // part of a message was received
-	hasRequested bool          // it has sent a request already
-	idleSince    time.Duration // or since when part of a message is there
-	unsent       int           // bytes that it had not read at the latest check
+	hasRequested bool          // the client has sent a request
+	idleSince    time.Duration // start of the idle time, or of the wait for the rest of a message
+	unsent       int           // bytes that the client had not read at the latest check
 	link         chain.Element[*Connection]
 }
 
-// idleChain returns the chain for the connection while it is idle.
-func (s *Connection) idleChain() *chain.List[*Connection] {
-	if s.hasRequested {
-		return &s.set.recentlyIdle
+// idleChain returns the list that holds the connection while it is idle.
+func (c *Connection) idleList() *chain.List[*Connection] {
+	if c.hasRequested {
+		return &c.connections.recentlyIdle
 	}
-	return &s.set.newcomers
+	return &c.connections.newConnections
 }
 
 // BeginIdle marks the connection as idle from now on.
-func (s *Connection) BeginIdle() {
-	r := s.set
-	s.idleSince, s.reading = r.loop.Now(), false
-	s.idleChain().PushBack(&s.link)
-	r.scheduleCheck(s)
+func (c *Connection) BeginIdle() {
+	cs := c.connections
+	c.idleSince, c.reading = cs.loop.Now(), false
+	c.idleList().PushBack(&c.link)
+	cs.scheduleCheck(c)
 }
 
 // BeginRequest marks the connection as having a request in service.
-func (s *Connection) BeginRequest() {
-	s.link.Remove()
-	s.hasRequested = true
-	s.set.busy++
+func (c *Connection) BeginRequest() {
+	c.link.Remove()
+	c.hasRequested = true
+	c.connections.busy++
 }
 
 // EndRequest marks the request in service as answered.
-func (s *Connection) EndRequest() {
-	s.set.busy--
-	s.unsent = 0
+func (c *Connection) EndRequest() {
+	c.connections.busy--
+	c.unsent = 0
 }
 
-// BeginRead reports whether the connection may be read. It may not while the client does not read its responses. A read
-// starts the timeout of the next message.
-func (s *Connection) BeginRead() bool {
-	if s.Stream.Unsent() > 0 || s.Stream.ConfirmingHalfClose() {
+// BeginRead reports whether input may be read from the connection. No input is read while the client does not read its
+// responses, nor while a half-close is being confirmed. The first read of a message starts its timeout.
+func (c *Connection) BeginRead() bool {
+	if c.Stream.Unsent() > 0 || c.Stream.ConfirmingHalfClose() {
 		return false
 	}
-	if s.hasRequested && !s.reading {
-		s.BeginIdle()
+	if c.hasRequested && !c.reading {
+		c.BeginIdle()
 	}
-	s.reading = true
+	c.reading = true
 	return true
 }
 
-// AfterResponse is called after a response was sent and its request consumed. It closes the connection if it serves no further
-// request, and reports whether it did. Else it has the stream look for the next request, which may have been received already.
-func (s *Connection) AfterResponse() (closed bool) {
-	r := s.set
-	nothingUnread := len(s.Stream.Unread()) == 0
+// AfterResponse is called after a response was sent and its request consumed. It closes the connection if no further request is
+// to be served on it, and reports whether it did. Otherwise it schedules the delivery of input that was received already.
+func (c *Connection) AfterResponse() (closed bool) {
+	cs := c.connections
+	nothingUnread := len(c.Stream.Unread()) == 0
 	switch {
-	case s.Stream.InputEnded() && nothingUnread: // the client sends no more
-		s.Close(ClosedByClient)
+	case c.Stream.InputEnded() && nothingUnread: // the client has closed its sending side
+		c.Close(ClosedByClient)
 		return true
-	case (r.draining || r.toClose > 0) && nothingUnread && s.Stream.Alive():
-		r.toClose = max(r.toClose-1, 0)
-		if r.draining {
-			s.Close(ClosedShutdown)
+	case (cs.draining || cs.toClose > 0) && nothingUnread && c.Stream.Alive():
+		cs.toClose = max(cs.toClose-1, 0)
+		if cs.draining {
+			c.Close(ClosedShutdown)
 		} else {
-			s.Close(ClosedShare)
+			c.Close(ClosedShare)
 		}
 		return true
 	}
-	r.loop.Defer(s.Stream.DeliverInput)
-	r.limitIdle()
+	cs.loop.Defer(c.Stream.DeliverInput)
+	cs.limitIdle()
 	return false
 }
 
 // Close closes the connection once everything sent has been written.
-func (s *Connection) Close(reason CloseReason) {
-	s.recordClose(reason)
-	s.Ended = true
-	s.link.Remove()
-	s.Stream.CloseWhenSent()
+func (c *Connection) Close(reason CloseReason) {
+	c.recordClose(reason)
+	c.Ended = true
+	c.link.Remove()
+	c.Stream.CloseWhenSent()
 }
 
 // Release removes a connection that was closed by either side.
-func (s *Connection) Release(cause error) {
-	slog.Debug("client connection ended", "client", s.Handle, "cause", cause)
-	s.set.table.Remove(s.Handle)
-	s.link.Remove()
-	s.Ended = true
+func (c *Connection) Release(cause error) {
+	slog.Debug("client connection ended", "client", c.Handle, "cause", cause)
+	c.connections.table.Remove(c.Handle)
+	c.link.Remove()
+	c.Ended = true
 }
 
-// evictable reports whether the connection is idle, with nothing to read or to send.
-func (s *Connection) evictable() bool {
-	return !s.handler.Busy() && !s.Ended && len(s.Stream.Unread()) == 0 && s.Stream.Unsent() == 0 && s.Stream.Alive()
+// evictable reports whether the connection is idle, with no input to read and no output to send.
+func (c *Connection) evictable() bool {
+	return !c.handler.Busy() && !c.Ended && len(c.Stream.Unread()) == 0 && c.Stream.Unsent() == 0 && c.Stream.Alive()
 }
--- a/internal/front/connections.go
+++ b/internal/front/connections.go
@@ -1,6 +1,6 @@
-// Package front manages the connections of clients for every protocol: it accepts them, closes those that send nothing or read
-// nothing, evicts idle ones where others need the descriptors, and drains them in a shutdown. The protocols are in its
-// subpackages. All calls come from the goroutine of the event loop.
+// Package front manages client connections for every protocol: it accepts them, closes those whose client sends no request or
+// does not read its responses, evicts idle ones when file descriptors are needed for others, and drains them during a shutdown.
+// Its subpackages implement the protocols. All calls come from the goroutine of the event loop.
 package front
 
 import (
@@ -20,7 +20,7 @@
 // ActiveIDs holds the ids of the RPCs in service at all listeners together.
 type ActiveIDs map[string]bool
 
-// SessionOf returns the session of a key. It is the same at every listener, so that a client may move between them.
+// SessionOf returns the session for a key. Every listener returns the same one, so that a client may change its listener.
 func SessionOf(key []byte) driver.Session {
 	hash := fnv.New64a()
 	hash.Write(key)
@@ -32,7 +32,7 @@
 	loop.Handler
 	// Busy reports whether a request of the connection is in service.
 	Busy() bool
-	// RejectIncomplete answers a request whose rest did not come in time, and closes the connection.
+	// RejectIncomplete answers a request that was not completely received in time, and closes the connection.
 	RejectIncomplete()
 	// RejectUnstarted answers a request that was received but not started when the driver shuts down, and closes the
 	// connection.
@@ -47,88 +47,89 @@
 	listener   *loop.Listener
 	table      slots.Map[*Connection]
 	busy       int  // connections with a request in service
-	draining   bool // connections are closed after their request
-	toClose    int  // connections that another listener needs, to be closed after their request
-
-	// Connections without a request in service, each the longest idle first.
-	newcomers      chain.List[*Connection] // without any request so far
-	recentlyIdle   chain.List[*Connection] // for less than clientTimeout
-	dormant        chain.List[*Connection] // for longer
-	checkScheduled bool                    // of newcomers and recentlyIdle
+	draining   bool // each connection is closed after its request
+	toClose    int  // number of connections to close after their request, as another listener needs descriptors
+
+	// Connections without a request in service. Each list starts with the one that has been idle for longest.
+	newConnections chain.List[*Connection] // no request received so far
+	recentlyIdle   chain.List[*Connection] // idle for less than clientTimeout
+	longIdle       chain.List[*Connection] // idle for longer
+	checkScheduled bool                    // a check of newConnections and recentlyIdle is scheduled
 }
 
-// Listen accepts connections. Each may have maxUnread bytes received and not consumed.
+// Listen accepts connections. maxUnread bounds the bytes of each one that were received and not consumed.
 func Listen(l *loop.Loop, address netip.AddrPort, maxUnread int, limits loop.AcceptLimiter, count func(name string),
 	newHandler func(*Connection) Handler) (*Connections, error) {
-	r := &Connections{loop: l, count: count, newHandler: newHandler}
+	cs := &Connections{loop: l, count: count, newHandler: newHandler}
 	var err error
-	r.listener, err = l.Listen(address, maxUnread, limits, r.accept, func(urgent bool) { r.evict(urgent) })
-	return r, err
+	cs.listener, err = l.Listen(address, maxUnread, limits, cs.accept, func(urgent bool) { cs.evict(urgent) })
+	return cs, err
 }
 
-func (r *Connections) accept(open func(loop.Handler) *loop.Stream) {
-	s := &Connection{set: r}
-	s.link.Value = s
-	s.handler = r.newHandler(s)
-	if s.Stream = open(s.handler); s.Stream == nil {
+func (cs *Connections) accept(open func(loop.Handler) *loop.Stream) {
+	c := &Connection{connections: cs}
+	c.link.Value = c
+	c.handler = cs.newHandler(c)
+	if c.Stream = open(c.handler); c.Stream == nil {
 		return
 	}
-	if s.Handle = r.table.Insert(s); s.Handle == 0 {
-		s.Stream.Close()
+	if c.Handle = cs.table.Insert(c); c.Handle == 0 {
+		c.Stream.Close()
 		return
 	}
-	r.count("clients_accepted")
-	s.BeginIdle()
+	cs.count("clients_accepted")
+	c.BeginIdle()
 }
 
-// SetMaxUnread changes how many bytes each new connection may have received and not consumed.
-func (r *Connections) SetMaxUnread(bytes int) { r.listener.SetMaxInput(bytes) }
+// SetMaxUnread changes the bound on received bytes that are not consumed, for connections accepted from now on.
+func (cs *Connections) SetMaxUnread(bytes int) { cs.listener.SetMaxInput(bytes) }
 
-// Usage returns the number of connections and the bytes of their buffers beyond the common size.
-func (r *Connections) Usage() (connections, bytes int) { return r.listener.Usage() }
+// Usage returns the number of connections and the bytes of their buffers beyond the standard size.
+func (cs *Connections) Usage() (connections, bytes int) { return cs.listener.Usage() }
 
 // Count returns the number of connections.
-func (r *Connections) Count() int { return r.table.Len() }
+func (cs *Connections) Count() int { return cs.table.Len() }
 
 // Handler returns the handler of a connection, nil if the handle is stale.
-func (r *Connections) Handler(h slots.Handle) Handler {
-	if s := r.table.Get(h); s != nil {
-		return s.handler
+func (cs *Connections) Handler(h slots.Handle) Handler {
+	if c := cs.table.Get(h); c != nil {
+		return c.handler
 	}
 	return nil
 }
 
-// StopAccepting stops listening. Connections in the kernel's queue are still accepted.
-func (r *Connections) StopAccepting() { r.listener.Drain() }
+// StopAccepting stops listening. Connections in the kernel's accept queue are still accepted.
+func (cs *Connections) StopAccepting() { cs.listener.Drain() }
 
 // Drain closes each connection once none of its requests is in service.
-func (r *Connections) Drain() { r.draining = true }
-
-// CloseIdle closes connections that have been idle for the time given, as part of a shutdown. It returns how many remain,
-// counting those in the kernel's queue as one.
-func (r *Connections) CloseIdle(idle time.Duration) int {
-	r.table.ForEach(func(_ slots.Handle, s *Connection) {
-		if s.evictable() && r.loop.Now()-s.idleSince >= idle {
-			s.Close(ClosedShutdown)
+func (cs *Connections) Drain() { cs.draining = true }
+
+// CloseIdle closes connections that have been idle for the given time, as part of a shutdown. It returns the number of open
+// connections, plus one while the kernel's accept queue may still hold some.
+func (cs *Connections) CloseIdle(idle time.Duration) int {
+	cs.table.ForEach(func(_ slots.Handle, c *Connection) {
+		if c.evictable() && cs.loop.Now()-c.idleSince >= idle {
+			c.Close(ClosedShutdown)
 		}
 	})
-	if !r.listener.Closed() {
-		return r.table.Len() + 1
+	if !cs.listener.Closed() {
+		return cs.table.Len() + 1
 	}
-	return r.table.Len()
+	return cs.table.Len()
 }
 
-// CloseAll closes all connections without a request in service, and reads no more. A request that was received is rejected, as
-// it was not forwarded. What is unread remains so, which tells its client that it may be sent elsewhere.
-func (r *Connections) CloseAll() {
-	r.listener.Close()
-	r.table.ForEach(func(_ slots.Handle, s *Connection) {
+// CloseAll closes all connections without a request in service, and reads no more input. A request that was received but not
+// started is rejected, as it was not forwarded. A request that is still unread in the kernel stays unread, which tells its
+// client that it may be sent to another driver.
+func (cs *Connections) CloseAll() {
+	cs.listener.Close()
+	cs.table.ForEach(func(_ slots.Handle, c *Connection) {
 		switch {
-		case s.Ended || s.handler.Busy():
-		case len(s.Stream.Unread()) > 0:
-			s.handler.RejectUnstarted()
+		case c.Ended || c.handler.Busy():
+		case len(c.Stream.Unread()) > 0:
+			c.handler.RejectUnstarted()
 		default:
-			s.Close(ClosedShutdown)
+			c.Close(ClosedShutdown)
 		}
 	})
 }
--- a/internal/front/idle.go
+++ b/internal/front/idle.go
@@ -8,107 +8,107 @@
 
 const (
 	clientTimeout     = 2 * time.Second        // for the first request, the rest of a message, or progress in reading a response
-	firstRequestGrace = 200 * time.Millisecond // in which a newcomer is not evicted, as its first request may be on its way
+	firstRequestGrace = 200 * time.Millisecond // for which a new connection is not evicted, as its first request may be in transit
 )
 
-// scheduleCheck schedules the next check of idle connections, for the time at which the connection given times out.
-func (r *Connections) scheduleCheck(s *Connection) {
-	if !r.checkScheduled {
-		r.checkScheduled = true
-		r.loop.At(s.idleSince+clientTimeout, r.checkIdle)
+// scheduleCheck schedules a check of idle connections for the time-out of the given one, unless a check is scheduled already.
+func (cs *Connections) scheduleCheck(c *Connection) {
+	if !cs.checkScheduled {
+		cs.checkScheduled = true
+		cs.loop.At(c.idleSince+clientTimeout, cs.checkIdle)
 	}
 }
 
-// checkIdle closes connections that were idle for too long.
-func (r *Connections) checkIdle() {
-	r.checkScheduled = false
-	r.checkChain(&r.newcomers)
-	r.checkChain(&r.recentlyIdle)
+// checkIdle handles all connections that have been idle for clientTimeout.
+func (cs *Connections) checkIdle() {
+	cs.checkScheduled = false
+	cs.checkList(&cs.newConnections)
+	cs.checkList(&cs.recentlyIdle)
 }
 
-func (r *Connections) checkChain(idle *chain.List[*Connection]) {
+func (cs *Connections) checkList(idle *chain.List[*Connection]) {
 	for link := idle.Front(); link != nil; link = idle.Front() {
-		s := link.Value
-		if s.idleSince+clientTimeout > r.loop.Now() {
-			r.scheduleCheck(s)
+		c := link.Value
+		if c.idleSince+clientTimeout > cs.loop.Now() {
+			cs.scheduleCheck(c)
 			return
 		}
 		link.Remove()
-		r.timeOut(s)
+		cs.timeOut(c)
 	}
 }
 
-// timeOut ends what a connection does not complete. One that is idle after a request stays open.
-func (r *Connections) timeOut(s *Connection) {
-	switch unsent := s.Stream.Unsent(); {
-	case unsent > 0 && (s.unsent == 0 || unsent < s.unsent): // the client reads slowly
-		s.unsent = unsent
-		s.BeginIdle()
+// timeOut handles a connection that made no progress within clientTimeout. One that is idle after a request stays open.
+func (cs *Connections) timeOut(c *Connection) {
+	switch unsent := c.Stream.Unsent(); {
+	case unsent > 0 && (c.unsent == 0 || unsent < c.unsent): // the client reads slowly
+		c.unsent = unsent
+		c.BeginIdle()
 	case unsent > 0:
-		r.count("clients_stuck")
-		s.recordClose(ClosedStuck)
-		s.Stream.Close()
-		s.handler.Closed(nil)
-	case len(s.Stream.Unread()) > 0:
-		s.handler.RejectIncomplete()
-	case s.Stream.Alive() && s.hasRequested:
-		s.reading = false
-		r.dormant.PushBack(&s.link)
-	case s.Stream.Alive():
-		s.Close(ClosedIdle)
-	default: // something has been received just now
-		s.BeginIdle()
+		cs.count("clients_stuck")
+		c.recordClose(ClosedStuck)
+		c.Stream.Close()
+		c.handler.Closed(nil)
+	case len(c.Stream.Unread()) > 0:
+		c.handler.RejectIncomplete()
+	case c.Stream.Alive() && c.hasRequested:
+		c.reading = false
+		cs.longIdle.PushBack(&c.link)
+	case c.Stream.Alive():
+		c.Close(ClosedIdle)
+	default: // input or an end of the connection has arrived in the kernel and is still unread
+		c.BeginIdle()
 	}
 }
 
-// maxRequesters returns how many connections that have sent requests may be open before idle ones of them are closed: a fifth
-// of all descriptors if the listener may use all that are for clients. Some clients never close their connections; others that
-// connect at once must still find descriptors.
-func (r *Connections) maxRequesters() int { return r.listener.MaxConnections() * 8 / 25 }
+// maxAfterRequest returns how many connections that have sent a request may be open before idle ones of them are closed. It is
+// a fifth of all descriptors if the listener may use all those for clients. Some clients never close their connections, and
+// descriptors must remain for many clients that connect at once.
+func (cs *Connections) maxAfterRequest() int { return cs.listener.MaxConnections() * 8 / 25 }
 
-// limitIdle closes the connection that has been idle for longest after a request, if there are too many.
-func (r *Connections) limitIdle() {
-	if r.dormant.Len()+r.recentlyIdle.Len()+r.busy <= r.maxRequesters() {
+// limitIdle closes the connection that has been idle for longest after a request, if more than maxAfterRequest are open.
+func (cs *Connections) limitIdle() {
+	if cs.longIdle.Len()+cs.recentlyIdle.Len()+cs.busy <= cs.maxAfterRequest() {
 		return
 	}
-	if !r.closeIdlest(&r.dormant, 0) {
-		r.closeIdlest(&r.recentlyIdle, 0)
+	if !cs.closeLongestIdle(&cs.longIdle, 0) {
+		cs.closeLongestIdle(&cs.recentlyIdle, 0)
 	}
 }
 
 // EvictIdle closes an idle connection, and reports whether there was one.
-func (r *Connections) EvictIdle() bool { return r.evict(true) }
+func (cs *Connections) EvictIdle() bool { return cs.evict(true) }
 
-// Shed closes as many connections as another listener needs: idle ones, else the next whose request is answered.
-func (r *Connections) Shed(count int) {
-	r.toClose = 0
+// Shed closes count connections whose descriptors another listener needs: idle ones, otherwise the next ones whose request ends.
+func (cs *Connections) Shed(count int) {
+	cs.toClose = 0
 	for range count {
-		if !r.evict(true) {
-			r.toClose++
+		if !cs.evict(true) {
+			cs.toClose++
 		}
 	}
 }
 
-// evict closes the connection that has been idle for longest, a newcomer if there is one past its grace period. Unless it is
-// urgent, those with recent requests have that period too. It reports whether it closed one.
-func (r *Connections) evict(urgent bool) bool {
+// evict closes the connection that has been idle for longest, preferably a new one past firstRequestGrace. Unless it is urgent,
+// connections that served a request are not closed within that period either. It reports whether it closed one.
+func (cs *Connections) evict(urgent bool) bool {
 	grace := firstRequestGrace
 	if urgent {
 		grace = 0
 	}
-	return r.closeIdlest(&r.newcomers, firstRequestGrace) || r.closeIdlest(&r.dormant, 0) || r.closeIdlest(&r.recentlyIdle, grace)
+	return cs.closeLongestIdle(&cs.newConnections, firstRequestGrace) || cs.closeLongestIdle(&cs.longIdle, 0) || cs.closeLongestIdle(&cs.recentlyIdle, grace)
 }
 
-// closeIdlest closes the connection of a chain that has been idle for longest, if for minIdle at least. It reports whether it
-// closed one.
-func (r *Connections) closeIdlest(idle *chain.List[*Connection], minIdle time.Duration) bool {
+// closeLongestIdle closes the connection of a list that has been idle for longest, if for at least minIdle. It reports whether
+// it closed one.
+func (cs *Connections) closeLongestIdle(idle *chain.List[*Connection], minIdle time.Duration) bool {
 	for link := idle.Front(); link != nil; link = link.Next() {
-		s := link.Value
-		if r.loop.Now()-s.idleSince < minIdle {
+		c := link.Value
+		if cs.loop.Now()-c.idleSince < minIdle {
 			return false
 		}
-		if s.evictable() {
-			s.Close(ClosedIdle)
+		if c.evictable() {
+			c.Close(ClosedIdle)
 			return true
 		}
 	}
--- a/internal/front/odata/batch.go
+++ b/internal/front/odata/batch.go
@@ -26,15 +26,15 @@
 const maxBatchDefault = 30 * time.Second
 
 // serveBatch starts a batch.
-func (f *Front) serveBatch(w *exchange, q *httpRequest) {
-	parsed, err := odata.ParseBatch(q.fields.Text("content-type"), q.body, odata.BatchLimits{Items: f.config.MaxBatch, HTTP: f.config.HTTP})
+func (f *Front) serveBatch(e *exchange, httpReq *httpRequest) {
+	parsed, err := odata.ParseBatch(httpReq.fields.Text("content-type"), httpReq.body, odata.BatchLimits{Items: f.config.MaxBatch, HTTP: f.config.HTTP})
 	if err != nil {
-		w.finish(errorResponse(err))
+		e.finish(errorResponse(err))
 		return
 	}
 	f.handler.Count("batches_taken")
-	b := &batchRun{exchange: w, front: f, batch: parsed, requests: make([]*request, len(parsed.Items)), responses: make([]*response, len(parsed.Items))}
-	w.batch = b
+	b := &batchRun{exchange: e, front: f, batch: parsed, requests: make([]*request, len(parsed.Items)), responses: make([]*response, len(parsed.Items))}
+	e.batch = b
 	items, duration := make([]batch.Item, len(parsed.Items)), time.Duration(0)
 	for i := range parsed.Items {
 		if err := b.prepare(i); err != nil {
@@ -46,10 +46,10 @@
 			duration += req.operation.Most
 		}
 	}
-	deadline := f.deadline(q, min(max(duration, time.Second), maxBatchDefault))
-	continueOnError := preference(q.fields, "continue-on-error")
+	deadline := f.deadline(httpReq, min(max(duration, time.Second), maxBatchDefault))
+	continueOnError := preference(httpReq.fields, "continue-on-error")
 	if b.plan, err = newPlan(items, parsed.Ordered, continueOnError == "true", f.config.MaxConcurrent, deadline); err != nil {
-		w.finish(errorResponse(err))
+		e.finish(errorResponse(err))
 		return
 	}
 	b.timeout = f.loop.At(deadline, b.sendReady)
@@ -72,23 +72,23 @@
 		return errorResponse(item.Fault)
 	}
 	target := item.Target
-	if to, rest, ok := b.batch.Reference(target); ok { // to an entity that an earlier one creates
-		req := b.requests[to]
+	if index, rest, ok := b.batch.Reference(target); ok { // a reference to an entity that an earlier request of the batch creates
+		req := b.requests[index]
 		if req == nil || req.act != odata.Create {
 			return errorResponse(newError(400, "BadRequest", "%s refers to what creates nothing", target))
 		}
 		target = req.resource.Set.Name + "(" + odata.Encode(odata.KeyOf(req.key)) + ")" + rest
 	}
-	req, done := b.front.validate(&httpRequest{verb: item.Verb, target: target, fields: item.Fields, body: item.Body, inBatch: true})
-	if done != nil {
-		return done
+	req, immediate := b.front.validate(&httpRequest{verb: item.Verb, target: target, fields: item.Fields, body: item.Body, inBatch: true})
+	if immediate != nil {
+		return immediate
 	}
 	req.exchange, req.batchIndex = b.exchange, i
 	b.requests[i] = req
 	return nil
 }
 
-// sendReady sends the requests that may be sent now, and answers the batch once each has its response.
+// sendReady sends the requests that may be sent now, and answers the batch once each of its requests has a response.
 func (b *batchRun) sendReady() {
 	if b.sending || b.exchange == nil {
 		return
@@ -105,7 +105,7 @@
 		if minPosition > 0 {
 			method = req.operation.AfterWrite
 		}
-		req.http.receivedAt = f.loop.Now() // the wait for others of the batch does not count
+		req.http.receivedAt = f.loop.Now() // the wait for other requests of the batch does not count
 		f.send(req, deadline, minPosition, method)
 		if b.exchange == nil {
 			return
@@ -124,9 +124,9 @@
 	}
 	media, body := b.batch.Render(answers)
 	f.loop.Cancel(b.timeout)
-	w := b.exchange
+	e := b.exchange
 	b.exchange = nil
-	w.finish(&response{200, httpwire.AppendField(nil, "Content-Type", media), body})
+	e.finish(&response{200, httpwire.AppendField(nil, "Content-Type", media), body})
 }
 
 // skippedResponse answers a request of a batch that is never sent.
@@ -140,7 +140,7 @@
 	return errorResponse(newError(503, "PushedBack", "not sent: the time of the batch is over"))
 }
 
-// itemEnded takes the response to one request of the batch.
+// itemEnded records the response to one request of the batch, and sends the requests that have become ready.
 func (b *batchRun) itemEnded(req *request, outcome idempotency.Outcome, r *response, position time.Duration) {
 	if b.exchange == nil {
 		return
@@ -159,7 +159,7 @@
 	b.sendReady()
 }
 
-// abandon ends a batch whose client has disconnected. What was not sent never is.
+// abandon ends a batch whose client has disconnected. Requests that were not sent are dropped.
 func (b *batchRun) abandon() {
 	b.exchange = nil
 	b.front.loop.Cancel(b.timeout)
--- a/internal/front/odata/connection.go
+++ b/internal/front/odata/connection.go
@@ -11,18 +11,18 @@
 	*front.Connection
 	front        *Front
 	exchange     *exchange // nil: none
-	sentContinue bool      // of the request being received
+	sentContinue bool      // for the request that is being received
 }
 
 // exchange is one request on a connection and its response: a single request or a batch.
 type exchange struct {
 	connection *connection // nil once the client has disconnected
 	omitBody   bool        // the request is HEAD
-	closeAfter bool        // the connection is closed behind the response
+	closeAfter bool        // the connection is closed after the response
 	version    string
 	batch      *batchRun
 	request    *request
-	starting   bool // a response during this time is consumed by Input
+	starting   bool // the call of serve has not returned; Input consumes the request after it
 }
 
 // Busy implements front.Handler.
@@ -48,22 +48,23 @@
 	c.abandon()
 }
 
-// abandon ends the exchange in service, if there is one, as its client has disconnected. Repeatable requests go on without it.
+// abandon ends the exchange in service, if there is one, as its client has disconnected. Repeatable requests continue without
+// their client.
 func (c *connection) abandon() {
-	w := c.exchange
-	if w == nil {
+	e := c.exchange
+	if e == nil {
 		return
 	}
-	c.exchange, w.connection = nil, nil
+	c.exchange, e.connection = nil, nil
 	c.Connection.EndRequest()
-	if w.batch != nil {
-		w.batch.abandon()
-	} else if w.request != nil {
-		w.request.abandon()
+	if e.batch != nil {
+		e.batch.abandon()
+	} else if e.request != nil {
+		e.request.abandon()
 	}
 }
 
-// Panicked implements loop.Handler. The request in service may have run.
+// Panicked implements loop.Handler. The client gets an error, as the request in service may have run.
 func (c *connection) Panicked(cause error) {
 	if !c.Ended {
 		c.Stream.Send(c.front.encodeMessage(abortResponse(), "4.01", false, true))
@@ -72,7 +73,7 @@
 	c.Close(front.ClosedPanic)
 }
 
-// reject answers a violation of the protocol and ends the connection.
+// reject answers a violation of the protocol and closes the connection.
 func (c *connection) reject(fault *httpwire.Fault) {
 	c.front.handler.Count("clients_rejected")
 	c.abandon()
@@ -109,40 +110,40 @@
 // serve starts a request. It may be answered during the call.
 func (c *connection) serve(r *httpwire.Request) {
 	f := c.front
-	w := &exchange{connection: c, omitBody: string(r.Verb) == "HEAD", closeAfter: r.Last, version: "4.01", starting: true}
+	e := &exchange{connection: c, omitBody: string(r.Verb) == "HEAD", closeAfter: r.Last, version: "4.01", starting: true}
 	c.BeginRequest()
-	c.exchange = w
-	q := &httpRequest{verb: string(r.Verb), target: string(r.Target), fields: r.Fields, body: r.Body, receivedAt: c.Stream.ArrivedAt(r.Size)}
-	if q.fields.Text("odata-maxversion") == "4.0" {
-		w.version = "4.0"
+	c.exchange = e
+	httpReq := &httpRequest{verb: string(r.Verb), target: string(r.Target), fields: r.Fields, body: r.Body, receivedAt: c.Stream.ArrivedAt(r.Size)}
+	if httpReq.fields.Text("odata-maxversion") == "4.0" {
+		e.version = "4.0"
 	}
-	req, done := f.validate(q)
+	req, immediate := f.validate(httpReq)
 	switch {
-	case done != nil:
-		w.finish(done)
+	case immediate != nil:
+		e.finish(immediate)
 	case req.resource.Kind == odata.BatchOf:
-		f.serveBatch(w, q)
+		f.serveBatch(e, httpReq)
 	default:
-		req.exchange, w.request = w, req
-		f.send(req, f.deadline(q, req.operation.Most), 0, req.operation.Method)
+		req.exchange, e.request = e, req
+		f.send(req, f.deadline(httpReq, req.operation.Most), 0, req.operation.Method)
 	}
-	w.starting = false
+	e.starting = false
 }
 
 // finish sends the response on its connection.
-func (w *exchange) finish(r *response) {
-	c := w.connection
+func (e *exchange) finish(r *response) {
+	c := e.connection
 	if c == nil {
 		return
 	}
 	f := c.front
-	c.exchange, w.connection = nil, nil
+	c.exchange, e.connection = nil, nil
 	c.Connection.EndRequest()
 	c.BeginIdle()
-	c.Stream.Send(f.encodeMessage(r, w.version, w.omitBody, w.closeAfter))
-	if w.closeAfter {
+	c.Stream.Send(f.encodeMessage(r, e.version, e.omitBody, e.closeAfter))
+	if e.closeAfter {
 		c.Close(front.ClosedByClient)
-	} else if !w.starting {
+	} else if !e.starting {
 		c.AfterResponse()
 	}
 }
--- a/internal/front/odata/encode.go
+++ b/internal/front/odata/encode.go
@@ -11,7 +11,7 @@
 	"passtack/internal/odata"
 )
 
-// encode encodes the request to the member. The token is that of an idempotent write, the position one that a read must see.
+// encode encodes the request to the member, with the idempotency token of a write and the position that a read must see.
 func (req *request) encode(method driver.Method, token string, position time.Duration) {
 	f := req.front
 	req.memberRequest.Form = req.form
@@ -34,7 +34,7 @@
 		Key: req.key, Body: req.http.body, Values: req.values, Filter: req.resource.Filter, Order: req.resource.Order,
 		Skip: req.resource.Skip, Top: req.pageSize() + 1, Match: req.requiredVersion, Set: set, Count: req.resource.Count,
 	}
-	if req.resource.Top >= 0 && req.resource.Top <= set.Page { // there is no next page
+	if req.resource.Top >= 0 && req.resource.Top <= set.Page { // no next page, so no further item is needed to detect one
 		fill.Top = req.resource.Top
 	}
 	req.memberRequest.Before, req.memberRequest.After = header, req.operation.Statement.Append(comment, fill)
@@ -48,14 +48,14 @@
 	return req.resource.Set.Page
 }
 
-// encodeHTTP encodes the request for members that speak OData: as it was received, below the members' root.
+// encodeHTTP encodes the request for members that speak OData: as it was received, with its path below the members' root.
 func (req *request) encodeHTTP(token string, position time.Duration) {
-	q, f := req.http, req.front
-	req.memberRequest.Verb, req.memberRequest.Body = q.verb, append([]byte(nil), q.body...)
-	if q.verb == "HEAD" { // the length is that of the body
+	httpReq, f := req.http, req.front
+	req.memberRequest.Verb, req.memberRequest.Body = httpReq.verb, append([]byte(nil), httpReq.body...)
+	if httpReq.verb == "HEAD" { // the Content-Length of the response is that of the body, which only GET returns
 		req.memberRequest.Verb = "GET"
 	}
-	path := q.target
+	path := httpReq.target
 	if _, rest, found := strings.Cut(path, "://"); found && !strings.HasPrefix(path, "/") {
 		path = rest[max(strings.IndexByte(rest, '/'), 0):]
 	}
@@ -68,11 +68,11 @@
 	if position > 0 {
 		out = httpwire.AppendField(out, "Session-Position", strconv.FormatInt(int64((position+time.Millisecond-1)/time.Millisecond), 10))
 	}
-	if len(q.body) > 0 {
+	if len(httpReq.body) > 0 {
 		out = httpwire.AppendField(out, "Content-Type", "application/json")
 	}
 	for _, name := range []string{"Accept", "Prefer", "If-Match", "If-None-Match", "OData-Version", "OData-MaxVersion"} {
-		if value := q.fields.Text(name); value != "" {
+		if value := httpReq.fields.Text(name); value != "" {
 			out = httpwire.AppendField(out, name, value)
 		}
 	}
--- a/internal/front/odata/front.go
+++ b/internal/front/odata/front.go
@@ -1,5 +1,4 @@
-// Package odata is the listener side of OData 4.01 in JSON over HTTP/1.1. Each request is one RPC, and so is each request of a
-// batch.
+// Package odata is the listener side of OData 4.01 in JSON over HTTP/1.1. Each request, alone or in a batch, is one RPC.
 package odata
 
 import (
@@ -21,17 +20,18 @@
 	handler     driver.Clerk
 	connections *front.Connections
 	config      *config.OData
-	methods     []string // the names in statements, by number
-	memberRoot  string   // of the paths at members
+	methods     []string // names in statements, by method number
+	memberRoot  string   // root of the paths at members
 	requests    slots.Map[*request]
 	activeIDs   front.ActiveIDs
 	registry    *idempotency.Registry
 	random      *pcg.Source
-	dateSecond  time.Duration // of dateText
+	dateSecond  time.Duration // the second that dateText shows
 	dateText    string
 }
 
-// Listen accepts clients. The methods are named by number. Members serve below memberRoot.
+// Listen accepts clients. methods has the names of the methods by number. Members that speak OData serve paths below memberRoot.
+// The seed is for the random ids of requests.
 func Listen(l *loop.Loop, handler driver.Clerk, address netip.AddrPort, limits loop.AcceptLimiter, activeIDs front.ActiveIDs, settings *config.OData,
 	methods []string, memberRoot string, seed uint64) (*Front, error) {
 	f := &Front{
@@ -59,7 +59,7 @@
 	f.registry.MaxBytes, f.registry.MaxInProgress = settings.Idempotency.MaxBytes, settings.Idempotency.MaxPending
 }
 
-// SetMethods changes the names of methods, by number. Requests in service keep their numbers.
+// SetMethods changes the names of the methods, by number. Requests in service keep their method numbers.
 func (f *Front) SetMethods(names []string) { f.methods = names }
 
 // Registry returns the registry of repeatable requests.
--- a/internal/front/odata/idempotency.go
+++ b/internal/front/odata/idempotency.go
@@ -13,8 +13,8 @@
 	"passtack/internal/odata"
 )
 
-// idempotencyToken returns the token by which a group recognizes a repeated request. It is the client's own id if that may stand
-// in the comment of a statement and no client id qualifies it, else a hash.
+// idempotencyToken returns the token by which a group recognizes a repeated request. It is the request id of the client if that
+// id is valid in the comment of a statement and was sent without a client id, otherwise a hash of the key.
 func idempotencyToken(key, id string) string {
 	plain := len(id) <= 64 && strings.HasPrefix(key, "\x00")
 	for i := range len(id) {
@@ -28,17 +28,17 @@
 	return fmt.Sprintf("%016x%016x", sum.Hi, sum.Lo)
 }
 
-// unlimitedWindow is the window of a method that may always run again.
+// unlimitedWindow is the repeat window of an operation that may always run again.
 const unlimitedWindow = 1 << 20 * time.Hour
 
-// checkIdempotency looks the request up in the registry. It returns false if the request has its response or waits for that of
-// another.
+// checkIdempotency looks up the request in the registry. It returns false if the request was answered or waits for the response
+// to another one.
 func (f *Front) checkIdempotency(req *request, now, deadline time.Duration) bool {
 	digest := xxh3.New()
 	digest.WriteString(req.http.verb + "\x00" + req.resource.Set.Name + "\x00" + odata.KeyOf(req.key) + "\x00" + req.ifMatch + "\x00")
 	digest.Write(req.http.body)
 	window := req.operation.Window
-	if req.operation.Repeats { // it may always run again
+	if req.operation.Repeats { // a repeat may always run again
 		window = unlimitedWindow
 	}
 	verdict, entry := f.registry.Begin(idempotency.Request{Key: req.idempotencyKey, Digest: digest.Sum64(), FirstSent: req.firstSent, Window: window}, now)
@@ -73,7 +73,7 @@
 	return false
 }
 
-// encodeResponse encodes a response for storage. Of one over maxBytes it stores that the request was done.
+// encodeResponse encodes a response for storage. It replaces one over maxBytes by a response that only confirms success.
 func encodeResponse(r *response, maxBytes int) []byte {
 	if len(r.fields)+len(r.body) > maxBytes {
 		r = &response{204, httpwire.AppendField(nil, "Preference-Applied", "return=minimal"), nil}
--- a/internal/front/odata/preconditions.go
+++ b/internal/front/odata/preconditions.go
@@ -10,7 +10,7 @@
 	"passtack/internal/odata"
 )
 
-// readPreconditions reads the version that the client requires of the entity. An upsert that requires none is a create.
+// readPreconditions reads If-Match and If-None-Match. A write that requires that no entity exists becomes a create.
 func (req *request) readPreconditions() *odata.Error {
 	fields := req.http.fields
 	req.ifMatch, req.ifNoneMatch = fields.Text("if-match"), fields.Text("if-none-match")
@@ -35,7 +35,8 @@
 	return nil
 }
 
-// checkStatement rejects what the operation's statement has no parameter for. Members that speak OData check it themselves.
+// checkStatement rejects options for which the operation's statement has no parameter. Members that speak OData check requests
+// themselves.
 func (req *request) checkStatement() *odata.Error {
 	if req.form = req.front.handler.FormOf(req.group); req.form == driver.Requests {
 		return nil
@@ -65,7 +66,7 @@
 	return nil
 }
 
-// readRepeatability reads the fields of a repeatable request.
+// readRepeatability reads the header fields of a repeatable request.
 func (req *request) readRepeatability() *odata.Error {
 	fields := req.http.fields
 	id, sent := fields.Text("repeatability-request-id"), fields.Text("repeatability-first-sent")
@@ -79,8 +80,8 @@
 	if len(id) > 128 || len(client) > 128 {
 		return newError(400, "BadRequest", "a Repeatability-Request-ID or Repeatability-Client-ID of over 128 characters")
 	}
-	sentAt, failed := http.ParseTime(sent)
-	if failed != nil {
+	sentAt, parseErr := http.ParseTime(sent)
+	if parseErr != nil {
 		return newError(400, "BadRequest", "Repeatability-First-Sent %q is no date", sent)
 	}
 	if !req.operation.Tokened && !req.operation.Repeats {
@@ -89,8 +90,8 @@
 	req.idempotencyKey, req.repeatabilityID = client+"\x00"+id, id
 	req.firstSent = time.Duration(sentAt.UnixNano())
 	if millis := fields.Text("first-sent-ms"); millis != "" { // more precise than a date
-		n, failed := strconv.ParseInt(millis, 10, 64)
-		if exact := time.Duration(n) * time.Millisecond; failed == nil && exact.Truncate(time.Second) == req.firstSent {
+		n, parseErr := strconv.ParseInt(millis, 10, 64)
+		if exact := time.Duration(n) * time.Millisecond; parseErr == nil && exact.Truncate(time.Second) == req.firstSent {
 			req.firstSent = exact
 		} else {
 			return newError(400, "BadRequest", "First-Sent-Ms %q lies outside of its second", millis)
--- a/internal/front/odata/preferences.go
+++ b/internal/front/odata/preferences.go
@@ -54,19 +54,20 @@
 // maxWait bounds how long a client may ask to wait.
 const maxWait = time.Minute
 
-// deadline returns when the client stops waiting: by the preference wait (seconds), by Deadline-Ms, else after otherwise.
-func (f *Front) deadline(q *httpRequest, otherwise time.Duration) time.Duration {
-	wait := otherwise
-	if n, err := strconv.Atoi(preference(q.fields, "wait")); err == nil && n > 0 {
+// deadline returns when the request must be answered at the latest: DeliveryMargin before the client stops waiting. The client's
+// wait is Deadline-Ms (milliseconds), else the preference wait (seconds), else defaultWait.
+func (f *Front) deadline(httpReq *httpRequest, defaultWait time.Duration) time.Duration {
+	wait := defaultWait
+	if n, err := strconv.Atoi(preference(httpReq.fields, "wait")); err == nil && n > 0 {
 		wait = min(time.Duration(n)*time.Second, maxWait)
 	}
-	if n, err := strconv.Atoi(q.fields.Text("deadline-ms")); err == nil && n > 0 {
+	if n, err := strconv.Atoi(httpReq.fields.Text("deadline-ms")); err == nil && n > 0 {
 		wait = min(time.Duration(n)*time.Millisecond, maxWait)
 	}
-	return q.receivedAt + wait - front.DeliveryMargin
+	return httpReq.receivedAt + wait - front.DeliveryMargin
 }
 
-// preference returns the value of a preference in Prefer, "true" where it has none, "" where it is absent.
+// preference returns the value of a preference in Prefer, "true" if it has no value, "" if it is absent.
 func preference(fields httpwire.Fields, name string) (value string) {
 	fields.Each(func(field, text []byte) bool {
 		if strings.EqualFold(string(field), "prefer") {
--- a/internal/front/odata/render.go
+++ b/internal/front/odata/render.go
@@ -29,10 +29,10 @@
 	return r
 }
 
-// forwardedFields are the header fields of a member's response that the client gets.
+// forwardedFields are the header fields of a member's response that are forwarded to the client.
 var forwardedFields = []string{"Content-Type", "ETag", "Preference-Applied", "Allow"}
 
-// forward returns the response of a member that speaks OData. The body is unchanged.
+// forward returns the response to the client for one of a member that speaks OData. The body is unchanged.
 func (f *Front) forward(req *request, a *driver.Answer) *response {
 	r := &response{status: a.Status, body: append([]byte(nil), a.Value...)}
 	fields := httpwire.Fields(a.Fields)
@@ -80,7 +80,7 @@
 	case odata.Nothing(value):
 		return errorResponse(newError(404, "NotFound", "there is no such entity"))
 	}
-	whole, ok := res.EntityBody(value, root, req.minimalMetadata)
+	entityBody, ok := res.EntityBody(value, root, req.minimalMetadata)
 	if !ok {
 		return malformedValueResponse()
 	}
@@ -103,7 +103,7 @@
 		}
 		return withETag(r, tag)
 	}
-	return withETag(&response{200, json, whole}, tag)
+	return withETag(&response{200, json, entityBody}, tag)
 }
 
 // withETag adds the entity's tag to a response, if it has one.
@@ -114,7 +114,8 @@
 	return r
 }
 
-// conditionalResponse answers a read whose condition fails, or whose client has the entity already. Else it returns nil.
+// conditionalResponse answers a read whose precondition fails, or whose client already has this version of the entity. Otherwise
+// it returns nil.
 func (req *request) conditionalResponse(tag string) *response {
 	matches := func(tags string) bool {
 		for item := range strings.SplitSeq(tags, ",") {
@@ -133,7 +134,7 @@
 	return nil
 }
 
-// nextPage returns the target of the next page, "" if the client wants no more.
+// nextPage returns the target of the next page, "" if the client's $top is reached with this one.
 func (req *request) nextPage() string {
 	r := &req.resource
 	left := -1
@@ -158,7 +159,8 @@
 	return target + "?" + strings.Join(parts, "&")
 }
 
-// renderWrite returns the response for the value of a write's statement: the entity, or that it was done.
+// renderWrite returns the response for the value of a write's statement: the entity, a status without a body, or an error if the
+// statement matched no entity.
 func (f *Front) renderWrite(req *request, value []byte) *response {
 	res := &req.resource
 	if odata.Nothing(value) {
@@ -183,7 +185,7 @@
 		tag = res.Set.ETagOf(value)
 	}
 	created := req.act == odata.Create
-	if wants := isEntity && (req.returnPreference == "representation" || created && req.returnPreference != "minimal"); wants {
+	if returnsEntity := isEntity && (req.returnPreference == "representation" || created && req.returnPreference != "minimal"); returnsEntity {
 		r := &response{status: 200, body: body}
 		r.fields = httpwire.AppendField(nil, "Content-Type", "application/json;odata.metadata="+map[bool]string{true: "minimal", false: "none"}[req.minimalMetadata])
 		if created {
--- a/internal/front/odata/request.go
+++ b/internal/front/odata/request.go
@@ -21,7 +21,7 @@
 	front         *Front
 	http          *httpRequest
 	exchange      *exchange // nil once its client has disconnected
-	batchIndex    int       // in the batch of the exchange
+	batchIndex    int       // index in the batch of the exchange
 	handle        slots.Handle
 	rpc           driver.RPC
 	id            string
@@ -31,26 +31,26 @@
 	repeatability
 }
 
-// operationRequest is what a request asks for, by its target, header fields and body.
+// operationRequest holds the operation that a request asks for, from its target, header fields and body.
 type operationRequest struct {
 	resource  odata.Resource
 	act       odata.Act
 	operation *odata.Operation
 	group     driver.Group
-	form      driver.Form // of the group's members
+	form      driver.Form // protocol of the group's members
 	key       odata.Value
-	values    map[string]odata.Value // by property
+	values    map[string]odata.Value // by name of the property
 
 	ifMatch         string
 	ifNoneMatch     string
-	requiredVersion string // by If-Match, for the statement
+	requiredVersion string // version in If-Match, a parameter of the statement
 
 	format           string // the media type of the response
-	minimalMetadata  bool   // rather than none
-	returnPreference string // of a write: minimal, representation or none
+	minimalMetadata  bool   // odata.metadata is minimal rather than none
+	returnPreference string // of a write: minimal, representation or ""
 }
 
-// repeatability is what the client says of repeats of a request, and their state.
+// repeatability holds the repeatability fields of a request, and its state in the registry.
 type repeatability struct {
 	idempotencyKey  string // "": not repeatable
 	repeatabilityID string
@@ -60,7 +60,7 @@
 	joinTimeout     loop.Timer
 }
 
-// send hands the request to the driver, unless it can be answered here. A read must see what was committed up to minPosition.
+// send hands the request to the driver, unless it can be answered here. A read must see all writes committed up to minPosition.
 func (f *Front) send(req *request, deadline, minPosition time.Duration, method driver.Method) {
 	now := f.loop.Now()
 	if req.handle = f.requests.Insert(req); req.handle == 0 {
@@ -92,7 +92,7 @@
 	req.rpc = f.handler.Take(f, driver.Client(req.handle), method, req.group, req.session(), req.http.receivedAt, deadline, sinceCommit, false)
 }
 
-// session returns the client's session: the one that it names, else that of the entity's key, 0 without either.
+// session returns the client's session: that of the Session-Id field, else that of the entity's key, 0 without either.
 func (req *request) session() driver.Session {
 	if name := req.http.fields.Text("session-id"); name != "" {
 		return front.SessionOf([]byte(name))
@@ -103,7 +103,7 @@
 	return front.SessionOf([]byte(req.key.Text))
 }
 
-// requiredPosition returns the position that a read must see: the client's or minPosition. It is 0 for a write.
+// requiredPosition returns the position that a read must see: the later of Session-Position and minPosition. It is 0 for a write.
 func (req *request) requiredPosition(minPosition time.Duration) time.Duration {
 	if req.act.Writes() {
 		return 0
@@ -122,7 +122,7 @@
 	}
 }
 
-// finish ends the request with its response, and those that wait for it.
+// finish ends the request with its response, and with the same response the requests that wait for it.
 func (req *request) finish(outcome idempotency.Outcome, r *response, position time.Duration) {
 	if req.ended {
 		return
@@ -146,17 +146,17 @@
 			}
 		}
 	}
-	switch w := req.exchange; {
-	case w == nil:
-	case w.batch != nil:
-		w.batch.itemEnded(req, outcome, r, position)
+	switch e := req.exchange; {
+	case e == nil:
+	case e.batch != nil:
+		e.batch.itemEnded(req, outcome, r, position)
 	default:
-		w.finish(r)
+		e.finish(r)
 	}
 }
 
 // abandon ends a request whose client has disconnected. A repeatable one stays in service while an attempt is in flight, so that
-// a repeat gets its outcome; no further attempt is made unless another request waits for it.
+// a repeat gets its outcome; it is retried only if another request waits for it.
 func (req *request) abandon() {
 	if req.ended {
 		return
@@ -181,7 +181,7 @@
 	f.handler.ClientLeft(req.rpc)
 }
 
-// stopRetries prevents further attempts of a request that nobody waits for.
+// stopRetries prevents retries of a request unless its own client or another request waits for it.
 func (req *request) stopRetries() {
 	if req.exchange == nil && len(req.entry.Waiters) == 0 {
 		req.front.handler.ClientParts(req.rpc)
--- a/internal/front/odata/response.go
+++ b/internal/front/odata/response.go
@@ -9,14 +9,14 @@
 	"passtack/internal/odata"
 )
 
-// response is a response without the header fields that every response has.
+// response is a response to a client without the header fields that are common to all responses.
 type response struct {
 	status int
 	fields []byte
 	body   []byte
 }
 
-// encodeMessage encodes a response.
+// encodeMessage encodes a response as an HTTP message.
 func (f *Front) encodeMessage(r *response, version string, omitBody, closeAfter bool) []byte {
 	out := make([]byte, 0, 256+len(r.fields)+len(r.body))
 	out = httpwire.AppendStatus(out, r.status)
@@ -36,7 +36,7 @@
 	return append(out, r.body...)
 }
 
-// date returns the time in HTTP's format. It is formatted once a second.
+// date returns the time for the Date field. It is formatted once a second.
 func (f *Front) date() string {
 	if second := f.loop.Now() / time.Second; second != f.dateSecond {
 		f.dateSecond, f.dateText = second, time.Unix(int64(second), 0).UTC().Format(http.TimeFormat)
@@ -49,7 +49,7 @@
 	return &response{err.Status, httpwire.AppendField(nil, "Content-Type", "application/json"), err.Body()}
 }
 
-// pushBackResponse returns the response for a request that was pushed back, and may be retried.
+// pushBackResponse returns the response for a request that was pushed back: it has not run and may be retried.
 func pushBackResponse(retryAfter time.Duration) *response {
 	r := errorResponse(&odata.Error{Status: 503, Code: "PushedBack", Text: "not done now; asking again does no harm"})
 	if retryAfter > 0 {
--- a/internal/front/odata/validate.go
+++ b/internal/front/odata/validate.go
@@ -18,7 +18,7 @@
 	verb, target string
 	fields       httpwire.Fields
 	body         []byte
-	receivedAt   time.Duration // its last byte; in a batch, when it was sent
+	receivedAt   time.Duration // arrival of its last byte; in a batch, when it was sent to the driver
 	inBatch      bool
 }
 
@@ -27,15 +27,15 @@
 	return &odata.Error{Status: status, Code: code, Text: fmt.Sprintf(format, args...)}
 }
 
-// validate parses and checks a request. It returns one that may be sent, or the response where nothing has to be sent. The
-// resource of a request may also be a batch.
-func (f *Front) validate(q *httpRequest) (*request, *response) {
-	req := &request{front: f, http: q}
-	req.minimalMetadata, req.returnPreference = true, preference(q.fields, "return")
-	if err := q.checkVersions(); err != nil {
+// validate parses and checks a request. It returns the request to send, or the response if nothing has to be sent. The resource
+// of the returned request may also be a batch.
+func (f *Front) validate(httpReq *httpRequest) (*request, *response) {
+	req := &request{front: f, http: httpReq}
+	req.minimalMetadata, req.returnPreference = true, preference(httpReq.fields, "return")
+	if err := httpReq.checkVersions(); err != nil {
 		return nil, errorResponse(err)
 	}
-	resource, err := f.config.Model.Parse(q.target, f.config.Root)
+	resource, err := f.config.Model.Parse(httpReq.target, f.config.Root)
 	if err != nil {
 		return nil, errorResponse(err)
 	}
@@ -47,7 +47,7 @@
 		return nil, r
 	}
 	if resource.Kind == odata.BatchOf {
-		if q.inBatch {
+		if httpReq.inBatch {
 			return nil, errorResponse(odata.Missing("", "a batch in a batch"))
 		}
 		return req, nil
@@ -77,11 +77,11 @@
 }
 
 // checkVersions checks the versions of OData that the client uses and accepts.
-func (q *httpRequest) checkVersions() *odata.Error {
-	if v := q.fields.Text("odata-version"); v != "" && v != "4.0" && v != "4.01" {
+func (httpReq *httpRequest) checkVersions() *odata.Error {
+	if v := httpReq.fields.Text("odata-version"); v != "" && v != "4.0" && v != "4.01" {
 		return newError(400, "BadVersion", "OData-Version %q is neither 4.0 nor 4.01", v)
 	}
-	if v := q.fields.Text("odata-maxversion"); v != "" {
+	if v := httpReq.fields.Text("odata-maxversion"); v != "" {
 		if n, err := strconv.ParseFloat(v, 64); err != nil || n < 4 {
 			return newError(400, "BadVersion", "OData-MaxVersion %q is under 4.0", v)
 		}
@@ -89,7 +89,7 @@
 	return nil
 }
 
-// knownVerbs are the methods of HTTP that are known, whether or not a resource allows them.
+// knownVerbs are the HTTP methods that are recognized, whether or not a resource allows them.
 var knownVerbs = map[string]bool{"GET": true, "HEAD": true, "POST": true, "PUT": true, "PATCH": true, "DELETE": true, "OPTIONS": true}
 
 // checkMethod rejects a method that the resource does not allow, and answers OPTIONS.
@@ -143,7 +143,7 @@
 	return r
 }
 
-// chooseAct determines what the request does to the resource.
+// chooseAct determines the act of the request on the resource, and the format of the response.
 func (req *request) chooseAct() *odata.Error {
 	formats := []string{"application/json"}
 	switch req.resource.Kind {
@@ -170,7 +170,7 @@
 	return req.negotiateFormat(formats...)
 }
 
-// readBody reads the body of a write.
+// readBody reads the body of a write, and rejects the body of any other request.
 func (req *request) readBody() (err *odata.Error) {
 	req.key = req.resource.Key
 	if !req.act.Writes() || req.act == odata.Delete {
@@ -179,8 +179,8 @@
 		}
 		return nil
 	}
-	media, parameters, failed := mime.ParseMediaType(req.http.fields.Text("content-type"))
-	if failed != nil || media != "application/json" {
+	media, parameters, parseErr := mime.ParseMediaType(req.http.fields.Text("content-type"))
+	if parseErr != nil || media != "application/json" {
 		return newError(415, "UnsupportedMediaType", "a body is application/json")
 	}
 	if charset := parameters["charset"]; charset != "" && !strings.EqualFold(charset, "utf-8") {
@@ -208,7 +208,7 @@
 	return nil
 }
 
-// chooseGroup determines the group, by the key where the entity set is spread over several.
+// chooseGroup determines the group: by a hash of the key if the entity set is spread over several.
 func (req *request) chooseGroup() *odata.Error {
 	groups := req.resource.Set.Groups
 	if req.act == odata.List || req.act == odata.Count {
--- a/internal/front/odata/validate_test.go
+++ b/internal/front/odata/validate_test.go
@@ -15,7 +15,7 @@
 	"passtack/internal/pgwire"
 )
 
-// statementHandler is a driver whose members take statements.
+// statementHandler stands for a driver whose members all take statements.
 type statementHandler struct{ driver.Clerk }
 
 func (statementHandler) FormOf(driver.Group) driver.Form { return driver.Statements }
@@ -35,6 +35,7 @@
 	return &Front{handler: statementHandler{}, config: f.Listeners[1].OData, methods: []string{"status-read", "own-read", "apply-write"}, random: pcg.New(1)}
 }
 
+// Guards against a preference or media type being read wrongly, such as a repeated preference or one of quality 0.
 func TestPreferencesAndFormats(t *testing.T) {
 	fields := httpwire.Fields("Prefer: respond-async, odata.continue-on-error; x=y\r\nPREFER: wait=7 , return=\"minimal\", wait=9\r\n")
 	for name, want := range map[string]string{"wait": "7", "return": "minimal", "continue-on-error": "true", "nothing": ""} {
@@ -47,18 +48,18 @@
 		"": "application/json", "*/*": "application/json", "text/html, application/json;q=0.5": "application/json", "application/*": "application/json",
 		"application/json;odata.metadata=full": "", "application/json;q=0": "", "text/html": "", "nonsense;;": "", "application/json;q=x": "",
 	} {
-		req, done := f.validate(&httpRequest{verb: "GET", target: "/odata/Applications('a')", fields: httpwire.AppendField(nil, "Accept", accept)})
-		if want == "" && (done == nil || done.status != 406) || want != "" && (req == nil || req.format != want) {
-			t.Errorf("Accept %q: %v, %v", accept, req, done)
+		req, immediate := f.validate(&httpRequest{verb: "GET", target: "/odata/Applications('a')", fields: httpwire.AppendField(nil, "Accept", accept)})
+		if want == "" && (immediate == nil || immediate.status != 406) || want != "" && (req == nil || req.format != want) {
+			t.Errorf("Accept %q: %v, %v", accept, req, immediate)
 		}
 	}
-	if req, done := f.validate(&httpRequest{verb: "GET", target: "/odata/Applications('a')", fields: httpwire.Fields("Accept: application/json;odata.metadata=none\r\n")}); done != nil || req.minimalMetadata {
-		t.Errorf("no metadata is wanted: %v", done)
+	if req, immediate := f.validate(&httpRequest{verb: "GET", target: "/odata/Applications('a')", fields: httpwire.Fields("Accept: application/json;odata.metadata=none\r\n")}); immediate != nil || req.minimalMetadata {
+		t.Errorf("no metadata is wanted: %v", immediate)
 	}
 }
 
-// Any request is validated without a panic, an error has the standard form, and what is sent to a member is one comment with the
-// front's own fields and one statement.
+// Guards against clients that inject text into a statement by way of header fields, target or body: the statement sent to a
+// member has one comment with the front's own fields, each at most once. Validation must not panic, and errors are JSON.
 func FuzzHeaders(f *testing.F) {
 	f.Add("POST", "/odata/Applications", "Content-Type: application/json\r\nRepeatability-Request-ID: a*/ b,k=c\r\nRepeatability-First-Sent: Tue, 01 Dec 2026 10:00:00 GMT\r\n", `{"Id":"x"}`)
 	f.Add("PATCH", "/odata/Applications('a')", "Content-Type: application/json\r\nIf-Match: W/\"x\"\r\nPrefer: return=minimal\r\n", `{"Status":"*/"}`)
@@ -70,11 +71,11 @@
 		if fault != nil || r.Size == 0 {
 			return
 		}
-		q := &httpRequest{verb: verb, target: target, fields: r.Fields, body: []byte(body)}
-		req, done := front.validate(q)
-		if done != nil {
-			if done.status >= 400 && !json.Valid(done.body) {
-				t.Fatalf("%d with %q", done.status, done.body)
+		httpReq := &httpRequest{verb: verb, target: target, fields: r.Fields, body: []byte(body)}
+		req, immediate := front.validate(httpReq)
+		if immediate != nil {
+			if immediate.status >= 400 && !json.Valid(immediate.body) {
+				t.Fatalf("%d with %q", immediate.status, immediate.body)
 			}
 			return
 		}
--- a/internal/front/pg/client.go
+++ b/internal/front/pg/client.go
@@ -6,7 +6,7 @@
 	"passtack/internal/pgwire"
 )
 
-// The SQLSTATE codes of errors to clients.
+// SQLSTATE codes of errors that are sent to clients.
 const (
 	codeProtocolViolation   = "08P01"
 	codeFeatureNotSupported = "0A000"
@@ -16,30 +16,30 @@
 	codeSystemError         = "58000"
 )
 
-// maxUselessMessages is how many messages without a valid RPC a client may send.
-const maxUselessMessages = 8
+// maxMessagesWithoutRPC is how many messages without a valid RPC a client may send.
+const maxMessagesWithoutRPC = 8
 
-// queryTextOffset is where the text of a query starts in its message, behind the kind and the length.
+// queryTextOffset is the offset of a query's text in its message, which starts with the kind and the length.
 const queryTextOffset = 5
 
-// client is one connection. It serves one RPC at a time, whose message stays in the stream's buffer meanwhile. It implements
-// front.Handler.
+// client is one client connection. It serves one RPC at a time, whose message stays in the stream's buffer until the RPC ends.
+// It implements front.Handler.
 type client struct {
 	*front.Connection
-	front           *Front
-	started         bool // the startup message was answered
-	cancelKey       uint32
-	uselessMessages int
+	front              *Front
+	started            bool // the startup message was answered
+	cancelKey          uint32
+	messagesWithoutRPC int
 
 	busy         bool // an RPC is in service
-	admitting    bool // it is being admitted
+	admitting    bool // the RPC is being admitted: the call of Take has not returned
 	rpc          driver.RPC
 	id           string
 	request      driver.Ask
-	messageSize  int    // bytes of its message
+	messageSize  int    // bytes of the RPC's message
 	textOffset   int    // of the statement in the message
-	budgetSpan   [2]int // where the time that is left stands in the statement
-	checkedBytes int    // of the messages received, those up to here are supported
+	budgetSpan   [2]int // start and end of the remaining time in the statement
+	checkedBytes int    // bytes of received messages that are known to be supported
 }
 
 // Busy implements front.Handler.
@@ -65,7 +65,7 @@
 	c.abandon()
 }
 
-// Panicked implements loop.Handler. The RPC in service may have run.
+// Panicked implements loop.Handler. The client gets an error, as the RPC in service may have run.
 func (c *client) Panicked(cause error) {
 	if !c.Ended {
 		c.Stream.Send(pgwire.AppendError(nil, true, codeSystemError, "aborted", -1))
@@ -74,7 +74,7 @@
 	c.Close(front.ClosedPanic)
 }
 
-// Parting implements loop.HalfCloser. The result is a parameter status, which clients that still read ignore.
+// HalfClosed implements loop.HalfCloser. It returns a parameter status message, which a client that still reads ignores.
 func (c *client) HalfClosed(pending bool) []byte {
 	if !c.started || c.Ended || !c.busy && !pending && len(c.Stream.Unread()) == 0 {
 		return nil
@@ -127,7 +127,7 @@
 // supported reports whether messages of the kind are supported. Kind 0 stands for an incomplete header.
 func supported(kind byte) bool { return kind == 'Q' || kind == 'X' || kind == 0 }
 
-// checkPipelined checks the messages behind the RPC in service: an unsupported one ends the connection at once.
+// checkPipelined checks the messages received after the RPC in service. An unsupported one closes the connection at once.
 func (c *client) checkPipelined(in []byte) {
 	for c.checkedBytes < len(in) {
 		kind, _, size, err := pgwire.Next(in[c.checkedBytes:])
@@ -142,7 +142,7 @@
 	}
 }
 
-// startup takes a message before the session: a request for encryption, a cancellation, or the startup message.
+// startup handles a message before the session: a request for encryption, a cancellation, or the startup message.
 func (c *client) startup(in []byte) int {
 	code, size, err := pgwire.First(in)
 	switch {
@@ -151,8 +151,8 @@
 		return len(in)
 	case size == 0:
 		return 0
-	case (code == pgwire.TLS || code == pgwire.GSS) && c.uselessMessages < maxUselessMessages:
-		c.uselessMessages++
+	case (code == pgwire.TLS || code == pgwire.GSS) && c.messagesWithoutRPC < maxMessagesWithoutRPC:
+		c.messagesWithoutRPC++
 		c.Stream.Send([]byte{'N'})
 	case code == pgwire.Cancel:
 		if process, cancelKey, ok := pgwire.Cancelled(in[:size]); ok {
@@ -168,7 +168,7 @@
 	return size
 }
 
-// reject answers a violation of the protocol and ends the connection, whatever is in service on it.
+// reject answers a violation of the protocol and closes the connection, even if an RPC is in service on it.
 func (c *client) reject(code, message string) {
 	c.front.handler.Count("clients_rejected")
 	c.abandon()
@@ -176,10 +176,10 @@
 	c.Close(front.ClosedUnreadable)
 }
 
-// rejectMessage answers a message without a valid RPC. The connection ends if there are too many of them.
+// rejectMessage answers a message without a valid RPC. The connection is closed if the client sends too many of them.
 func (c *client) rejectMessage(message string) {
 	c.front.handler.Count("clients_invalid_messages")
-	if c.uselessMessages++; c.uselessMessages > maxUselessMessages {
+	if c.messagesWithoutRPC++; c.messagesWithoutRPC > maxMessagesWithoutRPC {
 		c.reject(codeProtocolViolation, message)
 		return
 	}
--- a/internal/front/pg/front.go
+++ b/internal/front/pg/front.go
@@ -26,7 +26,7 @@
 }
 
 // Listen accepts clients. The slices are indexed by method: its name, whether its key names the session, and whether it needs
-// an idempotency key. The seed is that of the cancel keys.
+// an idempotency key. The seed is for the random cancel keys.
 func Listen(l *loop.Loop, handler driver.Clerk, address netip.AddrPort, limits loop.AcceptLimiter, activeIDs front.ActiveIDs, methods []string,
 	sessions, keyed []bool, seed uint64) (*Front, error) {
 	f := &Front{cancelKeys: pcg.New(seed), loop: l, handler: handler, activeIDs: activeIDs}
@@ -56,7 +56,8 @@
 	return nil
 }
 
-// Ask implements driver.Front. It returns the client's statement, before and after the time in its comment.
+// Ask implements driver.Front. It returns the parts of the client's statement before and after the remaining
+// time in its comment.
 func (f *Front) Ask(from driver.Client) *driver.Ask {
 	c := f.busyClient(from)
 	if c == nil {
@@ -88,7 +89,7 @@
 	f.respond(to, pgwire.AppendError(nil, false, codeSystemError, "aborted", -1), readyMessage)
 }
 
-// cancel ends the RPC of a client that requests it over another connection.
+// cancel ends the RPC of a client that requested the cancellation over another connection.
 func (f *Front) cancel(id driver.Client, cancelKey uint32) {
 	if c := f.busyClient(id); c != nil && c.cancelKey == cancelKey {
 		f.handler.Count("clients_cancelled")
--- a/internal/front/pg/query.go
+++ b/internal/front/pg/query.go
@@ -11,20 +11,20 @@
 	"passtack/internal/pgwire"
 )
 
-// header is the comment in front of a statement. The slices refer to the message.
+// header is the comment in front of a statement. Its slices point into the message.
 type header struct {
 	id         []byte
 	method     []byte
 	budget     []byte // milliseconds until the client stops waiting
 	group      []byte
-	after      []byte // milliseconds: the commit that a read must see
+	after      []byte // position in milliseconds of the commit that a read must see
 	key        []byte // for idempotency
 	repeat     bool   // the client has sent this RPC before
 	duplicate  bool   // a field occurs twice
-	budgetSpan [2]int // where the budget stands in the text
+	budgetSpan [2]int // start and end of the budget in the text
 }
 
-// parseHeader parses the comment of a statement and returns the statement. It is not ok if there is no comment.
+// parseHeader parses the comment of a statement and returns the statement. ok is false if there is no comment.
 func parseHeader(text []byte, h *header) (statement []byte, ok bool) {
 	set := func(field *[]byte, value []byte) {
 		h.duplicate = h.duplicate || *field != nil
@@ -56,10 +56,10 @@
 	method driver.Method
 	group  driver.Group
 	budget time.Duration
-	commit time.Duration // the position that a read must see, 0: none
+	commit time.Duration // position that a read must see; 0: none
 }
 
-// validate converts the values of a header. It is not ok if one is missing or malformed.
+// validate converts the values of a header. ok is false if one is missing or malformed.
 func (f *Front) validate(h *header, statement []byte) (fields rpcFields, ok bool) {
 	method, known := f.methods[string(h.method)]
 	budget, err := strconv.ParseInt(string(h.budget), 10, 32)
@@ -73,7 +73,7 @@
 	}
 	commit, err := strconv.ParseInt(string(h.after), 10, 64)
 	plausible := err == nil && commit >= 0 && commit <= int64((f.handler.MembersNow()+time.Second)/time.Millisecond)
-	if !plausible && len(h.after) > 0 { // a commit in the future
+	if !plausible && len(h.after) > 0 { // malformed, or a commit in the future
 		return fields, false
 	}
 	return rpcFields{
@@ -82,7 +82,7 @@
 	}, true
 }
 
-// query takes a query message. It returns how much of the input to consume: nothing while its RPC is in service.
+// query handles a query message. It returns how many bytes of the input to consume: none while its RPC is in service.
 func (c *client) query(text []byte, size int) int {
 	f := c.front
 	var h header
@@ -111,7 +111,8 @@
 	if fields.commit > 0 {
 		sinceCommit = max(1, f.handler.MembersNow()-fields.commit)
 	}
-	// The budget counts from the last byte, also while the RPC waits behind another, as the client waits by its own clock.
+	// The budget starts when the last byte of the message arrives, even if the RPC then waits for the one before it, as the
+	// client measures its own waiting time.
 	receivedAt := c.Stream.ArrivedAt(size)
 	deadline := receivedAt + fields.budget - front.DeliveryMargin
 	if slog.Default().Enabled(context.Background(), slog.LevelDebug) {
@@ -130,8 +131,8 @@
 	return size
 }
 
-// answerCommand answers a query without a comment: the empty query, with which clients check that the driver is ready, and
-// commands that have no effect.
+// answerCommand answers a query without a comment: the empty query, which clients send to check that the driver is ready, and
+// commands that have no effect here.
 func (c *client) answerCommand(text []byte) {
 	switch word := firstWord(text); word {
 	case "":
--- a/internal/member/attempt.go
+++ b/internal/member/attempt.go
@@ -11,28 +11,28 @@
 	"passtack/internal/slots"
 )
 
-// failureLogInterval is the time between log lines on failures at one member. Counters have them all.
+// failureLogInterval is the minimum time between log lines about failures at one member. Counters include every failure.
 const failureLogInterval = 5 * time.Second
 
 // attempt is one attempt of an RPC at a member, or a health check.
 type attempt struct {
 	handle        slots.Handle
 	rpc           driver.RPC
-	number        int  // of the RPC's attempts
+	number        int  // index among the RPC's attempts
 	probe         bool // it is a health check and has no RPC
 	target        driver.Member
 	startedAt     time.Duration
-	writeDeadline time.Duration // by when it must be fully written
-	deadline      time.Duration // by when its response is due
+	writeDeadline time.Duration // time by which it must be fully written
+	deadline      time.Duration // time by which its response is due
 	connection    *connection
-	request       *driver.Ask // a copy, until it is written
+	request       *driver.Ask // a copy, kept until it is written
 	timer         loop.Timer
-	queued        chain.Element[*attempt] // in the member's queue
+	queued        chain.Element[*attempt] // element of the member's queue
 }
 
-// Attempt sends a request to a member with the time that is left until the deadline. It is fully written by writeDeadline or
-// cut off. Each attempt ends with exactly one outcome, never during this call. The result identifies it for Cancel and
-// Withdraw.
+// Attempt sends a request to a member with the time that is left until the deadline. A request that is not fully written by
+// writeDeadline is cut off. Each attempt ends with exactly one outcome, never during this call. The result is the attempt's
+// handle for Cancel and Withdraw.
 func (p *Pool) Attempt(rpc driver.RPC, number int, target driver.Member, writeDeadline, deadline time.Duration, request *driver.Ask) uint32 {
 	m := p.members[target]
 	a := &attempt{
@@ -59,7 +59,8 @@
 	return uint32(a.handle)
 }
 
-// Probe sends a health check to a member. It does not wait for a connection: where no more may be opened it ends unsent.
+// Probe sends a health check to a member. It does not wait for a connection: it ends unsent if no connection is idle and
+// none may be opened.
 func (p *Pool) Probe(target driver.Member) {
 	m, now := p.members[target], p.loop.Now()
 	if m == nil {
@@ -85,7 +86,7 @@
 	p.connect(a, m)
 }
 
-// Cancel ends an attempt later in this iteration of the loop. From now on nothing of it is written.
+// Cancel ends an attempt later in this iteration of the loop. Nothing of its request is written after the call.
 func (p *Pool) Cancel(handle uint32) {
 	if a := p.attempts.Get(slots.Handle(handle)); a != nil {
 		outcome := driver.Cancelled
@@ -111,7 +112,7 @@
 	return a.connection.progress()
 }
 
-// expireAt sets when the attempt is checked against its deadlines.
+// expireAt schedules the check of the attempt against its deadlines, in place of an earlier schedule.
 func (p *Pool) expireAt(a *attempt, at time.Duration) {
 	p.loop.Cancel(a.timer)
 	a.timer = p.loop.At(at, func() { p.expire(a.handle) })
@@ -154,7 +155,7 @@
 	}
 }
 
-// fail ends an attempt without a complete response, and logs it.
+// fail ends an attempt that got no complete response, and logs the failure.
 func (p *Pool) fail(a *attempt, failure Failure) {
 	if m, now := p.members[a.target], p.loop.Now(); m != nil && now >= m.failureLogAfter {
 		m.failureLogAfter = now + failureLogInterval
--- a/internal/member/connection.go
+++ b/internal/member/connection.go
@@ -11,8 +11,8 @@
 	"passtack/internal/slots"
 )
 
-// maxResponsePause bounds a pause within a response, beyond the retransmission of a lost packet. Members send a response at
-// once.
+// maxResponsePause bounds a pause within a response. It is longer than the retransmission of a lost packet takes; members send a
+// whole response without pauses.
 const maxResponsePause = 250 * time.Millisecond
 
 // connection is one connection to a member. It implements loop.Handler.
@@ -20,15 +20,15 @@
 	pool            *Pool
 	handle          slots.Handle
 	member          *member
-	address         netip.AddrPort // the member may have moved since
+	address         netip.AddrPort // where it was opened to; the member's address may have changed since
 	stream          *loop.Stream
 	openedAt        time.Duration
 	established     bool // the member has accepted the greeting
 	released        bool
 	attempt         *attempt
-	written         bool // the attempt was handed to the stream
+	written         bool // the attempt's request was handed to the stream
 	idleSince       time.Duration
-	timer           loop.Timer // until it is established; then for the rest of a response
+	timer           loop.Timer // connect timeout; once established, timeout of a pause within a response
 	responseStarted bool
 	errorReceived   bool
 	outcome         driver.Outcome // of the error that was received
@@ -89,7 +89,7 @@
 		c.close()
 	case a.probe:
 		c.writeProbe()
-	case c.pool.loop.Clock() >= a.writeDeadline: // as after this process was suspended
+	case c.pool.loop.Clock() >= a.writeDeadline: // for example after this process was suspended
 		c.attempt, a.connection = nil, nil
 		c.becomeIdle()
 		c.pool.loop.Defer(func() { c.pool.expire(a.handle) })
@@ -99,7 +99,7 @@
 	}
 }
 
-// write sends the attempt, with the time that is left at this moment: the iteration of the loop may have taken long.
+// write sends the attempt's request with the time that is left by the clock, as this iteration of the loop may have taken long.
 func (c *connection) write(request *driver.Ask) {
 	c.responseStarted, c.errorReceived, c.written = false, false, true
 	left := max(c.attempt.deadline-c.pool.loop.Clock(), time.Millisecond)
@@ -111,7 +111,7 @@
 	c.stream.Send(c.pool.protocol.EncodeProbe())
 }
 
-// Input implements loop.Handler. It consumes complete responses only: nothing of a malformed one is used.
+// Input implements loop.Handler. It consumes complete responses only, and uses no part of a malformed one.
 func (c *connection) Input(in []byte) int {
 	p := c.pool
 	if c.established && c.attempt == nil {
@@ -142,8 +142,8 @@
 	return c.complete(response, len(in))
 }
 
-// complete ends the attempt with its response and returns the size of it. The connection is used again unless the member has
-// sent more than that, or has moved.
+// complete ends the attempt with its response and returns the response's size. The connection is used again unless the member
+// closes it, has sent excess bytes, or has changed its address.
 func (c *connection) complete(response *Response, received int) (size int) {
 	p, a := c.pool, c.attempt
 	size = response.Size
@@ -171,8 +171,8 @@
 	c.responseStarted, c.errorReceived, c.outcome = response.Started, response.ErrorReceived, response.Outcome
 }
 
-// awaitMore aborts the connection unless more of the response comes in time. It waits longer while the stream does not read
-// for want of memory.
+// awaitMore aborts the connection unless more of the response arrives within maxResponsePause. It waits longer while the stream
+// has paused reading for lack of memory.
 func (c *connection) awaitMore() {
 	p := c.pool
 	p.loop.Cancel(c.timer)
@@ -204,7 +204,7 @@
 	if a == nil {
 		return
 	}
-	if c.established && c.written && cause == io.EOF { // which ends a response that has no length
+	if c.established && c.written && cause == io.EOF { // the end of the connection completes a response without a length
 		response := &c.pool.response
 		if c.parse(c.stream.Unread(), true); response.Size > 0 && !response.Malformed {
 			c.attempt = nil
@@ -229,7 +229,7 @@
 	c.Closed(cause)
 }
 
-// close closes the connection, not the attempt that it carries.
+// close closes the connection and leaves the attempt that it carries.
 func (c *connection) close() {
 	c.stream.Close()
 	c.release()
--- a/internal/member/errors.go
+++ b/internal/member/errors.go
@@ -27,10 +27,10 @@
 func (p Progress) String() string { return progressNames[p] }
 
 var (
-	errTimeout             = errors.New("no response in time")
-	errConnectTimeout      = errors.New("connection not established in time")
-	errMalformedResponse   = errors.New("malformed response")
-	errResponseStalled     = errors.New("response stopped before its end")
+	errTimeout             = errors.New("no complete response before the deadline")
+	errConnectTimeout      = errors.New("connection not established within the connect timeout")
+	errMalformedResponse   = errors.New("response violates the protocol")
+	errResponseStalled     = errors.New("incomplete response: no more data within the limit for pauses")
 	errSharedConnectFailed = errors.New("another connection to the member could not be established")
 )
 
@@ -49,7 +49,8 @@
 // Unwrap returns the cause.
 func (f Failure) Unwrap() error { return f.Cause }
 
-// Outcome returns what the progress proves, whatever the cause: a request that was not fully written has not run.
+// Outcome returns the attempt's outcome. It follows from the progress: a request that was not fully written has not run,
+// whatever the cause of the failure.
 func (f Failure) Outcome() driver.Outcome {
 	switch {
 	case f.Progress < FullyWritten:
--- a/internal/member/idle.go
+++ b/internal/member/idle.go
@@ -8,8 +8,8 @@
 	"passtack/driver"
 )
 
-// settleTime is how long a connection rests after a response before it is used again: excess bytes of the member that arrive
-// within this time close it, and cannot be taken for the next response.
+// settleTime is how long a connection stays unused after a response. Excess bytes from the member that arrive within this time
+// close the connection; on a connection in use they would be taken for the next response.
 const settleTime = 2 * time.Millisecond
 
 // becomeIdle makes the connection available for the next attempt.
@@ -25,8 +25,8 @@
 	}
 }
 
-// takeIdle removes and returns the connection that was used last among those that have settled, nil if there is none. It
-// closes those that the member may have closed.
+// takeIdle removes and returns the most recently used idle connection of those whose settleTime has passed, nil if there is
+// none. It closes connections that the member may have closed.
 func (p *Pool) takeIdle(m *member) *connection {
 	for len(m.idle) > 0 {
 		unsettled := sort.Search(len(m.idle), func(i int) bool { return p.loop.Now()-m.idle[i].idleSince < settleTime })
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// closeIdleAt closes the connections that will have been idle for too long at the time, and repeats this while any is idle.
+// closeIdleAt schedules a check at the given time that closes connections idle for too long and repeats while any is idle.
 func (p *Pool) closeIdleAt(m *member, at time.Duration) {
 	m.idleTimer = p.loop.At(at, func() {
 		m.idleTimer = nil
@@ -63,7 +63,7 @@
 	}
 }
 
-// CloseExcess closes idle connections to members with more connections than the driver may have.
+// CloseExcess closes idle connections to members to which the driver has more connections than it may have.
 func (p *Pool) CloseExcess() {
 	for _, m := range p.members {
 		for excess := p.connectLimiter.Excess(&m.connections); excess > 0 && len(m.idle) > 0; excess-- {
@@ -72,7 +72,7 @@
 	}
 }
 
-// OldestIdle returns since when the connection that has been idle for longest is idle. It is not ok if none is idle.
+// OldestIdle returns the start of the idle time of the connection that has been idle for longest. ok is false if none is idle.
 func (p *Pool) OldestIdle() (since time.Duration, ok bool) {
 	c := p.oldestIdle()
 	if c == nil {
--- a/internal/member/metadata.go
+++ b/internal/member/metadata.go
@@ -10,7 +10,7 @@
 	"passtack/driver"
 )
 
-// MaxPositionAhead is how far a log position may be ahead of the members' clock, as both are rounded.
+// MaxPositionAhead is how far a valid log position may be ahead of the members' clock, as both are rounded.
 const MaxPositionAhead = time.Second
 
 // LoadReportParser parses the load reports of members.
@@ -45,8 +45,8 @@
 	return time.Duration(millis) * time.Millisecond
 }
 
-// PlausiblePosition parses a log position in milliseconds. It returns the fallback if there is none, or if it lies ahead of
-// now by the members' clock.
+// PlausiblePosition parses a log position in milliseconds. It returns the fallback if there is none, or if it is more
+// than MaxPositionAhead ahead of now, the time by the members' clock.
 func PlausiblePosition(text []byte, now, fallback time.Duration) time.Duration {
 	position := ParsePosition(text)
 	if position == 0 || position > now+MaxPositionAhead {
@@ -55,7 +55,7 @@
 	return position
 }
 
-// ParseRole parses the role that a member reports. It returns the fallback if it is neither of the known ones.
+// ParseRole parses the role that a member reports. It returns the fallback if the role is unknown.
 func ParseRole(text []byte, fallback driver.Role) driver.Role {
 	switch string(text) {
 	case "leader":
--- a/internal/member/odata/odata.go
+++ b/internal/member/odata/odata.go
@@ -12,13 +12,13 @@
 	"passtack/internal/member"
 )
 
-// limits bounds a response. What MaxResponseBytes has beyond the body is for its header and chunk sizes.
+// limits bounds a response. The 32 KiB of MaxResponseBytes beyond the body are for the header and chunk sizes.
 var limits = httpwire.Limits{Head: 16 << 10, Fields: 100, Body: member.MaxResponseBytes - 32<<10}
 
 // Protocol encodes requests and parses their responses.
 type Protocol struct {
 	Load    member.LoadReportParser
-	Host    string // the Host field of requests
+	Host    string // value of the Host field of requests
 	parts   [4][]byte
 	header  []byte
 	trailer []byte
@@ -28,28 +28,28 @@
 func (*Protocol) Greeting() []byte { return nil }
 
 // EncodeRequest implements member.Protocol. It returns a request with the time that is left in a header field.
-func (t *Protocol) EncodeRequest(ask *driver.Ask, left time.Duration) [][]byte {
-	t.header = httpwire.AppendRequest(t.header[:0], ask.Verb, ask.Path)
-	t.header = httpwire.AppendField(t.header, "Host", t.Host)
-	t.trailer = strconv.AppendInt(append(t.trailer[:0], "Deadline-Ms: "...), int64(left/time.Millisecond), 10)
-	t.trailer = append(t.trailer, "\r\n"...)
+func (p *Protocol) EncodeRequest(ask *driver.Ask, left time.Duration) [][]byte {
+	p.header = httpwire.AppendRequest(p.header[:0], ask.Verb, ask.Path)
+	p.header = httpwire.AppendField(p.header, "Host", p.Host)
+	p.trailer = strconv.AppendInt(append(p.trailer[:0], "Deadline-Ms: "...), int64(left/time.Millisecond), 10)
+	p.trailer = append(p.trailer, "\r\n"...)
 	if len(ask.Body) > 0 || ask.Verb != "GET" && ask.Verb != "HEAD" && ask.Verb != "DELETE" {
-		t.trailer = httpwire.AppendLength(t.trailer, len(ask.Body))
+		p.trailer = httpwire.AppendLength(p.trailer, len(ask.Body))
 	} else {
-		t.trailer = append(t.trailer, "\r\n"...)
+		p.trailer = append(p.trailer, "\r\n"...)
 	}
-	t.parts = [4][]byte{t.header, ask.Fields, t.trailer, ask.Body}
-	return t.parts[:]
+	p.parts = [4][]byte{p.header, ask.Fields, p.trailer, ask.Body}
+	return p.parts[:]
 }
 
 // EncodeProbe implements member.Protocol. It requests the header of the service document.
-func (t *Protocol) EncodeProbe() []byte {
+func (p *Protocol) EncodeProbe() []byte {
 	out := httpwire.AppendRequest(nil, "HEAD", "/")
-	return append(httpwire.AppendField(out, "Host", t.Host), "\r\n"...)
+	return append(httpwire.AppendField(out, "Host", p.Host), "\r\n"...)
 }
 
 // ParseResponse implements member.Protocol.
-func (t *Protocol) ParseResponse(in []byte, greeted, probing, ended bool, now time.Duration, response *member.Response) {
+func (p *Protocol) ParseResponse(in []byte, greeted, probing, ended bool, now time.Duration, response *member.Response) {
 	reply, fault := httpwire.NextReply(in, probing, ended, limits)
 	response.Started = response.Started || len(in) > 0
 	if fault != nil {
@@ -74,11 +74,11 @@
 		response.Role = member.ParseRole(text, driver.Unknown)
 	}
 	if text, _ := reply.Fields.Get("server-load"); text != nil {
-		response.LoadReport = t.Load.Parse(string(text), response.LoadReport)
+		response.LoadReport = p.Load.Parse(string(text), response.LoadReport)
 	}
 }
 
-// validBody reports whether the body is what its media type promises.
+// validBody reports whether a body of JSON is valid JSON, and whether a response with status 200 has a body at all.
 func validBody(r *httpwire.Reply) bool {
 	media, _, _ := strings.Cut(r.Fields.Text("content-type"), ";")
 	if strings.EqualFold(strings.TrimSpace(media), "application/json") {
@@ -87,9 +87,9 @@
 	return len(r.Body) > 0 || r.Status != 200
 }
 
-// outcomeOf returns what a status means for the attempt. A missing entity or a failed precondition (4xx) is a success: the
-// member has served the request. With 421 (not the primary) and 425 (too far behind), and with 429 and 503 (overloaded), the
-// request has not run. With any other status it may have run.
+// outcomeOf returns the outcome of an attempt for the status of its response. A missing entity or a failed precondition (4xx) is a
+// success: the member has served the request. With 421 (not the primary) and 425 (too far behind), and with 429 and 503
+// (overloaded), the request has not run. With any other status it may have run.
 func outcomeOf(status int) driver.Outcome {
 	switch {
 	case status == 421 || status == 425:
--- a/internal/member/pg/pg.go
+++ b/internal/member/pg/pg.go
@@ -1,4 +1,4 @@
-// Package pg speaks version 3 of PostgreSQL's protocol with members, in simple queries.
+// Package pg speaks version 3 of PostgreSQL's protocol with members, using simple queries.
 package pg
 
 import (
@@ -11,7 +11,7 @@
 	"passtack/internal/pgwire"
 )
 
-// The SQLSTATE codes of members that have a meaning of their own.
+// SQLSTATE codes of members that say more than that the statement failed.
 const (
 	codeReadOnlyTransaction = "25006" // a write at a replica
 	codeSnapshotTooOld      = "72000" // the replica is too far behind
@@ -22,7 +22,7 @@
 type Protocol struct {
 	Load   member.LoadReportParser
 	parts  [5][]byte
-	header [32]byte // of the query, and the time that is left
+	header [32]byte // buffer for the head of the query message and the time that is left
 }
 
 // Greeting implements member.Protocol. It returns the startup message.
@@ -31,23 +31,23 @@
 var terminator = []byte{0}
 
 // EncodeRequest implements member.Protocol. It returns a simple query with the time that is left in its comment.
-func (t *Protocol) EncodeRequest(request *driver.Ask, left time.Duration) [][]byte {
-	budget := strconv.AppendInt(t.header[8:8], int64(left/time.Millisecond), 10)
-	header := pgwire.AppendHead(t.header[:0], 'Q', len(request.Before)+len(budget)+len(request.After)+1)
-	t.parts = [5][]byte{header, request.Before, budget, request.After, terminator}
-	return t.parts[:]
+func (p *Protocol) EncodeRequest(request *driver.Ask, left time.Duration) [][]byte {
+	budget := strconv.AppendInt(p.header[8:8], int64(left/time.Millisecond), 10)
+	header := pgwire.AppendHead(p.header[:0], 'Q', len(request.Before)+len(budget)+len(request.After)+1)
+	p.parts = [5][]byte{header, request.Before, budget, request.After, terminator}
+	return p.parts[:]
 }
 
 // EncodeProbe implements member.Protocol. It returns the empty query.
 func (*Protocol) EncodeProbe() []byte { return append(pgwire.AppendHead(nil, 'Q', 1), 0) }
 
-// ParseResponse implements member.Protocol. A response is a description, one row of one column, and a tag, or an error; then
-// the member is ready for the next query.
-func (t *Protocol) ParseResponse(in []byte, greeted, probing, ended bool, now time.Duration, r *member.Response) {
-	at, last, code := 0, byte(0), "" // last: the kind of the latest message of the response proper
+// ParseResponse implements member.Protocol. A response consists of a row description, one row of one column and a command tag,
+// or of an error. It ends with the message that the member is ready for the next query.
+func (p *Protocol) ParseResponse(in []byte, greeted, probing, ended bool, now time.Duration, r *member.Response) {
+	offset, last, code := 0, byte(0), "" // last: kind of the latest message but authentication, key data, notices and parameters
 	r.Outcome = driver.OK
 	for last != 'Z' {
-		kind, body, size, err := pgwire.Next(in[at:])
+		kind, body, size, err := pgwire.Next(in[offset:])
 		if err != nil {
 			r.Malformed = true
 			return
@@ -59,7 +59,7 @@
 		var valid bool
 		switch kind {
 		case 'S':
-			valid = t.parseParameter(body, now, r)
+			valid = p.parseParameter(body, now, r)
 		case 'D':
 			if valid = last == 'T' && pgwire.Row(body); valid {
 				r.Answer.Value = body[6:]
@@ -71,24 +71,24 @@
 		default:
 			valid = follows(kind, last, body, greeted, probing)
 		}
-		if !valid { // which also discredits an error before it
+		if !valid { // an error that was received before is not trusted either
 			r.ErrorReceived = false
 		}
 		if !valid || !greeted && code != "" {
 			r.Malformed = true
 			return
 		}
-		if at += size; kind == 'T' || kind == 'D' || kind == 'C' {
-			r.Answer.Parts = append(r.Answer.Parts, in[at-size:at])
+		if offset += size; kind == 'T' || kind == 'D' || kind == 'C' {
+			r.Answer.Parts = append(r.Answer.Parts, in[offset-size:offset])
 		}
 		if kind != 'R' && kind != 'K' && kind != 'N' && kind != 'S' {
 			r.Started, last = true, kind
 		}
 	}
-	r.Size = at
+	r.Size = offset
 }
 
-// follows reports whether a message that carries nothing for the response is valid, and may follow the last one.
+// follows reports whether a message of which the response keeps no content is valid, and may follow one of the kind last.
 func follows(kind, last byte, body []byte, greeted, probing bool) bool {
 	switch kind {
 	case 'R', 'K':
@@ -121,15 +121,15 @@
 			code = string(value)
 		}
 	})
-	odd := func(r rune) bool { return (r < '0' || r > '9') && (r < 'A' || r > 'Z') }
-	if !ok || len(code) != 5 || strings.ContainsFunc(code, odd) {
+	invalid := func(r rune) bool { return (r < '0' || r > '9') && (r < 'A' || r > 'Z') }
+	if !ok || len(code) != 5 || strings.ContainsFunc(code, invalid) {
 		return ""
 	}
 	return code
 }
 
-// parseParameter takes what a parameter message reports of the member. It reports whether the message is valid.
-func (t *Protocol) parseParameter(body []byte, now time.Duration, r *member.Response) bool {
+// parseParameter records the position, role or load in a parameter message. It reports whether the message is valid.
+func (p *Protocol) parseParameter(body []byte, now time.Duration, r *member.Response) bool {
 	name, value, ok := pgwire.Parameter(body)
 	switch string(name) {
 	case "replay_position":
@@ -138,12 +138,12 @@
 	case "node_role":
 		r.Role = member.ParseRole(value, r.Role)
 	case "server_load":
-		r.LoadReport = t.Load.Parse(string(value), r.LoadReport)
+		r.LoadReport = p.Load.Parse(string(value), r.LoadReport)
 	}
 	return ok
 }
 
-// outcomeOf returns what an error of the member means for the attempt.
+// outcomeOf returns the outcome of an attempt for the SQLSTATE code of the member's error.
 func outcomeOf(code string) driver.Outcome {
 	switch code {
 	case codeReadOnlyTransaction, codeSnapshotTooOld:
--- a/internal/member/pool.go
+++ b/internal/member/pool.go
@@ -1,5 +1,5 @@
 // Package member manages the connections to database members for every protocol. A connection carries one attempt or health
-// check at a time. The pool reports how each one ended, and how far an attempt without a response had come. A Protocol
+// check at a time. The pool reports the outcome of each one, and the progress of an attempt that got no response. A Protocol
 // encodes the requests and parses the responses. All calls come from the goroutine of the event loop.
 package member
 
@@ -14,7 +14,7 @@
 	"passtack/internal/slots"
 )
 
-// MaxResponseBytes bounds a response that is buffered.
+// MaxResponseBytes bounds the bytes of a response, which is buffered until it is complete.
 const MaxResponseBytes = 1088<<10 + 1
 
 // Pool holds the connections to all members of one protocol. It implements driver.Side.
@@ -30,23 +30,23 @@
 	response       Response      // reused for every response
 	clockOffset    time.Duration // by which the members' clock is ahead of the loop's
 	connectLimiter *recovery.ConnectLimiter
-	congested      chain.List[*member] // those with attempts that wait for a connection
+	congested      chain.List[*member] // members with attempts that wait for a connection
 }
 
 // member is a database process and the pool's connections to it.
 type member struct {
 	id              driver.Member
 	address         netip.AddrPort
-	idle            []*connection // the latest used last
-	idleTimer       loop.Timer    // closes the oldest of them
-	failureLogAfter time.Duration // failures are not logged before then
+	idle            []*connection // in the order in which they became idle
+	idleTimer       loop.Timer    // closes the connections that have been idle for too long
+	failureLogAfter time.Duration // time before which no further failure is logged
 	connections     recovery.MemberConnections
 	waiting         chain.List[*attempt]
 	congested       chain.Element[*member]
 }
 
 // New creates a pool. Connections must be established within connectTimeout and are not used after having been idle for
-// idleTimeout. All pools of a driver share the limiter of connections that are being established.
+// idleTimeout. All pools of a driver share connectLimiter.
 func New(l *loop.Loop, ledger driver.Ledger, protocol Protocol, connectLimiter *recovery.ConnectLimiter,
 	connectTimeout, idleTimeout time.Duration) *Pool {
 	p := &Pool{
@@ -76,7 +76,7 @@
 	}
 }
 
-// Forget removes a member to which nothing more is sent.
+// Forget removes a member. No further attempts are sent to it.
 func (p *Pool) Forget(id driver.Member) {
 	if m := p.members[id]; m != nil {
 		p.CloseIdle(id)
--- a/internal/member/pool_test.go
+++ b/internal/member/pool_test.go
@@ -24,19 +24,19 @@
 	counts      map[string]int
 }
 
-func (o *recordingLedger) AttemptEnded(rpc driver.RPC, _ int, _ driver.Member, outcome driver.Outcome, _, _ time.Duration, _ driver.Role, _ []float64, _ *driver.Answer) {
-	o.outcomes[rpc], o.lastEndedAt = outcome, o.loop.Now()
+func (l *recordingLedger) AttemptEnded(rpc driver.RPC, _ int, _ driver.Member, outcome driver.Outcome, _, _ time.Duration, _ driver.Role, _ []float64, _ *driver.Answer) {
+	l.outcomes[rpc], l.lastEndedAt = outcome, l.loop.Now()
 }
-func (o *recordingLedger) Probed(driver.Member, bool, time.Duration, []float64) {}
-func (o *recordingLedger) Count(name string)                                    { o.counts[name]++ }
+func (l *recordingLedger) Probed(driver.Member, bool, time.Duration, []float64) {}
+func (l *recordingLedger) Count(name string)                                    { l.counts[name]++ }
 
-// fakeMember accepts greetings one after the other and answers every query with an error.
+// fakeMember accepts one greeting at a time and answers every query with an error.
 type fakeMember struct {
 	loop                      *loop.Loop
-	connectDelay              time.Duration // of accepting one greeting
-	freeAt                    time.Duration // when it will have accepted all greetings so far
+	connectDelay              time.Duration // time to accept one greeting
+	freeAt                    time.Duration // time at which all greetings received so far are accepted
 	opened                    int
-	connecting, maxConnecting int // connections whose greeting is not accepted: now, and the most at any time
+	connecting, maxConnecting int // connections whose greeting is not yet accepted: at present, and the highest number so far
 	queries                   int // complete queries received
 	closed                    int // connections that the pool closed
 }
@@ -47,22 +47,22 @@
 	greeted bool
 }
 
-func (v *memberConnection) Opened()        {}
-func (v *memberConnection) Closed(error)   { v.member.closed++ }
-func (v *memberConnection) Panicked(error) {}
+func (c *memberConnection) Opened()        {}
+func (c *memberConnection) Closed(error)   { c.member.closed++ }
+func (c *memberConnection) Panicked(error) {}
 
-func (v *memberConnection) Input(in []byte) int {
-	d := v.member
-	if !v.greeted {
+func (c *memberConnection) Input(in []byte) int {
+	m := c.member
+	if !c.greeted {
 		_, size, _ := pgwire.First(in)
 		if size == 0 {
 			return 0
 		}
-		v.greeted = true
-		d.freeAt = max(d.freeAt, d.loop.Now()) + d.connectDelay
-		d.loop.At(d.freeAt, func() {
-			d.connecting--
-			v.stream.Send(pgwire.AppendWelcome(nil, 1, 1))
+		c.greeted = true
+		m.freeAt = max(m.freeAt, m.loop.Now()) + m.connectDelay
+		m.loop.At(m.freeAt, func() {
+			m.connecting--
+			c.stream.Send(pgwire.AppendWelcome(nil, 1, 1))
 		})
 		return size
 	}
@@ -70,14 +70,14 @@
 	if size == 0 {
 		return 0
 	}
-	d.queries++
-	d.loop.At(d.loop.Now()+5*ms, func() {
-		v.stream.Send(pgwire.AppendReady(pgwire.AppendError(nil, false, "72000", "no", -1)))
+	m.queries++
+	m.loop.At(m.loop.Now()+5*ms, func() {
+		c.stream.Send(pgwire.AppendReady(pgwire.AppendError(nil, false, "72000", "no", -1)))
 	})
 	return size
 }
 
-// fixture is a pool without a connection, and a member.
+// fixture is a simulated network with a driver's pool, which has no connection yet, and a member.
 type fixture struct {
 	world  *sim.World
 	host   *sim.Host
@@ -89,9 +89,9 @@
 
 func newFixture(t *testing.T, connectDelay time.Duration, listens bool) *fixture {
 	t.Helper()
-	w := sim.New(1, time.Hour)
-	on := func(name string) (*sim.Host, *loop.Loop) {
-		h := w.AddHost(name)
+	world := sim.New(1, time.Hour)
+	addHost := func(name string) (*sim.Host, *loop.Loop) {
+		h := world.AddHost(name)
 		l, err := loop.NewWithSystem(h, 1000, 1<<20)
 		if err != nil {
 			t.Fatal(err)
@@ -99,77 +99,78 @@
 		h.Serve(l, func() {})
 		return h, l
 	}
-	at := netip.MustParseAddrPort("10.0.0.1:5432")
-	d := &fakeMember{connectDelay: connectDelay}
-	_, d.loop = on("member")
+	address := netip.MustParseAddrPort("10.0.0.1:5432")
+	m := &fakeMember{connectDelay: connectDelay}
+	_, m.loop = addHost("member")
 	if listens {
-		if _, err := d.loop.Listen(at, 1<<12, loop.AcceptLimiter{}, func(open func(loop.Handler) *loop.Stream) {
-			v := &memberConnection{member: d}
-			v.stream = open(v)
-			d.opened++
-			d.connecting++
-			d.maxConnecting = max(d.maxConnecting, d.connecting)
+		if _, err := m.loop.Listen(address, 1<<12, loop.AcceptLimiter{}, func(open func(loop.Handler) *loop.Stream) {
+			c := &memberConnection{member: m}
+			c.stream = open(c)
+			m.opened++
+			m.connecting++
+			m.maxConnecting = max(m.maxConnecting, m.connecting)
 		}, func(bool) {}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	h, l := on("driver")
-	o := &recordingLedger{loop: l, outcomes: make(map[driver.RPC]driver.Outcome), counts: make(map[string]int)}
-	opens := recovery.NewConnectLimiter(250 * ms)
-	p := member.New(l, o, new(pg.Protocol), &opens, 250*ms, 15*time.Second)
-	p.SetAddress(1, at)
-	return &fixture{w, h, l, p, o, d}
+	h, l := addHost("driver")
+	ledger := &recordingLedger{loop: l, outcomes: make(map[driver.RPC]driver.Outcome), counts: make(map[string]int)}
+	limiter := recovery.NewConnectLimiter(250 * ms)
+	pool := member.New(l, ledger, new(pg.Protocol), &limiter, 250*ms, 15*time.Second)
+	pool.SetAddress(1, address)
+	return &fixture{world, h, l, pool, ledger, m}
 }
 
 // sendTogether sends n attempts at once.
 func sendTogether(t *testing.T, n int, connectDelay time.Duration, listens bool, timeout time.Duration) (*recordingLedger, *fakeMember) {
 	t.Helper()
-	s := newFixture(t, connectDelay, listens)
-	w, l, o, d, p := s.world, s.loop, s.ledger, s.member, s.pool
+	f := newFixture(t, connectDelay, listens)
+	world, l, ledger, m, pool := f.world, f.loop, f.ledger, f.member, f.pool
 	ask := &driver.Ask{Before: []byte("/* id=x,c=look,d="), After: []byte(" */ SELECT 1")}
 	l.Defer(func() {
 		for i := range n {
-			p.Attempt(driver.RPC(i+1), 0, 1, l.Now()+timeout, l.Now()+timeout, ask)
+			pool.Attempt(driver.RPC(i+1), 0, 1, l.Now()+timeout, l.Now()+timeout, ask)
 		}
 	})
-	w.Run(time.Hour + timeout + time.Second)
-	if len(o.outcomes) != n || p.InFlight() != 0 || p.Waiting() != 0 {
-		t.Errorf("%d of %d attempts have ended, %d in flight, %d waiting", len(o.outcomes), n, p.InFlight(), p.Waiting())
+	world.Run(time.Hour + timeout + time.Second)
+	if len(ledger.outcomes) != n || pool.InFlight() != 0 || pool.Waiting() != 0 {
+		t.Errorf("%d of %d attempts have ended, %d in flight, %d waiting", len(ledger.outcomes), n, pool.InFlight(), pool.Waiting())
 	}
-	return o, d
+	return ledger, m
 }
 
-// Many attempts at once reuse a few connections, of which few are established at the same time.
+// Guards against opening a connection for each of many simultaneous attempts instead of reusing a few, and against establishing
+// too many at the same time.
 func TestManyAttemptsShareFewConnections(t *testing.T) {
-	o, d := sendTogether(t, 100, 5*ms, true, 2*time.Second)
+	ledger, m := sendTogether(t, 100, 5*ms, true, 2*time.Second)
 	served := 0
-	for _, how := range o.outcomes {
-		if how == driver.Miss {
+	for _, outcome := range ledger.outcomes {
+		if outcome == driver.Miss {
 			served++
 		}
 	}
-	if served < 95 || d.opened > 40 || d.maxConnecting > 20 {
-		t.Errorf("%d of 100 reached the member, over %d connections, %d of them established at once", served, d.opened, d.maxConnecting)
+	if served < 95 || m.opened > 40 || m.maxConnecting > 20 {
+		t.Errorf("%d of 100 reached the member, over %d connections, %d of them established at once", served, m.opened, m.maxConnecting)
 	}
 }
 
-// An attempt that gets no connection has not run, and ends within the connect timeout.
+// Guards against attempts that end late, or as possibly run, if the member accepts no connection within the connect timeout.
 func TestAttemptsThatGetNoConnectionHaveNotRun(t *testing.T) {
-	o, d := sendTogether(t, 30, time.Minute, true, 2*time.Second)
-	for q, how := range o.outcomes {
-		if how != driver.NoConnection {
-			t.Errorf("attempt %d ended as %d", q, how)
+	ledger, m := sendTogether(t, 30, time.Minute, true, 2*time.Second)
+	for rpc, outcome := range ledger.outcomes {
+		if outcome != driver.NoConnection {
+			t.Errorf("attempt %d ended as %d", rpc, outcome)
 		}
 	}
-	if took := o.lastEndedAt - time.Hour; took > 600*ms || d.opened > 4 {
-		t.Errorf("the last one ended after %v, over %d connections", took, d.opened)
+	if took := ledger.lastEndedAt - time.Hour; took > 600*ms || m.opened > 4 {
+		t.Errorf("the last one ended after %v, over %d connections", took, m.opened)
 	}
 }
 
-// One refused connection fails all attempts that wait for it, at once.
+// Guards against attempts that wait for a connection until their timeout although the member has refused one.
 func TestARefusedConnectionFailsAllWaitingAttempts(t *testing.T) {
-	o, _ := sendTogether(t, 30, 0, false, 2*time.Second)
-	if took := o.lastEndedAt - time.Hour; took > 20*ms || o.counts["connects"] > 2 {
-		t.Errorf("the last one ended after %v, over %d connections", took, o.counts["connects"])
+	ledger, _ := sendTogether(t, 30, 0, false, 2*time.Second)
+	if took := ledger.lastEndedAt - time.Hour; took > 20*ms || ledger.counts["connects"] > 2 {
+		t.Errorf("the last one ended after %v, over %d connections", took, ledger.counts["connects"])
 	}
 }
--- a/internal/member/queue.go
+++ b/internal/member/queue.go
@@ -25,7 +25,7 @@
 			continue
 		}
 		c.attempt, a.connection = a, c
-		c.start() // which ends the attempt if its deadline has passed
+		c.start() // also ends the attempt if its deadline has passed
 	}
 	m.congested.Remove()
 }
@@ -39,7 +39,8 @@
 	}
 }
 
-// connectFailed fails all attempts that wait for a member to which no connection is left, since one could not be established.
+// connectFailed handles a connection that could not be established. If the member has no other connection, all attempts that
+// wait for it fail.
 func (p *Pool) connectFailed(m *member) {
 	if m.connections.None() {
 		for link := m.waiting.Front(); link != nil; link = m.waiting.Front() {
