--- a/internal/chain/chain.go
+++ b/internal/chain/chain.go
@@ -1,60 +1,60 @@
-// Package chain is an intrusive doubly linked list. A list element is embedded in the element that it holds, so adding and removing
-// elements allocates nothing and takes constant time. It is not safe for concurrent use.
+// Package chain implements an intrusive doubly linked list. The list element is a field of the value that it links, so adding
+// and removing elements allocates no memory and takes constant time. It is not safe for concurrent use.
 package chain
 
-// Element is an element of a list. Its zero value is in no list.
+// Element is an element of a list. Its zero value belongs to no list.
 type Element[T any] struct {
 	Value      T // set by the owner of the element
 	prev, next *Element[T]
 	owner      *List[T]
 }
 
-// List is a doubly linked list. Its zero value is empty.
+// List is a doubly linked list. Its zero value is an empty list.
 type List[T any] struct {
 	first, last *Element[T]
 	count       int
 }
 
-// PushBack appends an element, which it first removes from the list that it is in.
-func (c *List[T]) PushBack(link *Element[T]) {
-	link.Remove()
-	if link.prev, link.owner = c.last, c; c.last == nil {
-		c.first = link
+// PushBack appends an element to the list, after removing it from the list that holds it, if any.
+func (l *List[T]) PushBack(element *Element[T]) {
+	element.Remove()
+	if element.prev, element.owner = l.last, l; l.last == nil {
+		l.first = element
 	} else {
-		c.last.next = link
+		l.last.next = element
 	}
-	c.last = link
-	c.count++
+	l.last = element
+	l.count++
 }
 
-// Remove removes the element from its list, if it is in one.
-func (l *Element[T]) Remove() {
-	c := l.owner
-	if c == nil {
+// Remove removes the element from its list. It does nothing if the element is in no list.
+func (e *Element[T]) Remove() {
+	list := e.owner
+	if list == nil {
 		return
 	}
-	if l.prev == nil {
-		c.first = l.next
+	if e.prev == nil {
+		list.first = e.next
 	} else {
-		l.prev.next = l.next
+		e.prev.next = e.next
 	}
-	if l.next == nil {
-		c.last = l.prev
+	if e.next == nil {
+		list.last = e.prev
 	} else {
-		l.next.prev = l.prev
+		e.next.prev = e.prev
 	}
-	l.prev, l.next, l.owner = nil, nil, nil
-	c.count--
+	e.prev, e.next, e.owner = nil, nil, nil
+	list.count--
 }
 
-// InList reports whether the element is in list c.
-func (l *Element[T]) InList(c *List[T]) bool { return l.owner == c }
+// InList reports whether the element is in the given list.
+func (e *Element[T]) InList(list *List[T]) bool { return e.owner == list }
 
-// Front returns the first element, nil if the list is empty.
-func (c *List[T]) Front() *Element[T] { return c.first }
+// Front returns the first element, or nil if the list is empty.
+func (l *List[T]) Front() *Element[T] { return l.first }
 
-// Next returns the element after this one, nil at the end of the list.
-func (l *Element[T]) Next() *Element[T] { return l.next }
+// Next returns the following element, or nil at the end of the list.
+func (e *Element[T]) Next() *Element[T] { return e.next }
 
 // Len returns the number of elements in the list.
-func (c *List[T]) Len() int { return c.count }
+func (l *List[T]) Len() int { return l.count }
--- a/internal/chain/chain_test.go
+++ b/internal/chain/chain_test.go
@@ -8,33 +8,33 @@
 	"pgregory.net/rapid"
 )
 
-// A chain is compared with a slice after every step.
+// Random PushBack and Remove calls on two lists are compared with slices after every step.
 func TestListAgainstSlice(t *testing.T) {
 	seeded.Check(t, func(t *rapid.T) {
-		chains, want := [2]List[int]{}, [2][]int{}
-		links := make([]Element[int], 8)
-		for i := range links {
-			links[i].Value = i
+		lists, want := [2]List[int]{}, [2][]int{}
+		elements := make([]Element[int], 8)
+		for i := range elements {
+			elements[i].Value = i
 		}
 		for _, step := range rapid.SliceOfN(rapid.IntRange(0, 23), 1, 100).Draw(t, "steps") {
-			l, act := step%8, step/8
-			for c := range want {
-				want[c] = slices.DeleteFunc(want[c], func(v int) bool { return v == l })
+			e, operation := step%8, step/8 // operations 0 and 1 append the element to that list, 2 removes it
+			for k := range want {
+				want[k] = slices.DeleteFunc(want[k], func(v int) bool { return v == e })
 			}
-			if act < 2 {
-				chains[act].PushBack(&links[l])
-				want[act] = append(want[act], l)
+			if operation < 2 {
+				lists[operation].PushBack(&elements[e])
+				want[operation] = append(want[operation], e)
 			} else {
-				links[l].Remove()
+				elements[e].Remove()
 			}
-			for c := range chains {
+			for k := range lists {
 				var got []int
-				for at := chains[c].Front(); at != nil; at = at.Next() {
-					got = append(got, at.Value)
+				for element := lists[k].Front(); element != nil; element = element.Next() {
+					got = append(got, element.Value)
 				}
-				if !slices.Equal(got, want[c]) || chains[c].Len() != len(got) ||
-					links[l].InList(&chains[c]) != slices.Contains(got, l) {
-					t.Fatalf("chain %d holds %v, want %v", c, got, want[c])
+				if !slices.Equal(got, want[k]) || lists[k].Len() != len(got) ||
+					elements[e].InList(&lists[k]) != slices.Contains(got, e) {
+					t.Fatalf("list %d holds %v, want %v", k, got, want[k])
 				}
 			}
 		}
--- a/internal/due/due.go
+++ b/internal/due/due.go
@@ -1,18 +1,18 @@
-// Package due is a timer queue: it holds values by the time at which they are due. Values of equal times keep the order in
-// which they were added. It is not safe for concurrent use.
+// Package due implements a timer queue: a priority queue of values ordered by the time at which they are due. Values with
+// the same due time leave the queue in the order in which they were added. It is not safe for concurrent use.
 package due
 
 import "time"
 
 // Item is a value and the time at which it is due.
 type Item[T any] struct {
-	dueAt    time.Duration // on the clock of the caller
-	sequence uint64        // orders items of the same time
-	position int           // in the heap, counted from 1; 0 once it was removed
-	value    T
+	dueAt        time.Duration // on the caller's clock
+	sequence     uint64        // order of insertion, for items with the same due time
+	heapPosition int           // index in the heap, counted from 1; 0 after removal
+	value        T
 }
 
-// Queue is a binary heap of items. Its zero value is empty.
+// Queue is a binary min-heap of items. Its zero value is an empty queue.
 type Queue[T any] struct {
 	heap         []*Item[T]
 	nextSequence uint64
@@ -25,26 +25,26 @@
 
 func (q *Queue[T]) swap(i, j int) {
 	q.heap[i], q.heap[j] = q.heap[j], q.heap[i]
-	q.heap[i].position, q.heap[j].position = i+1, j+1
+	q.heap[i].heapPosition, q.heap[j].heapPosition = i+1, j+1
 }
 
-// Push adds a value and returns its item, with which Remove can take it out.
+// Push adds a value and returns its item, which can be passed to Remove.
 func (q *Queue[T]) Push(dueAt time.Duration, value T) *Item[T] {
-	item := &Item[T]{dueAt: dueAt, sequence: q.nextSequence, position: len(q.heap) + 1, value: value}
+	item := &Item[T]{dueAt: dueAt, sequence: q.nextSequence, heapPosition: len(q.heap) + 1, value: value}
 	q.heap = append(q.heap, item)
 	q.nextSequence++
 	q.siftUp(len(q.heap) - 1)
 	return item
 }
 
-// siftUp restores the heap order after the item at i became smaller.
+// siftUp restores the heap order after the item at index i was added or became smaller.
 func (q *Queue[T]) siftUp(i int) {
 	for ; i > 0 && q.less(i, (i-1)/2); i = (i - 1) / 2 {
 		q.swap(i, (i-1)/2)
 	}
 }
 
-// siftDown restores the heap order after the item at i became larger.
+// siftDown restores the heap order after the item at index i became larger.
 func (q *Queue[T]) siftDown(i int) {
 	for {
 		smallest := i
@@ -62,7 +62,7 @@
 }
 
 // NextDue returns the earliest due time; ok is false if the queue is empty.
-func (q *Queue[T]) NextDue() (at time.Duration, ok bool) {
+func (q *Queue[T]) NextDue() (dueAt time.Duration, ok bool) {
 	if len(q.heap) == 0 {
 		return 0, false
 	}
@@ -79,16 +79,16 @@
 	return value, true
 }
 
-// Remove removes an item. It does nothing if the item is nil or was removed already.
+// Remove removes an item. It does nothing if the item is nil or has already been removed.
 func (q *Queue[T]) Remove(item *Item[T]) {
-	if item == nil || item.position == 0 {
+	if item == nil || item.heapPosition == 0 {
 		return
 	}
-	i, last := item.position-1, len(q.heap)-1
+	i, last := item.heapPosition-1, len(q.heap)-1
 	q.swap(i, last)
 	q.heap[last] = nil
 	q.heap = q.heap[:last]
-	if item.position = 0; i < last {
+	if item.heapPosition = 0; i < last {
 		q.siftDown(i)
 		q.siftUp(i)
 	}
--- a/internal/lint/comments_test.go
+++ b/internal/lint/comments_test.go
@@ -12,8 +12,8 @@
 
 const moduleRoot = "../.."
 
-// TestExportedNamesHaveDocComments checks each exported function, method, type, constant and variable outside of tests. A constant or
-// variable may have its comment behind it or on its group; a type or function has one of its own.
+// TestExportedNamesHaveDocComments checks each exported function, method, type, constant and variable outside of tests. A
+// constant or variable may have its comment on the same line or on its group; a type or function needs one of its own.
 func TestExportedNamesHaveDocComments(t *testing.T) {
 	files := token.NewFileSet()
 	checked := 0
@@ -34,8 +34,8 @@
 	}
 }
 
-// TestACommentIsFoundMissing shows that the check sees what it is for.
-func TestACommentIsFoundMissing(t *testing.T) {
+// TestMissingDocCommentsAreFound guards against a check that passes because it overlooks names without a comment.
+func TestMissingDocCommentsAreFound(t *testing.T) {
 	const source = `package p
 // A is documented.
 type A struct{}
@@ -70,7 +70,7 @@
 	}
 }
 
-// sources lists the module's Go files but tests.
+// sources returns the paths of the module's Go files, without tests.
 func sources(t *testing.T) (paths []string) {
 	t.Helper()
 	err := filepath.WalkDir(moduleRoot, func(path string, entry fs.DirEntry, err error) error {
@@ -90,11 +90,13 @@
 	return paths
 }
 
+// exportedName is an exported name that a file declares.
 type exportedName struct {
 	ident      *ast.Ident
 	documented bool
 }
 
+// exportedNames returns the exported names that a file declares.
 func exportedNames(file *ast.File) (names []exportedName) {
 	add := func(ident *ast.Ident, comments ...*ast.CommentGroup) {
 		if !ident.IsExported() {
@@ -114,7 +116,7 @@
 			for _, spec := range declaration.Specs {
 				switch spec := spec.(type) {
 				case *ast.TypeSpec:
-					if declaration.Lparen.IsValid() { // a group has no comment for each of its types
+					if declaration.Lparen.IsValid() { // a comment on the group does not document its types
 						add(spec.Name, spec.Doc)
 					} else {
 						add(spec.Name, declaration.Doc, spec.Doc)
--- a/internal/lint/doc.go
+++ b/internal/lint/doc.go
@@ -1,2 +1,2 @@
-// Package lint holds checks of the source that go vet and staticcheck do not make. They run as tests.
+// Package lint contains source code checks that go vet and staticcheck do not provide. They run as tests.
 package lint
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -1,6 +1,7 @@
 // Package logs writes log/slog records as lines of key=value text, each with its time in UTC, its level and its event. A
-// separate goroutine writes the lines, so that a blocked reader of the log does not block the program: lines are dropped
-// while its queue is full. Lines of one event beyond a limit per second are dropped too. Both are counted.
+// separate goroutine writes the lines, so that a reader that does not read the log cannot block the program: lines are
+// dropped while the goroutine's queue is full. Lines of an event beyond its limit per second are dropped too. Both kinds of
+// dropped lines are counted.
 package logs
 
 import (
@@ -12,14 +13,14 @@
 	"time"
 )
 
-// LineWriter queues log lines for a writer. Its exported fields may be used from any goroutine.
+// LineWriter queues log lines for an io.Writer. Its exported fields may be used from any goroutine.
 type LineWriter struct {
 	Level       slog.LevelVar // minimum level
-	RateLimit   atomic.Int64  // maximum lines per event and second, except errors; 0: unlimited
+	RateLimit   atomic.Int64  // maximum number of lines per event and second, errors excepted; 0: unlimited
 	Dropped     atomic.Int64  // lines dropped because the queue was full
-	RateLimited atomic.Int64  // lines dropped beyond RateLimit
+	RateLimited atomic.Int64  // lines dropped because their event exceeded RateLimit
 	queue       chan []byte
-	done        chan struct{} // closed once the queue is written
+	done        chan struct{} // closed after Close, once all queued lines are written
 }
 
 const maxQueuedLines = 1024
@@ -27,7 +28,7 @@
 // flushTimeout is how long Close waits for the queued lines to be written.
 const flushTimeout = time.Second
 
-// Start starts writing lines to out and makes them the destination of the default slog logger.
+// Start starts the goroutine that writes lines to out and makes the default slog logger log to it.
 func Start(out io.Writer) *LineWriter {
 	l := &LineWriter{queue: make(chan []byte, maxQueuedLines), done: make(chan struct{})}
 	go func() {
@@ -40,7 +41,7 @@
 	return l
 }
 
-// Handler returns a handler that formats records as lines, limited by Level and RateLimit, and writes them to out.
+// Handler returns a handler that formats records as lines and writes them to out, subject to Level and RateLimit.
 func (l *LineWriter) Handler(out io.Writer) slog.Handler {
 	text := slog.NewTextHandler(out, &slog.HandlerOptions{Level: &l.Level, ReplaceAttr: func(groups []string, a slog.Attr) slog.Attr {
 		if len(groups) > 0 {
@@ -61,17 +62,17 @@
 type rateCounter struct {
 	mutex  sync.Mutex
 	second int64            // Unix time
-	counts map[string]int64 // by event
+	counts map[string]int64 // number of lines by event
 }
 
-// sampler is a handler that drops records beyond the limit of their event.
+// sampler is a slog.Handler that drops records whose event has exceeded the rate limit.
 type sampler struct {
 	slog.Handler
 	lines   *LineWriter
 	counter *rateCounter
 }
 
-// Handle implements slog.Handler. It drops the record if its event is over the limit in this second.
+// Handle implements slog.Handler. It drops the record if its event has exceeded the rate limit in this second.
 func (s *sampler) Handle(ctx context.Context, record slog.Record) error {
 	if limit := s.lines.RateLimit.Load(); limit > 0 && record.Level < slog.LevelError && s.counter.overLimit(record, limit) {
 		s.lines.RateLimited.Add(1)
@@ -80,15 +81,15 @@
 	return s.Handler.Handle(ctx, record)
 }
 
-// overLimit counts a record and reports whether its event is over the limit in this second.
-func (s *rateCounter) overLimit(record slog.Record, limit int64) bool {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	if now := record.Time.Unix(); now != s.second || s.counts == nil {
-		s.second, s.counts = now, make(map[string]int64)
+// overLimit counts a record and reports whether its event has exceeded the limit in this second.
+func (c *rateCounter) overLimit(record slog.Record, limit int64) bool {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if second := record.Time.Unix(); second != c.second || c.counts == nil {
+		c.second, c.counts = second, make(map[string]int64)
 	}
-	s.counts[record.Message]++
-	return s.counts[record.Message] > limit
+	c.counts[record.Message]++
+	return c.counts[record.Message] > limit
 }
 
 // WithAttrs implements slog.Handler.
@@ -101,7 +102,8 @@
 	return &sampler{s.Handler.WithGroup(name), s.lines, s.counter}
 }
 
-// Write implements io.Writer by queueing a line. It never blocks: if the queue is full, the line is dropped and counted.
+// Write implements io.Writer by queueing a copy of the line. It never blocks: if the queue is full, the line is dropped and
+// counted.
 func (l *LineWriter) Write(line []byte) (int, error) {
 	select {
 	case l.queue <- append([]byte(nil), line...):
@@ -111,7 +113,7 @@
 	return len(line), nil
 }
 
-// Close discards further log records and waits up to flushTimeout for the queued lines to be written.
+// Close discards all later log records and waits up to flushTimeout for the queued lines to be written.
 func (l *LineWriter) Close() {
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	close(l.queue)
--- a/internal/seeded/seeded.go
+++ b/internal/seeded/seeded.go
@@ -1,4 +1,4 @@
-// Package seeded is for tests: it draws from one seed, so that they give the same verdict each time.
+// Package seeded runs property-based tests with a fixed seed, so that they give the same result on each run.
 package seeded
 
 import (
@@ -9,17 +9,19 @@
 	"pgregory.net/rapid"
 )
 
-var fix = sync.OnceFunc(func() {
+// setRapidFlags sets the flags of package rapid. A flag that was set on the command line keeps its value, so that a
+// developer can search for failures with another seed.
+var setRapidFlags = sync.OnceFunc(func() {
 	for name, value := range map[string]string{"rapid.seed": "20261201", "rapid.nofailfile": "true"} {
-		if f := flag.Lookup(name); f.Value.String() == f.DefValue { // who hunts may give another seed
+		if f := flag.Lookup(name); f.Value.String() == f.DefValue {
 			flag.Set(name, value)
 		}
 	}
 })
 
-// Check tries the property on many drawn cases.
+// Check tests the property on many generated cases.
 func Check(t *testing.T, property func(*rapid.T)) {
 	t.Helper()
-	fix()
+	setRapidFlags()
 	rapid.Check(t, property)
 }
