--- a/internal/loop/close.go
+++ b/internal/loop/close.go
@@ -3,13 +3,13 @@
 import "time"
 
 const (
-	closeLinger       = 100 * time.Millisecond // between shutting down the sending side and closing
-	finalFlushTimeout = 2 * time.Second        // for the peer to accept the output before a close
+	closeLinger       = 100 * time.Millisecond // time between shutting down the sending side and closing the stream
+	finalFlushTimeout = 2 * time.Second        // time within which the peer must accept the output before the stream is closed
 )
 
-// CloseWhenSent shuts down the sending side once all output is written, and closes the stream, with a call of the handler's
-// Closed, a moment later. It stops reading at once, so the peer knows that a request that crossed the end was not accepted.
-// An immediate close would answer such a request with a reset, which can overtake the output.
+// CloseWhenSent shuts down the sending side once all output is written. After closeLinger it closes the stream and calls the
+// handler's Closed. It stops reading at once, so that a request which the peer sent before it saw the end of the stream is
+// not accepted. Closing immediately would answer such a request with a reset, which can overtake the output.
 func (s *Stream) CloseWhenSent() {
 	if s.closing || s.closed {
 		return
@@ -19,17 +19,17 @@
 	if s.Unsent() == 0 {
 		s.shutdownWrite()
 	} else {
-		s.loop.At(s.loop.now+finalFlushTimeout, func() { s.fail(nil) })
+		s.loop.At(s.loop.now+finalFlushTimeout, func() { s.closeAndNotify(nil) })
 	}
 }
 
 // shutdownWrite shuts down the sending side and closes the stream after closeLinger.
 func (s *Stream) shutdownWrite() {
 	s.loop.system.ShutdownWrite(s.fd)
-	s.loop.At(s.loop.now+closeLinger, func() { s.fail(nil) })
+	s.loop.At(s.loop.now+closeLinger, func() { s.closeAndNotify(nil) })
 }
 
-// Close closes the stream at once. The handler is not notified.
+// Close closes the stream immediately. The handler is not notified.
 func (s *Stream) Close() {
 	if !s.closed {
 		s.detach(s.loop.system.Close)
@@ -37,7 +37,7 @@
 	}
 }
 
-// Reset is like Close but sends a reset, which discards output that the peer has not read.
+// Reset is like Close but sends a reset, on which the peer discards output that it has not read.
 func (s *Stream) Reset() {
 	if !s.closed {
 		s.detach(s.loop.system.Abort)
@@ -45,7 +45,7 @@
 	}
 }
 
-// detach closes the descriptor with closeFD and removes the stream from the loop and its listener.
+// detach closes the descriptor with closeFD and removes the stream from the loop and from its listener's count.
 func (s *Stream) detach(closeFD func(fd int)) {
 	s.closed = true
 	if s.listener != nil {
@@ -55,8 +55,8 @@
 	s.accountOutput()
 }
 
-// fail closes the stream and notifies the handler, which may still use Unread.
-func (s *Stream) fail(cause error) {
+// closeAndNotify closes the stream and notifies the handler, which may still use Unread.
+func (s *Stream) closeAndNotify(cause error) {
 	if s.closed {
 		return
 	}
--- a/internal/loop/datagrams.go
+++ b/internal/loop/datagrams.go
@@ -15,10 +15,11 @@
 	buffer     [maxDatagramSize]byte
 }
 
-// maxDatagramSize is the longest payload that is received, in bytes; the rest of a longer one is cut off.
+// maxDatagramSize is the maximum payload size of a received datagram, in bytes. A longer payload is truncated.
 const maxDatagramSize = 512
 
-// ListenUDP opens a UDP socket at the address and calls onDatagram for each datagram. The payload is valid during the call.
+// ListenUDP opens a UDP socket at the address and calls onDatagram for each received datagram. The payload is valid only
+// during the call.
 func (l *Loop) ListenUDP(address netip.AddrPort, onDatagram func(from netip.AddrPort, payload []byte)) (*DatagramSocket, error) {
 	fd, err := l.system.ListenUDP(address)
 	if err != nil {
@@ -32,7 +33,8 @@
 	return d, nil
 }
 
-// maxDatagramsPerIteration keeps a busy socket from delaying the others.
+// maxDatagramsPerIteration is the maximum number of datagrams that one socket receives in an iteration, so that a busy
+// socket does not delay the others.
 const maxDatagramsPerIteration = 64
 
 func (d *DatagramSocket) onReady(uint32) {
@@ -52,7 +54,7 @@
 // Close closes the socket.
 func (d *DatagramSocket) Close() { d.loop.unregister(d.fd, d.handle, d.loop.system.Close) }
 
-// Send sends one datagram. It may be lost, and errors are ignored.
+// Send sends one datagram. The datagram may be lost, and errors are ignored.
 func (d *DatagramSocket) Send(address netip.AddrPort, payload []byte) {
 	d.loop.system.SendTo(d.fd, address, payload)
 }
--- a/internal/loop/descriptors.go
+++ b/internal/loop/descriptors.go
@@ -7,20 +7,20 @@
 	"passtack/internal/slots"
 )
 
-// descriptorLimits bounds the descriptors that the loop opens.
+// descriptorLimits limits the number of descriptors that the loop has open.
 type descriptorLimits struct {
-	inherited int      // open before the loop was made
-	max       int      // that the loop may open
-	peak      int      // the most that the loop ever had open
+	inherited int      // number of descriptors that were open before the loop was created
+	max       int      // maximum number that the loop may have open
+	peak      int      // highest number that the loop has had open
 	reserved  int      // part of max that only DialReserved may use
-	onFreed   []func() // run once, after the next descriptor is closed
+	onFreed   []func() // callbacks to run once, after the next descriptor is closed
 }
 
-// watchRetryDelay is how long the loop waits before it repeats a Watch for which the kernel lacked memory.
+// watchRetryDelay is the delay after which the loop repeats a Watch that failed for lack of kernel memory.
 const watchRetryDelay = 10 * time.Millisecond
 
-// SetLimits replaces the limits that New was given. Descriptors and buffers beyond the new limits stay until they are closed or
-// released.
+// SetLimits replaces the limits that were passed to New. Descriptors and buffers beyond the new limits are kept until they
+// are closed or released.
 func (l *Loop) SetLimits(maxDescriptors, maxExtraBytes int) {
 	l.descriptors.max, l.memory.maxExtraBytes = max(maxDescriptors-l.descriptors.inherited, 1), maxExtraBytes
 	l.descriptors.reserved = min(2, l.descriptors.max/16)
@@ -29,21 +29,21 @@
 	}
 }
 
-// MaxDescriptors returns how many descriptors the loop may have open.
+// MaxDescriptors returns the maximum number of descriptors that the loop may have open.
 func (l *Loop) MaxDescriptors() int { return l.descriptors.max }
 
 // hasCapacity reports whether one more descriptor may be opened while the given number stays reserved. If none is free, it
-// tries to close an idle connection.
+// first tries to close an idle connection.
 func (l *Loop) hasCapacity(reserved int) bool {
 	return l.sources.Len() < l.descriptors.max-reserved || l.EvictIdle() && l.sources.Len() < l.descriptors.max-reserved
 }
 
-// DescriptorCounts returns how many descriptors the process has open, and the most that it ever had.
-func (l *Loop) DescriptorCounts() (now, peak int) {
+// DescriptorCounts returns the number of descriptors that the process has open, and the highest number so far.
+func (l *Loop) DescriptorCounts() (open, peak int) {
 	return l.sources.Len() + l.descriptors.inherited, l.descriptors.peak + l.descriptors.inherited
 }
 
-// register starts to watch a descriptor.
+// register adds a descriptor to the loop and starts to watch it for the given events.
 func (l *Loop) register(fd int, s source, events uint32) (slots.Handle, error) {
 	h := l.sources.Insert(s)
 	l.descriptors.peak = max(l.descriptors.peak, l.sources.Len())
@@ -54,8 +54,8 @@
 	return h, nil
 }
 
-// modify changes the events that a descriptor is watched for. A failure, for lack of kernel memory, is retried: otherwise
-// the descriptor would never be served again.
+// modify changes the events that a descriptor is watched for. It retries after a failure, which is caused by a lack of kernel
+// memory: without a retry the descriptor would never be served again.
 func (l *Loop) modify(fd int, h slots.Handle, events uint32) {
 	err := l.system.Watch(fd, h, events, false)
 	if err == nil {
@@ -69,7 +69,7 @@
 	})
 }
 
-// unregister closes a descriptor with closeFD and resumes the listeners that waited for a free one.
+// unregister closes a descriptor with closeFD and resumes the listeners that wait for a free descriptor.
 func (l *Loop) unregister(fd int, h slots.Handle, closeFD func(fd int)) {
 	l.sources.Remove(h)
 	closeFD(fd)
--- a/internal/loop/dial.go
+++ b/internal/loop/dial.go
@@ -2,14 +2,14 @@
 
 import "net/netip"
 
-// Dial starts a connect; the handler is notified of the result. The stream buffers up to maxInput bytes of unread input. It
-// returns ErrNoDescriptors if no descriptor is free.
+// Dial starts to connect to an address and notifies the handler of the result. The stream buffers up to maxInput bytes of
+// unread input. Dial returns ErrNoDescriptors if no descriptor is free.
 func (l *Loop) Dial(address netip.AddrPort, handler Handler, maxInput int) (*Stream, error) {
 	return l.dial(address, handler, maxInput, l.descriptors.reserved)
 }
 
 // DialReserved is like Dial but may use the reserved descriptors. It is for connections without which the process cannot
-// continue.
+// continue to operate.
 func (l *Loop) DialReserved(address netip.AddrPort, handler Handler, maxInput int) (*Stream, error) {
 	return l.dial(address, handler, maxInput, 0)
 }
@@ -29,7 +29,7 @@
 func (s *Stream) finishConnect() {
 	err := s.loop.system.ConnectError(s.fd)
 	if err != nil {
-		s.fail(err)
+		s.closeAndNotify(err)
 		return
 	}
 	s.connecting = false
--- a/internal/loop/kernel.go
+++ b/internal/loop/kernel.go
@@ -9,11 +9,11 @@
 	"passtack/internal/slots"
 )
 
-// kernel implements System on Linux, with epoll.
+// kernel implements System with the system calls of Linux, among them epoll.
 type kernel struct {
 	epollFD   int
 	wakeFD    int           // eventfd, watched with handle 0
-	started   time.Time     // origin of the monotonic clock
+	started   time.Time     // time from which the monotonic clock is measured
 	unixStart time.Duration // Unix time at started
 	events    []unix.EpollEvent
 }
@@ -33,11 +33,11 @@
 	return k, unix.EpollCtl(epollFD, unix.EPOLL_CTL_ADD, wakeFD, &event)
 }
 
-// Clock implements System with the monotonic clock, offset to Unix time.
+// Clock implements System with the monotonic clock, shifted to Unix time at the start.
 func (k *kernel) Clock() time.Duration { return k.unixStart + time.Since(k.started) }
 
-// OpenDescriptors implements System by the entries of /proc/self/fd: descriptors of the runtime and inherited ones. The count includes
-// the descriptor used to read the directory, which leaves a margin of one.
+// OpenDescriptors implements System by counting the entries of /proc/self/fd: descriptors of the Go runtime and inherited
+// ones. The count includes the descriptor that reads the directory, which leaves a margin of one.
 func (k *kernel) OpenDescriptors() (int, error) {
 	entries, err := os.ReadDir("/proc/self/fd")
 	return len(entries), err
--- a/internal/loop/kernel_sockets.go
+++ b/internal/loop/kernel_sockets.go
@@ -14,7 +14,7 @@
 	if err != nil {
 		return 0, err
 	}
-	if err := unix.Connect(fd, sockAddress); err != nil && err != unix.EINPROGRESS && err != unix.EINTR { // in both cases the connect continues
+	if err := unix.Connect(fd, sockAddress); err != nil && err != unix.EINPROGRESS && err != unix.EINTR { // EINPROGRESS and EINTR: the connect continues
 		unix.Close(fd)
 		return 0, err
 	}
@@ -22,7 +22,7 @@
 	return fd, nil
 }
 
-// toSockaddr converts an address for a system call and returns its address family.
+// toSockaddr converts an address to the form that system calls take and returns its address family.
 func toSockaddr(address netip.AddrPort) (unix.Sockaddr, int) {
 	if address.Addr().Is4() {
 		return &unix.SockaddrInet4{Port: int(address.Port()), Addr: address.Addr().As4()}, unix.AF_INET
@@ -30,7 +30,7 @@
 	return &unix.SockaddrInet6{Port: int(address.Port()), Addr: address.Addr().As16()}, unix.AF_INET6
 }
 
-// bind opens a socket of the given type on a local address; stream sockets listen.
+// bind opens a socket of the given type on a local address. It makes a stream socket listen.
 func (k *kernel) bind(address netip.AddrPort, socketType int) (int, error) {
 	sockAddress, family := toSockaddr(address)
 	fd, err := unix.Socket(family, socketType|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
@@ -50,7 +50,7 @@
 	return fd, nil
 }
 
-// listenBacklog is how many connections the kernel queues for accept.
+// listenBacklog is the maximum number of connections that the kernel queues until they are accepted.
 const listenBacklog = 1024
 
 // Listen implements System.
@@ -114,7 +114,7 @@
 }
 
 // LastReceiveAge implements System with TCP_INFO.
-func (k *kernel) LastReceiveAge(fd int) (ago time.Duration, ok bool) {
+func (k *kernel) LastReceiveAge(fd int) (age time.Duration, ok bool) {
 	info, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO)
 	if err != nil {
 		return 0, false
--- a/internal/loop/listener.go
+++ b/internal/loop/listener.go
@@ -18,16 +18,17 @@
 	maxInput    int
 	accept      func(open func(Handler) *Stream)
 	evict       func(urgent bool)
-	connections int // open streams that it accepted
-	extraBytes  int // bytes that their buffers hold beyond the standard size
-	paused      bool
-	draining    bool // closes once the backlog is empty
+	connections int  // number of open streams that the listener accepted
+	extraBytes  int  // bytes that their buffers hold beyond the standard size
+	paused      bool // connections are left in the backlog
+	draining    bool // the listener closes once the backlog is empty
 	closed      bool
 }
 
 // Listen accepts connections at the address, each of which may buffer up to maxInput bytes of unread input. It calls accept
-// for each; accept passes its handler to open, which returns the stream, or nil on failure. When the number of connections
-// comes near the limiter's, evict is called and should close one; it is urgent when the limit is reached.
+// for each connection; accept passes its handler to open, which returns the stream, or nil on failure. When the number of
+// connections comes near the maximum set by the limiter, Listen calls evict, which should close a connection; urgent is true
+// if the maximum is reached.
 func (l *Loop) Listen(address netip.AddrPort, maxInput int, limiter AcceptLimiter, accept func(open func(Handler) *Stream),
 	evict func(urgent bool)) (*Listener, error) {
 	fd, err := l.system.Listen(address)
@@ -42,20 +43,20 @@
 	return n, nil
 }
 
-// Limits of one iteration, so that new connections do not delay the others.
+// Limits per iteration, so that new connections do not delay the established ones.
 const (
 	maxAcceptsPerIteration = 64
 	maxAcceptFailures      = 16 // the listener then pauses for acceptRetryDelay
 )
 
-// acceptRetryDelay is how long a paused listener waits if no descriptor is freed before.
+// acceptRetryDelay is the time after which a paused listener resumes if no descriptor is freed earlier.
 const acceptRetryDelay = 100 * time.Millisecond
 
 func (n *Listener) onReady(uint32) { n.acceptPending() }
 
-// acceptPending accepts connections from the backlog and reports whether there may be more.
+// acceptPending accepts connections from the backlog. It reports whether the backlog may hold more that can be accepted.
 func (n *Listener) acceptPending() bool {
-	failed := 0
+	failures := 0
 	for range maxAcceptsPerIteration {
 		if n.connections >= n.MaxConnections() {
 			n.evict(true)
@@ -74,7 +75,7 @@
 			return false
 		}
 		if err != nil {
-			if failed++; isPerConnectionError(err) && failed < maxAcceptFailures {
+			if failures++; isPerConnectionError(err) && failures < maxAcceptFailures {
 				continue
 			}
 			n.pause()
@@ -98,8 +99,8 @@
 
 func (n *Listener) onPanic(error) {}
 
-// isPerConnectionError reports whether an error of accept belongs to one connection that is gone, by the list in accept(2).
-// Others may be queued behind it.
+// isPerConnectionError reports whether an error of accept concerns only one connection, which no longer exists, according to
+// the list in accept(2). Other connections may be queued behind it.
 func isPerConnectionError(err error) bool {
 	switch err {
 	case unix.ECONNABORTED, unix.EINTR, unix.EPROTO, unix.ENOPROTOOPT, unix.ENETDOWN, unix.ENETUNREACH, unix.EHOSTDOWN,
@@ -120,7 +121,7 @@
 	n.loop.modify(n.fd, n.handle, events)
 }
 
-// pause leaves new connections in the backlog until a descriptor is freed or acceptRetryDelay has passed.
+// pause makes the listener leave new connections in the backlog until a descriptor is freed or acceptRetryDelay has passed.
 func (n *Listener) pause() {
 	if n.paused {
 		return
--- a/internal/loop/memory.go
+++ b/internal/loop/memory.go
@@ -1,13 +1,13 @@
 package loop
 
-// spareBufferShare is the divisor that gives the part of maxExtraBytes that unused buffers may hold.
-const spareBufferShare = 4
+// spareBufferDivisor is the divisor that gives the part of maxExtraBytes that unused buffers may hold.
+const spareBufferDivisor = 4
 
-// bufferMemory is the memory of the buffers of all streams.
+// bufferMemory manages and counts the memory of the buffers of all streams.
 type bufferMemory struct {
 	spareBuffers  [][]byte  // unused buffers of the standard size
 	extraBytes    int       // bytes that input buffers and output queues hold beyond the standard size of each
-	maxExtraBytes int       // limit of extraBytes for growing input buffers
+	maxExtraBytes int       // value of extraBytes beyond which no input buffer may grow
 	starved       []*Stream // streams whose reading is paused until memory is released
 }
 
@@ -22,27 +22,28 @@
 	return buffer
 }
 
-// putBuffer keeps a buffer of the standard size for reuse unless there are enough of them.
+// putBuffer keeps a buffer of the standard size for reuse, unless enough of them are kept.
 func (m *bufferMemory) putBuffer(buffer []byte) {
-	if len(m.spareBuffers) < max(m.maxExtraBytes/spareBufferShare/readBufferSize, 1) {
+	if len(m.spareBuffers) < max(m.maxExtraBytes/spareBufferDivisor/readBufferSize, 1) {
 		m.spareBuffers = append(m.spareBuffers, buffer[:0])
 	}
 }
 
-// admits reports whether input buffers may grow by so many bytes.
-func (m *bufferMemory) admits(more int) bool { return m.extraBytes+more <= m.maxExtraBytes }
+// admits reports whether input buffers may grow by the given number of bytes.
+func (m *bufferMemory) admits(growth int) bool { return m.extraBytes+growth <= m.maxExtraBytes }
 
-// accountBytes adds to the extra bytes that the buffers of this stream hold; more is negative when they shrink.
-func (s *Stream) accountBytes(more int) {
+// accountBytes adds delta to the number of extra bytes that the buffers of this stream hold. delta is negative when they
+// shrink.
+func (s *Stream) accountBytes(delta int) {
 	if s.listener != nil {
-		s.listener.extraBytes += more
+		s.listener.extraBytes += delta
 	}
-	s.loop.accountBytes(more)
+	s.loop.accountBytes(delta)
 }
 
-// accountBytes adds to the extra bytes of all buffers. When they shrink, the starved streams resume reading.
-func (l *Loop) accountBytes(more int) {
-	if l.memory.extraBytes += more; more >= 0 {
+// accountBytes adds delta to the number of extra bytes of all buffers. When they shrink, the starved streams resume reading.
+func (l *Loop) accountBytes(delta int) {
+	if l.memory.extraBytes += delta; delta >= 0 {
 		return
 	}
 	waiting := l.memory.starved
@@ -53,15 +54,15 @@
 	}
 }
 
-// accountOutput accounts for the output that the peer has not accepted yet. Output is queued even beyond the limit, which
-// only stops the growth of input buffers.
+// accountOutput counts the queued output that the kernel has not accepted. Output is queued even beyond the limit, which only
+// stops the growth of input buffers.
 func (s *Stream) accountOutput() {
 	extra := max(cap(s.output.queue)-readBufferSize, 0)
 	if s.closed {
 		s.output.queue, extra = nil, 0
 	}
-	if more := extra - s.output.accounted; more != 0 {
+	if delta := extra - s.output.accounted; delta != 0 {
 		s.output.accounted = extra
-		s.accountBytes(more)
+		s.accountBytes(delta)
 	}
 }
--- a/internal/loop/read.go
+++ b/internal/loop/read.go
@@ -6,25 +6,25 @@
 	"golang.org/x/sys/unix"
 )
 
-// readBufferSize is the standard size of a buffer, in bytes. Only what a buffer takes beyond it counts against the limits.
+// readBufferSize is the standard size of a buffer, in bytes. Only the memory of a buffer beyond it counts against the limits.
 const readBufferSize = 8 << 10
 
-// inputBuffer is the input of a stream that was read and not consumed.
+// inputBuffer holds the input of a stream that was read and not consumed.
 type inputBuffer struct {
-	buffer     []byte // unread from consumed on
+	buffer     []byte // input; the first consumed bytes of it are consumed
 	consumed   int
-	maxBytes   int  // that the buffer may hold
+	maxBytes   int  // maximum size of the buffer
 	full       bool // reading is paused: the buffer holds maxBytes
-	starved    bool // reading is paused: all buffers together have reached their limit
-	delivering bool // the handler is in Input
+	starved    bool // reading is paused: the buffers of all streams have reached their common limit
+	delivering bool // the handler's Input is running
 }
 
-// isTransient reports whether an error of read or write leaves the connection usable, so that the call can be repeated.
+// isTransient reports whether a connection is still usable after an error of read or write, so that the call can be repeated.
 func isTransient(err error) bool {
 	return err == unix.EAGAIN || err == unix.EINTR || err == unix.ENOBUFS || err == unix.ENOMEM
 }
 
-// read reads once from the kernel and shows the input to the handler.
+// read reads once from the kernel and passes the input to the handler.
 func (s *Stream) read() {
 	if !s.ensureSpace() {
 		s.input.starved = true
@@ -38,16 +38,16 @@
 	case isTransient(err):
 		return
 	case err != nil:
-		s.fail(err)
+		s.closeAndNotify(err)
 		return
 	case n == 0 && s.halfClose.peerEnded:
 		s.halfClose.inputEnded = true
 		if s.updateInterest(); s.handler.(HalfCloser).HalfClosed(false) == nil {
-			s.fail(io.EOF)
+			s.closeAndNotify(io.EOF)
 		}
 		return
 	case n == 0:
-		s.fail(io.EOF)
+		s.closeAndNotify(io.EOF)
 		return
 	}
 	s.input.buffer = s.input.buffer[:len(s.input.buffer)+n]
@@ -57,7 +57,7 @@
 	s.DeliverInput()
 }
 
-// ensureSpace makes space in the buffer. It reports false if all of it is used and it may not grow.
+// ensureSpace makes space in the buffer. It returns false if the buffer is full and may not grow.
 func (s *Stream) ensureSpace() bool {
 	in := &s.input
 	if in.buffer == nil {
@@ -71,18 +71,18 @@
 		return true
 	}
 	size := min(2*cap(in.buffer), in.maxBytes)
-	more := size - cap(in.buffer)
-	if !s.loop.memory.admits(more) || s.listener != nil && !s.listener.admitsBytes(more) {
+	growth := size - cap(in.buffer)
+	if !s.loop.memory.admits(growth) || s.listener != nil && !s.listener.admitsBytes(growth) {
 		return false
 	}
-	s.accountBytes(more)
+	s.accountBytes(growth)
 	larger := make([]byte, len(in.buffer), size)
 	copy(larger, in.buffer)
 	in.buffer = larger
 	return true
 }
 
-// DeliverInput calls the handler's Input with the unread input until it consumes no more of it.
+// DeliverInput passes the unread input to the handler's Input until the handler consumes no more of it.
 func (s *Stream) DeliverInput() {
 	in := &s.input
 	if in.delivering || s.closed {
@@ -111,16 +111,16 @@
 	}
 }
 
-// ReadPaused reports that reading is paused, although input may have arrived.
+// ReadPaused reports whether reading is paused. Input may have arrived in the kernel meanwhile.
 func (s *Stream) ReadPaused() bool { return s.input.full || s.input.starved }
 
 // Unread returns the input that was read and not consumed.
 func (s *Stream) Unread() []byte { return s.input.buffer[s.input.consumed:] }
 
-// Skip consumes n bytes of Unread that Input had left. Call DeliverInput to continue with the rest.
+// Skip consumes n bytes of Unread that Input did not consume. Call DeliverInput to continue with the rest.
 func (s *Stream) Skip(n int) { s.input.consumed += n }
 
-// releaseBuffer gives the input buffer back; its content is discarded.
+// releaseBuffer releases the input buffer and discards its content.
 func (s *Stream) releaseBuffer() {
 	if buffer := s.input.buffer; cap(buffer) == readBufferSize {
 		s.loop.memory.putBuffer(buffer)
--- a/internal/loop/stream.go
+++ b/internal/loop/stream.go
@@ -9,7 +9,7 @@
 // ErrNoDescriptors is returned by Dial when all descriptors are in use.
 var ErrNoDescriptors = errors.New("no descriptor is free")
 
-// errUnreadInput is the cause of Closed when a connection was closed with input that was not read.
+// errUnreadInput is the cause passed to Closed when a connection ended while it had unread input.
 var errUnreadInput = errors.New("connection closed before all input was read")
 
 // Stream is one TCP connection.
@@ -18,9 +18,9 @@
 	fd         int
 	handle     slots.Handle
 	handler    Handler
-	listener   *Listener // that accepted the connection; nil for a dialed one
+	listener   *Listener // listener that accepted the connection; nil for a dialed connection
 	connecting bool
-	closing    bool // closes once all output is written
+	closing    bool // the stream closes once all output is written
 	closed     bool
 	input      inputBuffer
 	output     outputQueue
@@ -28,7 +28,7 @@
 	arrivals   arrivalLog
 }
 
-// newStream wraps a connected or connecting descriptor; it closes the descriptor on error.
+// newStream creates a stream for a connected or connecting descriptor. It closes the descriptor on error.
 func (l *Loop) newStream(fd int, handler Handler, maxInput int, connecting bool) (*Stream, error) {
 	s := &Stream{loop: l, fd: fd, handler: handler, input: inputBuffer{maxBytes: maxInput}, connecting: connecting}
 	var err error
@@ -43,7 +43,7 @@
 func (s *Stream) interest() uint32 {
 	events := uint32(eventPeerClosed)
 	if s.halfClose.peerEnded || s.input.starved && s.listener == nil {
-		// A peer's close stays ready until the descriptor is closed: waiting for it would keep the loop from sleeping.
+		// The event of a peer's close stays ready until the descriptor is closed: a loop that waits for it would spin.
 		events = 0
 	}
 	if !s.ReadPaused() && !s.connecting && !s.closing && s.halfClose.allowsRead() {
@@ -79,8 +79,8 @@
 	if events&eventReadable != 0 && !s.ReadPaused() && !s.closing {
 		s.read()
 	} else if events&eventHangup != 0 || events&eventPeerClosed != 0 && !s.input.starved {
-		// Unread input is lost, so this does not count as an orderly end of the stream.
-		s.fail(errUnreadInput)
+		// Unread input is lost, so this is not reported as an orderly end of the stream.
+		s.closeAndNotify(errUnreadInput)
 	}
 }
 
@@ -90,7 +90,7 @@
 	}
 }
 
-// Alive reports whether the stream is open and has no unread input in the kernel, neither bytes nor an end.
+// Alive reports whether the stream is open and the kernel holds neither unread bytes nor the end of its input.
 func (s *Stream) Alive() bool {
 	return !s.closed && s.loop.system.Idle(s.fd)
 }
--- a/internal/loop/system.go
+++ b/internal/loop/system.go
@@ -17,25 +17,26 @@
 	eventHangup     = unix.EPOLLHUP | unix.EPOLLERR
 )
 
-// Event reports that a descriptor is ready.
+// Event is a descriptor that is ready, with the events that occurred.
 type Event struct {
-	Handle slots.Handle // given to Watch; 0 for a wake-up by Wake
+	Handle slots.Handle // handle passed to Watch; 0 for a call of Wake
 	Ready  uint32       // epoll event mask
 }
 
-// System is the clock and the socket calls that a loop uses. No call but Wait may block. Errors are those of the kernel
-// (unix.Errno). It is implemented by the kernel, and by loop/sim in simulated time.
+// System provides the clock and the socket calls that a loop uses. No call except Wait may block. Errors are those of the
+// kernel (unix.Errno). It is implemented with the system calls of the kernel, and by loop/sim in simulated time.
 type System interface {
 	// Clock returns the time since the Unix epoch. It is monotonic.
 	Clock() time.Duration
 	// OpenDescriptors returns the number of descriptors that were open before the loop opened any.
 	OpenDescriptors() (int, error)
 
-	// Wait fills events with ready descriptors, waiting up to maxWait for the first one, without limit if it is negative.
+	// Wait fills events with ready descriptors. It waits for the first one up to maxWait, or without limit if maxWait is
+	// negative.
 	Wait(events []Event, maxWait time.Duration) (n int, err error)
-	// Wake ends a Wait. It may be called from any goroutine.
+	// Wake makes Wait return. It may be called from any goroutine.
 	Wake()
-	// Watch sets the events that a descriptor is watched for; isNew tells that it was not watched before.
+	// Watch sets the events that a descriptor is watched for. isNew is true if it was not watched before.
 	Watch(fd int, handle slots.Handle, events uint32, isNew bool) error
 
 	// Dial starts a TCP connect. The descriptor becomes writable once ConnectError knows the result.
@@ -47,18 +48,18 @@
 	// ListenUDP opens a UDP socket.
 	ListenUDP(address netip.AddrPort) (fd int, err error)
 
-	// Read reads from a stream; 0 bytes without an error are its end.
+	// Read reads from a stream. It returns 0 bytes and no error at the end of the input.
 	Read(fd int, buffer []byte) (int, error)
-	// Write writes as much of the parts as the stream takes now.
+	// Write writes as much of the parts as the stream accepts without blocking.
 	Write(fd int, parts [][]byte) (int, error)
 	// ConnectError returns the error of a completed connect.
 	ConnectError(fd int) error
-	// Idle reports that a stream is open and has nothing to read.
+	// Idle reports whether a stream is open and has nothing to read, neither bytes nor the end of the input.
 	Idle(fd int) bool
-	// Pending reports that a stream has bytes to read.
+	// Pending reports whether a stream has bytes to read.
 	Pending(fd int) bool
-	// LastReceiveAge returns how long ago the latest byte of a stream arrived; ok is false if that is not known.
-	LastReceiveAge(fd int) (ago time.Duration, ok bool)
+	// LastReceiveAge returns the time since the latest byte of a stream arrived. ok is false if it is not known.
+	LastReceiveAge(fd int) (age time.Duration, ok bool)
 	// ShutdownWrite shuts down the sending side of a stream.
 	ShutdownWrite(fd int)
 	// ReceiveFrom reads one datagram.
@@ -69,6 +70,6 @@
 	Close(fd int)
 	// Abort closes a stream with a reset.
 	Abort(fd int)
-	// Release releases what Wait and Wake use.
+	// Release releases the resources of Wait and Wake.
 	Release()
 }
--- a/internal/loop/timers.go
+++ b/internal/loop/timers.go
@@ -6,21 +6,21 @@
 	"passtack/internal/due"
 )
 
-// Timer is a timer: a callback and the time at which it runs.
+// Timer is a scheduled callback.
 type Timer = *due.Item[func()]
 
-// At schedules callback for the given time of the loop's clock. If that time has passed, callback runs at the end of this
-// iteration, never before At returns.
+// At schedules callback for the given time on the loop's clock. If that time has passed, callback runs at the end of the
+// current iteration, never before At returns.
 func (l *Loop) At(when time.Duration, callback func()) Timer { return l.timers.Push(when, callback) }
 
-// Cancel cancels a timer. It does nothing if the timer is nil or has fired.
+// Cancel cancels a timer. It does nothing if the timer is nil or has expired.
 func (l *Loop) Cancel(timer Timer) { l.timers.Remove(timer) }
 
 // PendingTimers returns the number of pending timers.
 func (l *Loop) PendingTimers() int { return l.timers.Len() }
 
-// Defer runs callback at the end of this iteration.
+// Defer schedules callback for the end of the current iteration.
 func (l *Loop) Defer(callback func()) { l.timers.Push(l.now, callback) }
 
-// NextTimer returns the time of the earliest pending timer; ok is false if there is none.
-func (l *Loop) NextTimer() (at time.Duration, ok bool) { return l.timers.NextDue() }
+// NextTimer returns the time of the earliest pending timer. ok is false if no timer is pending.
+func (l *Loop) NextTimer() (dueAt time.Duration, ok bool) { return l.timers.NextDue() }
--- a/internal/loop/write.go
+++ b/internal/loop/write.go
@@ -1,14 +1,14 @@
 package loop
 
-// outputQueue is the output of a stream that the kernel has not accepted.
+// outputQueue holds the output of a stream that the kernel has not accepted.
 type outputQueue struct {
 	queue     []byte
-	flushed   int       // bytes of queue that the kernel has accepted
-	accounted int       // extra bytes of queue that are counted in bufferMemory
-	iovec     [1][]byte // argument of Write, kept here to avoid an allocation
+	flushed   int       // number of bytes of queue that the kernel has accepted
+	accounted int       // number of extra bytes of queue that are counted in bufferMemory
+	iovec     [1][]byte // argument of Write, stored here to avoid an allocation
 }
 
-// Send writes as much of the parts as the kernel accepts now and queues the rest.
+// Send writes as much of the parts as the kernel accepts without blocking and queues the rest.
 func (s *Stream) Send(parts ...[]byte) {
 	if s.closed {
 		return
@@ -27,7 +27,7 @@
 	}
 	s.accountOutput()
 	if err != nil && !isTransient(err) {
-		s.loop.Defer(func() { s.fail(err) })
+		s.loop.Defer(func() { s.closeAndNotify(err) })
 	} else if s.Unsent() > 0 {
 		s.updateInterest()
 	}
@@ -36,14 +36,14 @@
 // Unsent returns the number of queued bytes that the kernel has not accepted.
 func (s *Stream) Unsent() int { return len(s.output.queue) - s.output.flushed }
 
-// flush writes queued output. Once all is written, it continues a close or shows the handler its unread input.
+// flush writes queued output. Once all of it is written, it continues a pending close or passes unread input to the handler.
 func (s *Stream) flush() {
 	s.output.iovec[0] = s.output.queue[s.output.flushed:]
 	n, err := s.loop.system.Write(s.fd, s.output.iovec[:])
 	if isTransient(err) {
 		return
 	} else if err != nil {
-		s.fail(err)
+		s.closeAndNotify(err)
 		return
 	}
 	if s.output.flushed += n; s.Unsent() > 0 {
@@ -59,5 +59,5 @@
 		s.shutdownWrite()
 		return
 	}
-	s.DeliverInput() // the handler may have left input until its output was written
+	s.DeliverInput() // the handler may have left input unconsumed until its output was written
 }
