--- a/internal/loop/halfclose.go
+++ b/internal/loop/halfclose.go
@@ -55,5 +55,5 @@
 // reads. No new request is started for it in that state.
 func (s *Stream) ConfirmingHalfClose() bool { return s.halfClose.peerEnded && !s.halfClose.confirmed }
 
-// InputEnded reports that the client has shut down its sending side and that all its input was read.
+// InputEnded reports whether the client has shut down its sending side and all its input has been read.
 func (s *Stream) InputEnded() bool { return s.halfClose.inputEnded }
--- a/internal/loop/read.go
+++ b/internal/loop/read.go
@@ -11,12 +11,12 @@
 
 // inputBuffer holds the input of a stream that was read and not consumed.
 type inputBuffer struct {
-	buffer     []byte // input; the first consumed bytes of it are consumed
-	consumed   int
-	maxBytes   int  // maximum size of the buffer
-	full       bool // reading is paused: the buffer holds maxBytes
-	starved    bool // reading is paused: the buffers of all streams have reached their common limit
-	delivering bool // the handler's Input is running
+	buffer     []byte // bytes read from the kernel
+	consumed   int    // number of bytes at the start of buffer that the handler has consumed
+	maxBytes   int    // maximum size of the buffer
+	full       bool   // reading is paused: the buffer holds maxBytes
+	starved    bool   // reading is paused until the memory limits allow the buffer to grow
+	delivering bool   // the handler's Input is running
 }
 
 // isTransient reports whether a connection is still usable after an error of read or write, so that the call can be repeated.
--- a/internal/loop/sim/connect.go
+++ b/internal/loop/sim/connect.go
@@ -6,7 +6,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Dial implements loop.System. The other host answers the connect even while its program is paused.
+// Dial implements loop.System. As with a real kernel, the other host answers the connect even while its program is paused.
 func (h *Host) Dial(address netip.AddrPort) (int, error) {
 	w := h.world
 	s := &socket{
@@ -17,7 +17,7 @@
 	w.dialCount++
 	fd := h.open(s)
 	target := w.bound[address]
-	if target == nil { // nothing listens there
+	if target == nil { // nothing is bound to the address
 		w.schedule(w.now+2*LocalLink.Delay, func() { s.failConnect(unix.ECONNREFUSED) })
 		return fd, nil
 	}
@@ -26,16 +26,16 @@
 	return fd, nil
 }
 
-// deliverConnect handles the arrival of a connect. One that was abandoned meanwhile is dropped, as it would be reset at
-// once.
+// deliverConnect handles the arrival of a connect at the other host. It drops a connect whose socket has been closed in the
+// meantime, because the connection would be reset immediately.
 func (w *World) deliverConnect(s, target *socket, address netip.AddrPort) {
 	if s.closed {
 		return
 	}
-	current := w.bound[address]
+	listener := w.bound[address]
 	reply := path{route: s.path.route, from: target.host, to: s.host, isReply: true}
-	if current == nil || current.kind != listenerSocket || len(current.pending) >= maxQueued || w.link(s.path).RefuseConnects {
-		w.transmit(reply, 0, always, 0, func() { s.failConnect(unix.ECONNREFUSED) })
+	if listener == nil || listener.kind != listenerSocket || len(listener.pending) >= maxQueued || w.link(s.path).RefuseConnects {
+		w.transmit(reply, 0, alwaysResend, 0, func() { s.failConnect(unix.ECONNREFUSED) })
 		return
 	}
 	accepted := &socket{
@@ -44,10 +44,10 @@
 		streamState: streamState{peer: s, receivedAt: w.now, path: reply},
 	}
 	s.peer = accepted
-	accepted.host = current.host
-	current.pending = append(current.pending, accepted)
-	current.markActive()
-	w.transmit(reply, 0, always, 0, func() {
+	accepted.host = listener.host
+	listener.pending = append(listener.pending, accepted)
+	listener.markActive()
+	w.transmit(reply, 0, alwaysResend, 0, func() {
 		if !s.closed {
 			s.connecting, s.receivedAt = false, w.now
 			s.markActive()
@@ -55,7 +55,7 @@
 	})
 }
 
-// failConnect ends a connect with an error.
+// failConnect makes a connect fail with the given error.
 func (s *socket) failConnect(cause error) {
 	if !s.closed {
 		s.connecting, s.failure = false, cause
--- a/internal/loop/sim/datagrams.go
+++ b/internal/loop/sim/datagrams.go
@@ -6,7 +6,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// datagram is a received datagram.
+// datagram is a datagram received by a socket and not yet read.
 type datagram struct {
 	from    netip.AddrPort
 	payload []byte
@@ -38,7 +38,7 @@
 	h.sendDatagram(fd, address, payload)
 }
 
-// sendDatagram sends a datagram to one address. It is dropped if nothing is bound there.
+// sendDatagram sends a datagram to one address. The datagram is dropped if no datagram socket is bound to the address.
 func (h *Host) sendDatagram(fd int, address netip.AddrPort, payload []byte) {
 	s, target := h.sockets[fd], h.world.bound[address]
 	if s == nil || target == nil {
@@ -53,7 +53,7 @@
 	})
 }
 
-// SetMulticast makes an address a multicast address: datagrams to it go to each member but the sender.
+// SetMulticast makes an address a multicast address: datagrams to it are delivered to all members except the sender.
 func (w *World) SetMulticast(address netip.AddrPort, members []netip.AddrPort) {
 	w.multicast[address] = members
 }
--- a/internal/loop/sim/drain_test.go
+++ b/internal/loop/sim/drain_test.go
@@ -11,7 +11,7 @@
 	"passtack/internal/pcg"
 )
 
-// discardHandler consumes all input and ignores it.
+// discardHandler consumes and discards all input.
 type discardHandler struct{}
 
 func (discardHandler) Opened()             {}
@@ -19,7 +19,7 @@
 func (discardHandler) Closed(error)        {}
 func (discardHandler) Panicked(error)      {}
 
-// failingAccept is a System whose Accept fails with cause while that is set.
+// failingAccept is a System whose Accept fails with cause while cause is set.
 type failingAccept struct {
 	loop.System
 	cause error
@@ -32,7 +32,8 @@
 	return s.System.Accept(fd)
 }
 
-// A drained listener accepts its backlog even if no descriptor is free at first, for lack of resources or by the limit.
+// A draining listener must not close before its backlog is accepted, even if accepting is impossible at first, because of the
+// listener's limit or because the kernel lacks resources.
 func TestDrainedListenerAcceptsItsBacklog(t *testing.T) {
 	const start = 1000 * time.Second
 	for name, cause := range map[string]error{
@@ -46,12 +47,12 @@
 				t.Fatal(err)
 			}
 			w.Hosts()[0].Serve(l, func() {})
-			at, accepted, allowed := netip.MustParseAddrPort("10.0.0.1:5432"), 0, 0
+			address, accepted, allowed := netip.MustParseAddrPort("10.0.0.1:5432"), 0, 0
 			if cause != nil {
 				allowed = 50
 			}
-			door := loop.AcceptLimiter{Descriptors: func(int) int { return allowed }}
-			listener, err := l.Listen(at, 1<<10, door, func(open func(loop.Handler) *loop.Stream) {
+			limiter := loop.AcceptLimiter{Descriptors: func(int) int { return allowed }}
+			listener, err := l.Listen(address, 1<<10, limiter, func(open func(loop.Handler) *loop.Stream) {
 				open(discardHandler{})
 				accepted++
 			}, func(bool) {})
@@ -65,32 +66,32 @@
 			w.Hosts()[1].Serve(clients, func() {})
 			clients.Defer(func() {
 				for range 8 {
-					clients.Dial(at, discardHandler{}, 1<<10)
+					clients.Dial(address, discardHandler{}, 1<<10)
 				}
 			})
 			w.At(start+50*time.Millisecond, func() { l.At(w.Now(), listener.Drain) })
 			w.At(start+400*time.Millisecond, func() {
 				if accepted > 0 || listener.Closed() {
-					t.Errorf("%d connections are accepted already, closed: %t", accepted, listener.Closed())
+					t.Errorf("%d connections were accepted too early, listener closed: %t", accepted, listener.Closed())
 				}
 				system.cause, allowed = nil, 50
 			})
 			w.Run(start + time.Second)
 			if accepted != 8 || !listener.Closed() {
-				t.Errorf("%d of 8 connections are accepted, closed: %t", accepted, listener.Closed())
+				t.Errorf("%d of 8 connections were accepted, listener closed: %t", accepted, listener.Closed())
 			}
 		})
 	}
 }
 
-// The same seed makes the same calls fail.
+// Two runs with the same seed make the same calls fail with the same errors.
 func TestFaultsAreReproducible(t *testing.T) {
-	draw := func() (all []error) {
+	draw := func() (errs []error) {
 		f := &Faults{Random: pcg.New(3), Rate: 0.3, Counts: make(map[string]int)}
 		for range 50 {
-			all = append(all, f.inject("read", unix.EINTR, unix.ENOMEM))
+			errs = append(errs, f.inject("read", unix.EINTR, unix.ENOMEM))
 		}
-		return all
+		return errs
 	}
 	first, second := draw(), draw()
 	for i := range first {
--- a/internal/loop/sim/faults.go
+++ b/internal/loop/sim/faults.go
@@ -10,19 +10,19 @@
 	"passtack/internal/slots"
 )
 
-// Faults is a System whose calls fail at random with the errors that Linux documents for them. Dialed streams may break;
-// accepted ones only get transient errors.
+// Faults is a System whose calls fail at random with the errors that Linux documents for them. Dialed streams may also get
+// fatal errors; accepted streams get only transient ones.
 type Faults struct {
 	loop.System
 	Random *pcg.Source
 	Rate   float64        // probability that a call fails
-	Counts map[string]int // number of failures by call and error name
+	Counts map[string]int // number of injected failures by call and error name
 	dialed map[int]bool   // descriptors of dialed streams
 }
 
 const (
-	breakShare       = 0.2 // part of the reads and writes on dialed streams that may break them
-	maxShortTransfer = 16  // bytes of a read or write that is cut short
+	fatalShare       = 0.2 // share of the reads and writes on dialed streams that may fail with a fatal error
+	maxShortTransfer = 16  // maximum number of bytes of a read or write that is shortened at random
 )
 
 // NewFaults wraps a system so that its calls fail with the given probability.
@@ -30,7 +30,7 @@
 	return &Faults{System: system, Random: pcg.New(seed), Rate: rate, Counts: make(map[string]int), dialed: make(map[int]bool)}
 }
 
-// inject draws whether a call fails, and with which of the candidates. It returns nil if the call succeeds.
+// inject decides at random whether a call fails, and with which of the candidates. It returns nil if the call is to succeed.
 func (f *Faults) inject(call string, candidates ...unix.Errno) error {
 	if f.Random.Float() >= f.Rate {
 		return nil
@@ -40,7 +40,7 @@
 	return err
 }
 
-// Watch implements loop.System: changing the events of a descriptor may fail for lack of memory.
+// Watch implements loop.System. Changing the events of a watched descriptor may fail for lack of memory.
 func (f *Faults) Watch(fd int, handle slots.Handle, events uint32, isNew bool) error {
 	if err := f.inject("epoll_ctl", unix.ENOMEM); err != nil && !isNew {
 		return err
@@ -48,7 +48,7 @@
 	return f.System.Watch(fd, handle, events, isNew)
 }
 
-// Accept implements loop.System: it may fail for lack of resources, or because the connection is gone already.
+// Accept implements loop.System. It may fail for lack of resources, or because the connection no longer exists.
 func (f *Faults) Accept(fd int) (int, error) {
 	if err := f.inject("accept", unix.ECONNABORTED, unix.ENFILE, unix.EMFILE, unix.ENOBUFS, unix.ENOMEM, unix.EINTR,
 		unix.EPROTO, unix.ENETUNREACH); err != nil {
@@ -57,7 +57,7 @@
 	return f.System.Accept(fd)
 }
 
-// Dial implements loop.System: it may fail for lack of a port, a route or memory.
+// Dial implements loop.System. It may fail because no port, route, descriptor or buffer is available.
 func (f *Faults) Dial(address netip.AddrPort) (int, error) {
 	if err := f.inject("connect", unix.EADDRNOTAVAIL, unix.ENETUNREACH, unix.ENFILE, unix.ENOBUFS, unix.EAGAIN); err != nil {
 		return 0, err
@@ -67,7 +67,7 @@
 	return fd, err
 }
 
-// ConnectError implements loop.System: a connect may fail.
+// ConnectError implements loop.System. It may report that the connect failed.
 func (f *Faults) ConnectError(fd int) error {
 	if err := f.inject("connect", unix.ETIMEDOUT, unix.EHOSTUNREACH, unix.ECONNREFUSED); err != nil {
 		return err
@@ -75,9 +75,10 @@
 	return f.System.ConnectError(fd)
 }
 
-// Read implements loop.System: it may be interrupted, return fewer bytes than there are, or break a dialed stream.
+// Read implements loop.System. It may be interrupted, return fewer bytes than are available, or fail on a dialed stream with
+// a fatal error.
 func (f *Faults) Read(fd int, buffer []byte) (int, error) {
-	if f.dialed[fd] && f.Random.Float() < breakShare {
+	if f.dialed[fd] && f.Random.Float() < fatalShare {
 		if err := f.inject("read", unix.ETIMEDOUT, unix.EHOSTUNREACH, unix.ECONNRESET); err != nil {
 			return 0, err
 		}
@@ -91,9 +92,10 @@
 	return f.System.Read(fd, buffer)
 }
 
-// Write implements loop.System: it may be interrupted, accept fewer bytes than given, or break a dialed stream.
+// Write implements loop.System. It may be interrupted, accept fewer bytes than given, or fail on a dialed stream with a fatal
+// error.
 func (f *Faults) Write(fd int, parts [][]byte) (int, error) {
-	if f.dialed[fd] && f.Random.Float() < breakShare {
+	if f.dialed[fd] && f.Random.Float() < fatalShare {
 		if err := f.inject("write", unix.ETIMEDOUT, unix.EHOSTUNREACH, unix.EPIPE); err != nil {
 			return 0, err
 		}
--- a/internal/loop/sim/host.go
+++ b/internal/loop/sim/host.go
@@ -7,16 +7,16 @@
 	"passtack/internal/loop"
 )
 
-// firstFD is the first descriptor that a host opens. A new process has three open.
+// firstFD is the number of the first descriptor that a program opens. A new process starts with three open descriptors.
 const firstFD = 3
 
-// defaultCost is the IterationTime of a new host.
-const defaultCost = 20 * time.Microsecond
+// defaultIterationTime is the initial IterationTime of a host.
+const defaultIterationTime = 20 * time.Microsecond
 
 // Hosts returns the hosts in the order in which they were added.
 func (w *World) Hosts() []*Host { return w.hosts }
 
-// AddHost adds a host.
+// AddHost adds a host to the world and returns it.
 func (w *World) AddHost(name string) *Host {
 	h := &Host{
 		Name:          name,
@@ -24,13 +24,13 @@
 		number:        len(w.hosts),
 		sockets:       make(map[int]*socket),
 		nextFD:        firstFD,
-		IterationTime: defaultCost,
+		IterationTime: defaultIterationTime,
 	}
 	w.hosts = append(w.hosts, h)
 	return h
 }
 
-// Host is one machine that runs one program on a loop. It implements loop.System.
+// Host is a simulated machine that runs one program on a loop. It implements loop.System.
 type Host struct {
 	Name          string
 	IterationTime time.Duration // duration of each iteration of the loop, during which the host does nothing else
@@ -39,26 +39,26 @@
 
 	world       *World
 	number      int
-	wakeup      *due.Item[*Host] // in World.wakeups; nil while the host is idle or runs
+	wakeup      *due.Item[*Host] // item in World.wakeups; nil while the host is idle or runs
 	stale       bool             // the host is in World.stale
 	loop        *loop.Loop       // nil while no program runs
 	onWake      func()
 	wakePending bool // Wake was called
 	sockets     map[int]*socket
 	nextFD      int
-	active      []*socket     // that may be ready, in the order in which they became so
+	active      []*socket     // sockets that may be ready, in the order in which they became active
 	busyUntil   time.Duration // end of the current iteration
 	pausedUntil time.Duration
 	down        bool
 }
 
-// Serve runs the iterations of a loop that was made on this host. It calls onWake after each Wake.
+// Serve makes the simulation run the iterations of a loop that was created on this host. onWake is called after each Wake.
 func (h *Host) Serve(l *loop.Loop, onWake func()) {
 	h.loop, h.onWake = l, onWake
 	h.touch()
 }
 
-// Post runs callback in the next iteration of the host's loop. It does nothing if no program runs.
+// Post schedules callback for the next iteration of the host's loop. It does nothing if no program runs.
 func (h *Host) Post(callback func()) {
 	if h.loop != nil {
 		h.loop.At(h.world.now+h.ClockOffset, callback)
@@ -66,13 +66,13 @@
 	}
 }
 
-// Pause suspends the program until the given time. The host continues to receive.
+// Pause suspends the program until the given time. The host still receives segments and datagrams meanwhile.
 func (h *Host) Pause(until time.Duration) {
 	h.pausedUntil = max(h.pausedUntil, until)
 	h.touch()
 }
 
-// Kill ends the program at once. Its connections are reset and new ones refused.
+// Kill ends the program immediately. Its connections are reset and new ones are refused.
 func (h *Host) Kill() {
 	h.down, h.loop = true, nil
 	h.touch()
@@ -85,32 +85,32 @@
 	h.active = nil
 }
 
-// Start makes the host ready for another program after Kill.
+// Start makes the host ready to run another program after Kill.
 func (h *Host) Start() { h.down = false }
 
-// touch notes that the time of the next iteration may have changed.
+// touch records that the time of the host's next iteration may have changed.
 func (h *Host) touch() {
 	if w := h.world; len(w.touched) == 0 || w.touched[len(w.touched)-1] != h {
 		w.touched = append(w.touched, h)
 	}
 }
 
-// nextWakeup returns the time of the next iteration; ok is false if nothing is pending.
-func (h *Host) nextWakeup() (at time.Duration, ok bool) {
+// nextWakeup returns the time of the next iteration. ok is false if the loop has nothing to do.
+func (h *Host) nextWakeup() (wakeAt time.Duration, ok bool) {
 	if h.loop == nil || h.loop.Stopped() {
 		return 0, false
 	}
 	if h.wakePending || h.anyReady() {
-		at, ok = h.world.now, true
-	} else if at, ok = h.loop.NextTimer(); !ok {
+		wakeAt, ok = h.world.now, true
+	} else if wakeAt, ok = h.loop.NextTimer(); !ok {
 		return 0, false
 	} else {
-		at -= h.ClockOffset
+		wakeAt -= h.ClockOffset
 	}
-	return max(at, h.busyUntil, h.pausedUntil), true
+	return max(wakeAt, h.busyUntil, h.pausedUntil), true
 }
 
-// anyReady reports whether a socket is ready.
+// anyReady reports whether any socket of the host is ready.
 func (h *Host) anyReady() bool {
 	for _, s := range h.active {
 		if s.readyEvents() != 0 {
@@ -122,7 +122,7 @@
 
 // runIteration runs one iteration of the loop if it is due.
 func (h *Host) runIteration() {
-	if at, ok := h.nextWakeup(); !ok || at > h.world.now {
+	if wakeAt, ok := h.nextWakeup(); !ok || wakeAt > h.world.now {
 		return
 	}
 	h.busyUntil = h.world.now + h.IterationTime
--- a/internal/loop/sim/schedule.go
+++ b/internal/loop/sim/schedule.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Run advances the simulated time to until and runs all that is due by then.
+// Run advances the simulated time to until and runs all callbacks and iterations that are due by then.
 func (w *World) Run(until time.Duration) {
 	w.touchAll() // the caller may have changed any host
 	for {
@@ -14,8 +14,8 @@
 		}
 		w.runHosts()
 		next, pending := w.callbacks.NextDue()
-		if at, ok := w.wakeups.NextDue(); ok && (!pending || at < next) {
-			next, pending = at, true
+		if wakeAt, ok := w.wakeups.NextDue(); ok && (!pending || wakeAt < next) {
+			next, pending = wakeAt, true
 		}
 		if !pending || next > until {
 			w.now = max(w.now, until)
@@ -25,8 +25,8 @@
 	}
 }
 
-// runHosts runs one iteration of each host that has something to do now, in the order of their numbers. A host that gets
-// something to do from one with a lower number runs in the same round.
+// runHosts runs one iteration of each host whose next iteration is due, in the order of their numbers. A host whose iteration
+// becomes due because of a host with a lower number runs in the same call.
 func (w *World) runHosts() {
 	w.collectTouched(nil)
 	w.updateWakeups()
@@ -45,10 +45,11 @@
 	w.updateWakeups()
 }
 
+// byNumber compares two hosts by number.
 func byNumber(a, b *Host) int { return a.number - b.number }
 
-// collectTouched moves the touched hosts to stale. Those that have something to do now and a higher number than current, the
-// host that has just run, become runnable.
+// collectTouched moves the touched hosts to stale. If current, the host that has just run, is not nil, touched hosts with a
+// higher number whose next iteration is due become runnable.
 func (w *World) collectTouched(current *Host) {
 	for _, h := range w.touched {
 		if !h.stale {
@@ -58,7 +59,7 @@
 		if current == nil || h.number <= current.number {
 			continue
 		}
-		if at, ok := h.nextWakeup(); ok && at <= w.now {
+		if wakeAt, ok := h.nextWakeup(); ok && wakeAt <= w.now {
 			if index, found := slices.BinarySearchFunc(w.runnable, h, byNumber); !found {
 				w.runnable = slices.Insert(w.runnable, index, h)
 			}
@@ -67,20 +68,20 @@
 	w.touched = w.touched[:0]
 }
 
-// updateWakeups updates the wakeups of the stale hosts.
+// updateWakeups recomputes the wakeups of the stale hosts and empties stale.
 func (w *World) updateWakeups() {
 	for _, h := range w.stale {
 		h.stale = false
 		w.wakeups.Remove(h.wakeup)
 		h.wakeup = nil
-		if at, ok := h.nextWakeup(); ok {
-			h.wakeup = w.wakeups.Push(at, h)
+		if wakeAt, ok := h.nextWakeup(); ok {
+			h.wakeup = w.wakeups.Push(wakeAt, h)
 		}
 	}
 	w.stale = w.stale[:0]
 }
 
-// touchAll touches all hosts.
+// touchAll calls touch for all hosts.
 func (w *World) touchAll() {
 	for _, h := range w.hosts {
 		h.touch()
--- a/internal/loop/sim/sockets.go
+++ b/internal/loop/sim/sockets.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	sendWindow = 64 << 10 // bytes of a stream that may be in flight or unread
-	maxQueued  = 1024     // connections in a backlog, and unread datagrams of a socket
+	sendWindow = 64 << 10 // maximum bytes of a stream that are in flight or unread
+	maxQueued  = 1024     // maximum number of connections in a backlog, and of unread datagrams of a socket
 )
 
-// socketKind is the kind of a socket.
+// socketKind tells streams, listeners and datagram sockets apart.
 type socketKind uint8
 
 const (
@@ -30,30 +30,30 @@
 	kind     socketKind
 	address  netip.AddrPort
 	handle   slots.Handle
-	interest uint32 // events given to Watch
-	active   bool   // it is in Host.active
+	interest uint32 // events passed to Watch
+	active   bool   // the socket is in Host.active
 	closed   bool
 
 	streamState
-	pending   []*socket  // backlog of a listener
-	datagrams []datagram // unread, of a datagram socket
+	pending   []*socket  // backlog of a listener, not yet accepted
+	datagrams []datagram // unread datagrams of a datagram socket
 }
 
 // streamState is one end of a stream.
 type streamState struct {
-	path        path    // to the peer
-	peer        *socket // nil until the connect has arrived
+	path        path    // path to the peer
+	peer        *socket // other end; nil until the connect has arrived
 	connecting  bool
-	failure     error // of the connect or the stream
-	received    []byte
-	receivedAt  time.Duration // when the latest bytes arrived
+	failure     error         // error that ended the connect or the stream
+	received    []byte        // bytes that arrived and are not read
+	receivedAt  time.Duration // time at which the latest bytes arrived
 	peerEnded   bool          // the peer has shut down its sending side
-	inFlight    int           // bytes sent that the peer's program has not read
-	lastArrival time.Duration // when the latest segment sent arrives; later ones arrive after it
+	inFlight    int           // number of bytes sent that the peer's program has not read
+	lastArrival time.Duration // arrival time of the latest segment sent; later segments arrive after it
 	writeEnded  bool          // this end has shut down its sending side
 }
 
-// open gives a socket a descriptor.
+// open assigns a new descriptor of the host to a socket.
 func (h *Host) open(s *socket) int {
 	s.host, s.fd = h, h.nextFD
 	h.nextFD++
@@ -61,7 +61,7 @@
 	return s.fd
 }
 
-// markActive notes that the socket may be ready.
+// markActive records that the socket may be ready.
 func (s *socket) markActive() {
 	s.host.touch()
 	if !s.active && !s.closed {
@@ -70,7 +70,7 @@
 	}
 }
 
-// readyEvents returns the events that are ready, of those that the loop waits for.
+// readyEvents returns the events that are ready among those that the loop waits for. Errors and hangups are always included.
 func (s *socket) readyEvents() (events uint32) {
 	switch {
 	case s.closed || s.interest == 0 && s.failure == nil:
--- a/internal/loop/sim/streams.go
+++ b/internal/loop/sim/streams.go
@@ -57,7 +57,7 @@
 	return len(sent), nil
 }
 
-// receive handles the arrival of bytes. A closed socket answers them with a reset.
+// receive handles the arrival of a segment. A closed socket answers it with a reset.
 func (s *socket) receive(payload []byte) {
 	if s.closed {
 		if p := s.peer; p != nil && !p.closed {
@@ -78,7 +78,7 @@
 	}
 }
 
-// resetPeers sends a reset to the peer, or to the peers of all connections in the backlog.
+// resetPeers sends a reset to the peer of a stream, or to the peers of all connections in the backlog of a listener.
 func (s *socket) resetPeers() {
 	for _, connection := range s.pending {
 		connection.sendToPeer(0, func(p *socket) { p.receiveReset() })
@@ -109,7 +109,7 @@
 }
 
 // LastReceiveAge implements loop.System.
-func (h *Host) LastReceiveAge(fd int) (ago time.Duration, ok bool) {
+func (h *Host) LastReceiveAge(fd int) (age time.Duration, ok bool) {
 	if s := h.sockets[fd]; s != nil && s.receivedAt != 0 {
 		return (h.world.now - s.receivedAt).Truncate(time.Millisecond), true
 	}
@@ -127,7 +127,7 @@
 	}
 }
 
-// Abort implements loop.System: the peer receives a reset.
+// Abort implements loop.System. The peer receives a reset.
 func (h *Host) Abort(fd int) {
 	if s := h.sockets[fd]; s != nil {
 		s.resetPeers()
--- a/internal/loop/sim/system.go
+++ b/internal/loop/sim/system.go
@@ -10,10 +10,10 @@
 	"passtack/internal/slots"
 )
 
-// Clock implements loop.System with the simulated time and the host's offset.
+// Clock implements loop.System. It returns the simulated time plus the host's offset.
 func (h *Host) Clock() time.Duration { return h.world.now + h.ClockOffset }
 
-// OpenDescriptors implements loop.System.
+// OpenDescriptors implements loop.System. A new program has the descriptors below firstFD open.
 func (h *Host) OpenDescriptors() (int, error) { return firstFD, nil }
 
 // Wake implements loop.System.
@@ -63,7 +63,7 @@
 // ListenUDP implements loop.System.
 func (h *Host) ListenUDP(address netip.AddrPort) (int, error) { return h.bind(address, datagramSocket) }
 
-// bind opens a listener or datagram socket.
+// bind opens a listener or datagram socket at an address.
 func (h *Host) bind(address netip.AddrPort, kind socketKind) (int, error) {
 	if h.world.bound[address] != nil {
 		return 0, unix.EADDRINUSE
