--- a/internal/persist/directory.go
+++ b/internal/persist/directory.go
@@ -11,7 +11,7 @@
 	"passtack/internal/storage"
 )
 
-// Owner returns the number under which a driver owns its directory.
+// Owner returns the number that identifies a driver as the owner of its directory.
 func Owner(driverName string) uint64 { return xxh3.HashString(driverName) }
 
 // Open locks and recovers the directory of a driver. Snapshots are limited to maxSize bytes.
@@ -22,17 +22,17 @@
 	}
 	s, report, err := storage.Open(directory, Owner(driverName), maxSize)
 	if errors.Is(err, storage.ErrWrongOwner) {
-		err = fmt.Errorf("%w, this one is %q", err, driverName)
+		err = fmt.Errorf("%w: opened by driver %q", err, driverName)
 	}
 	return s, report, err
 }
 
-// PruneResult is the size of a directory's files in bytes, before and after it was pruned.
+// PruneResult holds the size of a directory's snapshot and log in bytes, before and after pruning.
 type PruneResult struct {
 	SizeBefore, SizeAfter int
 }
 
-// Prune deletes members and sessions that have not changed for longer than maxAge, and compacts the directory.
+// Prune deletes the members and sessions of a directory that have not changed for longer than maxAge, and compacts the directory.
 func Prune(path string, owner uint64, maxAge, now time.Duration, maxSize int) (PruneResult, error) {
 	directory, err := storage.OpenDirectory(path)
 	if err != nil {
@@ -58,7 +58,7 @@
 	return result, err
 }
 
-// lastChange returns when a value was last changed, now for values that do not age.
+// lastChange returns when a value was last changed. It returns now for values that do not expire.
 func lastChange(name string, value []byte, now time.Duration) time.Duration {
 	if strings.HasPrefix(name, memberPrefix) {
 		if k, ok := decodeMember(value); ok {
--- a/internal/persist/endpoints.go
+++ b/internal/persist/endpoints.go
@@ -9,14 +9,14 @@
 // ListVersion identifies an endpoint list.
 type ListVersion struct {
 	Revision  int64
-	Discovery netip.AddrPort // that published it
+	Discovery netip.AddrPort // address of the discovery server that published the list
 }
 
 func (v ListVersion) encode() []byte {
 	return append(appendDuration(nil, time.Duration(v.Revision)), v.Discovery.String()...)
 }
 
-// decodeListVersion returns the zero version for a value that encode cannot have written.
+// decodeListVersion returns the zero version for a value that is too short to have been written by encode.
 func decodeListVersion(in []byte) (v ListVersion) {
 	if len(in) <= numberSize {
 		return v
@@ -26,7 +26,7 @@
 	return v
 }
 
-// EndpointList returns the restored endpoint list as a response of discovery; nil if none was saved.
+// EndpointList returns the restored endpoint list in the form of a discovery response, nil if none was saved.
 func (l *LearnedState) EndpointList() []byte {
 	if l.ListVersion.Revision == 0 {
 		return nil
--- a/internal/persist/golden_test.go
+++ b/internal/persist/golden_test.go
@@ -83,16 +83,16 @@
 	}
 	files := make(map[string][]byte)
 	for _, name := range names {
-		text, err := os.ReadFile(name)
+		content, err := os.ReadFile(name)
 		if err != nil {
 			t.Fatal(err)
 		}
-		files[filepath.Base(name)] = text
+		files[filepath.Base(name)] = content
 	}
 	return files
 }
 
-// The same changes are written as the same bytes as by earlier versions.
+// Guards against an unintended change of the file format: the same changes must be written as the same bytes as by earlier versions.
 func TestGoldenDirectoryIsWritten(t *testing.T) {
 	path := t.TempDir()
 	writeGolden(t, path)
@@ -118,7 +118,7 @@
 	}
 }
 
-// A directory that an earlier version wrote is read to the same values.
+// Guards against losing learned state in an upgrade: a directory that an earlier version wrote must be restored to the same values.
 func TestGoldenDirectoryIsRead(t *testing.T) {
 	path := t.TempDir()
 	for name, text := range goldenFiles(t, goldenDirectory) {
@@ -143,25 +143,25 @@
 		t.Errorf("read %+v, want %+v", r, want)
 	}
 	if got, want := string(r.EndpointList()), `{"all":true,"rev":5,"targets":[{"uid":"s-2"}]}`; got != want {
-		t.Errorf("list %s, want %s", got, want)
+		t.Errorf("endpoint list %s, want %s", got, want)
 	}
 	wantWrites := map[driver.Session]time.Duration{0xbeef: time.Hour, 5: time.Hour + time.Second}
 	if got := sessionWrites(s); !reflect.DeepEqual(got, wantWrites) {
-		t.Errorf("writes of sessions %v, want %v", got, wantWrites)
+		t.Errorf("session writes %v, want %v", got, wantWrites)
 	}
 	if got := RestorePromises(s); !reflect.DeepEqual(got, map[string]lease.Promise{"summary": goldenPromise}) {
-		t.Errorf("promises %v", got)
+		t.Errorf("lease promises %v", got)
 	}
 	registry := idempotency.New(0)
 	registry.Retention, registry.MaxBytes, registry.MaxInProgress = time.Hour, 1<<20, 10
 	if n := registry.Restore(requests, 2*time.Second); n != 2 {
-		t.Fatalf("%d requests are restored, want 2", n)
+		t.Fatalf("%d requests were restored, want 2", n)
 	}
 	verdict, e := registry.Begin(idempotency.Request{Key: "done", Digest: 11, FirstSent: time.Second, Window: 2 * time.Second}, 2*time.Second)
 	if verdict != idempotency.Replay || string(e.Response) != "answer of done" {
-		t.Errorf("a repeat of a request that was done: %v", verdict)
+		t.Errorf("a repeat of a completed request gets %v", verdict)
 	}
 	if verdict, _ := registry.Begin(idempotency.Request{Key: "unsure", Digest: 11, FirstSent: time.Second, Window: 2 * time.Second}, 4*time.Second); verdict != idempotency.TooLate {
-		t.Errorf("a late repeat of a request that may have run: %v", verdict)
+		t.Errorf("a late repeat of a request that may have run gets %v", verdict)
 	}
 }
--- a/internal/persist/members.go
+++ b/internal/persist/members.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	numberSize = 8              // bytes of each stored number, little-endian
+	numberSize = 8              // bytes of each stored number, which is little-endian
 	memberSize = 4 * numberSize // bytes
 )
 
@@ -17,7 +17,7 @@
 	return binary.LittleEndian.AppendUint64(out, uint64(d))
 }
 
-// durationAt returns the number with index i.
+// durationAt returns the stored number with index i, counted from 0.
 func durationAt(in []byte, i int) time.Duration {
 	return time.Duration(binary.LittleEndian.Uint64(in[numberSize*i:]))
 }
@@ -30,7 +30,7 @@
 	return binary.LittleEndian.AppendUint64(out, math.Float64bits(k.Ratio))
 }
 
-// decodeMember returns false for a value that encodeMember cannot have written.
+// decodeMember decodes the value of a member; ok is false if encodeMember cannot have written it.
 func decodeMember(in []byte) (k driver.Known, ok bool) {
 	if len(in) != memberSize {
 		return k, false
@@ -44,7 +44,7 @@
 	return k, k.Ratio > 0 && !math.IsInf(k.Ratio, 0)
 }
 
-// minProgress is how far a position or a time of a member has to advance to be worth saving.
+// minProgress is the least advance of a position or time of a member that is saved.
 const minProgress = 500 * time.Millisecond
 
 func progressed(old, current driver.Known) bool {
@@ -67,8 +67,8 @@
 	return latencies
 }
 
-// latenciesMoved reports whether a latency differs by more than a tenth from what is stored.
-func latenciesMoved(stored []byte, latencies []time.Duration) bool {
+// latenciesChanged reports whether a latency differs by more than a tenth from its stored value.
+func latenciesChanged(stored []byte, latencies []time.Duration) bool {
 	old := decodeLatencies(stored)
 	for i, d := range latencies {
 		if len(stored) != numberSize*len(latencies) || (old[i]-d).Abs() > d/10 {
--- a/internal/persist/persist_test.go
+++ b/internal/persist/persist_test.go
@@ -27,20 +27,20 @@
 	return s
 }
 
-// knowledge is what a driver knows, as a test has it.
-type knowledge struct {
+// testState is the learned state that a test expects.
+type testState struct {
 	members   map[string]driver.Known
 	sessions  map[driver.Session]time.Duration
 	endpoints map[string]string
 	requests  map[uint64]string
 }
 
-func (k knowledge) copy() knowledge {
-	return knowledge{maps.Clone(k.members), maps.Clone(k.sessions), maps.Clone(k.endpoints), maps.Clone(k.requests)}
+func (k testState) copy() testState {
+	return testState{maps.Clone(k.members), maps.Clone(k.sessions), maps.Clone(k.endpoints), maps.Clone(k.requests)}
 }
 
-// saveRound saves what has changed.
-func (k knowledge) saveRound(v *Saver, now time.Duration) []storage.Change {
+// saveRound runs one round of the saver over all members and returns the changes to commit.
+func (k testState) saveRound(v *Saver, now time.Duration) []storage.Change {
 	v.BeginRound()
 	for uid, member := range k.members {
 		v.SaveMember(uid, member)
@@ -48,31 +48,31 @@
 	return v.FinishRound(now)
 }
 
-// What is learned, forgotten and learned again is restored as of the last successful commit. Failed commits and changes during a commit
-// do not affect that, and what a failed commit should have written is in the next.
+// Values are set and deleted in random order, also during commits, and some commits fail. The state as of the last successful commit
+// must be restored, including the changes of failed commits before it.
 func TestSavedStateIsRestored(t *testing.T) {
 	seeded.Check(t, func(rt *rapid.T) {
 		path := t.TempDir()
 		s := openStore(t, path)
 		v := NewSaver(s, 32<<20)
-		known := knowledge{make(map[string]driver.Known), make(map[driver.Session]time.Duration), make(map[string]string), make(map[uint64]string)}
-		saved, rev := known.copy(), int64(0)
+		current := testState{make(map[string]driver.Known), make(map[driver.Session]time.Duration), make(map[string]string), make(map[uint64]string)}
+		saved, rev := current.copy(), int64(0)
 		now, savedAt := time.Hour, time.Duration(0)
 		change := func() {
 			uid, session := fmt.Sprint("s-", rapid.IntRange(0, 5).Draw(rt, "member")), driver.Session(rapid.IntRange(1, 5).Draw(rt, "session"))
-			switch rapid.IntRange(0, 4).Draw(rt, "what") {
+			switch rapid.IntRange(0, 4).Draw(rt, "kind of change") {
 			case 0:
-				known.members[uid] = driver.Known{Position: now, Replica: now - time.Second, Timed: now - 10*ms, Ratio: 1.5}
+				current.members[uid] = driver.Known{Position: now, Replica: now - time.Second, Timed: now - 10*ms, Ratio: 1.5}
 			case 1:
-				delete(known.members, uid)
+				delete(current.members, uid)
 			case 2:
-				known.sessions[session] = now
+				current.sessions[session] = now
 				v.SessionWrote(session, now)
 			case 3:
 				entry := fmt.Sprintf(`{"uid":%q,"rev":%d}`, uid, rev)
 				rev++
-				if known.endpoints[uid] = entry; rapid.Bool().Draw(rt, "gone") {
-					delete(known.endpoints, uid)
+				if current.endpoints[uid] = entry; rapid.Bool().Draw(rt, "deleted") {
+					delete(current.endpoints, uid)
 					v.SetEndpoint(uid, nil)
 				} else {
 					v.SetEndpoint(uid, []byte(entry))
@@ -80,26 +80,26 @@
 				v.SetListVersion(ListVersion{Revision: rev, Discovery: netip.MustParseAddrPort("127.0.0.1:1")})
 			case 4:
 				key := uint64(rapid.IntRange(0, 3).Draw(rt, "key"))
-				if known.requests[key] = fmt.Sprint("answer ", now); rapid.Bool().Draw(rt, "gone") {
-					delete(known.requests, key)
+				if current.requests[key] = fmt.Sprint("answer ", now); rapid.Bool().Draw(rt, "deleted") {
+					delete(current.requests, key)
 					v.SetRequest("offices", key, nil)
 				} else {
-					v.SetRequest("offices", key, []byte(known.requests[key]))
+					v.SetRequest("offices", key, []byte(current.requests[key]))
 				}
 			}
 		}
 		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
 			now += time.Duration(rapid.IntRange(50, 2000).Draw(rt, "ms")) * ms
 			change()
-			changes := known.saveRound(v, now)
+			changes := current.saveRound(v, now)
 			if changes == nil {
 				continue
 			}
-			then := known.copy()
-			if rapid.Bool().Draw(rt, "meanwhile") {
+			inCommit := current.copy()
+			if rapid.Bool().Draw(rt, "change during the commit") {
 				change()
 			}
-			if rapid.IntRange(0, 3).Draw(rt, "fate") == 0 {
+			if rapid.IntRange(0, 3).Draw(rt, "result of the commit") == 0 {
 				v.Committed(errors.New("the disk is full"))
 				continue
 			}
@@ -107,7 +107,7 @@
 			if v.Committed(err); err != nil {
 				rt.Fatal(err)
 			}
-			saved, savedAt = then, now
+			saved, savedAt = inCommit, now
 		}
 		s.Close()
 		s = openStore(t, path)
@@ -116,7 +116,7 @@
 		if !maps.Equal(sessionWrites(s), saved.sessions) || r.SavedAt != savedAt || len(r.Members) != len(saved.members) {
 			rt.Fatalf("restored %+v, saved %+v at %v", r, saved, savedAt)
 		}
-		for uid, k := range saved.members { // times advance all the time and are saved at steps of minProgress
+		for uid, k := range saved.members { // positions and times are saved only if they have advanced by minProgress
 			if got := r.Members[uid]; got.Ratio != k.Ratio || k.Position-got.Position > minProgress || got.Position > k.Position {
 				rt.Fatalf("%s: %+v, saved %+v", uid, got, k)
 			}
@@ -146,8 +146,8 @@
 	return out
 }
 
-// Writes of many sessions stay within their share of the size and the newest are kept. Expired batches are deleted, and so are batches
-// from the future after the clock went back.
+// The writes of many sessions must stay within their share of the maximum size, and the newest must be kept. Expired batches must be
+// deleted, and so must batches with a time in the future, which remain after the clock was set back.
 func TestSessionWritesStayWithinTheirShare(t *testing.T) {
 	s := openStore(t, t.TempDir())
 	defer s.Close()
@@ -158,32 +158,32 @@
 		for n := range sessions {
 			v.SessionWrote(driver.Session(n+1), now)
 		}
-		if changes := (knowledge{}).saveRound(v, now); changes != nil {
+		if changes := (testState{}).saveRound(v, now); changes != nil {
 			v.Committed(s.Commit(changes))
 		}
 	}
 	for range 100 {
-		step(50) // 800 bytes: twenty seconds fill a quarter of the size
+		step(50) // 800 bytes each: twenty seconds fill a quarter of the maximum size
 	}
 	r, bytes := Restore(s), 0
 	s.ForEach(func(name string, value []byte) { bytes += len(value) })
 	if bytes > maxSize/4+1000 || len(sessionWrites(s)) != 50 || sessionWrites(s)[7] != now || v.Dropped() == 0 {
-		t.Errorf("%d bytes, %d sessions, the latest write %v before now", bytes, r.SessionWrites, now-sessionWrites(s)[7])
+		t.Errorf("%d bytes, %d session writes, the latest %v before now", bytes, r.SessionWrites, now-sessionWrites(s)[7])
 	}
 	now += sessionRetention
 	step(0)
 	if r := Restore(s); r.SessionWrites != 0 {
-		t.Errorf("%d expired sessions are kept", r.SessionWrites)
+		t.Errorf("%d expired session writes are kept", r.SessionWrites)
 	}
 	step(1)
 	now -= time.Hour
 	step(0)
 	if r := Restore(s); r.SessionWrites != 0 {
-		t.Error("a write from the future is kept")
+		t.Error("a session write with a time in the future is kept")
 	}
 }
 
-// Sessions that an earlier version stored one by one are restored, and stored in batches from then on.
+// Sessions that an earlier version stored under names of their own must be restored, and must be moved to a batch by the first commit.
 func TestLegacySessionsAreMigrated(t *testing.T) {
 	path := t.TempDir()
 	s := openStore(t, path)
@@ -202,12 +202,12 @@
 	var names []string
 	s.ForEach(func(name string, _ []byte) { names = append(names, strings.Split(name, "/")[0]) })
 	if again := Restore(s); sessionWrites(s)[10] != time.Hour || again.Members["s-1"] != k || !slices.Equal(names, []string{"member", "saved", "written"}) {
-		t.Errorf("%+v under %v", again, names)
+		t.Errorf("restored %+v from values with the prefixes %v", again, names)
 	}
 	s.Close()
 }
 
-// Prune deletes what has not changed for long and nothing else.
+// Prune must delete the values that have not changed for longer than the maximum age, and no others.
 func TestPrune(t *testing.T) {
 	path := t.TempDir()
 	s := openStore(t, path)
@@ -232,7 +232,7 @@
 	}
 }
 
-// Directories of another driver and missing ones are refused; values of another form are left out.
+// Missing directories and those of another driver must be refused, and values that cannot be decoded must be skipped.
 func TestUnusableDirectories(t *testing.T) {
 	path := t.TempDir()
 	s := openStore(t, path)
@@ -245,9 +245,9 @@
 	}
 	s.Close()
 	if _, _, err := Open(path, "n1", 1<<20); !errors.Is(err, storage.ErrWrongOwner) {
-		t.Errorf("another driver's directory: %v", err)
+		t.Errorf("directory of another driver: %v", err)
 	}
 	if _, _, err := Open(path+"/none", "n0", 1<<20); err == nil {
-		t.Error("a missing directory is opened")
+		t.Error("a missing directory was opened")
 	}
 }
--- a/internal/persist/promises.go
+++ b/internal/persist/promises.go
@@ -8,16 +8,16 @@
 	"passtack/internal/storage"
 )
 
-const promiseSize = 12 // bytes: 8 of the fencing token, 4 of the voter set version
+const promiseSize = 12 // bytes: 8 for the fencing token, 4 for the version of the voter set
 
-// PromiseChange returns the change that stores a voter's promise about the lease of that name.
+// PromiseChange returns the change that stores the promise of a voter for a lease.
 func PromiseChange(name string, p lease.Promise) storage.Change {
 	value := binary.LittleEndian.AppendUint64(make([]byte, 0, promiseSize), p.FencingToken)
 	value = binary.LittleEndian.AppendUint32(value, p.VoterSetVersion)
 	return storage.Change{Name: promisePrefix + name, Value: value}
 }
 
-// RestorePromises returns the stored promises by the name of their lease.
+// RestorePromises returns the stored promises by lease name.
 func RestorePromises(s *storage.Store) map[string]lease.Promise {
 	promises := make(map[string]lease.Promise)
 	s.ForEach(func(name string, value []byte) {
--- a/internal/persist/restore.go
+++ b/internal/persist/restore.go
@@ -1,5 +1,6 @@
-// Package persist saves what a driver has learned in a directory and restores it at the next start. A Saver decides what has to
-// be written and prepares the commits, which a worker then executes. What restored values are worth is the module's decision.
+// Package persist saves the learned state of a driver in a directory and restores it at the next start. A Saver decides which values
+// have to be written and prepares the commits, which a worker then executes. The decision module decides how far restored values are
+// still valid.
 package persist
 
 import (
@@ -11,19 +12,19 @@
 	"passtack/internal/storage"
 )
 
-// LearnedState is what an earlier process of a driver saved. Times are those of the driver's clock.
+// LearnedState is the state that an earlier process of a driver saved. Times are those of the driver's clock.
 type LearnedState struct {
-	SavedAt        time.Duration           // time of the last commit, 0: there was none
+	SavedAt        time.Duration           // time of the last commit; 0: there was none
 	Members        map[string]driver.Known // by uid
-	SessionWrites  int                     // stored writes, of which several may be of one session
+	SessionWrites  int                     // number of stored writes, several of which may belong to one session
 	UsualLatencies []time.Duration         // by method
 	ListVersion    ListVersion
 	Endpoints      [][]byte            // entries of the endpoint list, as JSON
 	Requests       map[string][][]byte // encoded idempotent requests, by front
 }
 
-// Restore returns what a store holds. It leaves out values that cannot be decoded: their checksums are right, so another
-// version of the program wrote them.
+// Restore returns the learned state in a store. It skips values that cannot be decoded: their checksums are correct, so another version
+// of the program wrote them.
 func Restore(s *storage.Store) *LearnedState {
 	l := &LearnedState{
 		Members:  make(map[string]driver.Known),
--- a/internal/persist/saver.go
+++ b/internal/persist/saver.go
@@ -10,38 +10,38 @@
 )
 
 const (
-	maxCommitSize    = 8 << 20 // bytes of members and values, beyond which the rest waits for the next commit
-	maxCommitChanges = 2000    // beyond which no pending values are added, so that the event loop is not held up
+	maxCommitSize    = 8 << 20 // bytes of names and values in a commit, beyond which further changes wait for the next one
+	maxCommitChanges = 2000    // in a commit, beyond which no pending values are added, so that the event loop is not blocked for long
 
-	// sizeShare is the part of the maximum size that session writes may take; idempotent requests may take as much.
-	sizeShare = 4
+	// sizeShareDivisor divides the maximum size of a snapshot: session writes may take this part of it, idempotent requests as much.
+	sizeShareDivisor = 4
 )
 
-// Saver decides what of a driver's knowledge is written. Members are compared with what is stored in rounds, from BeginRound to
-// FinishRound; other values are set when they change. One commit is in progress at a time: what changes meanwhile goes into
-// the next one. It is used by one goroutine.
+// Saver decides which parts of a driver's learned state are written. Members are compared with their stored values in rounds, from
+// BeginRound to FinishRound; other values are set when they change. At most one commit is in progress: values that change in the
+// meantime go into the next one. A Saver is used by one goroutine.
 type Saver struct {
-	maxSize      int // bytes of a snapshot
+	maxSize      int // of a snapshot, bytes
 	stored       map[string]storedValue
-	pending      map[string][]byte // set but in no commit yet; nil: deleted
-	committing   []storage.Change  // in the commit in progress; nil: there is none
+	pending      map[string][]byte // set, but not in a commit yet; nil: deleted
+	committing   []storage.Change  // changes of the commit in progress; nil: none is in progress
 	round        saveRound
 	sessions     sessionSaver
-	requestBytes int // of idempotent requests, stored and pending
-	dropped      int // requests given up for lack of space
+	requestBytes int // size of the idempotent requests, stored and pending
+	dropped      int // requests that were not saved for lack of space
 }
 
-// storedValue is a value on the disk.
+// storedValue is a value that is on disk.
 type storedValue struct {
 	value []byte
-	round uint32 // last one in which its member was known
+	round uint32 // number of the last round in which the member was known
 }
 
 // saveRound is one pass over all members.
 type saveRound struct {
 	number  uint32
 	changes []storage.Change
-	size    int // bytes of the changes
+	size    int // of the changes, bytes
 }
 
 func (r *saveRound) add(name string, value []byte) {
@@ -49,13 +49,13 @@
 	r.size += len(name) + len(value)
 }
 
-// NewSaver returns a saver that knows what the store holds. Snapshots may take maxSize bytes.
+// NewSaver returns a saver that starts with the values in the store. Snapshots may take maxSize bytes.
 func NewSaver(s *storage.Store, maxSize int) *Saver {
 	v := &Saver{
 		maxSize:  maxSize,
 		stored:   make(map[string]storedValue),
 		pending:  make(map[string][]byte),
-		sessions: sessionSaver{maxSize: maxSize / sizeShare, pending: make(map[driver.Session]time.Duration)},
+		sessions: sessionSaver{maxSize: maxSize / sizeShareDivisor, pending: make(map[driver.Session]time.Duration)},
 	}
 	s.ForEach(v.load)
 	return v
@@ -64,7 +64,7 @@
 func (v *Saver) load(name string, value []byte) {
 	v.stored[name] = storedValue{value: value}
 	if savedAt, ok := parseSessionBatchName(name); ok {
-		v.sessions.stored(savedAt, len(value))
+		v.sessions.batchStored(savedAt, len(value))
 		return
 	}
 	if strings.HasPrefix(name, legacySessionPrefix) {
@@ -76,7 +76,7 @@
 	}
 }
 
-// migrateSession lets the first commit store a session of an older version in a batch.
+// migrateSession makes the first commit move a session from the format of versions up to 0.3 to a batch.
 func (v *Saver) migrateSession(name string, value []byte) {
 	v.pending[name] = nil
 	if session, writtenAt, ok := decodeLegacySession(name, value); ok {
@@ -95,7 +95,7 @@
 // SetListVersion sets the version of the endpoint list.
 func (v *Saver) SetListVersion(version ListVersion) { v.set(listVersionName, version.encode()) }
 
-// SetRequest sets an encoded idempotent request of a front; nil deletes it. Without space for it the value before stays.
+// SetRequest sets an encoded idempotent request of a front; nil deletes it. If there is no space for it, the previous value is kept.
 func (v *Saver) SetRequest(front string, key uint64, value []byte) {
 	name := requestName(front, key)
 	old, isPending := v.pending[name]
@@ -103,7 +103,7 @@
 		old = v.stored[name].value
 	}
 	growth := len(value) - len(old)
-	if growth > 0 && v.requestBytes+growth > v.maxSize/sizeShare {
+	if growth > 0 && v.requestBytes+growth > v.maxSize/sizeShareDivisor {
 		v.dropped++
 		return
 	}
@@ -111,7 +111,8 @@
 	v.set(name, value)
 }
 
-// set makes a value pending, unless it is certain that the disk has it already: a commit in progress may be changing it.
+// set makes a value pending, unless it is certain to be on disk already. This is
+// never certain while a commit is in progress, since the commit may change the value.
 func (v *Saver) set(name string, value []byte) {
 	_, isPending := v.pending[name]
 	if !isPending && v.committing == nil && v.isStored(name, value) {
@@ -128,16 +129,16 @@
 	return found && string(stored.value) == string(value)
 }
 
-// Dropped counts values that were given up for lack of space.
+// Dropped returns how many values were dropped or not saved for lack of space.
 func (v *Saver) Dropped() int { return v.dropped + v.sessions.dropped }
 
 // Committing reports whether a commit is in progress.
 func (v *Saver) Committing() bool { return v.committing != nil }
 
-// BeginRound begins a round over all members.
+// BeginRound starts a round over all members.
 func (v *Saver) BeginRound() { v.round = saveRound{number: v.round.number + 1} }
 
-// SaveMember compares a member with what is stored and adds it to the round if that has changed.
+// SaveMember compares a member with its stored value and adds it to the round if it has changed enough.
 func (v *Saver) SaveMember(uid string, k driver.Known) {
 	name := memberPrefix + uid
 	if stored, found := v.stored[name]; found {
@@ -153,7 +154,7 @@
 	}
 }
 
-// KeepMember lets the stored value of a member stand that this process does not know yet.
+// KeepMember keeps the stored value of a member that this process does not know yet: FinishRound will not delete it.
 func (v *Saver) KeepMember(uid string) {
 	name := memberPrefix + uid
 	if stored, found := v.stored[name]; found {
@@ -162,14 +163,15 @@
 	}
 }
 
-// SaveUsualLatencies adds the usual latencies, by method, to the round if one has moved by more than a tenth.
+// SaveUsualLatencies adds the usual latencies, by method, to the round if one has changed by more than a tenth.
 func (v *Saver) SaveUsualLatencies(latencies []time.Duration) {
-	if latenciesMoved(v.stored[usualLatenciesName].value, latencies) {
+	if latenciesChanged(v.stored[usualLatenciesName].value, latencies) {
 		v.round.add(usualLatenciesName, encodeLatencies(latencies))
 	}
 }
 
-// FinishRound ends a round and returns the changes to commit, nil if there are none. Committed has to be called with the outcome.
+// FinishRound ends a round and returns the changes to commit, nil if there are none. If it returns changes, Committed has to be called
+// with the result of their commit.
 func (v *Saver) FinishRound(now time.Duration) []storage.Change {
 	v.deleteUnknownMembers()
 	v.addPending()
@@ -186,7 +188,7 @@
 	return v.committing
 }
 
-// deleteUnknownMembers deletes members that were not seen in this round.
+// deleteUnknownMembers deletes the stored members that were neither saved nor kept in this round.
 func (v *Saver) deleteUnknownMembers() {
 	for name, stored := range v.stored {
 		if stored.round != v.round.number && strings.HasPrefix(name, memberPrefix) {
@@ -205,49 +207,50 @@
 	}
 }
 
-// Committed reports how the commit in progress ended. What a failed one should have written goes into the next.
+// Committed ends the commit in progress with its result. The changes of a failed commit go into the next one.
 func (v *Saver) Committed(err error) {
 	changes := v.committing
 	v.committing = nil
 	if err != nil {
-		v.sessions.failed()
+		v.sessions.commitFailed()
 		v.restorePending(changes)
 		return
 	}
 	v.sessions.committing = nil
 	for _, c := range changes {
-		v.noteStored(c)
+		v.recordStored(c)
 	}
 }
 
-// restorePending makes the values of a failed commit pending again. Members and sessions are compared or kept otherwise.
+// restorePending makes the values of a failed commit pending again. Members are not among them, since the next round compares them
+// again, nor session writes, which sessionSaver keeps.
 func (v *Saver) restorePending(changes []storage.Change) {
 	for _, c := range changes {
-		if _, newer := v.pending[c.Name]; !newer && isSetByName(c.Name) {
+		if _, newer := v.pending[c.Name]; !newer && storedFromPending(c.Name) {
 			v.pending[c.Name] = c.Value
 		}
 	}
 }
 
-// isSetByName reports whether a value becomes pending by set or by migration.
-func isSetByName(name string) bool {
+// storedFromPending reports whether the value of this name is added to a commit from Saver.pending, by set or by a migration.
+func storedFromPending(name string) bool {
 	return name == listVersionName ||
 		strings.HasPrefix(name, endpointPrefix) ||
 		strings.HasPrefix(name, requestPrefix) ||
 		strings.HasPrefix(name, legacySessionPrefix)
 }
 
-func (v *Saver) noteStored(c storage.Change) {
+func (v *Saver) recordStored(c storage.Change) {
 	savedAt, isBatch := parseSessionBatchName(c.Name)
 	if c.Value == nil {
 		delete(v.stored, c.Name)
 		if isBatch {
-			v.sessions.deleted(savedAt)
+			v.sessions.batchDeleted(savedAt)
 		}
 		return
 	}
 	v.stored[c.Name] = storedValue{value: c.Value, round: v.round.number}
 	if isBatch {
-		v.sessions.stored(savedAt, len(c.Value))
+		v.sessions.batchStored(savedAt, len(c.Value))
 	}
 }
--- a/internal/persist/sessions.go
+++ b/internal/persist/sessions.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	sessionWriteSize   = 2 * numberSize   // bytes: the session and the time of its write
-	maxPendingSessions = 200_000          // between two commits
-	sessionRetention   = 10 * time.Minute // longer than a driver remembers writes
+	sessionWriteSize   = 2 * numberSize   // bytes: the session and the time of its latest write
+	maxPendingSessions = 200_000          // sessions between two commits
+	sessionRetention   = 10 * time.Minute // longer than a driver keeps the time of a write
 )
 
-// ForEachSessionWrite calls visit for the stored writes of sessions. A session may come several times: its latest write counts.
+// ForEachSessionWrite calls visit for each stored write of a session. For a session with several stored writes the latest one counts.
 func ForEachSessionWrite(s *storage.Store, visit func(driver.Session, time.Duration)) {
 	s.ForEach(func(name string, value []byte) {
 		if strings.HasPrefix(name, sessionBatchPrefix) {
@@ -30,7 +30,7 @@
 	})
 }
 
-// decodeLegacySession reads a session as versions up to 0.3 stored it.
+// decodeLegacySession decodes a session in the format of versions up to 0.3.
 func decodeLegacySession(name string, value []byte) (session driver.Session, writtenAt time.Duration, ok bool) {
 	digits, found := strings.CutPrefix(name, legacySessionPrefix)
 	if !found || len(value) != numberSize {
@@ -40,20 +40,20 @@
 	return driver.Session(n), durationAt(value, 0), err == nil
 }
 
-// sessionBatch is the stored value with the sessions' writes of one commit.
+// sessionBatch is a stored value that holds the session writes of one commit.
 type sessionBatch struct {
 	savedAt time.Duration
 	size    int // bytes
 }
 
-// sessionSaver collects the latest writes of sessions and stores them in a batch for each commit. Batches are never rewritten,
-// only deleted as a whole: this keeps a commit as small as what is new.
+// sessionSaver collects the latest writes of sessions and stores them in one batch per commit. Batches are never rewritten, only
+// deleted as a whole, so that a commit contains only new writes.
 type sessionSaver struct {
-	maxSize    int                              // bytes of all batches
+	maxSize    int                              // of all batches, bytes
 	pending    map[driver.Session]time.Duration // not in a commit yet
 	committing map[driver.Session]time.Duration // in the commit in progress
-	batches    []sessionBatch                   // stored, the oldest first
-	dropped    int                              // batches and writes given up for lack of space
+	batches    []sessionBatch                   // stored batches, the oldest first
+	dropped    int                              // batches and writes dropped for lack of space
 }
 
 func (s *sessionSaver) add(session driver.Session, writtenAt time.Duration) {
@@ -64,7 +64,8 @@
 	s.pending[session] = writtenAt
 }
 
-// prepare moves the pending writes to a batch and deletes batches that are expired or, the oldest first, exceed maxSize.
+// prepare moves the pending writes to a batch. It deletes batches that have expired and, starting with the oldest, batches that exceed
+// maxSize.
 func (s *sessionSaver) prepare(now time.Duration) (changes []storage.Change) {
 	s.committing = nil
 	if len(s.pending) > 0 {
@@ -82,7 +83,7 @@
 	return changes
 }
 
-// dropOldest deletes the oldest batches for which there is no space beside a new one.
+// dropOldest deletes the oldest batches that do not fit into maxSize together with a new one of newSize bytes.
 func (s *sessionSaver) dropOldest(newSize int) (changes []storage.Change) {
 	size := newSize
 	for _, b := range slices.Backward(s.batches) {
@@ -104,8 +105,8 @@
 	return value
 }
 
-// failed makes the writes of the failed commit pending again, unless a session has written since.
-func (s *sessionSaver) failed() {
+// commitFailed makes the writes of the failed commit pending again, except those of sessions that have written since.
+func (s *sessionSaver) commitFailed() {
 	for session, writtenAt := range s.committing {
 		if _, newer := s.pending[session]; !newer {
 			s.add(session, writtenAt)
@@ -114,12 +115,12 @@
 	s.committing = nil
 }
 
-// stored takes note of a batch on the disk.
-func (s *sessionSaver) stored(savedAt time.Duration, size int) {
+// batchStored records that a batch is on disk.
+func (s *sessionSaver) batchStored(savedAt time.Duration, size int) {
 	s.batches = append(s.batches, sessionBatch{savedAt, size})
 }
 
-// deleted takes note of a batch that is no longer on the disk.
-func (s *sessionSaver) deleted(savedAt time.Duration) {
+// batchDeleted records that a batch was deleted from the disk.
+func (s *sessionSaver) batchDeleted(savedAt time.Duration) {
 	s.batches = slices.DeleteFunc(s.batches, func(b sessionBatch) bool { return b.savedAt == savedAt })
 }
--- a/internal/storage/compaction.go
+++ b/internal/storage/compaction.go
@@ -7,14 +7,14 @@
 	"strings"
 )
 
-// CompactionDue reports whether the log is longer than its snapshot, so that Compact is worth its writes.
+// CompactionDue reports whether the log is larger than both its snapshot and minLogSize, so that a compaction is worthwhile.
 func (s *Store) CompactionDue() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.log != nil && s.logSize > max(s.snapshotSize, minLogSize)
 }
 
-// Compact writes a new snapshot and begins an empty log.
+// Compact writes a new snapshot and starts an empty log.
 func (s *Store) Compact() error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -23,7 +23,7 @@
 
 func (s *Store) compact() error {
 	s.abandonLog()
-	s.sequence++ // even if writing fails the name is not used again
+	s.sequence++ // the sequence number is not reused, even if writing fails
 	name := snapshotName(s.sequence)
 	size, err := s.writeSnapshot(name+temporarySuffix, s.sequence)
 	if err != nil {
@@ -44,7 +44,7 @@
 	return nil
 }
 
-// createLog creates the log of a snapshot and makes both their names durable.
+// createLog creates the log that belongs to a snapshot and makes the directory entries of both files durable.
 func (s *Store) createLog(sequence uint64) (File, error) {
 	log, err := s.files.Create(logName(sequence))
 	if err != nil {
@@ -65,7 +65,7 @@
 	return log, nil
 }
 
-// writeSnapshot writes all values to a new file and returns its size in bytes. A file that would be too large is removed.
+// writeSnapshot writes all values to a new file and returns its size in bytes. If the size exceeds maxSize, the file is removed.
 func (s *Store) writeSnapshot(name string, sequence uint64) (size int, err error) {
 	file, err := s.files.Create(name)
 	if err != nil {
@@ -88,12 +88,12 @@
 	return w.size, err
 }
 
-// snapshotWriter writes entries in records of about minLogSize. After the first error it writes nothing more.
+// snapshotWriter writes entries in records of about minLogSize bytes. After the first error it writes nothing.
 type snapshotWriter struct {
 	file     File
 	sequence uint64
 	maxSize  int // bytes
-	size     int // bytes, including what was not written because of an error
+	size     int // bytes, including those not written because of an error
 	records  int
 	body     []byte // entries of the next record
 	err      error
@@ -130,14 +130,14 @@
 		return
 	}
 	if w.size > w.maxSize {
-		w.err = fmt.Errorf("%w: over %d bytes", ErrTooLarge, w.maxSize)
+		w.err = fmt.Errorf("%w: snapshot has more than %d bytes", ErrTooLarge, w.maxSize)
 		return
 	}
 	_, w.err = w.file.Write(bytes)
 }
 
-// removeObsolete removes unfinished snapshots, and all files older than the snapshot before the newest. That one is left in case
-// the newest turns out corrupt. Files that cannot be removed are removed after a later compaction.
+// removeObsolete removes unfinished snapshots and all files older than the snapshot before the newest. That snapshot is kept as a
+// fallback in case the newest turns out to be corrupt. Files that cannot be removed are removed after a later compaction.
 func (s *Store) removeObsolete(newest uint64) {
 	names, _ := s.files.List()
 	for _, name := range names {
--- a/internal/storage/directory.go
+++ b/internal/storage/directory.go
@@ -10,15 +10,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// FileSystem is the directory access that a Store needs. Tests replace it to inject crashes and disk failures.
+// FileSystem is the access to a directory that a Store needs. Tests replace it to inject crashes and disk failures.
 type FileSystem interface {
-	// Lock takes exclusive use of the directory until Unlock. It returns ErrLocked while another process has it.
+	// Lock locks the directory for exclusive use until Unlock. It returns ErrLocked if another process has locked it.
 	Lock() error
 	Unlock()
 	// List returns the names of the regular files.
 	List() ([]string, error)
 	Read(name string) ([]byte, error)
-	// Create returns an empty file and replaces an existing one of that name.
+	// Create creates an empty file and replaces an existing file of that name.
 	Create(name string) (File, error)
 	Rename(from, to string) error
 	Remove(name string) error
@@ -33,19 +33,19 @@
 	Close() error
 }
 
-// ErrLocked reports that another process uses the directory.
+// ErrLocked is returned if another process has locked the directory.
 var ErrLocked = errors.New("directory is locked by another process")
 
-// lockName is the file whose lock guards the directory.
+// lockName is the name of the file whose lock protects the directory.
 const lockName = "lock"
 
-// Directory is a FileSystem on a directory of the operating system.
+// Directory implements FileSystem with a directory of the operating system.
 type Directory struct {
 	path string
 	lock *os.File
 }
 
-// OpenDirectory returns the existing directory at path, not yet locked.
+// OpenDirectory returns the existing directory at path without locking it.
 func OpenDirectory(path string) (*Directory, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -57,7 +57,7 @@
 	return &Directory{path: path}, nil
 }
 
-// Lock takes an advisory lock, which the kernel releases when the process ends, even if it is killed.
+// Lock acquires an advisory lock. The kernel releases it when the process ends, even if the process is killed.
 func (d *Directory) Lock() error {
 	lock, err := os.OpenFile(d.file(lockName), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// Unlock releases the lock; it does nothing without one.
+// Unlock releases the lock if it is held.
 func (d *Directory) Unlock() {
 	if d.lock != nil {
 		d.lock.Close()
@@ -82,7 +82,7 @@
 	}
 }
 
-// List returns the names of the regular files, without the lock file.
+// List returns the names of the regular files except the lock file.
 func (d *Directory) List() (names []string, err error) {
 	entries, err := os.ReadDir(d.path)
 	for _, e := range entries {
@@ -96,7 +96,7 @@
 // Read returns the content of a file.
 func (d *Directory) Read(name string) ([]byte, error) { return os.ReadFile(d.file(name)) }
 
-// Create returns an empty file that only the owner of the process may read.
+// Create creates an empty file that only the user of the process can read and write.
 func (d *Directory) Create(name string) (File, error) {
 	file, err := os.OpenFile(d.file(name), os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -105,13 +105,13 @@
 	return file, nil
 }
 
-// Rename renames a file and replaces an existing one of the new name.
+// Rename renames a file and replaces an existing file of the new name.
 func (d *Directory) Rename(from, to string) error { return os.Rename(d.file(from), d.file(to)) }
 
 // Remove deletes a file.
 func (d *Directory) Remove(name string) error { return os.Remove(d.file(name)) }
 
-// Sync makes the entries of the directory itself durable.
+// Sync makes preceding changes of the directory entries durable.
 func (d *Directory) Sync() error {
 	directory, err := os.Open(d.path)
 	if err != nil {
--- a/internal/storage/fakedisk_test.go
+++ b/internal/storage/fakedisk_test.go
@@ -15,17 +15,18 @@
 	errMachineDown = errors.New("the machine is down")
 )
 
-// fakeDisk is a FileSystem in memory. At a crash, what was not synced is lost, torn, partly written or reordered.
+// fakeDisk is a FileSystem in memory. In a simulated crash, unsynced content is lost, truncated or partly replaced by zeros, and each
+// unsynced change of the directory is applied or lost.
 type fakeDisk struct {
 	random     *pcg.Source
-	files      map[string]*fakeFile // as the program sees them
-	durable    map[string]*fakeFile // as they are after a crash
-	pending    []func(map[string]*fakeFile)
+	files      map[string]*fakeFile         // as seen by the running program
+	durable    map[string]*fakeFile         // the synced directory entries
+	pending    []func(map[string]*fakeFile) // unsynced changes of directory entries
 	operations int
-	crashAt    int // the operation at which the machine crashes; 0: never
-	failAt     int // the operation that fails
+	crashAt    int // number of the operation at which the machine crashes; 0: never
+	failAt     int // number of the operation that fails with failure; 0: none
 	failure    error
-	freeBytes  int // below 0: unlimited
+	freeBytes  int // negative: unlimited
 	locked     bool
 	down       bool
 }
@@ -33,15 +34,15 @@
 // fakeFile is the content of a file.
 type fakeFile struct {
 	content    []byte // as written
-	synced     int    // this many bytes are durable
-	syncFailed bool   // a sync failed: what was not durable by then is lost
+	synced     int    // number of durable bytes
+	syncFailed bool   // a sync has failed: the bytes that were not durable before it are lost
 }
 
 func newFakeDisk(seed uint64) *fakeDisk {
 	return &fakeDisk{random: pcg.New(seed), files: make(map[string]*fakeFile), durable: make(map[string]*fakeFile), freeBytes: -1}
 }
 
-// operation counts an operation, and lets it fail or the machine crash.
+// operation counts an operation and returns an error if it fails or the machine crashes or is down.
 func (d *fakeDisk) operation() error {
 	if d.down {
 		return errMachineDown
@@ -57,26 +58,26 @@
 	return nil
 }
 
-// restart returns the disk as it is found after a crash.
+// restart returns the disk as a new process finds it after a crash.
 func (d *fakeDisk) restart() *fakeDisk {
 	next := newFakeDisk(uint64(d.random.Uint32()))
 	found := maps.Clone(d.durable)
-	for _, change := range d.pending { // each may be durable or not
+	for _, change := range d.pending { // each may or may not be durable
 		if d.random.Below(2) == 0 {
 			change(found)
 		}
 	}
-	for name, s := range found {
-		text := slices.Clone(s.content[:s.synced])
-		if rest := s.content[s.synced:]; len(rest) > 0 && !s.syncFailed {
+	for name, file := range found {
+		content := slices.Clone(file.content[:file.synced])
+		if rest := file.content[file.synced:]; len(rest) > 0 && !file.syncFailed {
 			switch prefix := d.random.Below(len(rest) + 1); d.random.Below(3) {
-			case 0: // a prefix of it
-				text = append(text, rest[:prefix]...)
-			case 1: // its length, but only a prefix of the content
-				text = append(append(text, rest[:prefix]...), make([]byte, len(rest)-prefix)...)
+			case 0: // a prefix of the unsynced content
+				content = append(content, rest[:prefix]...)
+			case 1: // a prefix of the unsynced content, then zeros up to its length
+				content = append(append(content, rest[:prefix]...), make([]byte, len(rest)-prefix)...)
 			}
 		}
-		next.files[name] = &fakeFile{content: text, synced: len(text)}
+		next.files[name] = &fakeFile{content: content, synced: len(content)}
 	}
 	next.durable = maps.Clone(next.files)
 	return next
@@ -100,8 +101,8 @@
 	if err := d.operation(); err != nil {
 		return nil, err
 	}
-	if s := d.files[name]; s != nil {
-		return slices.Clone(s.content), nil
+	if file := d.files[name]; file != nil {
+		return slices.Clone(file.content), nil
 	}
 	return nil, os.ErrNotExist
 }
@@ -110,25 +111,25 @@
 	if err := d.operation(); err != nil {
 		return nil, err
 	}
-	s := new(fakeFile)
-	d.files[name] = s
-	d.pending = append(d.pending, func(on map[string]*fakeFile) { on[name] = s })
-	return &fakeFileWriter{d, s}, nil
+	file := new(fakeFile)
+	d.files[name] = file
+	d.pending = append(d.pending, func(files map[string]*fakeFile) { files[name] = file })
+	return &fakeFileWriter{d, file}, nil
 }
 
 func (d *fakeDisk) Rename(from, to string) error {
 	if err := d.operation(); err != nil {
 		return err
 	}
-	s := d.files[from]
-	if s == nil {
+	file := d.files[from]
+	if file == nil {
 		return os.ErrNotExist
 	}
 	delete(d.files, from)
-	d.files[to] = s
-	d.pending = append(d.pending, func(on map[string]*fakeFile) {
-		delete(on, from)
-		on[to] = s
+	d.files[to] = file
+	d.pending = append(d.pending, func(files map[string]*fakeFile) {
+		delete(files, from)
+		files[to] = file
 	})
 	return nil
 }
@@ -138,7 +139,7 @@
 		return err
 	}
 	delete(d.files, name)
-	d.pending = append(d.pending, func(on map[string]*fakeFile) { delete(on, name) })
+	d.pending = append(d.pending, func(files map[string]*fakeFile) { delete(files, name) })
 	return nil
 }
 
@@ -153,30 +154,30 @@
 	return nil
 }
 
-// fakeFileWriter writes a fakeFile.
+// fakeFileWriter implements File for a fakeFile.
 type fakeFileWriter struct {
 	disk *fakeDisk
 	file *fakeFile
 }
 
-func (w *fakeFileWriter) Write(text []byte) (int, error) {
+func (w *fakeFileWriter) Write(content []byte) (int, error) {
 	if err := w.disk.operation(); err != nil {
-		half := len(text) / 2 // a part may have been written nevertheless
-		w.file.content = append(w.file.content, text[:half]...)
+		half := len(content) / 2 // a failed write may have written a part
+		w.file.content = append(w.file.content, content[:half]...)
 		return half, err
 	}
-	if w.disk.freeBytes >= 0 && len(text) > w.disk.freeBytes {
-		w.file.content = append(w.file.content, text[:w.disk.freeBytes]...)
+	if w.disk.freeBytes >= 0 && len(content) > w.disk.freeBytes {
+		w.file.content = append(w.file.content, content[:w.disk.freeBytes]...)
 		return w.disk.freeBytes, errFull
 	}
 	if w.disk.freeBytes >= 0 {
-		w.disk.freeBytes -= len(text)
+		w.disk.freeBytes -= len(content)
 	}
-	w.file.content = append(w.file.content, text...)
-	return len(text), nil
+	w.file.content = append(w.file.content, content...)
+	return len(content), nil
 }
 
-// Sync loses the unsynced content if it fails, and later calls do not report that, as Linux does.
+// Sync loses the unsynced content if it fails, and later calls do not report the loss, as on Linux.
 func (w *fakeFileWriter) Sync() error {
 	if err := w.disk.operation(); err != nil {
 		w.file.syncFailed = true
--- a/internal/storage/format.go
+++ b/internal/storage/format.go
@@ -12,12 +12,13 @@
 
 // A file consists of a header and records. All numbers are little-endian.
 //
-//	header  8 bytes "passtack", 2 version, 2 kind (1 snapshot, 2 log), 4 zero, 8 sequence, 8 owner, 8 checksum of the preceding
-//	record  4 length of the body, 8 checksum of sequence, index, length and body; the body
+//	header  8 bytes "passtack", 2 version, 2 kind (1 snapshot, 2 log), 4 zero, 8 sequence, 8 owner, 8 checksum of the preceding bytes
+//	record  4 length of the body, 8 checksum of sequence, index, length and body; then the body
 //	body    for each entry: 1 operation (1 put, 2 delete, 3 end), 2 length of the name, 4 length of the value, the name, the value
 //
-// The index counts the records of a file from 0. All changes of a commit are entries of one record, so that they are recovered
-// together or not at all. A snapshot ends with an "end" entry whose value is the number of records before it; a log has no end mark.
+// The index is the number of the record in its file, counted from 0. All changes of a commit are entries of one record, so that
+// they are recovered together or not at all. A snapshot ends with an "end" entry whose value is the number of records before it; a
+// log has no end mark.
 const (
 	magic         = "passtack"
 	formatVersion = 1
@@ -31,7 +32,7 @@
 	maxNameLength = 1 << 10  // bytes
 )
 
-// fileKind tells snapshots from logs.
+// fileKind distinguishes snapshots from logs.
 type fileKind uint16
 
 const (
@@ -39,7 +40,7 @@
 	kindLog      fileKind = 2
 )
 
-// operation is what an entry does to its name.
+// operation is the type of an entry: how it changes the value of its name.
 type operation byte
 
 const (
@@ -48,27 +49,27 @@
 	opEnd    operation = 3 // marks the end of a snapshot
 )
 
-// Change puts a value under a name, or deletes the name if Value is nil.
+// Change sets the value of a name, or deletes the name if Value is nil.
 type Change struct {
 	Name  string
 	Value []byte
 }
 
 var (
-	// ErrNewerVersion reports files that a newer version of the program has written.
+	// ErrNewerVersion is returned for files that a newer version of the program has written.
 	ErrNewerVersion = errors.New("written by a newer version of the program")
-	// ErrWrongOwner reports a directory that belongs to another driver.
+	// ErrWrongOwner is returned for a directory that belongs to another driver.
 	ErrWrongOwner = errors.New("directory belongs to another driver")
 
 	errCorrupt   = errors.New("truncated or checksum mismatch")
 	errWrongName = errors.New("header does not match the file name")
 )
 
-// fileHeader is the beginning of each file.
+// fileHeader is the header of a snapshot or log.
 type fileHeader struct {
 	version  uint16
 	kind     fileKind
-	sequence uint64 // of the snapshot, which its log shares
+	sequence uint64 // shared by a snapshot and its log
 	owner    uint64
 }
 
@@ -83,8 +84,8 @@
 	return binary.LittleEndian.AppendUint64(out, xxh3.Hash(out[start:]))
 }
 
-// parseHeader splits the header off a file. Version is set with ErrNewerVersion too: only magic and version have the same place
-// in all versions.
+// parseHeader parses the header of a file and returns the content after it. With ErrNewerVersion the version is set too: only the
+// magic and the version are at the same offsets in all versions of the format.
 func parseHeader(in []byte) (h fileHeader, rest []byte, err error) {
 	if len(in) < magicSize+2 || string(in[:magicSize]) != magic {
 		return h, nil, errCorrupt
@@ -102,14 +103,15 @@
 	return h, in[headerSize:], nil
 }
 
-// recordChecksum covers the place of a record too, so that a record of another file or place is not accepted.
+// recordChecksum includes the sequence number of the file and the index of the record, so that a record from another file or with
+// another index is not accepted.
 func recordChecksum(sequence uint64, index int, body []byte) uint64 {
-	var place [20]byte
-	binary.LittleEndian.PutUint64(place[:], sequence)
-	binary.LittleEndian.PutUint64(place[8:], uint64(index))
-	binary.LittleEndian.PutUint32(place[16:], uint32(len(body)))
+	var location [20]byte
+	binary.LittleEndian.PutUint64(location[:], sequence)
+	binary.LittleEndian.PutUint64(location[8:], uint64(index))
+	binary.LittleEndian.PutUint32(location[16:], uint32(len(body)))
 	h := xxh3.New()
-	h.Write(place[:])
+	h.Write(location[:])
 	h.Write(body)
 	return h.Sum64()
 }
@@ -120,7 +122,7 @@
 	return append(out, body...)
 }
 
-// nextRecord splits the first record off. The body is nil at the end of the input.
+// nextRecord returns the body of the first record and the input after that record. The body is nil at the end of the input.
 func nextRecord(in []byte, sequence uint64, index int) (body, rest []byte, err error) {
 	if len(in) == 0 {
 		return nil, nil, nil
@@ -139,7 +141,7 @@
 	return body, in[recordHeaderSize+size:], nil
 }
 
-// entry is one operation within the body of a record.
+// entry is one operation in the body of a record.
 type entry struct {
 	operation operation
 	name      string
@@ -161,7 +163,7 @@
 	return append(out, e.value...)
 }
 
-// forEachEntry calls visit for each entry of a record's body. Values are only valid during the call.
+// forEachEntry calls visit for each entry in the body of a record. The value of an entry is only valid during the call of visit.
 func forEachEntry(body []byte, visit func(entry)) error {
 	for len(body) > 0 {
 		if len(body) < entryHeaderSize {
@@ -184,7 +186,7 @@
 const (
 	snapshotPrefix  = "state"
 	logPrefix       = "log"
-	temporarySuffix = ".new" // of a snapshot that is being written
+	temporarySuffix = ".new" // of a snapshot until it is complete
 	sequenceDigits  = 16     // hexadecimal, in file names
 )
 
@@ -196,7 +198,7 @@
 	return fmt.Sprintf("%s-%0*x", logPrefix, sequenceDigits, sequence)
 }
 
-// parseFileName returns what the name of a snapshot or log says; ok is false for any other name.
+// parseFileName returns the kind and the sequence number in the name of a snapshot or log; ok is false for any other name.
 func parseFileName(name string) (kind fileKind, sequence uint64, ok bool) {
 	prefix, digits, found := strings.Cut(name, "-")
 	if !found || len(digits) != sequenceDigits {
--- a/internal/storage/recovery.go
+++ b/internal/storage/recovery.go
@@ -6,15 +6,15 @@
 	"slices"
 )
 
-// RecoveryReport describes what a directory held.
+// RecoveryReport describes what was recovered from a directory.
 type RecoveryReport struct {
 	SnapshotSequence uint64 // 0: there was no readable snapshot
 	Values           int
-	Unreadable       []string // one line for each damaged file; an older state was used in its place
+	Unreadable       []string // one line for each damaged file; an older state was recovered instead
 }
 
-// Open locks a directory for owner and recovers the newest complete state. Files of a newer version or another owner are left
-// untouched and reported as ErrNewerVersion or ErrWrongOwner. Snapshots are limited to maxSize bytes.
+// Open locks a directory for its owner and recovers the newest complete state. If a file was written by a newer version or belongs
+// to another owner, Open changes no file and returns ErrNewerVersion or ErrWrongOwner. Snapshots are limited to maxSize bytes.
 func Open(files FileSystem, owner uint64, maxSize int) (*Store, RecoveryReport, error) {
 	if err := files.Lock(); err != nil {
 		return nil, RecoveryReport{}, err
@@ -28,8 +28,8 @@
 	return s, report, nil
 }
 
-// OpenReadOnly recovers the newest complete state of a directory without locking it, whoever owns it. It does not disturb a
-// process that is writing to it. The store must be neither committed to nor compacted.
+// OpenReadOnly recovers the newest complete state of a directory without locking it, regardless of its owner. It does not affect a
+// process that is writing to the directory. Commit and Compact must not be called on the returned store.
 func OpenReadOnly(files FileSystem) (*Store, RecoveryReport, error) {
 	owner, err := findOwner(files)
 	if err != nil {
@@ -40,7 +40,7 @@
 	return s, report, err
 }
 
-// findOwner returns the owner that the last readable file names, 0 without any.
+// findOwner returns the owner in the header of the last readable file, 0 if no file is readable.
 func findOwner(files FileSystem) (owner uint64, err error) {
 	names, err := files.List()
 	if err != nil {
@@ -82,7 +82,7 @@
 		report.SnapshotSequence = sequence
 		break
 	}
-	// A log is only valid on top of its own snapshot.
+	// A log applies only to the snapshot with the same sequence number.
 	name := logName(report.SnapshotSequence)
 	if log, found := contents[name]; found && report.SnapshotSequence > 0 {
 		if err := s.replay(log, report.SnapshotSequence); err != nil {
@@ -93,7 +93,8 @@
 	return report, nil
 }
 
-// readFiles reads all snapshots and logs and returns their contents by name, and the sequences of the snapshots, newest first.
+// readFiles reads all snapshots and logs. It returns their contents by file name, and the sequence numbers of the snapshots, newest
+// first.
 func (s *Store) readFiles() (contents map[string][]byte, snapshots []uint64, err error) {
 	names, err := s.files.List()
 	if err != nil {
@@ -123,11 +124,11 @@
 	return contents, snapshots, nil
 }
 
-// checkHeader refuses files that this process must not touch. Damaged ones pass: recovery skips them.
+// checkHeader returns an error for a file that this process must not change. A damaged header is no error: recovery skips the file.
 func (s *Store) checkHeader(content []byte) error {
 	header, _, err := parseHeader(content)
 	if errors.Is(err, ErrNewerVersion) {
-		return fmt.Errorf("%w: version %d, this one reads up to %d", ErrNewerVersion, header.version, formatVersion)
+		return fmt.Errorf("%w: file has version %d, newest supported is %d", ErrNewerVersion, header.version, formatVersion)
 	}
 	if err == nil && header.owner != s.owner {
 		return ErrWrongOwner
@@ -135,7 +136,7 @@
 	return nil
 }
 
-// readSnapshot returns the values of a snapshot that is complete up to its end mark.
+// readSnapshot returns the values of a snapshot, which must be complete up to its end mark.
 func readSnapshot(content []byte, sequence uint64) (map[string][]byte, error) {
 	rest, err := recordsOf(content, kindSnapshot, sequence)
 	if err != nil {
@@ -165,7 +166,7 @@
 	return values, nil
 }
 
-// replay applies the records of a log up to its end or the first damaged one, which it reports.
+// replay applies the records of a log up to its end or to the first damaged record, for which it returns an error.
 func (s *Store) replay(content []byte, sequence uint64) error {
 	rest, err := recordsOf(content, kindLog, sequence)
 	if err != nil {
@@ -191,7 +192,7 @@
 	}
 }
 
-// recordsOf returns what follows the header of a file that must be of this kind and sequence.
+// recordsOf returns the content after the header of a file, which must have this kind and sequence number.
 func recordsOf(content []byte, kind fileKind, sequence uint64) ([]byte, error) {
 	header, rest, err := parseHeader(content)
 	if err != nil {
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -1,7 +1,7 @@
-// Package storage persists small values by name in a directory, as a snapshot and a write-ahead log. A crash at any moment leaves
-// either the complete older or the complete newer state, never a mixture.
+// Package storage stores small named values in a directory, in a snapshot and a write-ahead log. After a crash at any moment the
+// directory holds either the complete state before a commit or the complete state after it, never a mixture.
 //
-// Calls block on the disk. An event loop lets a worker goroutine make them.
+// Calls block on disk I/O. An event loop makes them on a worker goroutine.
 package storage
 
 import (
@@ -13,45 +13,46 @@
 )
 
 // Store holds the values of one directory. Commit, CompactionDue, Compact, Size and Close may be called from several goroutines;
-// they are executed one after the other.
+// concurrent calls are serialized.
 type Store struct {
 	files   FileSystem
 	owner   uint64
-	maxSize int // bytes of a snapshot
+	maxSize int // of a snapshot, bytes
 
 	mutex        sync.Mutex
 	values       map[string][]byte
-	sequence     uint64 // highest that any file name has used
+	sequence     uint64 // highest sequence number that a file name has used
 	snapshotSize int    // bytes
 	log          File   // nil: the next commit writes a snapshot
 	logRecords   int
 	logSize      int // bytes
 }
 
-// minLogSize is the size in bytes below which a log is not worth a compaction.
+// minLogSize is the log size in bytes up to which a compaction is not worthwhile.
 const minLogSize = 64 << 10
 
-// maxLogGrowth is how many times as long as its snapshot a log may become before a commit compacts by itself.
+// maxLogGrowth is the ratio of log size to snapshot size beyond which a commit writes a new snapshot instead of appending to the log.
 const maxLogGrowth = 4
 
-// ErrTooLarge reports a commit or a state that exceeds its maximum size.
+// ErrTooLarge is returned for a commit or a snapshot that exceeds its maximum size.
 var ErrTooLarge = errors.New("state exceeds its maximum size")
 
-// Owner returns the owner of the directory.
+// Owner returns the number of the driver that owns the directory.
 func (s *Store) Owner() uint64 { return s.owner }
 
-// ForEach calls visit for all values, sorted by name. Visit must not change a value.
+// ForEach calls visit for all values in the order of their names. visit must not change a value.
 func (s *Store) ForEach(visit func(name string, value []byte)) {
 	for _, name := range slices.Sorted(maps.Keys(s.values)) {
 		visit(name, s.values[name])
 	}
 }
 
-// Commit makes changes durable, all or none. The store keeps references to the values: callers must not change them afterwards.
+// Commit makes all changes durable, or none of them. The store keeps references to the values: callers must not change them
+// afterwards.
 //
-// After an error the store continues without the changes, although they may be recovered if the process ends before the next
-// commit. The log is not used again, since a failed write or sync leaves in doubt what came before it too: the next commit
-// begins with a snapshot.
+// If Commit fails, the store keeps its previous values, but the changes may still be recovered if the process ends before the next
+// commit. After a failed write or sync it is uncertain which earlier records of the log are durable, so the log is abandoned and
+// the next commit writes a snapshot.
 func (s *Store) Commit(changes []Change) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -74,7 +75,7 @@
 func recordBody(changes []Change) (body []byte, err error) {
 	for _, c := range changes {
 		if len(c.Name) == 0 || len(c.Name) > maxNameLength {
-			return nil, fmt.Errorf("name of %d bytes, must be 1 to %d", len(c.Name), maxNameLength)
+			return nil, fmt.Errorf("name of a value has %d bytes, expected 1 to %d", len(c.Name), maxNameLength)
 		}
 		body = c.entry().append(body)
 	}
@@ -84,7 +85,7 @@
 	return body, nil
 }
 
-// apply changes the values in memory and returns the changes that revert it.
+// apply applies changes to the values in memory and returns the changes that undo them.
 func (s *Store) apply(changes []Change) (undo []Change) {
 	for _, c := range changes {
 		undo = append(undo, Change{c.Name, s.values[c.Name]})
@@ -120,7 +121,7 @@
 	}
 }
 
-// Size returns the bytes of the snapshot and the log together.
+// Size returns the size of the snapshot and the log together, in bytes.
 func (s *Store) Size() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/storage/store_test.go
+++ b/internal/storage/store_test.go
@@ -51,14 +51,14 @@
 	return next
 }
 
-// The machine crashes at each disk operation in turn. The next start recovers a complete state: that of the last successful commit or
-// of the one that was in progress.
+// The machine crashes at each disk operation in turn. The next start must recover a complete state: that after the last successful
+// commit or that after the commit in progress.
 func TestCrashAtEveryOperationLeavesACompleteState(t *testing.T) {
 	crashes := 0
 	for seed := range uint64(3) {
-		for at := 1; ; at++ {
-			disk := newFakeDisk(seed*1000 + uint64(at))
-			disk.crashAt = at
+		for operation := 1; ; operation++ {
+			disk := newFakeDisk(seed*1000 + uint64(operation))
+			disk.crashAt = operation
 			committed := map[string]string{}
 			attempted := committed
 			s, _, err := Open(disk, testOwner, testMaxSize)
@@ -72,72 +72,72 @@
 				}
 			}
 			if !disk.down {
-				break // the run needs fewer operations
+				break // the run has fewer operations
 			}
 			crashes++
 			reopened, report, err := Open(disk.restart(), testOwner, testMaxSize)
 			if err != nil {
-				t.Fatalf("seed %d, operation %d: %v", seed, at, err)
+				t.Fatalf("seed %d, operation %d: %v", seed, operation, err)
 			}
 			if got := contents(reopened); !maps.Equal(got, committed) && !maps.Equal(got, attempted) {
-				t.Fatalf("seed %d, operation %d: neither the state before nor after, report %+v", seed, at, report)
+				t.Fatalf("seed %d, operation %d: recovered neither the state before nor after the last commit, report %+v", seed, operation, report)
 			}
 			last := applied(contents(reopened), []Change{{"after", []byte("it")}})
 			if err := reopened.Commit([]Change{{"after", []byte("it")}}); err != nil || !maps.Equal(contents(reopened), last) {
-				t.Fatalf("seed %d, operation %d: after the restart %v", seed, at, err)
+				t.Fatalf("seed %d, operation %d: commit after the restart: %v", seed, operation, err)
 			}
 		}
 	}
 	if crashes < 200 {
-		t.Errorf("%d crashes only", crashes)
+		t.Errorf("only %d crashes were simulated, want at least 200", crashes)
 	}
 }
 
-// Each disk operation fails once, as on a full or broken disk. What Commit reported as durable is recovered, what it reported as failed
-// is not in the store, and the store works again once the disk does.
+// Each disk operation fails once in turn, as on a full or defective disk. Changes that Commit reported as durable must be recovered,
+// changes that it reported as failed must not be in the store, and the store must work again once the disk does.
 func TestDiskFailuresAreReportedAndRecoveredFrom(t *testing.T) {
 	for _, failure := range []error{errFull, errIO} {
 		for seed := range uint64(2) {
-			for at := 1; ; at++ {
-				disk := newFakeDisk(seed*1000 + uint64(at))
-				disk.failAt, disk.failure = at, failure
+			for operation := 1; ; operation++ {
+				disk := newFakeDisk(seed*1000 + uint64(operation))
+				disk.failAt, disk.failure = operation, failure
 				s, _, err := Open(disk, testOwner, testMaxSize)
 				if err != nil {
-					continue // not opened, so nothing is lost
+					continue // nothing was committed that could be lost
 				}
 				committed, failed := map[string]string{}, 0
-				var attempted map[string]string // if the last commit failed: it may be durable nevertheless
+				var attempted map[string]string // set if the last commit failed, whose changes may still be durable
 				for n := range 30 {
 					changes := randomChanges(pcg.New(seed*100+uint64(n)), n)
 					attempted = nil
 					if err := s.Commit(changes); err == nil {
 						committed = applied(committed, changes)
 					} else if failed++; !errors.Is(err, failure) {
-						t.Fatalf("operation %d: %v", at, err)
+						t.Fatalf("operation %d: %v", operation, err)
 					} else {
 						attempted = applied(committed, changes)
 					}
 					if got := contents(s); !maps.Equal(got, committed) {
-						t.Fatalf("operation %d: the store holds what it reported as failed", at)
+						t.Fatalf("operation %d: the store holds changes of a commit that failed", operation)
 					}
 				}
 				if failed > 1 {
-					t.Fatalf("operation %d: %d commits failed though the disk failed once", at, failed)
+					t.Fatalf("operation %d: %d commits failed, but only one disk operation", operation, failed)
 				}
-				if disk.operations < at {
+				if disk.operations < operation {
 					break
 				}
 				reopened, _, err := Open(disk.restart(), testOwner, testMaxSize)
 				if got := contents(reopened); err != nil || !maps.Equal(got, committed) && (attempted == nil || !maps.Equal(got, attempted)) {
-					t.Fatalf("operation %d fails with %v: after a restart the state is another (%v)", at, failure, err)
+					t.Fatalf("operation %d failed with %v: the recovered state is not the committed one (%v)", operation, failure, err)
 				}
 			}
 		}
 	}
 }
 
-// While the disk is full the last state stays; the store works again once there is space.
-func TestDiskFullForAWhile(t *testing.T) {
+// Commits to a full disk must fail and leave the last state unchanged; the store must work again once there is space.
+func TestTemporarilyFullDisk(t *testing.T) {
 	disk := newFakeDisk(1)
 	s, _, err := Open(disk, testOwner, testMaxSize)
 	if err != nil {
@@ -147,7 +147,7 @@
 	disk.freeBytes = 100
 	for range 50 {
 		if err := s.Commit([]Change{{"b", make([]byte, 500)}}); !errors.Is(err, errFull) {
-			t.Fatalf("a full disk: %v", err)
+			t.Fatalf("commit to a full disk: %v", err)
 		}
 	}
 	disk.freeBytes = -1
@@ -159,11 +159,11 @@
 		t.Errorf("%v, %v", contents(reopened), err)
 	}
 	if err := s.Commit([]Change{{"d", make([]byte, 16<<20)}}); !errors.Is(err, ErrTooLarge) {
-		t.Errorf("16 MiB at once: %v", err)
+		t.Errorf("commit of a value of 16 MiB: %v", err)
 	}
 }
 
-// Whatever byte is flipped and wherever a file is truncated, what is recovered is a state that was once committed, or none.
+// A bit of a file is flipped, or the file is truncated. The recovered state must be one that was committed, or the empty state.
 func TestCorruptedFilesAreDetected(t *testing.T) {
 	seeded.Check(t, func(t *rapid.T) {
 		disk := newFakeDisk(rapid.Uint64().Draw(t, "seed"))
@@ -182,16 +182,16 @@
 		names, _ := disk.List()
 		name := rapid.SampledFrom(names).Draw(t, "name")
 		file := disk.files[name]
-		at := rapid.IntRange(0, len(file.content)-1).Draw(t, "at")
+		offset := rapid.IntRange(0, len(file.content)-1).Draw(t, "at")
 		if rapid.Bool().Draw(t, "cut") {
-			file.content = file.content[:at]
+			file.content = file.content[:offset]
 		} else {
-			file.content[at] ^= byte(1 << rapid.IntRange(0, 7).Draw(t, "bit"))
+			file.content[offset] ^= byte(1 << rapid.IntRange(0, 7).Draw(t, "bit"))
 		}
 		disk.locked = false
 		reopened, report, err := Open(disk, testOwner, testMaxSize)
 		if errors.Is(err, ErrNewerVersion) || errors.Is(err, ErrWrongOwner) {
-			return // the version or the owner was hit: nothing is touched
+			return // the flipped bit is in the version or the owner: no file is changed
 		}
 		if err != nil {
 			t.Fatal(err)
@@ -208,7 +208,7 @@
 
 func (d *fakeDisk) randomSeed() uint64 { return uint64(d.random.Uint32()) }
 
-// What one process writes to a real directory is recovered by the next of the same owner and refused to others.
+// The values that a process writes to a real directory must be recovered by the next process of the same owner and refused to others.
 func TestRealDirectory(t *testing.T) {
 	path := t.TempDir()
 	open := func(owner uint64) (*Store, error) {
@@ -229,32 +229,32 @@
 		}
 	}
 	if _, err := open(testOwner); !errors.Is(err, ErrLocked) {
-		t.Errorf("a second process: %v", err)
+		t.Errorf("opened by a second process: %v", err)
 	}
 	want := contents(s)
 	s.Close()
 	if s, err = open(testOwner); err != nil || !maps.Equal(contents(s), want) {
-		t.Fatalf("recovered: %v", err)
+		t.Fatalf("values differ after reopening: %v", err)
 	}
 	s.Close()
 	if entries, _ := os.ReadDir(path); len(entries) > 5 {
-		t.Errorf("%d files are left", len(entries))
+		t.Errorf("%d files are left, want at most 5", len(entries))
 	}
 	if _, err := open(8); !errors.Is(err, ErrWrongOwner) {
-		t.Errorf("another driver's directory: %v", err)
+		t.Errorf("directory of another driver: %v", err)
 	}
 	names, _ := filepath.Glob(filepath.Join(path, "state-*"))
-	text, _ := os.ReadFile(names[0])
-	text[8] = 99
-	os.WriteFile(names[0], text, 0o600)
+	content, _ := os.ReadFile(names[0])
+	content[8] = 99
+	os.WriteFile(names[0], content, 0o600)
 	if _, err := open(testOwner); !errors.Is(err, ErrNewerVersion) || !strings.Contains(err.Error(), "version 99") {
-		t.Errorf("a newer version: %v", err)
+		t.Errorf("file of a newer version: %v", err)
 	}
-	if after, _ := os.ReadFile(names[0]); !bytes.Equal(after, text) {
-		t.Error("a file of a newer version was touched")
+	if after, _ := os.ReadFile(names[0]); !bytes.Equal(after, content) {
+		t.Error("a file of a newer version was changed")
 	}
 	if _, err := OpenDirectory(names[0]); err == nil {
-		t.Error("a file is opened as a directory")
+		t.Error("a file was opened as a directory")
 	}
 }
 
