--- a/internal/batch/batch.go
+++ b/internal/batch/batch.go
@@ -1,10 +1,8 @@
-// Package batch plans the requests that a client sent in one batch: their order, which may be in flight at the same time, how
-// the remaining time is divided, which commits a read must see, and which are never sent. Each request is one RPC with one
-// outcome.
+// Package batch plans the requests of a client's batch: their order, which of them may be in flight at the same time, how the remaining
+// time is divided, which commits a read must see, and which requests are never sent. Each request is one RPC with one outcome.
 //
-// In an ordered batch only reads are sent at the same time. In one without an order a request waits for those that it depends
-// on, and for those before it in the same group if one of both writes. So a read sees the writes of its group before it in
-// either.
+// In an ordered batch only reads are in flight at the same time. In an unordered batch a request waits for the requests that it depends
+// on, and for earlier requests of the same group if one of the two is a write. In both, a read sees the earlier writes to its group.
 package batch
 
 import (
@@ -21,8 +19,8 @@
 	Write     bool
 	Group     driver.Group
 	DependsOn []int         // earlier items that must succeed
-	Expected  time.Duration // the soft deadline of its method, by which the remaining time is divided
-	Answered  bool          // it was rejected when the batch was parsed, and is not sent
+	Expected  time.Duration // expected duration: the soft deadline of its method, in proportion to which the remaining time is divided
+	Answered  bool          // rejected when the batch was parsed; it is not sent
 }
 
 // Outcome is the outcome of an item.
@@ -31,7 +29,7 @@
 const (
 	// OK means that the request succeeded.
 	OK Outcome = iota
-	// NotRun means that the request failed or was rejected, and has changed nothing.
+	// NotRun means that the request failed or was rejected without changing anything.
 	NotRun
 	// Uncertain means that the request may have run.
 	Uncertain
@@ -41,11 +39,11 @@
 type SkipReason uint8
 
 const (
-	// NotSkipped means that the item is sent, or was answered without that.
+	// NotSkipped means that the item was or will be sent, or was rejected when the batch was parsed.
 	NotSkipped SkipReason = iota
-	// DependencyFailed means that a request that it depends on did not succeed.
+	// DependencyFailed means that a request on which the item depends did not succeed.
 	DependencyFailed
-	// EarlierFailed means that a request before it did not succeed, and the client did not ask to continue on errors.
+	// EarlierFailed means that an earlier request did not succeed and the client did not ask to continue on errors.
 	EarlierFailed
 	// DeadlinePassed means that the batch has no time left.
 	DeadlinePassed
@@ -54,15 +52,15 @@
 // step is an item and its state.
 type step struct {
 	Item
-	waitsFor    []int         // earlier items that must end before it, whatever their outcome
-	longestPath time.Duration // the expected duration of the slowest chain that begins with it
+	waitsFor    []int         // earlier items that must end before this one starts, with any outcome
+	longestPath time.Duration // expected duration of the slowest chain of items that starts with this one
 	started     bool
 	ended       bool
 	outcome     Outcome
 	skipReason  SkipReason
 }
 
-// Plan is a batch in service.
+// Plan holds the state of a batch.
 type Plan struct {
 	steps           []step
 	deadline        time.Duration
@@ -70,17 +68,17 @@
 	maxConcurrent   int
 	inFlight        int
 	failed          bool                           // an item did not succeed
-	commits         map[driver.Group]time.Duration // the latest position committed by the batch
+	commitPositions map[driver.Group]time.Duration // latest position that the batch has committed, by group
 }
 
-// ErrDependency is returned for an item that depends on itself or a later one.
+// ErrDependency is returned for an item that depends on itself or on a later item.
 var ErrDependency = errors.New("a request depends on one that does not come before it")
 
-// New plans a batch. At most maxConcurrent items are in flight.
+// New plans a batch. At most maxConcurrent items are in flight at the same time.
 func New(items []Item, ordered, continueOnError bool, maxConcurrent int, deadline time.Duration) (*Plan, error) {
 	p := &Plan{
 		deadline: deadline, continueOnError: continueOnError, maxConcurrent: max(maxConcurrent, 1),
-		commits: make(map[driver.Group]time.Duration),
+		commitPositions: make(map[driver.Group]time.Duration),
 	}
 	for i, item := range items {
 		s := step{Item: item}
@@ -100,8 +98,8 @@
 	return p, nil
 }
 
-// conflicts returns the items before item i that must end before it, as one of both writes. Those that an earlier write in the
-// result waits for are left out.
+// conflicts returns the earlier items that must end before item i because one of the two is a write. It stops at the last write among
+// them, since that write itself waits for the items before it.
 func conflicts(items []Item, i int, ordered bool) (earlier []int) {
 	for j := i - 1; j >= 0; j-- {
 		o := items[j]
@@ -126,8 +124,8 @@
 	}
 }
 
-// Next returns an item to send now, its deadline, and the position that it must see, 0 if none of the batch. It is not ok if no
-// item may be sent now.
+// Next returns an item to send now, its deadline, and the position that it must see, which is 0 if the batch has committed nothing in its
+// group. ok is false if no item may be sent now.
 func (p *Plan) Next(now time.Duration) (i int, deadline, minPosition time.Duration, ok bool) {
 	if p.inFlight >= p.maxConcurrent {
 		return 0, 0, 0, false
@@ -151,15 +149,15 @@
 		s.started = true
 		p.inFlight++
 		left := p.deadline - now
-		if s.longestPath > s.Expected { // divide the time with those that wait for it
+		if s.longestPath > s.Expected { // share the remaining time with the items that wait for this one
 			left = time.Duration(float64(left) * float64(s.Expected) / float64(s.longestPath))
 		}
-		return i, now + left, p.commits[s.Group], true
+		return i, now + left, p.commitPositions[s.Group], true
 	}
 	return 0, 0, 0, false
 }
 
-// ready reports whether all items have ended that the step waits for.
+// ready reports whether all items that the step waits for have ended.
 func (p *Plan) ready(s *step) bool {
 	for _, j := range s.waitsFor {
 		if !p.steps[j].ended {
@@ -169,7 +167,7 @@
 	return true
 }
 
-// dependencyFailed reports whether an item did not succeed that the step depends on.
+// dependencyFailed reports whether an item on which the step depends did not succeed.
 func (p *Plan) dependencyFailed(s *step) bool {
 	for _, j := range s.DependsOn {
 		if p.steps[j].outcome != OK || p.steps[j].skipReason != NotSkipped {
@@ -193,7 +191,7 @@
 	s.started, s.ended, s.outcome, s.skipReason = true, true, NotRun, reason
 }
 
-// Complete records the outcome of an item that was sent, and the position of its commit, 0 if it is not known.
+// Complete records the outcome of an item that was sent, and the position of its commit, 0 if that is unknown.
 func (p *Plan) Complete(i int, outcome Outcome, position, now time.Duration) {
 	s := &p.steps[i]
 	s.ended, s.outcome = true, outcome
@@ -205,13 +203,13 @@
 	if outcome == Uncertain || position <= 0 { // it may have committed as late as now
 		position = now
 	}
-	p.commits[s.Group] = max(p.commits[s.Group], position)
+	p.commitPositions[s.Group] = max(p.commitPositions[s.Group], position)
 }
 
-// Skipped returns why an item is never sent.
+// Skipped returns why an item is never sent, NotSkipped if it was not skipped.
 func (p *Plan) Skipped(i int) SkipReason { return p.steps[i].skipReason }
 
-// Done reports whether every item has its outcome, provided that Next was called until it was not ok.
+// Done reports whether all items have an outcome. Next must have been called until ok was false.
 func (p *Plan) Done() bool {
 	for _, s := range p.steps {
 		if !s.ended {
--- a/internal/batch/batch_test.go
+++ b/internal/batch/batch_test.go
@@ -14,15 +14,15 @@
 
 const ms = time.Millisecond
 
-// run completes every item with the outcome given, and returns the rounds in which they were sent.
-func run(t *testing.T, p *Plan, ends map[int]Outcome) (rounds string) {
+// run completes every item with its outcome in outcomes, OK if it has none there, and returns the rounds in which the items were sent.
+func run(t *testing.T, p *Plan, outcomes map[int]Outcome) (rounds string) {
 	t.Helper()
 	now := time.Duration(0)
 	for {
 		var round []int
-		for i, until, _, ok := p.Next(now); ok; i, until, _, ok = p.Next(now) {
-			if until <= now || until > p.deadline {
-				t.Fatalf("item %d is sent at %v until %v", i, now, until)
+		for i, deadline, _, ok := p.Next(now); ok; i, deadline, _, ok = p.Next(now) {
+			if deadline <= now || deadline > p.deadline {
+				t.Fatalf("item %d is sent at %v with the deadline %v", i, now, deadline)
 			}
 			round = append(round, i)
 		}
@@ -32,11 +32,11 @@
 		rounds += fmt.Sprint(round)
 		now += 10 * ms
 		for _, i := range round {
-			p.Complete(i, ends[i], 0, now)
+			p.Complete(i, outcomes[i], 0, now)
 		}
 	}
 	if !p.Done() {
-		t.Fatalf("after %s some have no outcome", rounds)
+		t.Fatalf("after the rounds %s some items have no outcome", rounds)
 	}
 	return rounds
 }
@@ -50,86 +50,86 @@
 
 func TestOrderOfRequests(t *testing.T) {
 	for _, c := range []struct {
-		what          string
-		items         []Item
-		ordered, goOn bool
-		ends          map[int]Outcome
-		rounds        string
-		skips         []SkipReason
+		name                     string
+		items                    []Item
+		ordered, continueOnError bool
+		outcomes                 map[int]Outcome
+		rounds                   string
+		skips                    []SkipReason
 	}{
-		{"reads are sent at the same time", []Item{read(0), read(0), read(1)}, true, false, nil, "[0 1 2]", nil},
-		{"writes of an ordered batch separate them", []Item{read(0), write(0), read(1), read(0)}, true, false, nil, "[0][1][2 3]", nil},
-		{"without an order groups do not wait for each other", []Item{write(0), write(1), read(0), read(1)}, false, false, nil, "[0 1][2 3]", nil},
-		{"dependencies come first", []Item{read(0), read(1, 0), read(2, 1)}, false, false, nil, "[0][1][2]", nil},
-		{"a failure stops those after it", []Item{read(0), write(0), read(0), write(0)}, true, false, map[int]Outcome{1: NotRun},
+		{"reads of an ordered batch are in flight at the same time", []Item{read(0), read(0), read(1)}, true, false, nil, "[0 1 2]", nil},
+		{"a write of an ordered batch is in flight alone", []Item{read(0), write(0), read(1), read(0)}, true, false, nil, "[0][1][2 3]", nil},
+		{"in an unordered batch groups do not wait for each other", []Item{write(0), write(1), read(0), read(1)}, false, false, nil, "[0 1][2 3]", nil},
+		{"dependencies are sent first", []Item{read(0), read(1, 0), read(2, 1)}, false, false, nil, "[0][1][2]", nil},
+		{"items after a failure are skipped", []Item{read(0), write(0), read(0), write(0)}, true, false, map[int]Outcome{1: NotRun},
 			"[0][1]", []SkipReason{NotSkipped, NotSkipped, EarlierFailed, EarlierFailed}},
-		{"unless the batch continues on errors", []Item{write(0), read(0), read(1, 0)}, true, true, map[int]Outcome{0: Uncertain},
+		{"items after a failure are sent if the batch continues on errors", []Item{write(0), read(0), read(1, 0)}, true, true, map[int]Outcome{0: Uncertain},
 			"[0][1]", []SkipReason{NotSkipped, NotSkipped, DependencyFailed}},
-		{"one that depends on a skipped one is skipped", []Item{write(0), read(1, 0), read(1, 1)}, false, true, map[int]Outcome{0: NotRun},
+		{"an item that depends on a skipped one is skipped", []Item{write(0), read(1, 0), read(1, 1)}, false, true, map[int]Outcome{0: NotRun},
 			"[0]", []SkipReason{NotSkipped, DependencyFailed, DependencyFailed}},
-		{"one that was rejected counts as failed", []Item{{Answered: true}, read(0)}, true, false, nil, "", []SkipReason{NotSkipped, EarlierFailed}},
-		{"and is passed if the batch continues on errors", []Item{{Answered: true}, read(0)}, true, true, nil, "[1]", nil},
+		{"an item rejected in parsing counts as failed", []Item{{Answered: true}, read(0)}, true, false, nil, "", []SkipReason{NotSkipped, EarlierFailed}},
+		{"items after a rejected one are sent if the batch continues on errors", []Item{{Answered: true}, read(0)}, true, true, nil, "[1]", nil},
 	} {
-		p, err := New(c.items, c.ordered, c.goOn, 8, time.Second)
+		p, err := New(c.items, c.ordered, c.continueOnError, 8, time.Second)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := run(t, p, c.ends); got != c.rounds {
-			t.Errorf("%s: sent %s, want %s", c.what, got, c.rounds)
+		if got := run(t, p, c.outcomes); got != c.rounds {
+			t.Errorf("%s: sent %s, want %s", c.name, got, c.rounds)
 		}
 		for i, want := range c.skips {
 			if got := p.Skipped(i); got != want {
-				t.Errorf("%s: item %d is skipped for %d, want %d", c.what, i, got, want)
+				t.Errorf("%s: item %d has skip reason %d, want %d", c.name, i, got, want)
 			}
 		}
 	}
 }
 
-func TestDependenciesMustComeBefore(t *testing.T) {
+func TestDependenciesMustPrecedeTheirItem(t *testing.T) {
 	for _, items := range [][]Item{{read(0, 0)}, {read(0, 1), read(0)}, {read(0, -1)}} {
 		if _, err := New(items, false, false, 1, time.Second); !errors.Is(err, ErrDependency) {
-			t.Errorf("%v: %v", items, err)
+			t.Errorf("items %v: %v, want ErrDependency", items, err)
 		}
 	}
 }
 
 func TestReadsSeeEarlierWrites(t *testing.T) {
 	p, _ := New([]Item{write(0), read(0), read(1), write(0), read(0)}, true, true, 8, 10*time.Second)
-	next := func(want int, floor time.Duration) {
+	next := func(want int, minPosition time.Duration) {
 		t.Helper()
-		if i, _, got, ok := p.Next(time.Second); !ok || i != want || got != floor {
-			t.Fatalf("item %d goes with floor %v, want %d with %v", i, got, want, floor)
+		if i, _, got, ok := p.Next(time.Second); !ok || i != want || got != minPosition {
+			t.Fatalf("item %d is sent with the minimum position %v, want item %d with %v", i, got, want, minPosition)
 		}
 	}
 	next(0, 0)
 	p.Complete(0, OK, 700*ms, time.Second)
 	next(1, 700*ms)
-	next(2, 0) // another group's
+	next(2, 0) // of another group
 	p.Complete(1, OK, 0, time.Second)
 	p.Complete(2, OK, 0, time.Second)
 	next(3, 700*ms)
-	p.Complete(3, Uncertain, 0, 2*time.Second) // it may commit as late as that
+	p.Complete(3, Uncertain, 0, 2*time.Second) // it may have committed as late as that
 	next(4, 2*time.Second)
 }
 
-func TestTheRemainingTimeIsDivided(t *testing.T) {
+func TestRemainingTimeIsDivided(t *testing.T) {
 	p, _ := New([]Item{write(0), write(0), write(0)}, true, true, 1, 300*ms)
-	_, until, _, _ := p.Next(0)
-	if until != 100*ms {
-		t.Errorf("the first of three has until %v of 300 ms", until)
+	_, deadline, _, _ := p.Next(0)
+	if deadline != 100*ms {
+		t.Errorf("the first of three items has the deadline %v, want 100ms", deadline)
 	}
 	p.Complete(0, OK, 0, 150*ms)
-	if _, until, _, _ = p.Next(150 * ms); until != 225*ms {
-		t.Errorf("the second has until %v", until)
+	if _, deadline, _, _ = p.Next(150 * ms); deadline != 225*ms {
+		t.Errorf("the second item has the deadline %v, want 225ms", deadline)
 	}
 	p.Complete(1, OK, 0, 300*ms)
 	if _, _, _, ok := p.Next(300 * ms); ok || p.Skipped(2) != DeadlinePassed || !p.Done() {
-		t.Error("the third goes though the time is over")
+		t.Error("the third item is not skipped after the deadline of the batch")
 	}
 }
 
-// In any batch and with any outcomes: each item has exactly one outcome, none is sent before its dependencies or a write of its
-// group before it, and no more are in flight than allowed.
+// For any batch and any outcomes: each item must get exactly one outcome, none may be sent before its dependencies have succeeded or
+// before an earlier write to its group has ended, and no more may be in flight than allowed.
 func TestEveryBatchCompletes(t *testing.T) {
 	seeded.Check(t, func(t *rapid.T) {
 		var items []Item
@@ -138,59 +138,59 @@
 			if i > 0 && rapid.Bool().Draw(t, "needs") {
 				item.DependsOn = []int{rapid.IntRange(0, i-1).Draw(t, "need")}
 			}
-			item.Answered = rapid.IntRange(0, 9).Draw(t, "void") == 0
+			item.Answered = rapid.IntRange(0, 9).Draw(t, "rejected in parsing") == 0
 			items = append(items, item)
 		}
-		ordered, goOn, abreast := rapid.Bool().Draw(t, "ordered"), rapid.Bool().Draw(t, "goOn"), rapid.IntRange(1, 4).Draw(t, "abreast")
-		p, err := New(items, ordered, goOn, abreast, 2*time.Second)
+		ordered, continueOnError, maxInFlight := rapid.Bool().Draw(t, "ordered"), rapid.Bool().Draw(t, "continue on error"), rapid.IntRange(1, 4).Draw(t, "abreast")
+		p, err := New(items, ordered, continueOnError, maxInFlight, 2*time.Second)
 		if err != nil {
 			t.Fatal(err)
 		}
 		now := time.Duration(0)
-		var out []int
+		var inFlight []int
 		ended := make([]bool, len(items))
 		ok := make([]bool, len(items))
-		went := make([]bool, len(items))
+		sent := make([]bool, len(items))
 		for {
-			i, until, _, more := p.Next(now)
+			i, deadline, _, more := p.Next(now)
 			if !more {
-				if len(out) == 0 {
+				if len(inFlight) == 0 {
 					break
 				}
-				n := rapid.IntRange(0, len(out)-1).Draw(t, "which")
-				i = out[n]
-				out = slices.Delete(out, n, n+1)
-				how := Outcome(rapid.IntRange(0, 2).Draw(t, "how"))
-				now += time.Duration(rapid.IntRange(0, 400).Draw(t, "takes")) * ms
-				ended[i], ok[i] = true, how == OK
-				p.Complete(i, how, 0, now)
+				n := rapid.IntRange(0, len(inFlight)-1).Draw(t, "which")
+				i = inFlight[n]
+				inFlight = slices.Delete(inFlight, n, n+1)
+				outcome := Outcome(rapid.IntRange(0, 2).Draw(t, "how"))
+				now += time.Duration(rapid.IntRange(0, 400).Draw(t, "duration")) * ms
+				ended[i], ok[i] = true, outcome == OK
+				p.Complete(i, outcome, 0, now)
 				continue
 			}
-			if went[i] || items[i].Answered || until <= now || until > 2*time.Second || len(out) >= abreast {
-				t.Fatalf("item %d goes, %d are out, until %v at %v", i, len(out), until, now)
+			if sent[i] || items[i].Answered || deadline <= now || deadline > 2*time.Second || len(inFlight) >= maxInFlight {
+				t.Fatalf("item %d is sent, %d are in flight, deadline %v at %v", i, len(inFlight), deadline, now)
 			}
 			for _, n := range items[i].DependsOn {
 				if !ok[n] {
-					t.Fatalf("item %d goes though %d is not ok", i, n)
+					t.Fatalf("item %d is sent although its dependency %d did not succeed", i, n)
 				}
 			}
 			for j := range i {
-				if (items[j].Write || items[i].Write) && items[j].Group == items[i].Group && went[j] && !ended[j] {
-					t.Fatalf("item %d goes beside %d", i, j)
+				if (items[j].Write || items[i].Write) && items[j].Group == items[i].Group && sent[j] && !ended[j] {
+					t.Fatalf("item %d is in flight together with %d", i, j)
 				}
-				if !goOn && ended[j] && !ok[j] {
-					t.Fatalf("item %d goes though %d before it is not ok", i, j)
+				if !continueOnError && ended[j] && !ok[j] {
+					t.Fatalf("item %d is sent although the earlier item %d did not succeed", i, j)
 				}
 			}
-			went[i] = true
-			out = append(out, i)
+			sent[i] = true
+			inFlight = append(inFlight, i)
 		}
 		if !p.Done() {
-			t.Fatalf("some have no outcome: %+v", p)
+			t.Fatalf("some items have no outcome: %+v", p)
 		}
 		for i := range items {
-			if went[i] == (p.Skipped(i) != NotSkipped || items[i].Answered) {
-				t.Fatalf("item %d: went %t, skipped for %d", i, went[i], p.Skipped(i))
+			if sent[i] == (p.Skipped(i) != NotSkipped || items[i].Answered) {
+				t.Fatalf("item %d: sent %t, skip reason %d", i, sent[i], p.Skipped(i))
 			}
 		}
 	})
--- a/internal/idempotency/entry.go
+++ b/internal/idempotency/entry.go
@@ -10,35 +10,35 @@
 
 // Entry is one request with an idempotency key.
 type Entry struct {
-	Deadline time.Duration // no attempt may begin later
-	Response []byte        // of a completed request; nil if it was too long to keep
-	Waiters  []uint32      // who gets the same response
-	Runner   uint32        // who runs the request
+	Deadline time.Duration // no attempt may start at or after it
+	Response []byte        // to a completed request; nil if it was too long to keep
+	Waiters  []uint32      // handles of the requests that wait for the same response
+	Runner   uint32        // handle of the request that runs
 
 	request    Request
 	state      state
 	mayHaveRun bool
 	finishedAt time.Duration
-	link       chain.Element[*Entry] // among the finished ones
+	link       chain.Element[*Entry] // in Registry.finished
 }
 
-// state is the state of an entry. Its numbers are stored.
+// state is the state of an entry. The numeric values are stored.
 type state uint8
 
 const (
 	inProgress state = iota
 	completed
-	unresolved // finished without a response that could be replayed
+	unresolved // finished without a response to replay
 )
 
-// RemoveWaiter removes a waiter that no longer wants the response.
+// RemoveWaiter removes a request that no longer waits for the response.
 func (e *Entry) RemoveWaiter(waiter uint32) {
 	if i := slices.Index(e.Waiters, waiter); i >= 0 {
 		e.Waiters = slices.Delete(e.Waiters, i, i+1)
 	}
 }
 
-// size returns the bytes that an entry takes in memory.
+// size returns the memory that the entry takes, in bytes.
 func (e *Entry) size() int { return entryOverhead + len(e.request.Key) + len(e.Response) }
 
 // A stored entry is a header, the key and the response. All numbers are little-endian.
@@ -47,7 +47,7 @@
 //	        8 digest, 8 firstSent, 8 window, 8 finishedAt, 4 length of the key
 const (
 	encodingVersion = 1
-	flagsSize       = 8                   // bytes of the header before its numbers
+	flagsSize       = 8                   // bytes of the header before the 8-byte numbers
 	entryHeaderSize = flagsSize + 4*8 + 4 // bytes
 )
 
@@ -70,7 +70,7 @@
 	return append(out, e.Response...)
 }
 
-// decodeEntry returns nil for an entry of another form.
+// decodeEntry decodes a stored entry. It returns nil if the entry is truncated or has another version or an unknown state.
 func decodeEntry(in []byte) *Entry {
 	if len(in) < entryHeaderSize || in[0] != encodingVersion {
 		return nil
--- a/internal/idempotency/registry.go
+++ b/internal/idempotency/registry.go
@@ -1,12 +1,12 @@
-// Package idempotency knows which requests with an idempotency key were sent before and decides what a repeat gets: the response
-// of the first, a place beside the first while that is in progress, another run inside the window in which its group drops
-// duplicates, or a rejection. No request takes effect twice: what may be a duplicate of one that ran is rejected once the window
-// is over.
+// Package idempotency records requests with an idempotency key and decides how a repeat is handled: it gets the response of the first
+// request, waits for that response while the first request is in progress, runs again inside the window in which its group drops
+// duplicates, or is rejected. No request takes effect twice: once the window is over, a request that may be a duplicate of one that
+// ran is rejected.
 //
-// Clients say when a request was first sent. A restart forgets what was not persisted (Registry.Persist, Registry.Restore), and
-// other drivers have registries of their own: an unknown request may be a repeat of one that ran elsewhere. Unless the operator
-// says that all repeats of a client come to this driver (Registry.Sticky), an unknown request may therefore only run inside the
-// window that began when it was first sent.
+// Clients state when a request was first sent. A restart loses the entries that were not persisted (Registry.Persist,
+// Registry.Restore), and other drivers have registries of their own, so an unknown request may be a repeat of one that ran elsewhere.
+// Unless the operator has configured that all repeats of a client come to this driver (Registry.Sticky), an unknown request may
+// therefore only run inside the window that starts when it was first sent.
 package idempotency
 
 import (
@@ -22,16 +22,16 @@
 
 // The verdicts on a request.
 const (
-	Run        Verdict = iota // it may run, until Entry.Deadline
-	Join                      // the first is in progress: the request gets the same response
-	Replay                    // the response of the first is known
-	KeyReused                 // another request was sent under this key
-	TooLate                   // it may have run, and its group may have forgotten that
+	Run        Verdict = iota // the request may run until Entry.Deadline
+	Join                      // the first request is in progress: the repeat gets the same response
+	Replay                    // the response of the first request is known
+	KeyReused                 // another request was sent with this key
+	TooLate                   // the request may have run, and its group may no longer drop duplicates of it
 	FromFuture                // it was first sent later than now: the client's clock is wrong
 	AtCapacity                // too many requests are in progress
 )
 
-// Outcome tells how a request that was allowed to run ended.
+// Outcome is how a request that was allowed to run ended.
 type Outcome uint8
 
 // The outcomes of a request that was allowed to run.
@@ -42,45 +42,45 @@
 )
 
 const (
-	maxClockSkew  = 2 * time.Second // by which a client's clock may be ahead
-	windowMargin  = 20 * time.Millisecond
-	entryOverhead = 256 // bytes that an entry takes besides its key and its response
+	maxClockSkew  = 2 * time.Second       // by which the clock of a client may be ahead
+	windowMargin  = 20 * time.Millisecond // from the deadline of a request to the end of its window
+	entryOverhead = 256                   // bytes of memory that an entry takes besides its key and response
 
-	// noDeadline is far beyond the time that any request has: the module alone limits its attempts.
+	// noDeadline is far longer than any request may take, so that only the decision module limits the attempts.
 	noDeadline = time.Hour
 )
 
 // Request is what a client sent.
 type Request struct {
-	Key       string        // unique among all requests of all clients
-	Digest    uint64        // of the content, to detect a key that is used again
-	FirstSent time.Duration // as the client says, rounded down to its resolution
-	Window    time.Duration // in which the request's group drops duplicates
+	Key       string        // unique among the requests of all clients
+	Digest    uint64        // of the content, to detect that a key is reused for another request
+	FirstSent time.Duration // as stated by the client, rounded down to the resolution of the time stamp
+	Window    time.Duration // for which the group of the request drops duplicates
 }
 
 // Registry holds the requests of one driver. It is used by one goroutine.
 type Registry struct {
 	Sticky        bool          // all repeats of a client come to this driver
 	Retention     time.Duration // of finished requests
-	MaxBytes      int           // of all entries, beyond which the oldest finished ones expire
+	MaxBytes      int           // size of all entries, beyond which the oldest finished ones expire
 	MaxInProgress int           // requests
 
-	// Persist, if set, is called with the encoded entry of a request that has finished and with nil when it has expired.
+	// Persist, if set, is called with the encoded entry when a request has finished, and with nil when the entry has expired.
 	Persist func(key string, entry []byte)
 
-	knownSince time.Duration // requests first sent earlier may have been forgotten
+	knownSince time.Duration // requests first sent at or before this time may have been forgotten
 	entries    map[string]*Entry
 	finished   chain.List[*Entry] // the oldest first
 	bytes      int
 	inProgress int
 }
 
-// New returns a registry that knows no requests from before now.
+// New returns an empty registry. Requests that were first sent before now may have run earlier.
 func New(now time.Duration) *Registry {
 	return &Registry{knownSince: now, entries: make(map[string]*Entry)}
 }
 
-// Begin decides on a request. The entry is set with Run, Join and Replay. After Run, Finish has to be called.
+// Begin decides how a request is handled. It returns an entry with Run, Join and Replay. After Run, Finish has to be called.
 func (r *Registry) Begin(q Request, now time.Duration) (Verdict, *Entry) {
 	r.Expire(now)
 	if q.FirstSent > now+maxClockSkew {
@@ -130,7 +130,8 @@
 	return Run
 }
 
-// deadline returns until when attempts may begin: while the group drops duplicates, unless the request certainly has not run.
+// deadline returns the time before which attempts may start. It is shortly before the group stops dropping duplicates, unless it is
+// certain that the request has not run.
 func (r *Registry) deadline(e *Entry, now time.Duration) time.Duration {
 	if r.Sticky && !e.mayHaveRun && e.request.FirstSent > r.knownSince {
 		return now + noDeadline
@@ -148,7 +149,7 @@
 	r.bytes += e.size()
 }
 
-// Finish reports the outcome of a request that Begin let run and returns those who wait for the same response.
+// Finish records the outcome of a request for which Begin returned Run, and returns the requests that wait for the same response.
 func (r *Registry) Finish(e *Entry, outcome Outcome, response []byte, now time.Duration) (waiters []uint32) {
 	if e.state != inProgress {
 		return nil
@@ -170,8 +171,8 @@
 	return waiters
 }
 
-// Expire forgets requests whose retention is over, and the oldest finished ones while there is no space for all. Forgotten
-// requests are treated as unknown ones from then on, even if Sticky is set.
+// Expire forgets requests whose retention is over, and the oldest finished ones while the entries exceed MaxBytes. A repeat of a
+// forgotten request may then only run inside its window, even if Sticky is set.
 func (r *Registry) Expire(now time.Duration) {
 	for link := r.finished.Front(); link != nil; link = r.finished.Front() {
 		e := link.Value
@@ -192,21 +193,21 @@
 	}
 }
 
-// Usage is what a registry holds.
+// Usage is the number and size of the entries in a registry.
 type Usage struct {
 	Entries    int
 	InProgress int
 	Bytes      int
 }
 
-// Usage returns what the registry holds now.
+// Usage returns the current number and size of the entries.
 func (r *Registry) Usage() Usage {
 	return Usage{Entries: len(r.entries), InProgress: r.inProgress, Bytes: r.bytes}
 }
 
-// Restore adds entries that an earlier process persisted and returns how many it could use. Responses are replayed. All other
-// requests count as ones that may have run, since they may have been sent again after they were persisted. Entries from the
-// future are ignored: the clock went back.
+// Restore adds entries that an earlier process persisted and returns how many it has added. Their responses are replayed. All other
+// requests are treated as ones that may have run, since they may have been sent again after they were persisted. Entries with a time
+// in the future are ignored: the clock was set back.
 func (r *Registry) Restore(encoded [][]byte, now time.Duration) int {
 	var restored []*Entry
 	for _, text := range encoded {
--- a/internal/idempotency/registry_test.go
+++ b/internal/idempotency/registry_test.go
@@ -27,29 +27,29 @@
 	r := newTestRegistry(false)
 	v, first := r.Begin(request("a", 1, 5*second, window), 5*second)
 	if v != Run || first.Deadline >= 5*second+window {
-		t.Fatalf("the first gets %d until %v", v, first.Deadline)
+		t.Fatalf("the first request gets %d until %v", v, first.Deadline)
 	}
 	if v, e := r.Begin(request("a", 1, 5*second, window), 5100*time.Millisecond); v != Join || e != first {
-		t.Errorf("while it is in progress a repeat gets %d", v)
+		t.Errorf("a repeat of a request in progress gets %d", v)
 	}
 	if v, _ := r.Begin(request("a", 2, 5*second, window), 5100*time.Millisecond); v != KeyReused {
-		t.Errorf("another request under the same key gets %d", v)
+		t.Errorf("another request with the same key gets %d", v)
 	}
 	first.Waiters = append(first.Waiters, 7, 8, 9)
 	first.RemoveWaiter(8)
 	if got := fmt.Sprint(r.Finish(first, Completed, []byte("x"), 6*second)); got != "[7 9]" {
 		t.Errorf("waiters: %s", got)
 	}
-	for _, at := range []time.Duration{6, 7, 15} { // also beyond the window: nothing runs
+	for _, at := range []time.Duration{6, 7, 15} { // also after the window, since nothing runs
 		if v, e := r.Begin(request("a", 1, 5*second, window), at*second); v != Replay || string(e.Response) != "x" {
 			t.Errorf("at %d s a repeat gets %d", at, v)
 		}
 	}
 	if v, _ := r.Begin(request("a", 1, 5*second, window), 17*second); v != TooLate {
-		t.Errorf("once it is forgotten a repeat gets %d", v)
+		t.Errorf("a repeat of a forgotten request gets %d", v)
 	}
 	if v, _ := r.Begin(request("b", 1, 9*second, window), 5*second); v != FromFuture {
-		t.Errorf("a request from the future gets %d", v)
+		t.Errorf("a request first sent in the future gets %d", v)
 	}
 }
 
@@ -62,25 +62,26 @@
 		if v != Run || again.Deadline >= 5*second+window {
 			t.Fatalf("sticky %t: inside the window a repeat gets %d until %v", sticky, v, again.Deadline)
 		}
-		r.Finish(again, NotRun, nil, 6100*time.Millisecond) // the first may have run nevertheless
+		r.Finish(again, NotRun, nil, 6100*time.Millisecond) // the first run may still have taken effect
 		if v, _ := r.Begin(request("a", 1, 5*second, window), 6300*time.Millisecond); v != TooLate {
 			t.Errorf("sticky %t: after the window a repeat gets %d", sticky, v)
 		}
 	}
 }
 
-// If all repeats of a client come to this driver, it can tell a first attempt that was delayed from a repeat.
+// If all repeats of a client come to this driver, an unknown request after its window is a delayed first attempt, which may run. If
+// not, or if the request was first sent before the driver started, it may be a repeat and must be rejected.
 func TestStickyClients(t *testing.T) {
 	for _, sticky := range []bool{false, true} {
 		v, e := newTestRegistry(sticky).Begin(request("a", 1, 5*second, window), 8*second)
 		if sticky && (v != Run || e.Deadline < 9*second) || !sticky && v != TooLate {
-			t.Errorf("sticky %t: an unknown request of 3 s ago gets %d", sticky, v)
+			t.Errorf("sticky %t: an unknown request first sent 3 s ago gets %d", sticky, v)
 		}
 	}
-	r := New(6 * second) // started after it was first sent: it may have run before the restart
+	r := New(6 * second) // after the request was first sent, which may have run before the restart
 	r.Sticky, r.Retention, r.MaxBytes, r.MaxInProgress = true, 10*second, 1<<20, 100
 	if v, _ := r.Begin(request("a", 1, 5*second, window), 8*second); v != TooLate {
-		t.Errorf("after a restart a request from before gets %d", v)
+		t.Errorf("a request first sent before a restart gets %d after it", v)
 	}
 }
 
@@ -103,40 +104,40 @@
 	}
 	for i := range 6 {
 		if v, _ := r.Begin(request(fmt.Sprint("open", i), 1, 5*second, window), 5*second); (v == AtCapacity) != (i == 5) {
-			t.Errorf("request %d in progress at once gets %d", i, v)
+			t.Errorf("with %d requests in progress the next gets %d", i, v)
 		}
 	}
 }
 
-// A group drops duplicates within a window after the first run. Drivers that restart at random must never let a request run a second
-// time after that.
+// A group drops duplicates within a window after the first run. Two drivers get the same requests and are killed at random. Neither
+// may let a request run a second time after the window.
 func TestNoRequestTakesEffectTwice(t *testing.T) {
 	seeded.Check(t, func(t *rapid.T) {
 		now := second
-		type sent struct {
-			first, ran time.Duration // ran: when the group first ran it, 0: not yet
-			open       [2]*Entry
+		type requestState struct {
+			firstSent, ranAt time.Duration // ranAt: when the group first ran it; 0: not yet
+			inProgress       [2]*Entry
 		}
-		requests := make([]sent, 4)
+		requests := make([]requestState, 4)
 		drivers := [2]*Registry{newTestRegistry(false), newTestRegistry(false)}
 		for _, step := range rapid.SliceOfN(rapid.IntRange(0, 1<<16), 1, 200).Draw(t, "steps") {
 			now += time.Duration(step%400) * time.Millisecond
-			q, d, dice := &requests[step/400%4], step/1600%2, step/3200
+			q, d, choice := &requests[step/400%4], step/1600%2, step/3200
 			key := fmt.Sprint(step / 400 % 4)
-			if e := q.open[d]; e != nil {
-				q.open[d] = nil
-				switch dice % 4 {
+			if e := q.inProgress[d]; e != nil {
+				q.inProgress[d] = nil
+				switch choice % 4 {
 				case 0:
-					drivers[d] = newTestRegistry(false) // killed
+					drivers[d] = newTestRegistry(false) // the driver is killed
 					for i := range requests {
-						requests[i].open[d] = nil
+						requests[i].inProgress[d] = nil
 					}
 				case 1:
 					drivers[d].Finish(e, Uncertain, nil, now)
 				case 2:
 					drivers[d].Finish(e, Completed, []byte("done"), now)
 				case 3:
-					if q.ran == 0 {
+					if q.ranAt == 0 {
 						drivers[d].Finish(e, NotRun, nil, now)
 					} else {
 						drivers[d].Finish(e, Uncertain, nil, now)
@@ -144,23 +145,23 @@
 				}
 				continue
 			}
-			if q.first == 0 {
-				q.first = now
+			if q.firstSent == 0 {
+				q.firstSent = now
 			}
-			v, e := drivers[d].Begin(request(key, 1, q.first.Truncate(second), window), now)
+			v, e := drivers[d].Begin(request(key, 1, q.firstSent.Truncate(second), window), now)
 			if v != Run {
 				continue
 			}
 			if now >= e.Deadline {
-				t.Fatalf("it may run until %v, now %v", e.Deadline, now)
+				t.Fatalf("the request may run until %v, which is not after now, %v", e.Deadline, now)
 			}
-			q.open[d] = e
-			if dice%3 > 0 { // it reaches the group by then
-				if q.ran != 0 && e.Deadline > q.ran+window {
-					t.Fatalf("ran at %v, may run again until %v", q.ran, e.Deadline)
+			q.inProgress[d] = e
+			if choice%3 > 0 { // the request reaches the group before its deadline
+				if q.ranAt != 0 && e.Deadline > q.ranAt+window {
+					t.Fatalf("the request ran at %v and may run again until %v", q.ranAt, e.Deadline)
 				}
-				if q.ran == 0 {
-					q.ran = now
+				if q.ranAt == 0 {
+					q.ranAt = now
 				}
 			}
 		}
@@ -170,12 +171,12 @@
 func TestRequestsWithoutWindowLimitAreNeverTooLate(t *testing.T) {
 	r := newTestRegistry(false)
 	if v, _ := r.Begin(request("a", 1, 5*second, 1<<20*time.Hour), 500*second); v != Run {
-		t.Errorf("a harmless repeat gets %d", v)
+		t.Errorf("a repeat with an unlimited window gets %d", v)
 	}
 }
 
-// A later process restores finished requests: responses are replayed and never run again. What may have run is limited by its window even
-// for sticky clients, and so is what did not run, since it may have been sent again after it was persisted.
+// A later process restores finished requests. Requests with a response must be replayed and never run again. Even for sticky clients
+// all others may only run inside their window, since those that had not run may have been sent again after they were persisted.
 func TestPersistedEntriesAreRestored(t *testing.T) {
 	persisted := make(map[string][]byte)
 	r := newTestRegistry(true)
@@ -192,7 +193,7 @@
 		r.Finish(e, outcome, []byte("answer"), time.Second)
 	}
 	if verdict, _ := r.Begin(request("open", 7, time.Second, window), time.Second); verdict != Run || len(persisted) != 3 {
-		t.Fatalf("%v, %d are persisted", verdict, len(persisted))
+		t.Fatalf("request in progress gets %v, %d entries are persisted, want 3", verdict, len(persisted))
 	}
 	restored := func(now time.Duration) *Registry {
 		again := newTestRegistry(true)
@@ -202,32 +203,32 @@
 	}
 	again := restored(1500 * time.Millisecond)
 	if verdict, e := again.Begin(request("done", 7, time.Second, window), 1800*time.Millisecond); verdict != Replay || string(e.Response) != "answer" {
-		t.Errorf("a persisted response: %v", verdict)
+		t.Errorf("a repeat of a request with a persisted response gets %v", verdict)
 	}
 	if verdict, _ := again.Begin(request("done", 8, time.Second, window), 1800*time.Millisecond); verdict != KeyReused {
-		t.Errorf("another request under its key: %v", verdict)
+		t.Errorf("another request with its key gets %v", verdict)
 	}
 	for _, key := range []string{"unsure", "nothing", "open"} {
 		if verdict, e := again.Begin(request(key, 7, time.Second, window), 1800*time.Millisecond); verdict != Run || e.Deadline != time.Second+window-windowMargin {
-			t.Errorf("%s inside its window: %v", key, verdict)
+			t.Errorf("%s inside its window gets %v", key, verdict)
 		}
 		if verdict, _ := restored(1500*time.Millisecond).Begin(request(key, 7, time.Second, window), 4*time.Second); verdict != TooLate {
-			t.Errorf("%s after its window: %v", key, verdict)
+			t.Errorf("%s after its window gets %v", key, verdict)
 		}
 	}
 	if entries := restored(500 * time.Millisecond).Usage().Entries; entries != 0 {
-		t.Errorf("%d entries from the future are restored", entries)
+		t.Errorf("%d entries with a time in the future were restored", entries)
 	}
 	if entries := restored(time.Hour).Usage().Entries; entries != 0 {
-		t.Errorf("%d expired entries are restored", entries)
+		t.Errorf("%d expired entries were restored", entries)
 	}
 	for _, corrupt := range [][]byte{nil, {encodingVersion}, append([]byte{9}, persisted["done"][1:]...), persisted["done"][:entryHeaderSize]} {
 		if n := newTestRegistry(true).Restore([][]byte{corrupt}, 2*time.Second); n != 0 {
-			t.Errorf("%q is restored", corrupt)
+			t.Errorf("corrupt entry %q was restored", corrupt)
 		}
 	}
 	r.Expire(time.Hour)
 	if len(persisted) != 0 {
-		t.Errorf("%d expired entries are persisted", len(persisted))
+		t.Errorf("%d expired entries are still persisted", len(persisted))
 	}
 }
