--- a/internal/background/budget.go
+++ b/internal/background/budget.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// maxSavedBudget is for how long a job may save its unused budget.
+// maxSavedBudget is the time for which a job may accumulate unused budget.
 const maxSavedBudget = time.Second
 
-// resources are the parts of a Usage: nanoseconds, bytes, operations.
+// resources holds the fields of a Usage: nanoseconds, bytes, operations.
 type resources [3]float64
 
 func (u Usage) resources() resources {
 	return resources{float64(u.Time), float64(u.Bytes), float64(u.Operations)}
 }
 
-// budget is a token bucket for each resource. What a slice takes is only known afterwards: a bucket may fall below 0, and the job
-// then waits until it is above again.
+// budget is a token bucket for each resource. The usage of a slice is only known after it has run, so a bucket may fall below 0. The
+// job then waits until it is above 0 again.
 type budget struct {
 	perSecond resources // 0: unlimited
-	left      resources
+	left      resources // tokens
 	filledAt  time.Duration
 }
 
@@ -25,7 +25,7 @@
 	return budget{perSecond: r, left: r, filledAt: now}
 }
 
-// refill adds what has accrued since the last call.
+// refill adds the tokens accrued since the last call.
 func (b *budget) refill(now time.Duration) {
 	seconds := float64(now-b.filledAt) / float64(time.Second)
 	b.filledAt = now
--- a/internal/background/job.go
+++ b/internal/background/job.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Usage is what work takes: time of the event loop or of a worker, bytes written, operations of the disk or the network.
+// Usage is the resources that work takes: time of the event loop or of a worker, bytes written, disk or network operations.
 type Usage struct {
 	Time       time.Duration
 	Bytes      int
@@ -15,48 +15,48 @@
 	u.Operations += v.Operations
 }
 
-// Job is work that is done again and again, or when it is triggered. All fields but the name are optional.
+// Job is work that runs periodically or when it is triggered. All fields except Name are optional.
 type Job struct {
 	Name       string
-	Priority   int           // a higher one goes first
-	Period     time.Duration // from the end of a run until the next is due; 0: the job only runs when it is triggered
-	Deadline   time.Duration // from when a run is due until it no longer yields to RPCs
-	Budget     Usage         // for each second; fields of 0 are unlimited
-	After      []string      // names of jobs that have to finish a run between when this one is due and its start
-	MinBackoff time.Duration // wait after a failure, doubled with each further one
-	MaxBackoff time.Duration // limit of that
+	Priority   int           // a higher priority runs first
+	Period     time.Duration // from the end of a run until the next is due; 0: only runs when triggered
+	Deadline   time.Duration // from when a run is due until it no longer yields to RPCs; 0: it always yields
+	Budget     Usage         // per second; fields of 0 are unlimited
+	After      []string      // names of the jobs that must finish a run after this job is due and before it starts
+	MinBackoff time.Duration // wait after a failure, doubled with each consecutive one
+	MaxBackoff time.Duration // longest wait after a failure
 }
 
 // JobID identifies a job of a scheduler, counted from 0.
 type JobID int
 
-// Outcome tells how a slice of a job, or its part on a worker, ended.
+// Outcome is how a slice of a job, or its part on a worker, ended.
 type Outcome uint8
 
 // The outcomes of a slice.
 const (
-	More     Outcome = iota // there is more to do on the event loop
-	OnWorker                // a worker does the rest; SliceEnded is called again when it returns
+	More     Outcome = iota // the run needs another slice on the event loop
+	OnWorker                // a worker continues the run; SliceEnded is called again when it returns
 	Done                    // the run has succeeded
 	Failed                  // the run has failed
 )
 
-// BlockedReason tells why a job that is due does not run.
+// BlockedReason is why a job does not run.
 type BlockedReason uint8
 
 // The reasons why a job does not run.
 const (
-	NotBlocked      BlockedReason = iota // it may run, or it runs
-	NotDue                               // its time has not come
-	LoopLate                             // the event loop is late, and RPCs go first
-	BudgetExhausted                      // its budget is used up for now
+	NotBlocked      BlockedReason = iota // it may run or is running
+	NotDue                               // it is not due yet
+	LoopLate                             // it yields to RPCs, since the event loop is late
+	BudgetExhausted                      // its budget is used up
 	Dependency                           // a job of Job.After has not finished yet
 	WorkersBusy                          // all workers are busy
-	Outranked                            // other jobs go first
+	Outranked                            // other jobs run first
 	JobCancelled                         // it was cancelled
 )
 
-// blockedReasonNames are read by operators' scripts.
+// blockedReasonNames are the names of the reasons in the status. Scripts of operators read them.
 var blockedReasonNames = [...]string{
 	NotBlocked:      "",
 	NotDue:          "not due",
@@ -68,7 +68,7 @@
 	JobCancelled:    "cancelled",
 }
 
-// String returns the reason as the status answer names it.
+// String returns the name of the reason in the status.
 func (r BlockedReason) String() string { return blockedReasonNames[r] }
 
 // jobState is the state of a job in a scheduler.
@@ -76,13 +76,13 @@
 
 const (
 	idle     jobState = iota
-	waiting           // due, but not begun
+	waiting           // due, but not started
 	running           // on the event loop
 	onWorker          // on a worker
 	cancelled
 )
 
-// jobStateNames are read by operators' scripts.
+// jobStateNames are the names of the states in the status. Scripts of operators read them.
 var jobStateNames = [...]string{
 	idle:      "idle",
 	waiting:   "waits",
@@ -91,19 +91,19 @@
 	cancelled: "cancelled",
 }
 
-// String returns the state as the status answer names it.
+// String returns the name of the state in the status.
 func (s jobState) String() string { return jobStateNames[s] }
 
 // RunReport describes the runs of one job so far.
 type RunReport struct {
 	Name              string
-	State             string        // idle, waits, runs, away or cancelled
-	BlockedBy         string        // a BlockedReason, while it waits
-	Since             time.Duration // when the state was entered
+	State             string        // one of jobStateNames
+	BlockedBy         string        // name of a BlockedReason, while the job waits
+	Since             time.Duration // time at which the state was entered
 	Runs, Failed      int
-	Skipped           int    // runs that came due while one was waiting or running
-	SkipReason        string // of the last one skipped
-	StartedLate       int    // runs that began after their deadline
+	Skipped           int    // runs that became due while another was waiting or running
+	SkipReason        string // of the last skipped run
+	StartedLate       int    // runs that started after their deadline
 	Slices            int
 	Used              Usage         // in total
 	LongestSlice      time.Duration // on the event loop
--- a/internal/background/runs.go
+++ b/internal/background/runs.go
@@ -5,7 +5,7 @@
 // maxDoublings limits the exponent of the backoff.
 const maxDoublings = 20
 
-// SliceEnded reports how a slice, or the part of a worker, ended and what it took.
+// SliceEnded records how a slice of a job, or its part on a worker, ended and what it used.
 func (s *Scheduler) SliceEnded(id JobID, used Usage, outcome Outcome, now time.Duration) {
 	j := s.jobs[id]
 	j.account(used)
@@ -33,7 +33,7 @@
 	}
 }
 
-// account adds what a slice took. The time of a worker counts only in the report: it is not the event loop's.
+// account adds the usage of a slice. The time of a worker counts only in the report, since it takes no time of the event loop.
 func (j *scheduledJob) account(used Usage) {
 	r := &j.report
 	r.Slices++
@@ -48,7 +48,7 @@
 	j.budget.spend(used)
 }
 
-// backoff returns how long to wait after another failure.
+// backoff returns the wait after a failure that follows j.failures others.
 func (j *scheduledJob) backoff() time.Duration {
 	if j.MinBackoff == 0 {
 		return 0
@@ -56,7 +56,7 @@
 	return min(j.MinBackoff<<min(j.failures, maxDoublings), max(j.MaxBackoff, j.MinBackoff))
 }
 
-// endRun ends a run. The next is due after wait, or at once if the job was triggered meanwhile and has not failed.
+// endRun ends a run. The next run is due after wait, or at once if the job was triggered during this run and has not failed.
 func (j *scheduledJob) endRun(wait, now time.Duration) {
 	retries := j.Period == 0 && j.failures > 0 && j.MinBackoff > 0
 	j.enter(idle, now)
--- a/internal/background/scheduler.go
+++ b/internal/background/scheduler.go
@@ -1,8 +1,8 @@
-// Package background decides which background job of a driver runs when. RPCs go first: while the event loop is late all jobs
-// yield, except those that have passed their deadline, which get one slice at a time, seldom.
+// Package background schedules the background jobs of a driver. RPCs take precedence: while the event loop is late, all jobs yield,
+// except that jobs past their deadline get one slice every overdueSlicePause.
 //
-// A Scheduler does no work itself. Its host asks for the next job, runs a slice of it on the event loop or hands it to a worker,
-// and reports what that took.
+// A Scheduler runs no jobs itself. Its caller asks for the next job, runs a slice of it on the event loop or passes it to a worker, and
+// reports the usage.
 package background
 
 import (
@@ -11,26 +11,26 @@
 )
 
 const (
-	// lateThreshold is the lateness of the event loop from which jobs yield: two ticks of the module.
+	// lateThreshold is the lateness of the event loop from which jobs yield: two ticks of the decision module.
 	lateThreshold = 10 * time.Millisecond
-	// lateCooldown is for how long jobs go on yielding after the loop was late.
+	// lateCooldown is the time for which jobs yield after the event loop was late.
 	lateCooldown = 50 * time.Millisecond
-	// overdueSlicePause is the time between two slices of overdue jobs while the loop is late.
+	// overdueSlicePause is the shortest time between two slices of overdue jobs while the event loop is late.
 	overdueSlicePause = 100 * time.Millisecond
-	// recheckInterval is after how long a blocked job is looked at again.
+	// recheckInterval is the time after which a blocked job is checked again.
 	recheckInterval = lateThreshold
 )
 
-// longAgo is before all times that count.
+// longAgo is earlier than any other time.
 const longAgo = time.Duration(-1 << 62)
 
 // Scheduler holds the background jobs of one driver. It is used by one goroutine.
 type Scheduler struct {
-	workers     int
-	busyWorkers int
-	jobs        []*scheduledJob
-	lateAt      time.Duration // when the event loop was last late
-	overdueAt   time.Duration // when a slice last ran although the loop was late
+	workers            int
+	busyWorkers        int
+	jobs               []*scheduledJob
+	lastLateAt         time.Duration // when the event loop was last reported late
+	lastOverdueSliceAt time.Duration // when a slice last ran while the event loop was late
 }
 
 // scheduledJob is a job and its state.
@@ -38,20 +38,20 @@
 	Job
 	state        jobState
 	since        time.Duration // when the state was entered
-	due          time.Duration // when the job is, or was, due
-	nextDue      time.Duration // while a run is waiting or running: when the next comes due; 0: unknown
+	due          time.Duration // when the next run, or the one waiting or running, is due
+	nextDue      time.Duration // when the run after the one waiting or running becomes due; 0: unknown
 	lastDone     time.Duration // end of the last successful run
 	failures     int           // consecutive
-	loopTime     time.Duration // taken of the event loop, by which jobs of one priority are ranked
+	loopTime     time.Duration // time taken of the event loop, by which jobs of the same priority are ranked
 	budget       budget
-	triggered    bool // while it was running
-	cancelOnExit bool // cancelled while a worker had it
+	triggered    bool // while it was running or on a worker
+	cancelOnExit bool // cancelled while it was on a worker
 	report       RunReport
 }
 
-// New returns a scheduler for this number of workers.
+// New returns a scheduler without jobs for this number of workers.
 func New(workers int) *Scheduler {
-	return &Scheduler{workers: workers, lateAt: longAgo, overdueAt: longAgo}
+	return &Scheduler{workers: workers, lastLateAt: longAgo, lastOverdueSliceAt: longAgo}
 }
 
 // Add adds a job, which is due for the first time after its period.
@@ -67,7 +67,7 @@
 	return JobID(len(s.jobs) - 1)
 }
 
-// Trigger makes a job due now. One that is running becomes due again when it ends.
+// Trigger makes a job due now. A job that is running becomes due again when its run ends.
 func (s *Scheduler) Trigger(id JobID, now time.Duration) {
 	j := s.jobs[id]
 	switch j.state {
@@ -82,7 +82,7 @@
 	}
 }
 
-// Cancel removes a job. It returns true if a worker has the job: the job is then cancelled when the worker returns.
+// Cancel removes a job. If the job is on a worker, it is removed when the worker returns, and pending is true.
 func (s *Scheduler) Cancel(id JobID, now time.Duration) (pending bool) {
 	j := s.jobs[id]
 	if j.state == onWorker {
@@ -93,17 +93,17 @@
 	return false
 }
 
-// ReportLateness reports how late the event loop came to something.
+// ReportLateness records by how much the event loop was late to handle an event.
 func (s *Scheduler) ReportLateness(lateness, now time.Duration) {
 	if lateness >= lateThreshold {
-		s.lateAt = now
+		s.lastLateAt = now
 	}
 }
 
-// loopLate reports whether RPCs need the event loop now.
-func (s *Scheduler) loopLate(now time.Duration) bool { return now-s.lateAt < lateCooldown }
+// loopLate reports whether the event loop was late less than lateCooldown ago.
+func (s *Scheduler) loopLate(now time.Duration) bool { return now-s.lastLateAt < lateCooldown }
 
-// Next returns the job that is to run a slice now; ok is false if none may.
+// Next returns the job that has to run a slice now; ok is false if no job may run.
 func (s *Scheduler) Next(now time.Duration) (id JobID, ok bool) {
 	var best *scheduledJob
 	for i, j := range s.jobs {
@@ -111,7 +111,7 @@
 		if s.blockedBy(j, now) != NotBlocked {
 			continue
 		}
-		if best == nil || j.goesBefore(best) {
+		if best == nil || j.ranksBefore(best) {
 			best, id = j, JobID(i)
 		}
 	}
@@ -119,7 +119,7 @@
 		return 0, false
 	}
 	if s.loopLate(now) {
-		s.overdueAt = now
+		s.lastOverdueSliceAt = now
 	}
 	if best.state == waiting {
 		best.start(now)
@@ -127,8 +127,8 @@
 	return id, true
 }
 
-// goesBefore ranks two jobs that may run.
-func (j *scheduledJob) goesBefore(other *scheduledJob) bool {
+// ranksBefore reports whether the job runs before another one if both may run.
+func (j *scheduledJob) ranksBefore(other *scheduledJob) bool {
 	if j.Priority != other.Priority {
 		return j.Priority > other.Priority
 	}
@@ -145,12 +145,12 @@
 	}
 }
 
-// overdue reports whether a job has reached its deadline.
+// overdue reports whether the job has reached its deadline.
 func (j *scheduledJob) overdue(now time.Duration) bool {
 	return j.Deadline > 0 && now >= j.due+j.Deadline
 }
 
-// update lets an idle job wait once it is due, and counts the runs that a waiting or running one has missed.
+// update makes an idle periodic job wait once it is due, and counts the runs that a waiting or running job has skipped.
 func (s *Scheduler) update(j *scheduledJob, now time.Duration) {
 	if j.Period <= 0 {
 		return
@@ -173,14 +173,15 @@
 	return j.state == waiting || j.state == running || j.state == onWorker
 }
 
-// enqueue lets a job wait for its turn. Having been idle gives it no claim on the time that others took meanwhile.
+// enqueue makes a job wait. Its loop time is raised to that of the other jobs, so that it does not catch up on the time that they took
+// while it was idle.
 func (s *Scheduler) enqueue(j *scheduledJob, since time.Duration) {
 	j.enter(waiting, since)
 	j.nextDue = 0
 	j.loopTime = max(j.loopTime, s.minLoopTime(j))
 }
 
-// minLoopTime returns the least loop time of the other active jobs of the same priority, 0 without any.
+// minLoopTime returns the least loop time of the other jobs of the same priority that wait or run on the event loop, 0 if there are none.
 func (s *Scheduler) minLoopTime(j *scheduledJob) time.Duration {
 	least, found := time.Duration(0), false
 	for _, other := range s.jobs {
@@ -194,7 +195,7 @@
 	return least
 }
 
-// blockedBy returns what prevents a job from running a slice now.
+// blockedBy returns why a job may not run a slice now, NotBlocked if it may.
 func (s *Scheduler) blockedBy(j *scheduledJob, now time.Duration) BlockedReason {
 	switch j.state {
 	case idle:
@@ -222,17 +223,17 @@
 	return NotBlocked
 }
 
-// mayRunOverdue reports whether a job gets a slice although the event loop is late.
+// mayRunOverdue reports whether an overdue job may run a slice while the event loop is late.
 func (s *Scheduler) mayRunOverdue(j *scheduledJob, now time.Duration) bool {
-	return j.overdue(now) && now-s.overdueAt >= overdueSlicePause
+	return j.overdue(now) && now-s.lastOverdueSliceAt >= overdueSlicePause
 }
 
-// dependenciesDone reports whether all jobs of Job.After have finished since this one was due.
+// dependenciesDone reports whether all jobs of Job.After have finished a run since this job was due.
 func (s *Scheduler) dependenciesDone(j *scheduledJob) bool {
 	return !slices.ContainsFunc(j.After, func(name string) bool { return !s.doneSince(name, j.due) })
 }
 
-// doneSince reports whether a job has finished since then. Nobody waits for names without a job.
+// doneSince reports whether the job of that name has finished a run since that time. It returns true if there is no such job.
 func (s *Scheduler) doneSince(name string, since time.Duration) bool {
 	for _, j := range s.jobs {
 		if j.Name == name && j.state != cancelled {
@@ -242,18 +243,18 @@
 	return true
 }
 
-// NextWake returns when Next has to be asked again at the latest; ok is false if nothing has to be done before the next Trigger or
-// SliceEnded.
+// NextWake returns the latest time at which Next has to be called again; ok is false if that is not necessary before the next call of
+// Trigger or SliceEnded.
 func (s *Scheduler) NextWake(now time.Duration) (at time.Duration, ok bool) {
 	for _, j := range s.jobs {
-		if wake, wakes := s.wakeOf(j, now); wakes && (!ok || wake < at) {
+		if wake, wakes := s.wakeTime(j, now); wakes && (!ok || wake < at) {
 			at, ok = wake, true
 		}
 	}
 	return at, ok
 }
 
-func (s *Scheduler) wakeOf(j *scheduledJob, now time.Duration) (at time.Duration, ok bool) {
+func (s *Scheduler) wakeTime(j *scheduledJob, now time.Duration) (at time.Duration, ok bool) {
 	switch s.blockedBy(j, now) {
 	case NotBlocked:
 		return now, true
@@ -265,10 +266,10 @@
 	return 0, false
 }
 
-// BusyWorkers returns how many workers have a job.
+// BusyWorkers returns how many workers are running a job.
 func (s *Scheduler) BusyWorkers() int { return s.busyWorkers }
 
-// Reports returns the reports of all jobs, by JobID.
+// Reports returns the reports of all jobs, indexed by JobID.
 func (s *Scheduler) Reports(now time.Duration) []RunReport {
 	var reports []RunReport
 	for _, j := range s.jobs {
--- a/internal/background/scheduler_test.go
+++ b/internal/background/scheduler_test.go
@@ -13,11 +13,11 @@
 
 const ms = time.Millisecond
 
-// RPCs go first: while the loop is late nothing runs except overdue jobs, one slice in a tenth of a second.
+// RPCs take precedence: while the event loop is late, only overdue jobs may run, one slice every tenth of a second.
 func TestJobsYieldToRPCs(t *testing.T) {
 	s := New(1)
-	s.Add(Job{Name: "patient", Priority: 2, Period: 10 * ms}, 0)
-	s.Add(Job{Name: "pressing", Priority: 1, Period: 10 * ms, Deadline: 300 * ms}, 0)
+	s.Add(Job{Name: "without deadline", Priority: 2, Period: 10 * ms}, 0)
+	s.Add(Job{Name: "with deadline", Priority: 1, Period: 10 * ms, Deadline: 300 * ms}, 0)
 	ran := make(map[string]int)
 	for now := time.Duration(0); now < 2*time.Second; now += 5 * ms {
 		s.ReportLateness(20*ms, now)
@@ -26,20 +26,20 @@
 			s.SliceEnded(n, Usage{Time: ms}, More, now)
 		}
 	}
-	if ran["patient"] != 0 || ran["pressing"] < 12 || ran["pressing"] > 18 {
-		t.Errorf("while the loop is late: %v", ran)
+	if ran["without deadline"] != 0 || ran["with deadline"] < 12 || ran["with deadline"] > 18 {
+		t.Errorf("slices while the event loop is late: %v", ran)
 	}
 	reports := s.Reports(2 * time.Second)
 	if r := reports[0]; r.BlockedBy != "yields" || r.Skipped < 100 || r.SkipReason != "yields" {
 		t.Errorf("the waiting job reports %+v", r)
 	}
-	if n, ok := s.Next(2*time.Second + lateCooldown); !ok || s.jobs[n].Name != "patient" {
-		t.Error("once the loop is in time the higher priority does not run")
+	if n, ok := s.Next(2*time.Second + lateCooldown); !ok || s.jobs[n].Name != "without deadline" {
+		t.Error("the job of the higher priority does not run once the event loop is in time")
 	}
 }
 
-// Within one priority time is shared evenly, however long a slice is; a job that was idle has no claim on the time before. A job of a lower
-// priority runs only if none of a higher one is due.
+// Jobs of the same priority must get the same time of the event loop, whatever the length of their slices, and a job that was idle must
+// not catch up. A job of a lower priority may run only if none of a higher priority may.
 func TestPrioritiesAndFairness(t *testing.T) {
 	s := New(4)
 	slice := []time.Duration{ms, 5 * ms, 2 * ms, ms}
@@ -54,7 +54,7 @@
 		for now < until {
 			n, ok := s.Next(now)
 			if !ok {
-				t.Fatal("nothing runs")
+				t.Fatal("no job runs")
 			}
 			now += slice[n]
 			spent[n] += slice[n]
@@ -62,22 +62,22 @@
 		}
 	}
 	if run(time.Second); (spent[0]-spent[1]).Abs() > 10*ms || spent[3] != 0 {
-		t.Errorf("spent %v", spent)
+		t.Errorf("time by job: %v", spent)
 	}
 	s.Trigger(2, now)
 	before := slices.Clone(spent)
 	if run(now + 600*ms); (spent[2]-(spent[0]-before[0])).Abs() > 15*ms || (spent[2]-(spent[1]-before[1])).Abs() > 15*ms {
-		t.Errorf("the later job gets %v, the others %v and %v", spent[2], spent[0]-before[0], spent[1]-before[1])
+		t.Errorf("the job triggered later gets %v, the others %v and %v", spent[2], spent[0]-before[0], spent[1]-before[1])
 	}
 	for n := range JobID(3) {
 		s.SliceEnded(n, Usage{}, Done, now)
 	}
 	if n, ok := s.Next(now); !ok || n != 3 {
-		t.Error("the lowest does not run though no other is due")
+		t.Error("the job of the lowest priority does not run although no other is due")
 	}
 }
 
-// Budgets hold over any second and do not pile up while idle; dependencies, cancellation and the number of workers are respected.
+// No job may exceed its budget, start before its dependencies, run after its cancellation, or run while all workers are busy.
 func TestBudgetsDependenciesAndWorkers(t *testing.T) {
 	s := New(1)
 	a := s.Add(Job{Name: "a", Budget: Usage{Bytes: 1000, Operations: 5}}, 0)
@@ -89,8 +89,8 @@
 			bytes += 100
 		}
 	}
-	if bytes < 4900 || bytes > 6000 { // five operations a second are the narrower bound
-		t.Errorf("%d bytes in ten seconds", bytes)
+	if bytes < 4900 || bytes > 6000 { // five operations a second are the stricter limit
+		t.Errorf("the job writes %d bytes in ten seconds", bytes)
 	}
 	s = New(1)
 	first := s.Add(Job{Name: "first"}, 0)
@@ -98,11 +98,11 @@
 	third := s.Add(Job{Name: "third"}, 0)
 	s.Trigger(second, 0)
 	if _, ok := s.Next(0); ok || s.Reports(0)[second].BlockedBy != "dependency" {
-		t.Error("it runs before what it depends on")
+		t.Error("a job runs before the one that it depends on")
 	}
 	s.Trigger(first, ms)
 	if n, ok := s.Next(ms); !ok || n != first {
-		t.Fatal("the first does not run")
+		t.Fatal("the job without dependencies does not run")
 	}
 	s.SliceEnded(first, Usage{}, OnWorker, ms)
 	s.Trigger(third, 2*ms)
@@ -114,15 +114,15 @@
 	}
 	s.SliceEnded(first, Usage{}, Done, 4*ms)
 	if s.Reports(5 * ms)[first].State != "cancelled" || s.BusyWorkers() != 0 {
-		t.Error("a job cancelled while on a worker goes on")
+		t.Error("a job cancelled while on a worker continues")
 	}
-	if n, ok := s.Next(5 * ms); !ok || n != second { // there is nothing left to wait for
-		t.Error("a cancelled job is waited for")
+	if n, ok := s.Next(5 * ms); !ok || n != second { // its only other dependency does not exist
+		t.Error("a job waits for a dependency that was cancelled")
 	}
 }
 
-// A job that fails is retried with exponential backoff up to its limit, and by its period once it succeeds. One that is triggered while it
-// runs is run once more.
+// A job that fails must be retried with exponential backoff up to its limit, and run with its period again once it succeeds. A job that
+// is triggered during a run must run once more.
 func TestFailuresAndTriggers(t *testing.T) {
 	s := New(1)
 	n := s.Add(Job{Name: "save", Period: 100 * ms, MinBackoff: 100 * ms, MaxBackoff: time.Minute}, 0)
@@ -134,24 +134,24 @@
 		}
 	}
 	if runs < 15 || runs > 22 {
-		t.Errorf("%d runs in ten minutes of failures", runs)
+		t.Errorf("%d runs in ten minutes in which all fail", runs)
 	}
 	now := 12 * time.Minute
 	if _, ok := s.Next(now); !ok {
-		t.Fatal("it does not come back")
+		t.Fatal("the job is not retried within its longest backoff")
 	}
 	s.SliceEnded(n, Usage{}, OnWorker, now)
 	s.Trigger(n, now+ms)
 	s.SliceEnded(n, Usage{}, Done, now+2*ms)
 	if _, ok := s.Next(now + 2*ms); !ok {
-		t.Error("a job triggered meanwhile does not run")
+		t.Error("a job triggered during its run does not run again")
 	}
 	s.SliceEnded(n, Usage{}, Done, now+3*ms)
 	if _, ok := s.Next(now + 50*ms); ok {
-		t.Error("it runs before its period is over")
+		t.Error("the job runs before its period is over")
 	}
 	if at, ok := s.NextWake(now + 50*ms); !ok || at != now+103*ms {
-		t.Errorf("it wakes at %v", at-now)
+		t.Errorf("the scheduler wakes at %v, want 103ms", at-now)
 	}
 	once := New(1)
 	k := once.Add(Job{Name: "once", MinBackoff: time.Second, MaxBackoff: time.Second}, 0)
@@ -159,65 +159,65 @@
 	once.Next(0)
 	once.SliceEnded(k, Usage{}, Failed, 0)
 	if _, ok := once.Next(999 * ms); ok {
-		t.Error("it does not wait after a failure")
+		t.Error("a failed job does not wait for its backoff")
 	}
 	if _, ok := once.Next(time.Second); !ok {
 		t.Error("a failed job is not retried")
 	}
 }
 
-// Whatever happens in whatever order: no more jobs are on workers than there are, nothing runs that was cancelled, and whenever a job may
-// run the scheduler wakes for it in time.
-func TestSchedulerInAnyOrder(t *testing.T) {
+// For any order of calls: no more jobs may be on workers than there are workers, no cancelled job may run, and the scheduler must wake
+// no later than a job may run.
+func TestSchedulerInvariantsInAnyOrderOfCalls(t *testing.T) {
 	seeded.Check(t, func(t *rapid.T) {
 		workers := rapid.IntRange(1, 3).Draw(t, "workers")
 		s, now := New(workers), time.Duration(0)
-		out, dead := []JobID(nil), make(map[JobID]bool)
+		onWorkers, wasCancelled := []JobID(nil), make(map[JobID]bool)
 		for i := range rapid.IntRange(1, 5).Draw(t, "jobs") {
-			c := Job{Name: fmt.Sprint(i), Priority: rapid.IntRange(0, 2).Draw(t, "priority"), Period: time.Duration(rapid.IntRange(0, 50).Draw(t, "period")) * ms,
+			job := Job{Name: fmt.Sprint(i), Priority: rapid.IntRange(0, 2).Draw(t, "priority"), Period: time.Duration(rapid.IntRange(0, 50).Draw(t, "period")) * ms,
 				Deadline: time.Duration(rapid.IntRange(0, 100).Draw(t, "deadline")) * ms, Budget: Usage{Operations: rapid.IntRange(0, 20).Draw(t, "operations")},
 				MinBackoff: 10 * ms, MaxBackoff: 80 * ms}
 			if i > 0 && rapid.Bool().Draw(t, "depends") {
-				c.After = []string{fmt.Sprint(rapid.IntRange(0, i-1).Draw(t, "on"))}
+				job.After = []string{fmt.Sprint(rapid.IntRange(0, i-1).Draw(t, "on"))}
 			}
-			s.Add(c, now)
+			s.Add(job, now)
 		}
-		anyJob := func() JobID { return JobID(rapid.IntRange(0, len(s.jobs)-1).Draw(t, "job")) }
+		randomJob := func() JobID { return JobID(rapid.IntRange(0, len(s.jobs)-1).Draw(t, "job")) }
 		for range rapid.IntRange(1, 100).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 20).Draw(t, "ms")) * ms
-			switch rapid.IntRange(0, 5).Draw(t, "what") {
+			switch rapid.IntRange(0, 5).Draw(t, "event") {
 			case 0:
-				s.Trigger(anyJob(), now)
+				s.Trigger(randomJob(), now)
 			case 1:
 				s.ReportLateness(time.Duration(rapid.IntRange(0, 30).Draw(t, "late"))*ms, now)
 			case 2:
-				n := anyJob()
-				dead[n] = true
+				n := randomJob()
+				wasCancelled[n] = true
 				s.Cancel(n, now)
 			case 3:
-				if len(out) > 0 {
-					s.SliceEnded(out[0], Usage{Time: ms, Operations: 1}, rapid.SampledFrom([]Outcome{Done, Failed}).Draw(t, "end"), now)
-					out = out[1:]
+				if len(onWorkers) > 0 {
+					s.SliceEnded(onWorkers[0], Usage{Time: ms, Operations: 1}, rapid.SampledFrom([]Outcome{Done, Failed}).Draw(t, "outcome on the worker"), now)
+					onWorkers = onWorkers[1:]
 				}
 			default:
 				at, wakes := s.NextWake(now)
 				n, ok := s.Next(now)
 				if ok && (!wakes || at > now) {
-					t.Fatalf("something may run now, but it wakes at %v (%v)", at-now, wakes)
+					t.Fatalf("a job may run now, but the scheduler wakes in %v (%v)", at-now, wakes)
 				}
 				if !ok {
 					continue
 				}
-				if dead[n] || slices.Contains(out, n) {
-					t.Fatal("it runs though it was cancelled or is on a worker")
+				if wasCancelled[n] || slices.Contains(onWorkers, n) {
+					t.Fatal("a job runs although it was cancelled or is on a worker")
 				}
-				how := rapid.SampledFrom([]Outcome{More, OnWorker, Done, Failed}).Draw(t, "how")
-				if s.SliceEnded(n, Usage{Time: ms, Operations: 1}, how, now); how == OnWorker {
-					out = append(out, n)
+				outcome := rapid.SampledFrom([]Outcome{More, OnWorker, Done, Failed}).Draw(t, "how")
+				if s.SliceEnded(n, Usage{Time: ms, Operations: 1}, outcome, now); outcome == OnWorker {
+					onWorkers = append(onWorkers, n)
 				}
 			}
-			if len(out) != s.BusyWorkers() || s.BusyWorkers() > workers {
-				t.Fatalf("%d are on workers, %d are known of, %d workers", len(out), s.BusyWorkers(), workers)
+			if len(onWorkers) != s.BusyWorkers() || s.BusyWorkers() > workers {
+				t.Fatalf("%d jobs are on workers, the scheduler reports %d of %d workers busy", len(onWorkers), s.BusyWorkers(), workers)
 			}
 		}
 	})
--- a/internal/memberclock/memberclock.go
+++ b/internal/memberclock/memberclock.go
@@ -1,46 +1,48 @@
-// Package memberclock estimates the offset between the driver's clock and that of the cluster members, which report positions and starts by
-// theirs. The driver's clock is the wall clock at its start and counts real time from then on, so a wall clock that was wrong at the start is off
-// by seconds or hours for as long as the driver runs. Positions of primaries show it: a primary has applied all that is committed, so the position
-// that it reports is the current time of the members' clock.
+// Package memberclock estimates the offset between the driver's clock and the clock of the cluster members, by which members report
+// positions and start times. The driver's clock is set from the wall clock when the driver starts and is monotonic from then on, so if
+// the wall clock was wrong at the start, the driver's clock is off by seconds or hours for as long as the driver runs. The positions of
+// primaries reveal this: a primary has applied all committed writes, so the position that it reports is the current time of the
+// members' clock.
 package memberclock
 
 import "time"
 
 const (
-	// maxJitter is the largest difference that delay, rounding or drift explain.
+	// maxJitter is the largest difference that can be due to delay, rounding or drift.
 	maxJitter = 2 * time.Second
-	// maxSpread is how far observations of a running clock may be apart.
+	// maxSpread is the largest difference between two observations of the same offset.
 	maxSpread = 200 * time.Millisecond
-	// minInterval is how long after one observation the next counts.
+	// minInterval is the shortest time between two observations that count.
 	minInterval = 250 * time.Millisecond
-	// minObservations is how many observations prove a difference.
+	// minObservations is the number of observations that prove a difference.
 	minObservations = 5
-	// trustDuration is for how long one position that agrees with the offset confirms it.
+	// trustDuration is the time for which a position that agrees with the offset confirms it.
 	trustDuration = 10 * time.Second
 )
 
-// Estimator estimates the offset of the members' clock. Its zero value takes both clocks to be equal.
+// Estimator estimates the offset of the members' clock. Its zero value has the offset 0.
 type Estimator struct {
-	offset time.Duration // of the members' clock to the driver's own
+	offset time.Duration // by which the members' clock is ahead of the driver's clock
 
-	confirmed   bool // a position has agreed with the offset since the start or its latest change
+	confirmed   bool // a position has agreed with the offset since the start or the latest change of the offset
 	confirmedAt time.Duration
 
 	deviation deviation
 }
 
-// deviation is a difference from the offset that is not proven yet. Its zero value is none.
+// deviation is an observed difference from the offset that is not proven yet. Its zero value means that there is none.
 type deviation struct {
 	present      bool
 	difference   time.Duration
-	observedAt   time.Duration // the latest observation that counts
+	observedAt   time.Duration // time of the latest observation that counts
 	observations int
 }
 
-// Offset is how far the members' clock is ahead of the driver's own, as far as that is proven.
+// Offset returns by how much the members' clock is proven to be ahead of the driver's clock.
 func (e *Estimator) Offset() time.Duration { return e.offset }
 
-// Uncertainty is how far the members' clock may be behind what Offset says. That is not proven: an idle primary may report an old position.
+// Uncertainty returns by how much the members' clock may be behind the time that Offset gives. This is not proven, since an idle primary
+// may report an old position.
 func (e *Estimator) Uncertainty() time.Duration {
 	if e.deviation.present && !e.confirmed && e.deviation.difference < 0 {
 		return -e.deviation.difference
@@ -48,7 +50,8 @@
 	return 0
 }
 
-// Observe takes the position that a primary reported at a time of the driver's own clock. It returns the change of the offset, 0 for none.
+// Observe processes the position that a primary reported; now is the time of the driver's clock. It returns the change of the offset, 0
+// if there is none.
 func (e *Estimator) Observe(now, position time.Duration) (change time.Duration) {
 	difference := position - now - e.offset
 	if difference.Abs() <= maxJitter {
@@ -72,7 +75,7 @@
 	e.deviation.present = false
 }
 
-// observe counts an observation, and reports whether the difference is proven by it.
+// observe counts an observation and reports whether the difference is proven now.
 func (d *deviation) observe(now, difference time.Duration) bool {
 	switch {
 	case !d.present || difference > d.difference+maxSpread:
--- a/internal/memberclock/memberclock_test.go
+++ b/internal/memberclock/memberclock_test.go
@@ -12,7 +12,8 @@
 	start = 1000 * time.Hour
 )
 
-// Whatever the driver's clock was off by at its start, the offset is known after four seconds of responses, and then stays.
+// The driver's clock is wrong by a random step at the start. The offset must be found within four seconds of responses and must not
+// change afterwards.
 func TestOffsetIsFoundAfterAWrongStart(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		step := time.Duration(rapid.SampledFrom([]int{-3600000, -90000, -5000, 5000, 61000, 3600000}).Draw(t, "step")) * ms
@@ -31,12 +32,12 @@
 			}
 		}
 		if changes != 1 || e.Uncertainty() != 0 {
-			t.Fatalf("%d changes, an uncertainty of %v", changes, e.Uncertainty())
+			t.Fatalf("%d changes of the offset, want 1; uncertainty %v, want 0", changes, e.Uncertainty())
 		}
 	})
 }
 
-// The offset of a correct clock is never changed by garbled positions, by idle primaries, or both.
+// The clock is correct, but positions are corrupted, or primaries are idle and report old ones, or both. The offset must stay 0.
 func TestCorrectClockIsNotChanged(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var e Estimator
--- a/internal/recovery/connect_limiter.go
+++ b/internal/recovery/connect_limiter.go
@@ -1,43 +1,43 @@
-// Package recovery decides how a driver recovers after a start: how many connections to members it opens at once, and in which
-// stage of the recovery it is. It does no I/O and reads no clock: the caller reports what happens, and when. Which member an
-// RPC goes to is decided elsewhere.
+// Package recovery controls how a driver recovers after a start: it limits how many connections to members are opened at once and
+// tracks the stage of the recovery. It does no I/O and reads no clock: the caller reports events and their times. Which member an RPC
+// is sent to is decided elsewhere.
 package recovery
 
 import "time"
 
 const (
-	initialWindow = 8   // connections that may come up at once before any has
-	maxWindow     = 256 // connections that may come up at once
-	slowFraction  = 0.2 // of the connect timeout: a connection that takes longer shows that the members are asked for too many
-	reduceFactor  = 0.7 // by which the window is multiplied when that shows
+	initialWindow = 8   // limit of pending connections at the start
+	maxWindow     = 256 // highest limit of pending connections
+	slowFraction  = 0.2 // of the connect timeout; a connection that takes longer shows that the members are overloaded with handshakes
+	reduceFactor  = 0.7 // by which the window is multiplied after a slow or failed connection
 )
 
-// ConnectLimiter limits how many connections to members a driver opens at once. It starts with few, so that many drivers that
-// start together do not ask more handshakes of the members than these can do. Each connection that is established quickly
-// allows one more, which doubles the window with every handshake; slow ones and failures reduce it.
+// ConnectLimiter limits how many connections to members a driver opens at once. The window is small at first, so that many drivers
+// that start together do not request more handshakes than the members can do. Each connection that is established quickly enlarges
+// the window by one, which doubles it with each round of handshakes; slow and failed connections reduce it.
 type ConnectLimiter struct {
-	window        float64 // connections that may come up at once
-	pending       int     // connections that are coming up
+	window        float64 // limit of pending connections
+	pending       int     // connections that are being opened
 	slowThreshold time.Duration
-	reducedAt     time.Duration // when the window was last reduced
+	reducedAt     time.Duration // time of the last reduction of the window
 	memberLimit   int           // of connections to one member; 0: none
 }
 
-// MemberConnections counts the connections to one member. As many may come up as are established, one at least, and only one
-// while the member is slow.
+// MemberConnections counts the connections to one member. Up to as many may be pending as are established, but at least one; while
+// the member is slow, only one.
 type MemberConnections struct {
 	pending, established int
-	slow                 bool // the latest was slow or failed
+	slow                 bool // the latest connection was slow or failed
 }
 
-// NewConnectLimiter returns the limiter of a driver that has just started, whose connections come up within timeout or fail.
+// NewConnectLimiter returns the limiter of a driver that has just started. timeout is the connect timeout.
 func NewConnectLimiter(timeout time.Duration) ConnectLimiter {
 	l := ConnectLimiter{window: initialWindow}
 	l.SetTimeout(timeout)
 	return l
 }
 
-// SetTimeout changes the time within which connections come up or fail.
+// SetTimeout changes the connect timeout.
 func (l *ConnectLimiter) SetTimeout(timeout time.Duration) {
 	l.slowThreshold = max(time.Duration(slowFraction*float64(timeout)), time.Millisecond)
 }
@@ -45,7 +45,7 @@
 // SetMemberLimit limits the connections to one member, pending and established. 0 means no limit.
 func (l *ConnectLimiter) SetMemberLimit(limit int) { l.memberLimit = limit }
 
-// Excess returns how many connections to a member there are beyond the limit.
+// Excess returns by how many the connections to a member exceed the limit.
 func (l *ConnectLimiter) Excess(m *MemberConnections) int {
 	if l.memberLimit == 0 {
 		return 0
@@ -53,7 +53,7 @@
 	return max(m.pending+m.established-l.memberLimit, 0)
 }
 
-// AtMemberLimit reports whether a member has as many connections as one may have.
+// AtMemberLimit reports whether the connections to a member have reached the limit.
 func (l *ConnectLimiter) AtMemberLimit(m *MemberConnections) bool {
 	return l.memberLimit > 0 && m.pending+m.established >= l.memberLimit
 }
@@ -70,13 +70,13 @@
 	return m.pending < maxPending && l.pending < int(l.window)
 }
 
-// Started counts a connection that is being opened. It is pending until Established or Failed.
+// Started counts a new connection as pending, until Established or Failed.
 func (l *ConnectLimiter) Started(m *MemberConnections) {
 	l.pending++
 	m.pending++
 }
 
-// Established counts a pending connection as established, so long after it was started, until Closed.
+// Established counts a pending connection as established, until Closed. took is the time since it was started.
 func (l *ConnectLimiter) Established(m *MemberConnections, took, now time.Duration) {
 	l.pending--
 	m.pending--
@@ -88,7 +88,7 @@
 	l.window = min(l.window+1, maxWindow)
 }
 
-// Failed ends a pending connection that did not come up, for whatever reason.
+// Failed removes a pending connection that was not established, for any reason. took is the time since it was started.
 func (l *ConnectLimiter) Failed(m *MemberConnections, took, now time.Duration) {
 	l.pending--
 	m.pending--
@@ -96,14 +96,14 @@
 	l.reduce(took, now)
 }
 
-// Closed ends an established connection.
+// Closed removes an established connection.
 func (l *ConnectLimiter) Closed(m *MemberConnections) { m.established-- }
 
-// None reports whether the member has no connection, pending or established. If one has failed then, all attempts that wait
-// for one may fail with it.
+// None reports whether the member has no connection, neither pending nor established. If this is so after a connection has failed, all
+// attempts that wait for a connection may fail too.
 func (m *MemberConnections) None() bool { return m.established == 0 && m.pending == 0 }
 
-// reduce makes the window smaller, once for all connections that were started before it was last reduced.
+// reduce makes the window smaller. A connection that was started before the last reduction does not reduce it again.
 func (l *ConnectLimiter) reduce(took, now time.Duration) {
 	if now-took >= l.reducedAt {
 		l.window, l.reducedAt = max(l.window*reduceFactor, 1), now
--- a/internal/recovery/connect_limiter_test.go
+++ b/internal/recovery/connect_limiter_test.go
@@ -11,12 +11,12 @@
 
 const ms = time.Millisecond
 
-// Many drivers start at once, and each opens far more connections to one member than it needs. No handshake waits beyond the
-// connect timeout at the member, and all connections come up about as fast as the member can do handshakes. Without the
-// window handshakes wait for seconds.
+// Many drivers start at once, and each opens far more connections to one member than it needs. Without the window, handshakes wait
+// at the member for seconds. With it, none may wait longer than the connect timeout, and all connections must be established about as
+// fast as the member can do handshakes.
 func TestManyDriversThatStartTogetherDoNotOverloadAMember(t *testing.T) {
 	const handshakeTime, cores, perDriver, drivers = 5 * ms, 4, 20, 100
-	simulate := func(bounded bool) (longest, over time.Duration) {
+	simulate := func(bounded bool) (longestWait, finishedAt time.Duration) {
 		limiters, members, missing := make([]ConnectLimiter, drivers), make([]MemberConnections, drivers), make([]int, drivers)
 		type handshake struct {
 			driver int
@@ -26,7 +26,7 @@
 		for i := range limiters {
 			limiters[i], missing[i] = NewConnectLimiter(250*ms), perDriver
 		}
-		for now, left := time.Duration(0), drivers*perDriver; left > 0 && now < time.Minute; now += handshakeTime / cores { // one ends in each step
+		for now, left := time.Duration(0), drivers*perDriver; left > 0 && now < time.Minute; now += handshakeTime / cores { // one handshake ends in each step
 			for i := range limiters {
 				for missing[i] > 0 && (!bounded || limiters[i].MayConnect(&members[i])) {
 					missing[i]--
@@ -37,35 +37,35 @@
 			if len(queue) > 0 {
 				h := queue[0]
 				queue = queue[1:]
-				longest = max(longest, now-h.opened)
+				longestWait = max(longestWait, now-h.opened)
 				limiters[h.driver].Established(&members[h.driver], now-h.opened, now)
 				left--
 			}
-			over = now
+			finishedAt = now
 		}
-		return longest, over
+		return longestWait, finishedAt
 	}
-	longest, over := simulate(true)
-	if without, _ := simulate(false); longest > 250*ms || without < 2*time.Second {
-		t.Errorf("a handshake waits %v, without the window %v", longest, without)
+	longestWait, finishedAt := simulate(true)
+	if without, _ := simulate(false); longestWait > 250*ms || without < 2*time.Second {
+		t.Errorf("a handshake waits %v, without the window %v", longestWait, without)
 	}
-	if least := drivers * perDriver * handshakeTime / cores; over > least+least/10 {
-		t.Errorf("all are up after %v, the member can do it in %v", over, least)
+	if least := drivers * perDriver * handshakeTime / cores; finishedAt > least+least/10 {
+		t.Errorf("all connections are established after %v, the member can do the handshakes in %v", finishedAt, least)
 	}
 }
 
-// A single driver with a quick member needs only a few rounds of handshakes to open many connections.
-func TestTheWindowOfOneDriverGrowsQuickly(t *testing.T) {
-	o, d := NewConnectLimiter(250*ms), MemberConnections{}
-	up, rounds := 0, 0
-	for ; up < 64; rounds++ {
+// A single driver must need only a few rounds of handshakes to open many connections to a fast member.
+func TestWindowOfOneDriverGrowsQuickly(t *testing.T) {
+	limiter, member := NewConnectLimiter(250*ms), MemberConnections{}
+	established, rounds := 0, 0
+	for ; established < 64; rounds++ {
 		n := 0
-		for ; o.MayConnect(&d); n++ {
-			o.Started(&d)
+		for ; limiter.MayConnect(&member); n++ {
+			limiter.Started(&member)
 		}
 		for range n {
-			o.Established(&d, 2*ms, time.Duration(rounds)*2*ms)
-			up++
+			limiter.Established(&member, 2*ms, time.Duration(rounds)*2*ms)
+			established++
 		}
 	}
 	if rounds > 8 {
@@ -73,33 +73,34 @@
 	}
 }
 
-// Whatever happens, no connection counts as pending once all have come up or failed, and one may be opened then.
+// After any sequence of events, once every connection was established or has failed, none may count as pending and another may be
+// opened.
 func TestOneConnectionMayAlwaysBeOpened(t *testing.T) {
 	seeded.Check(t, func(t *rapid.T) {
-		o, d, now, out := NewConnectLimiter(250*ms), MemberConnections{}, time.Duration(0), 0
+		limiter, member, now, pending := NewConnectLimiter(250*ms), MemberConnections{}, time.Duration(0), 0
 		for range rapid.IntRange(0, 300).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 100).Draw(t, "ms")) * ms
 			took := min(now, time.Duration(rapid.IntRange(0, 500).Draw(t, "took"))*ms)
-			switch how := rapid.IntRange(0, 3).Draw(t, "what"); {
-			case how <= 1 && o.MayConnect(&d):
-				o.Started(&d)
-				out++
-			case how == 2 && out > 0:
-				o.Established(&d, took, now)
-				out--
-			case how == 3 && out > 0:
-				o.Failed(&d, took, now)
-				out--
+			switch event := rapid.IntRange(0, 3).Draw(t, "what"); {
+			case event <= 1 && limiter.MayConnect(&member):
+				limiter.Started(&member)
+				pending++
+			case event == 2 && pending > 0:
+				limiter.Established(&member, took, now)
+				pending--
+			case event == 3 && pending > 0:
+				limiter.Failed(&member, took, now)
+				pending--
 			}
-			if o.window < 1 || o.window > maxWindow {
-				t.Fatalf("%v may be opened at once", o.window)
+			if limiter.window < 1 || limiter.window > maxWindow {
+				t.Fatalf("the window is %v", limiter.window)
 			}
 		}
-		for ; out > 0; out-- {
-			o.Failed(&d, ms, now)
+		for ; pending > 0; pending-- {
+			limiter.Failed(&member, ms, now)
 		}
-		if !o.MayConnect(&d) {
-			t.Fatal("no connection may be opened though none is coming up")
+		if !limiter.MayConnect(&member) {
+			t.Fatal("no connection may be opened although none is pending")
 		}
 	})
 }
--- a/internal/recovery/tracker.go
+++ b/internal/recovery/tracker.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// Stage is how far a driver has recovered since its start.
+// Stage is a stage of the recovery of a driver after its start.
 type Stage uint8
 
 // The stages, in their order.
 const (
-	AwaitingList     Stage = iota // the driver serves from the endpoint list that it was started with
-	ProvingPrimaries              // discovery has sent a list; some group that RPCs came for has no proven primary
+	AwaitingList     Stage = iota // the driver uses the endpoint list that it was started with
+	ProvingPrimaries              // discovery has sent a list; the primary of some group that got RPCs has not answered yet
 	WarmingUp                     // more RPCs than usual are rejected, or attempts wait for connections
 	Complete
 )
 
-// stageNames are as logs, counters and the status have them.
+// stageNames are the names of the stages in logs, counters and the status.
 var stageNames = [...]string{"listing", "proving", "warming", "whole"}
 
-// String returns the name of the stage, as operators see it.
+// String returns the name of the stage in logs, counters and the status.
 func (s Stage) String() string { return stageNames[s] }
 
-// stageLimits are how long each stage lasts at most, whether or not its condition is met.
+// stageLimits are the longest durations of the stages. A stage ends after its limit even if its condition is not met.
 var stageLimits = [Complete]time.Duration{
 	AwaitingList:     time.Second,
 	ProvingPrimaries: 3 * time.Second,
@@ -27,23 +27,23 @@
 }
 
 const (
-	settleTime          = 500 * time.Millisecond // for which a driver must serve as usual to count as recovered
-	maxRejectedFraction = 0.05                   // of the RPCs that are usually rejected
-	suspendThreshold    = time.Second            // between two checks, from which the process counts as having been suspended
+	settleTime          = 500 * time.Millisecond // for which a driver must serve normally to count as recovered
+	maxRejectedFraction = 0.05                   // part of the RPCs that may be rejected while a driver serves normally
+	suspendThreshold    = time.Second            // interval between two checks beyond which the process counts as suspended
 )
 
-// Tracker follows one driver through the stages. It only reports how far the driver is, and holds nothing back.
+// Tracker tracks the stage of one driver. It only reports the stage and delays no RPC.
 type Tracker struct {
 	stage        Stage
-	startedAt    time.Duration // of the recovery
-	stageSince   time.Duration
+	startedAt    time.Duration // start of the recovery
+	stageSince   time.Duration // start of the stage
 	lastCheck    time.Duration
 	listReceived bool
-	groups       map[uint16]bool // that RPCs or answers came for; true: its primary has answered
+	groups       map[uint16]bool // groups that got RPCs or whose primary has answered; true: the primary has answered
 	provenGroups int
-	steadySince  time.Duration // since when the driver has served as usual, while it warms up
-	answered     int           // RPCs, since steadySince
-	rejected     int           // of these
+	steadySince  time.Duration // start of the time in which the driver has served normally, in the stage WarmingUp
+	answered     int           // RPCs since steadySince
+	rejected     int           // RPCs of these that were rejected
 }
 
 // NewTracker returns the tracker of a driver that starts now.
@@ -60,17 +60,17 @@
 	}
 }
 
-// ListReceived reports that discovery has sent an endpoint list or changes to it.
+// ListReceived records that discovery has sent an endpoint list or changes to it.
 func (t *Tracker) ListReceived() { t.listReceived = true }
 
-// GroupUsed reports that an RPC came for a group.
+// GroupUsed records that an RPC for a group was received.
 func (t *Tracker) GroupUsed(group uint16) {
 	if _, known := t.groups[group]; t.stage < WarmingUp && !known {
 		t.groups[group] = false
 	}
 }
 
-// PrimaryAnswered reports that a member has answered as the primary of its group.
+// PrimaryAnswered records that a member has answered as the primary of its group.
 func (t *Tracker) PrimaryAnswered(group uint16) {
 	if t.stage < WarmingUp && !t.groups[group] {
 		t.groups[group] = true
@@ -78,7 +78,7 @@
 	}
 }
 
-// RPCAnswered reports that an RPC got its final answer.
+// RPCAnswered records that an RPC got its final answer.
 func (t *Tracker) RPCAnswered(rejected bool) {
 	if t.stage == Complete {
 		return
@@ -88,9 +88,9 @@
 	}
 }
 
-// Check enters the next stage if the condition of this one is met or its time is up, and reports whether the stage has
-// changed. waiting is how many attempts wait for a connection. If the latest check was over suspendThreshold ago, the process
-// was suspended and what the driver knows is old: the recovery starts again.
+// Check enters the next stage if the condition of the current stage is met or its limit is reached, and reports whether the stage has
+// changed. waiting is the number of attempts that wait for a connection. If the previous check was more than suspendThreshold ago, the
+// process was suspended and its learned state is outdated: the recovery starts again.
 func (t *Tracker) Check(now time.Duration, waiting int) (changed bool) {
 	sinceLast := now - t.lastCheck
 	if t.lastCheck = now; sinceLast > suspendThreshold {
@@ -109,7 +109,7 @@
 	return true
 }
 
-// stageDone reports whether the condition of the stage is met.
+// stageDone reports whether the condition for leaving the stage is met.
 func (t *Tracker) stageDone(now time.Duration, waiting int) bool {
 	switch t.stage {
 	case AwaitingList:
@@ -127,13 +127,13 @@
 	t.steadySince, t.answered, t.rejected = now, 0, 0
 }
 
-// Stage returns how far the driver has recovered.
+// Stage returns the current stage.
 func (t *Tracker) Stage() Stage { return t.stage }
 
 // Age returns the time since the recovery started.
 func (t *Tracker) Age(now time.Duration) time.Duration { return now - t.startedAt }
 
-// Ready returns how ready the driver is, from 0 to 1, for whoever sends clients back to it in proportion.
+// Ready returns how far the driver is ready to serve, from 0 to 1. A load balancer can send clients back to it in proportion.
 func (t *Tracker) Ready() float64 {
 	switch t.stage {
 	case AwaitingList:
--- a/internal/shutdown/shutdown.go
+++ b/internal/shutdown/shutdown.go
@@ -1,57 +1,57 @@
-// Package shutdown plans a graceful shutdown: for how long new connections are accepted, when connections are closed between
-// two requests, when requests are rejected without being forwarded, and the last moment for an answer. It does no I/O and
-// reads no clock: all times are arguments.
+// Package shutdown plans a graceful shutdown: how long new connections are accepted, from when connections are closed between two
+// requests, from when requests are rejected instead of forwarded, and when the last answer must be sent. It does no I/O and reads no
+// clock: all times are arguments.
 package shutdown
 
 import "time"
 
-// What the platform promises when it stops a driver.
+// Guarantees of the platform when it stops a driver.
 const (
-	maxCountedDeadline = 3 * time.Second        // a request's longer deadline gives the driver no more time
-	killMargin         = 700 * time.Millisecond // SIGKILL comes no sooner than the longest deadline and this after SIGTERM was sent
-	acceptDuration     = 700 * time.Millisecond // for which new connections may come after SIGTERM
+	maxCountedDeadline = 3 * time.Second        // a longer deadline of a request gives the driver no additional time
+	killMargin         = 700 * time.Millisecond // SIGKILL follows SIGTERM after no less than the longest deadline plus this
+	acceptDuration     = 700 * time.Millisecond // after SIGTERM, during which new connections may arrive
 )
 
-// What the driver may lose of that time itself.
+// Parts of that time that the driver itself may lose.
 const (
-	maxStall       = 150 * time.Millisecond // between reading the clock and writing
-	deliveryMargin = 100 * time.Millisecond // for a signal, an iteration of the event loop and the end of a connection
-	minTimeLeft    = 100 * time.Millisecond // a request that has less is rejected, not forwarded
+	maxStall       = 150 * time.Millisecond // between reading the clock and writing an answer
+	deliveryMargin = 100 * time.Millisecond // for delivering a signal, an iteration of the event loop and closing a connection
+	minTimeLeft    = 100 * time.Millisecond // a request with less time left is rejected instead of forwarded
 )
 
-// Phase is a part of a graceful shutdown. Each begins when the one before it ends.
+// Phase is a phase of a graceful shutdown. Each phase starts when the previous one ends.
 type Phase uint8
 
 const (
-	// Accepting serves as before, new connections too.
+	// Accepting serves normally and accepts new connections.
 	Accepting Phase = iota
-	// Serving accepts no new connections and serves those that are open.
+	// Serving accepts no new connections and serves the open ones.
 	Serving
-	// Closing serves on, and closes each connection that has no request in flight.
+	// Closing serves the open connections and closes each that has no request in flight.
 	Closing
-	// Rejecting waits for the answers of requests in flight and rejects those that are read.
+	// Rejecting waits for the answers to requests in flight and rejects further requests.
 	Rejecting
-	// Finished has answered all requests. Connections are closed without reading on.
+	// Finished has answered all requests and closes the connections without reading from them.
 	Finished
 )
 
-// phaseNames are as logs have them.
+// phaseNames are the names of the phases in logs.
 var phaseNames = [...]string{"accepting", "serving", "closing", "refusing", "over"}
 
-// String returns the name of the phase, as operators see it.
+// String returns the name of the phase in logs.
 func (p Phase) String() string { return phaseNames[p] }
 
-// Plan is when each phase of one shutdown begins.
+// Plan holds the start of each phase of a shutdown.
 type Plan struct {
-	begins [Finished + 1]time.Duration
+	phaseStarts [Finished + 1]time.Duration
 }
 
-// New plans a shutdown whose signal was received at one time and sent at sentAt at the earliest: SIGKILL is counted from
-// there. maxDeadline is the longest deadline of a request.
+// New plans a shutdown. sentAt is the earliest time at which SIGTERM can have been sent, from which the time until SIGKILL is counted;
+// receivedAt is when it was received. maxDeadline is the longest deadline of a request.
 func New(sentAt, receivedAt, maxDeadline time.Duration) Plan {
 	maxDeadline = min(maxDeadline, maxCountedDeadline)
-	kill := sentAt + maxDeadline + killMargin
-	finished := kill - maxStall - deliveryMargin
+	killAt := sentAt + maxDeadline + killMargin
+	finished := killAt - maxStall - deliveryMargin
 	rejecting := finished - minTimeLeft
 	closing := min(sentAt+killMargin+maxDeadline/2, rejecting-minTimeLeft)
 	return Plan{[...]time.Duration{
@@ -63,28 +63,28 @@
 	}}
 }
 
-// Phase returns the phase at a time.
+// Phase returns the phase at the time now.
 func (p *Plan) Phase(now time.Duration) Phase {
 	phase := Accepting
-	for phase < Finished && now >= p.begins[phase+1] {
+	for phase < Finished && now >= p.phaseStarts[phase+1] {
 		phase++
 	}
 	return phase
 }
 
-// Next returns when the next phase begins. There is none after Finished.
+// Next returns when the next phase starts. ok is false in Finished, the last phase.
 func (p *Plan) Next(now time.Duration) (at time.Duration, ok bool) {
 	phase := p.Phase(now)
 	if phase == Finished {
 		return 0, false
 	}
-	return p.begins[phase+1], true
+	return p.phaseStarts[phase+1], true
 }
 
-// Forwards reports whether a request that is read now may still be sent to a member.
+// Forwards reports whether a request that is read now may be sent to a member.
 func (p *Plan) Forwards(now time.Duration) bool { return p.Phase(now) < Rejecting }
 
 // BoundDeadline limits the deadline of a request to the end of the shutdown.
 func (p *Plan) BoundDeadline(deadline time.Duration) time.Duration {
-	return min(deadline, p.begins[Finished])
+	return min(deadline, p.phaseStarts[Finished])
 }
