--- a/internal/node/background.go
+++ b/internal/node/background.go
@@ -15,21 +15,21 @@
 // jobSlice runs one slice of a background job on the event loop.
 type jobSlice func() (background.Usage, background.Outcome)
 
-// backgroundJobs runs the background jobs of a driver on its event loop, when their scheduler says so.
+// backgroundJobs runs the background jobs of a driver on its event loop, at the times that their scheduler sets.
 type backgroundJobs struct {
 	loop      *loop.Loop
-	simulated bool // time stands still within an iteration of the loop
+	simulated bool // the clock does not advance within an iteration of the loop
 	scheduler *background.Scheduler
-	slices    []jobSlice // by background.JobID
-	timer     loop.Timer // of the next slice
-	wakeAt    time.Duration
+	slices    []jobSlice    // by background.JobID
+	timer     loop.Timer    // of the next slice; nil: not set
+	wakeAt    time.Duration // when timer expires
 }
 
 func newBackgroundJobs(l *loop.Loop, simulated bool) *backgroundJobs {
 	return &backgroundJobs{loop: l, simulated: simulated, scheduler: background.New(workerCount)}
 }
 
-// add adds a job, which runs by its schedule from now on.
+// add registers a job, which is scheduled from now on.
 func (b *backgroundJobs) add(job background.Job, slice jobSlice) background.JobID {
 	b.slices = append(b.slices, slice)
 	id := b.scheduler.Add(job, b.loop.Now())
@@ -37,13 +37,13 @@
 	return id
 }
 
-// trigger lets a job run as soon as its scheduler allows.
+// trigger requests a run of a job as soon as the scheduler allows it.
 func (b *backgroundJobs) trigger(id background.JobID) {
 	b.scheduler.Trigger(id, b.loop.Now())
 	b.scheduleNext()
 }
 
-// workerReturned reports that a worker has done its part of a job.
+// workerReturned reports to the scheduler that a worker has finished its part of a job. A non-nil err means that it failed.
 func (b *backgroundJobs) workerReturned(id background.JobID, used background.Usage, err error) {
 	outcome := background.Done
 	if err != nil {
@@ -53,11 +53,11 @@
 	b.scheduleNext()
 }
 
-// scheduleNext sets the timer for the next slice, unless it is set to an earlier time.
+// scheduleNext sets the timer for the next slice, unless it is already set to an earlier time.
 func (b *backgroundJobs) scheduleNext() {
 	now := b.loop.Now()
-	at, wakes := b.scheduler.NextWake(now)
-	if !wakes || b.timer != nil && b.wakeAt <= at {
+	at, scheduled := b.scheduler.NextWake(now)
+	if !scheduled || b.timer != nil && b.wakeAt <= at {
 		return
 	}
 	b.loop.Cancel(b.timer)
@@ -65,7 +65,7 @@
 	b.timer = b.loop.At(b.wakeAt, b.runSlices)
 }
 
-// runSlices runs slices of the jobs that may run, up to sliceBudget.
+// runSlices runs slices of the jobs that are due, until sliceBudget is used.
 func (b *backgroundJobs) runSlices() {
 	now := b.loop.Now()
 	b.scheduler.ReportLateness(now-b.wakeAt, now)
@@ -81,7 +81,7 @@
 		used.Time += b.loop.Clock() - sliceBegan
 		b.scheduler.SliceEnded(id, used, outcome, now)
 		if outcome == background.More && b.simulated {
-			break // the clock would never reach the budget
+			break // the simulated clock would never reach the budget
 		}
 	}
 	b.scheduleNext()
--- a/internal/node/configuration.go
+++ b/internal/node/configuration.go
@@ -12,7 +12,7 @@
 	"passtack/internal/settings"
 )
 
-// Counters of published configuration, by name.
+// Names of the counters for published configurations.
 const (
 	counterVersionsApplied    = "configuration_versions_applied"
 	counterVersionsRejected   = "configuration_versions_rejected"
@@ -20,25 +20,25 @@
 	counterFolderUnusable     = "configuration_folder_unusable"
 )
 
-// configuration takes over what is published for the whole fleet, where the operator's file names control machines. It implements
-// client.Host. A version goes through VersionOffered (checked by a worker), persist and apply.
+// configuration polls the control machines that the operator's file names and applies the configuration versions that they publish for
+// the whole fleet. It implements client.Host. A version passes through VersionOffered, where a worker checks it, then persist and apply.
 type configuration struct {
 	node         *Node
-	client       *watch.Client // nil until the driver serves
+	client       *watch.Client // nil until watchConfiguration is called
 	storage      *configurationStorage
 	local        localConfiguration
 	published    publishedLimits
 	report       rollout.DriverReport
-	inForceSince time.Duration // when that version was applied
+	inForceSince time.Duration // when report.Version was applied
 }
 
-// publishedLimits are the limits that the version in force sets. Zero: those of the driver's own file.
+// publishedLimits are the limits that the version in force sets. For a limit of 0 the driver's own file applies.
 type publishedLimits struct {
 	memoryBytes int64
 	sockets     int
 }
 
-// restoreConfiguration begins with the stored version, before any part of the driver reads its settings.
+// restoreConfiguration puts the stored version into force, before any part of the driver reads its settings.
 func (n *Node) restoreConfiguration() {
 	w := n.config.Configuration
 	if w == nil {
@@ -64,7 +64,7 @@
 	}
 }
 
-// restore puts the stored version into force, unless it does not go with the driver's own files any more.
+// restore puts the stored version into force, unless it conflicts with the driver's own files, which may have changed.
 func (c *configuration) restore(version uint64, text []byte) {
 	stored, err := c.local.check(version, text)
 	if err != nil {
@@ -78,7 +78,7 @@
 	slog.Info("configuration version restored", "version", version, "bytes", len(text))
 }
 
-// watchConfiguration begins to poll for newer versions.
+// watchConfiguration starts polling for newer versions.
 func (n *Node) watchConfiguration() {
 	if c := n.configuration; c != nil {
 		w := n.config.Configuration
@@ -92,7 +92,7 @@
 // Count implements client.Host.
 func (c *configuration) Count(counter string) { c.node.Count(counter) }
 
-// VersionOffered implements client.Host: a worker checks the version, then it is stored and applied.
+// VersionOffered implements client.Host: a worker checks the version, which is then stored and applied.
 func (c *configuration) VersionOffered(version uint64, text []byte) {
 	local := c.local
 	var next *checkedVersion
@@ -111,15 +111,15 @@
 	})
 }
 
-// reject records that the driver cannot use a version. The one in force stays.
+// reject records that the driver cannot use a version. The version in force does not change.
 func (c *configuration) reject(version uint64, cause error) {
 	c.report.RejectedVersion, c.report.RejectReason = version, cause.Error()
 	c.node.Count(counterVersionsRejected)
 	slog.Warn("configuration version rejected", "version", version, "cause", cause, "in_force", c.report.Version)
 }
 
-// persist stores a version before it is applied, so that a restart does not fall back behind it. Storage that stalls delays it by
-// storeTimeout at most.
+// persist stores a version before it is applied, so that a restart does not fall back to an older one. If the storage stalls, the version
+// is applied after storeTimeout although it is not stored yet.
 func (c *configuration) persist(next *checkedVersion) {
 	if c.storage == nil {
 		c.apply(next)
@@ -164,7 +164,7 @@
 	n.applySettings()
 	n.module.ApplySettings(running)
 	c.report.NeedsRestart = append(c.report.NeedsRestart, n.applyConfig(next.operatorFile)...)
-	if drainingRuleChanged { // it decides by the endpoint list which members may be sent to
+	if drainingRuleChanged { // by this rule the endpoint list decides which members receive requests
 		n.discovery.Fetch()
 	}
 	n.Count(counterVersionsApplied)
@@ -172,7 +172,7 @@
 	c.client.Settled()
 }
 
-// applyLimits applies the limits of the driver's own file, or the published ones in their place.
+// applyLimits applies the published limits. A limit that is not published is taken from the driver's own file.
 func (c *configuration) applyLimits() {
 	site := c.node.site
 	site.Memory, site.Descriptors = c.local.memoryBytes, c.local.descriptors
@@ -185,7 +185,8 @@
 	c.node.applyLimits()
 }
 
-// reloadLocal takes over what needs no restart from the driver's own files, after a reload. A version that was rejected may go with them now.
+// reloadLocal takes over the values that need no restart from the driver's reloaded files. It clears the rejection of a version, because
+// the version may be valid with the new files.
 func (c *configuration) reloadLocal(fresh *Site, file *config.File) {
 	c.local.memoryBytes, c.local.descriptors, c.local.operatorFile = fresh.Memory, fresh.Descriptors, file
 	c.report.RejectedVersion, c.report.RejectReason = 0, ""
@@ -199,13 +200,13 @@
 	}
 }
 
-// ConfigurationStatus is what a driver reports of the published configuration. Times are in milliseconds.
+// ConfigurationStatus describes the published configuration on one driver. Times are in milliseconds.
 type ConfigurationStatus struct {
 	Version         uint64   // in force; 0: the driver's own file
 	InForceMS       int64    `json:"ForMS"` // since Version was applied
-	Machine         string   // that is polled
-	SilentMS        int64    // since any machine has answered
-	RejectedVersion uint64   `json:"Refused"` // a newer version that the driver cannot use; 0: none
+	Machine         string   // control machine that is polled
+	SilentMS        int64    // since the last answer of any control machine
+	RejectedVersion uint64   `json:"Refused"` // newer version that the driver cannot use; 0: none
 	RejectReason    string   `json:"Why"`
 	NeedsRestart    []string `json:"Restart"` // settings that take effect only after a restart
 }
@@ -227,7 +228,7 @@
 	}
 }
 
-// Configuration returns what the driver reports to control machines.
+// Configuration returns the report that the driver sends to control machines.
 func (n *Node) Configuration() rollout.DriverReport {
 	if n.configuration == nil {
 		return rollout.DriverReport{}
--- a/internal/node/configuration_check.go
+++ b/internal/node/configuration_check.go
@@ -8,7 +8,7 @@
 	"passtack/internal/settings"
 )
 
-// localConfiguration is what the driver's own files say. A published version is merged over it.
+// localConfiguration holds the values of the driver's own files, over which a published version is merged.
 type localConfiguration struct {
 	settings     map[string]string
 	operatorFile *config.File
@@ -29,7 +29,7 @@
 	limits       publishedLimits
 }
 
-// check checks a published text and merges it. It changes nothing, and may be called by a worker.
+// check parses and validates a published version and merges it over the local values. It modifies neither, so that a worker may call it.
 func (l localConfiguration) check(version uint64, text []byte) (*checkedVersion, error) {
 	published, err := settings.ParsePublished(text)
 	if err != nil {
@@ -53,7 +53,7 @@
 	}, nil
 }
 
-// CheckPublished returns why a driver with these files could not use a published configuration, or nil.
+// CheckPublished returns an error if a driver with these files could not use a published configuration.
 func CheckPublished(site *Site, file *config.File, text []byte) error {
 	_, err := newLocalConfiguration(site, file).check(0, text)
 	return err
--- a/internal/node/configuration_golden_test.go
+++ b/internal/node/configuration_golden_test.go
@@ -8,7 +8,7 @@
 	"passtack/internal/persist"
 )
 
-// storedConfiguration gives the records of a folder of published configuration.
+// storedConfiguration returns the records in a folder of published configuration.
 func storedConfiguration(t *testing.T, folder string) map[string]string {
 	t.Helper()
 	store, _, err := persist.Open(folder, "d0", maxConfigurationBytes)
@@ -21,26 +21,28 @@
 	return records
 }
 
+// TestGoldenConfigurationFolder checks that the stored records of a published version equal those of the golden folder, and that a driver
+// restores the version from there.
 func TestGoldenConfigurationFolder(t *testing.T) {
-	source, written := filepath.Join("testdata", "configuration"), t.TempDir()
+	golden, written := filepath.Join("testdata", "configuration"), t.TempDir()
 	p, c, _ := startConfiguredDriver(t, written, "")
 	c.publish(replacedMethods)
 	p.drivers[0].host.Kill()
 	p.drivers[0].node.CloseStores()
 	if *update {
-		if err := os.CopyFS(source, os.DirFS(written)); err != nil {
+		if err := os.CopyFS(golden, os.DirFS(written)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	found := t.TempDir()
-	if err := os.CopyFS(found, os.DirFS(source)); err != nil {
+	copied := t.TempDir()
+	if err := os.CopyFS(copied, os.DirFS(golden)); err != nil {
 		t.Fatal(err)
 	}
-	got, want := storedConfiguration(t, written), storedConfiguration(t, found)
+	got, want := storedConfiguration(t, written), storedConfiguration(t, copied)
 	if value := string([]byte{1, 0, 0, 0, 0, 0, 0, 0}) + replacedMethods; len(got) != 1 || len(want) != 1 || want[configurationRecord] != value || got[configurationRecord] != value {
-		t.Errorf("written %q, the golden folder has %q", got, want)
+		t.Errorf("written %q, want %q as in the golden folder", got, want)
 	}
-	p, _, _ = startConfiguredDriver(t, found, "")
+	p, _, _ = startConfiguredDriver(t, copied, "")
 	n := p.drivers[0].node
 	if n.Configuration().Version != 1 || n.Settings()["caps.attempts"] != "3" || n.Settings()["methods.0.name"] != "buy" || n.loop.MaxDescriptors() != 300-3 {
 		t.Errorf("restored %+v, %v", n.Configuration(), n.Settings())
--- a/internal/node/configuration_storage.go
+++ b/internal/node/configuration_storage.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	maxConfigurationBytes = 4 << 20                // of the folder
-	storeTimeout          = 500 * time.Millisecond // until a version is applied though it is not stored yet
-	configurationRecord   = "configuration"        // the version in 8 bytes, little endian, then the text
+	maxConfigurationBytes = 4 << 20                // size limit of the folder
+	storeTimeout          = 500 * time.Millisecond // after which a version is applied although it is not stored yet
+	configurationRecord   = "configuration"        // name of the record: the version in 8 bytes, little endian, then the text
 	versionBytes          = 8
 )
 
-// configurationStorage is the folder of the version in force.
+// configurationStorage stores the version in force in a folder.
 type configurationStorage struct {
 	store          *storage.Store
 	failureWarning logLimiter
@@ -43,13 +43,13 @@
 	return version, text, found
 }
 
-// write stores a version. It blocks, and is called by a worker.
+// write stores a version. It blocks, so only a worker may call it.
 func (s *configurationStorage) write(version uint64, text []byte) error {
 	value := append(binary.LittleEndian.AppendUint64(nil, version), text...)
 	return s.store.Commit([]storage.Change{{Name: configurationRecord, Value: value}})
 }
 
-// logFailure logs a failed write, unless one was logged a moment ago.
+// logFailure logs a failed write, at most one in logLimitInterval.
 func (s *configurationStorage) logFailure(version uint64, cause error, now time.Duration) {
 	if s.failureWarning.allow(now) {
 		slog.Warn("configuration version not stored", "version", version, "cause", cause)
--- a/internal/node/configuration_test.go
+++ b/internal/node/configuration_test.go
@@ -27,13 +27,14 @@
 	lastID  uint64
 }
 
+// simStorage stores the state of a control machine after 2 ms of simulated time.
 type simStorage struct {
 	world *sim.World
 	host  *sim.Host
 }
 
-func (d simStorage) Persist(_ server.PersistedState, then func(error)) {
-	d.world.At(d.world.Now()+2*time.Millisecond, func() { d.host.Post(func() { then(nil) }) })
+func (d simStorage) Persist(_ server.PersistedState, done func(error)) {
+	d.world.At(d.world.Now()+2*time.Millisecond, func() { d.host.Post(func() { done(nil) }) })
 }
 
 func controlAddress(n int) netip.AddrPort {
@@ -44,13 +45,13 @@
 	c := &controlMachines{fleet: p}
 	for n := range 3 {
 		h := p.world.AddHost(fmt.Sprint("control", n))
-		place := server.MachineConfig{Fleet: "shop", Name: h.Name, Listen: controlAddress(n)}
+		machineConfig := server.MachineConfig{Fleet: "shop", Name: h.Name, Listen: controlAddress(n)}
 		for o := range 3 {
 			if o != n {
-				place.Peers = append(place.Peers, server.Peer{Name: fmt.Sprint("control", o), Address: controlAddress(o)})
+				machineConfig.Peers = append(machineConfig.Peers, server.Peer{Name: fmt.Sprint("control", o), Address: controlAddress(o)})
 			}
 		}
-		s, err := server.New(p.loopOn(h), place, simStorage{p.world, h}, server.PersistedState{}, uint64(n+1))
+		s, err := server.New(p.loopOn(h), machineConfig, simStorage{p.world, h}, server.PersistedState{}, uint64(n+1))
 		if err != nil {
 			p.t.Fatal(err)
 		}
@@ -59,7 +60,7 @@
 	return c
 }
 
-// publish publishes a text as the next version, and lets a second pass.
+// publish publishes a text as the next version and simulates one second. It returns the version that is committed then.
 func (c *controlMachines) publish(text string) uint64 {
 	c.lastID++
 	for n, s := range c.servers {
@@ -72,7 +73,7 @@
 			return s.Machine().Committed().Version
 		}
 	}
-	c.fleet.t.Fatal("no machine is the writer")
+	c.fleet.t.Fatal("no control machine is the writer")
 	return 0
 }
 
@@ -86,19 +87,20 @@
 	return text + "}\n"
 }
 
-// startConfiguredDriver returns a driver that polls control machines, with three members.
-func startConfiguredDriver(t *testing.T, folder, more string) (*simulatedFleet, *controlMachines, func() *Node) {
+// startConfiguredDriver starts a driver that polls three control machines and has three members. extra is appended to its configuration
+// file. The function returned stops the driver and starts it again.
+func startConfiguredDriver(t *testing.T, folder, extra string) (*simulatedFleet, *controlMachines, func() *Node) {
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	p := &simulatedFleet{t: t, world: sim.New(5, epoch), random: pcg.New(5), answers: make(map[string]string), executions: make(map[string]int)}
 	for i := range 3 {
-		p.member(i, roleName(i == 0))
+		p.addMember(i, roleName(i == 0))
 	}
 	c := p.startControlMachines()
-	d := &simDriver{host: p.world.AddHost("d0"), at: netip.MustParseAddrPort("10.0.0.1:6543")}
+	d := &simDriver{host: p.world.AddHost("d0"), address: netip.MustParseAddrPort("10.0.0.1:6543")}
 	p.drivers = append(p.drivers, d)
 	var targets []string
 	for j, m := range p.members {
-		targets = append(targets, fmt.Sprintf(`{"uid":"s-%d","endpoint":"%s","az":"a","pod_group":0,"state":"in_service","capacity_hint":1,"boot_ms":0}`, j, m.at))
+		targets = append(targets, fmt.Sprintf(`{"uid":"s-%d","endpoint":"%s","az":"a","pod_group":0,"state":"in_service","capacity_hint":1,"boot_ms":0}`, j, m.address))
 	}
 	start := func() *Node {
 		if d.node != nil {
@@ -106,13 +108,13 @@
 			d.node.CloseStores()
 			d.host.Start()
 		}
-		site := &Site{Name: "d0", Listen: d.at, Discovery: netip.MustParseAddrPort("10.0.9.1:8500"), Seed: p.randomSeed(), Descriptors: 256, Memory: 64 << 20,
+		site := &Site{Name: "d0", Listen: d.address, Discovery: netip.MustParseAddrPort("10.0.9.1:8500"), Seed: p.randomSeed(), Descriptors: 256, Memory: 64 << 20,
 			InitialList: []byte(endpointList(1, true, targets...)), Settings: settings.Flatten(simSettings(t))}
-		wants, err := site.ParseConfig([]byte(configurationBlock(folder)+more), "d0.hcl")
+		file, err := site.ParseConfig([]byte(configurationBlock(folder)+extra), "d0.hcl")
 		if err != nil {
 			t.Fatal(err)
 		}
-		if d.node, err = On(p.loopOn(d.host), site, wants); err != nil {
+		if d.node, err = On(p.loopOn(d.host), site, file); err != nil {
 			t.Fatal(err)
 		}
 		return d.node
@@ -122,10 +124,10 @@
 	return p, c, start
 }
 
-// sendRPC sends one RPC on a connection of its own, and returns a function for its answer.
+// sendRPC sends one RPC on a connection of its own, and returns a function that returns its answer, "" while there is none.
 func (p *simulatedFleet) sendRPC(method string, deadlineMS int) (answer func() string) {
 	p.sent++
-	c := &simClient{play: p, loop: p.loopOn(p.world.AddHost(fmt.Sprint("say", p.sent))), to: p.drivers[0].at, name: "say", until: p.world.Now()}
+	c := &simClient{fleet: p, loop: p.loopOn(p.world.AddHost(fmt.Sprint("say", p.sent))), to: p.drivers[0].address, name: "say", until: p.world.Now()}
 	c.id = fmt.Sprintf("say-%d", p.sent)
 	c.loop.Defer(func() {
 		var err error
@@ -147,8 +149,8 @@
  {"name":"look","effect":"safe","points":2,"target_us":300000,"hard_limit_us":700000}],
  "family_info":{"class_read":["update","loose"]},"caps":{"most_tries":3,"max_retry_after_us":7000}},"limits":{"sockets":300}}`
 
-// A version is applied as a whole: methods, caps and limits. RPCs of removed methods that are under way are answered and later ones rejected;
-// new methods are served.
+// Methods, caps and limits of a published version are applied together. RPCs of a removed method that are in progress are answered and
+// later ones rejected; new methods are served. An empty version restores the driver's own file.
 func TestPublishedVersionIsApplied(t *testing.T) {
 	p, c, _ := startConfiguredDriver(t, "", "")
 	n := p.drivers[0].node
@@ -156,23 +158,23 @@
 		t.Fatalf("%+v, %+v", got, n.configuration.status())
 	}
 	for _, m := range p.members {
-		m.work = 500 * time.Millisecond
+		m.responseDelay = 500 * time.Millisecond
 	}
-	before := p.sendRPC("pay", 1500)
+	inFlightAnswer := p.sendRPC("pay", 1500)
 	p.advance(100 * time.Millisecond)
 	if v := c.publish(replacedMethods); v != 1 || n.Configuration().Version != 1 {
-		t.Fatalf("version %d is published, %+v in force", v, n.Configuration())
+		t.Fatalf("version %d is published, want 1; the driver reports %+v", v, n.Configuration())
 	}
-	if before() != "ok" {
-		t.Errorf("the RPC under way is answered %q", before())
+	if inFlightAnswer() != "ok" {
+		t.Errorf("the RPC in progress is answered %q, want ok", inFlightAnswer())
 	}
 	for _, m := range p.members {
-		m.work = 20 * time.Millisecond
+		m.responseDelay = 20 * time.Millisecond
 	}
-	buys, pays, looks := p.sendRPC("buy", 800), p.sendRPC("pay", 800), p.sendRPC("look", 600)
+	buyAnswer, payAnswer, lookAnswer := p.sendRPC("buy", 800), p.sendRPC("pay", 800), p.sendRPC("look", 600)
 	p.advance(time.Second)
-	if buys() != "ok" || looks() != "ok" || pays() == "ok" || pays() == "" {
-		t.Errorf("a new method is answered %q, one that stays %q, a removed one %q", buys(), looks(), pays())
+	if buyAnswer() != "ok" || lookAnswer() != "ok" || payAnswer() == "ok" || payAnswer() == "" {
+		t.Errorf("a new method is answered %q, want ok; an unchanged one %q, want ok; a removed one %q, want a rejection", buyAnswer(), lookAnswer(), payAnswer())
 	}
 	if got := n.Settings(); got["caps.attempts"] != "3" || got["caps.longest_wait"] != "7000" || got["caps.cancel"] == "" || n.rpcs.maxAttempts != 3 || n.loop.MaxDescriptors() != 300-3 {
 		t.Errorf("caps %s and %s, cancel %q, %d attempts, %d descriptors", got["caps.attempts"], got["caps.longest_wait"], got["caps.cancel"], n.rpcs.maxAttempts, n.loop.MaxDescriptors())
@@ -180,14 +182,15 @@
 	if v := c.publish(`{}`); v != 2 || n.Configuration().Version != 2 {
 		t.Fatalf("version %d, %+v", v, n.Configuration())
 	}
-	pays, buys = p.sendRPC("pay", 800), p.sendRPC("buy", 800)
+	payAnswer, buyAnswer = p.sendRPC("pay", 800), p.sendRPC("buy", 800)
 	p.advance(time.Second)
-	if pays() != "ok" || buys() == "ok" || n.loop.MaxDescriptors() != 256-3 {
-		t.Errorf("with its own file again: pay is answered %q, buy %q, %d descriptors", pays(), buys(), n.loop.MaxDescriptors())
+	if payAnswer() != "ok" || buyAnswer() == "ok" || n.loop.MaxDescriptors() != 256-3 {
+		t.Errorf("after the empty version: pay is answered %q, want ok; buy %q, want a rejection; %d descriptors", payAnswer(), buyAnswer(), n.loop.MaxDescriptors())
 	}
 }
 
-// A version that the driver cannot use is rejected as a whole, with one line. The one in force stays, and the machines are told.
+// A version that the driver cannot use is rejected as a whole, and the reason is reported to the control machines. The version in force
+// does not change.
 func TestUnusableVersionIsRejected(t *testing.T) {
 	front := `front "odata" "shop" {
   listen = "10.0.0.1:8080"
@@ -220,17 +223,17 @@
 			t.Error("a part of the rejected version is in force")
 		}
 	}
-	looks := p.sendRPC("look", 600)
+	lookAnswer := p.sendRPC("look", 600)
 	p.advance(time.Second)
-	if looks() != "ok" {
-		t.Errorf("an RPC is answered %q", looks())
+	if lookAnswer() != "ok" {
+		t.Errorf("an RPC is answered %q, want ok", lookAnswer())
 	}
 	if v := c.publish(`{"settings":{"caps":{"max_retry_after_us":8000}}}`); n.Configuration().Version != v || n.Configuration().RejectedVersion != 0 {
-		t.Errorf("the next version: %+v", n.Configuration())
+		t.Errorf("after a valid version the driver reports %+v", n.Configuration())
 	}
 }
 
-// A version that was rejected because of the operator's file is applied once the file has been changed and reloaded.
+// A version that conflicts with the operator's file is applied after the file has been corrected and reloaded.
 func TestRejectedVersionIsAppliedAfterReload(t *testing.T) {
 	front := func(method string) string {
 		return fmt.Sprintf("front \"odata\" \"shop\" {\n  listen = \"10.0.0.1:8080\"\n  set \"Items\" {\n    key = \"Id\"\n    groups = [0]\n    property \"Id\" {}\n    operation \"read\" {\n      method = %q\n"+
@@ -243,18 +246,19 @@
 		t.Fatalf("%+v", got)
 	}
 	site := *n.site
-	wants, err := config.Parse([]byte(configurationBlock("")+front("seek")), "d0.hcl", site.Listen, []config.Method{{Name: "seek", Need: "any", Idempotent: true, SoftDeadline: time.Second, MaxDeadline: time.Second}})
+	file, err := config.Parse([]byte(configurationBlock("")+front("seek")), "d0.hcl", site.Listen, []config.Method{{Name: "seek", Need: "any", Idempotent: true, SoftDeadline: time.Second, MaxDeadline: time.Second}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.drivers[0].host.Post(func() { n.reload(&site, wants, nil) })
+	p.drivers[0].host.Post(func() { n.reload(&site, file, nil) })
 	p.advance(2 * time.Second)
 	if got := n.Configuration(); got.Version != v || got.RejectedVersion != 0 {
 		t.Errorf("%+v", got)
 	}
 }
 
-// With a folder a driver restarts with the version that was in force, also without control machines; otherwise with its own file.
+// A driver with a folder restarts with the version that was in force, even if no control machine runs. Without a folder it restarts with
+// its own file.
 func TestRestartRestoresAppliedVersion(t *testing.T) {
 	for _, folder := range []string{t.TempDir(), ""} {
 		p, c, start := startConfiguredDriver(t, folder, "")
@@ -274,10 +278,10 @@
 		if folder != "" && (n.rpcs.tick != 8*time.Millisecond || n.Settings()["caps.longest_wait"] != "7000" || n.members.zones[0] != "b") {
 			t.Errorf("tick %v, %v, zones %v", n.rpcs.tick, n.Settings()["caps.longest_wait"], n.members.zones)
 		}
-		looks := p.sendRPC("look", 600)
+		lookAnswer := p.sendRPC("look", 600)
 		p.advance(3 * time.Second)
-		if looks() != "ok" {
-			t.Errorf("without control machines an RPC is answered %q", looks())
+		if lookAnswer() != "ok" {
+			t.Errorf("without control machines an RPC is answered %q, want ok", lookAnswer())
 		}
 		if s := n.configuration.status(); s.SilentMS < 2500 || n.Counted("configuration_poll_failures") == 0 {
 			t.Errorf("%+v", s)
@@ -286,7 +290,7 @@
 	}
 }
 
-// A driver serves even if the stored version cannot be used any more.
+// A stored version that is no longer valid is rejected at the start, and the driver serves with its own file.
 func TestUnusableStoredVersionIsIgnored(t *testing.T) {
 	folder := t.TempDir()
 	p, c, start := startConfiguredDriver(t, folder, "")
@@ -308,18 +312,18 @@
 	if got := n.Configuration(); got.Version != 0 || got.RejectedVersion != 9 || !strings.Contains(got.RejectReason, "settings.clases") {
 		t.Errorf("%+v", got)
 	}
-	looks := p.sendRPC("look", 600)
+	lookAnswer := p.sendRPC("look", 600)
 	p.advance(time.Second)
-	if looks() != "ok" {
-		t.Errorf("an RPC is answered %q", looks())
+	if lookAnswer() != "ok" {
+		t.Errorf("an RPC is answered %q, want ok", lookAnswer())
 	}
 	n.CloseStores()
 }
 
-// findInconsistency returns how a driver's settings differ from the version that it reports, or why they cannot be served; "": neither.
+// findInconsistency returns how a driver's settings differ from the version that it reports, or why they are invalid, or "" if they agree.
 func findInconsistency(n *Node, published map[uint64]string) string {
 	if err := settings.New(n.Settings()).Validate(); err != nil {
-		return "the settings in force cannot be served: " + err.Error()
+		return "the settings in force are invalid: " + err.Error()
 	}
 	p, err := settings.ParsePublished([]byte(published[n.Configuration().Version]))
 	if err != nil {
@@ -331,26 +335,26 @@
 	}
 	for _, path := range []string{"caps.longest_wait", "caps.attempts", "methods.count", "family_info.needs"} {
 		if n.Settings()[path] != want[path] {
-			return fmt.Sprintf("%s is %q, and version %d says %q", path, n.Settings()[path], n.Configuration().Version, want[path])
+			return fmt.Sprintf("%s is %q, version %d has %q", path, n.Settings()[path], n.Configuration().Version, want[path])
 		}
 	}
 	return ""
 }
 
-// A driver that applies a version before it checks it is detected by findInconsistency.
+// findInconsistency detects a driver that applies a version before it checks it.
 func TestApplyBeforeCheckIsDetected(t *testing.T) {
 	good, bad := `{"settings":{"caps":{"max_retry_after_us":7000}}}`, `{"settings":{"caps":{"max_retry_after_us":9000},"family_info":{"class_read":["old"]}}}`
 	for _, mutated := range []bool{false, true} {
 		_, c, _ := startConfiguredDriver(t, "", "")
 		n := c.fleet.drivers[0].node
 		published := map[uint64]string{c.publish(good): good}
-		if wrong := findInconsistency(n, published); wrong != "" {
-			t.Fatal(wrong)
+		if inconsistency := findInconsistency(n, published); inconsistency != "" {
+			t.Fatal(inconsistency)
 		}
 		if mutated { // the steps of VersionOffered and apply in the wrong order
-			all := n.Settings()
-			all["caps.longest_wait"], all["family_info.needs"] = "9000", "old"
-			n.configuration.apply(&checkedVersion{version: 2, text: []byte(bad), settings: all, operatorFile: n.config})
+			unchecked := n.Settings()
+			unchecked["caps.longest_wait"], unchecked["family_info.needs"] = "9000", "old"
+			n.configuration.apply(&checkedVersion{version: 2, text: []byte(bad), settings: unchecked, operatorFile: n.config})
 			if _, err := n.configuration.local.check(2, []byte(bad)); err != nil {
 				n.configuration.report.Version = 1
 				n.configuration.reject(2, err)
@@ -358,9 +362,9 @@
 		} else {
 			published[c.publish(bad)] = bad
 		}
-		wrong := findInconsistency(n, published)
-		if (wrong != "") != mutated {
-			t.Errorf("mutated %v: %q", mutated, wrong)
+		inconsistency := findInconsistency(n, published)
+		if (inconsistency != "") != mutated {
+			t.Errorf("mutated %v: %q", mutated, inconsistency)
 		}
 	}
 }
--- a/internal/node/connection_shard.go
+++ b/internal/node/connection_shard.go
@@ -6,19 +6,20 @@
 	"passtack/internal/membership"
 )
 
-// connectionShard bounds this driver's connections at each member by its shard of those that the member takes from all drivers.
+// connectionShard limits this driver's connections to each member to its shard of the connections that the member accepts from all
+// drivers.
 type connectionShard struct {
 	node        *Node
 	shards      *membership.Shards
-	connections int // at one member; 0: not bounded
+	connections int // limit for each member; 0: unlimited
 }
 
-// update follows the membership list.
+// update recalculates the limit from the membership list and closes connections above it.
 func (s *connectionShard) update(activeDrivers, addresses int) {
 	n, now := s.node, s.node.loop.Now()
 	s.shards.Observe(activeDrivers, addresses, now)
 	total := n.config.Membership.MemberConnections
-	if total == 0 || addresses == 0 { // without addresses it is unknown how many drivers there may be
+	if total == 0 || addresses == 0 { // the maximum number of drivers is unknown without their addresses
 		return
 	}
 	if connections := s.shards.Size(total, now); connections != s.connections {
--- a/internal/node/counters.go
+++ b/internal/node/counters.go
@@ -9,7 +9,7 @@
 	"passtack/internal/logs"
 )
 
-// telemetry is what a driver reports about itself: its counters, and its log.
+// telemetry holds the counters of a driver and its log.
 type telemetry struct {
 	counters  counters
 	lines     *logs.LineWriter
@@ -20,7 +20,7 @@
 	return telemetry{counters: make(counters), lines: new(logs.LineWriter), moduleLog: moduleLog{recent: make(map[string]bool)}}
 }
 
-// counters are events counted since the start of the process, by name.
+// counters holds the number of events since the start of the process, by name.
 type counters map[string]int
 
 // Count adds one to a counter.
--- a/internal/node/data_directory.go
+++ b/internal/node/data_directory.go
@@ -9,22 +9,22 @@
 	"passtack/internal/storage"
 )
 
-// directoryOpenTimeout is how long a data directory may take to be read before the driver starts without it.
+// directoryOpenTimeout is the longest time for reading a data directory. After it the driver starts without the directory.
 const directoryOpenTimeout = 2 * time.Second
 
-var errDiskStalled = errors.New("the disk does not respond")
+var errDiskStalled = errors.New("data directory not read in time: the disk does not respond")
 
-// dataDirectory is a folder of the operator's file, and how its faults are reported.
+// dataDirectory describes a folder named in the operator's file, and how its faults are reported.
 type dataDirectory struct {
 	path            string
 	maxSize         int    // bytes
 	unusableEvent   string // log event
-	damagedEvent    string // log event, for each file of which something could not be read
-	unusableCounter string // of starts without the directory
+	damagedEvent    string // log event for each file that could not be read completely
+	unusableCounter string // counts starts without the directory
 }
 
-// openDataDirectory opens a data directory and reports what is wrong with it. A driver serves without it too: the store is nil if the
-// directory cannot be used.
+// openDataDirectory opens a data directory and logs its faults. If the directory cannot be used, the store is nil and the driver serves
+// without it.
 func (n *Node) openDataDirectory(d dataDirectory) (*storage.Store, storage.RecoveryReport) {
 	store, report, err := n.openStore(d)
 	if err != nil {
@@ -38,7 +38,7 @@
 	return store, report
 }
 
-// openStore opens a data directory. On a real disk it does so on another goroutine, since a disk that stalls would hold up the start.
+// openStore opens a data directory. For a real disk it uses another goroutine, since a disk that stalls would block the start.
 func (n *Node) openStore(d dataDirectory) (*storage.Store, storage.RecoveryReport, error) {
 	if n.simulated {
 		return persist.Open(d.path, n.site.Name, d.maxSize)
@@ -57,7 +57,7 @@
 	case r := <-opened:
 		return r.store, r.report, r.err
 	case <-time.After(directoryOpenTimeout):
-		go func() { // nobody will use the store
+		go func() { // closes the store if the directory is opened after the timeout
 			if r := <-opened; r.err == nil {
 				r.store.Close()
 			}
@@ -66,7 +66,7 @@
 	}
 }
 
-// CloseStores releases the data directories of a driver, as the end of its process would.
+// CloseStores closes the data directories of a driver, as the end of its process would.
 func (n *Node) CloseStores() {
 	n.learned.close()
 	if n.leases != nil {
--- a/internal/node/drain_gossip.go
+++ b/internal/node/drain_gossip.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	// gossipFanout is how many other drivers a notice is sent to.
+	// gossipFanout is the number of other drivers that a notice is sent to.
 	gossipFanout = 4
-	// gossipRepeatDelay is after how long it is sent to as many once more, as datagrams may be lost.
+	// gossipRepeatDelay is the time after which a notice is sent to as many drivers a second time, because datagrams may be lost.
 	gossipRepeatDelay = 100 * time.Millisecond
 )
 
-// listedMember is a member as the endpoint list has it.
+// listedMember is a member as the endpoint list describes it.
 type listedMember struct {
 	member driver.Member
 	zone   driver.Zone
@@ -27,20 +27,20 @@
 	weight float64
 }
 
-// drainGossip notifies other drivers of members that drain, and passes their notices to the module.
+// drainGossip notifies other drivers of draining members, and passes the notices of other drivers to the module.
 type drainGossip struct {
 	node    *Node
-	drivers *membership.List // that notices are sent to
+	drivers *membership.List // recipients of notices
 	tracker *draingossip.Tracker
 	members map[draingossip.MemberID]listedMember
-	pending []draingossip.Notice // of the endpoint list that is being read
+	pending []draingossip.Notice // from the endpoint list that is being read
 }
 
 func newDrainGossip(n *Node, drivers *membership.List) *drainGossip {
 	return &drainGossip{node: n, drivers: drivers, tracker: draingossip.NewTracker(), members: make(map[draingossip.MemberID]listedMember)}
 }
 
-// memberListed takes what the endpoint list says of a member. A list that is not current may be outdated.
+// memberListed records the entry of a member on the endpoint list. If current is false, the entry may be outdated.
 func (d *drainGossip) memberListed(uid string, m listedMember, standing driver.Standing, startedAt time.Duration, current bool) {
 	id := draingossip.MemberID(xxh3.HashString(uid))
 	if standing == driver.Gone {
@@ -53,13 +53,13 @@
 	}
 }
 
-// listComplete notifies other drivers of the members that have begun to drain by the endpoint list.
+// listComplete notifies other drivers of the members that the endpoint list newly marks as draining.
 func (d *drainGossip) listComplete() {
 	d.forward(d.pending)
 	d.pending = nil
 }
 
-// forward sends notices to some other drivers, now and once more.
+// forward sends notices to gossipFanout other drivers, now and a second time after gossipRepeatDelay.
 func (d *drainGossip) forward(notices []draingossip.Notice) {
 	if len(notices) == 0 {
 		return
@@ -78,7 +78,7 @@
 	}
 }
 
-// receive passes another driver's notices to the module, as an endpoint list of these members only, and forwards what is new.
+// receive passes another driver's notices to the module, as an endpoint list of these members only, and forwards the new notices.
 func (d *drainGossip) receive(datagram []byte) {
 	notices, ok := draingossip.Decode(datagram)
 	if !ok {
@@ -100,7 +100,7 @@
 	d.forward(forwarded)
 }
 
-// applyNotices tells the module which members drain.
+// applyNotices reports draining members to the module, as changes of the endpoint list.
 func (d *drainGossip) applyNotices(notices []draingossip.Notice) {
 	if len(notices) == 0 {
 		return
--- a/internal/node/fleet_golden_test.go
+++ b/internal/node/fleet_golden_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-var updateFleetStatus = flag.Bool("update-fleet-status", false, "rewrite the golden file of the fleet's status")
+var updateFleetStatus = flag.Bool("update-fleet-status", false, "rewrite the golden file of the fleet status")
 
-// The keys of what the control endpoint tells of the fleet stay, and are read as the same fields.
+// The fleet status of the control endpoint is encoded as in the golden file, and decoded to the same fields.
 func TestGoldenFleetStatus(t *testing.T) {
 	const path = "testdata/fleet_status.json"
 	status := FleetStatus{Name: "driver-a", ActiveCount: 2, ConnectionShard: 7, InMajority: true, Checksum: 1<<63 + 5, Pauses: 1, Sent: 200, SentBytes: 30_000, Received: 190, Malformed: 3,
@@ -31,13 +31,13 @@
 		t.Fatal(err)
 	}
 	if string(want) != string(text)+"\n" {
-		t.Errorf("written as %s", text)
+		t.Errorf("encoded as %s, which differs from the golden file", text)
 	}
 	var read FleetStatus
 	if err := json.Unmarshal(want, &read); err != nil {
 		t.Fatal(err)
 	}
 	if again, _ := json.MarshalIndent(read, "", "  "); string(again) != string(text) {
-		t.Errorf("read as %+v", read)
+		t.Errorf("decoded as %+v, which is encoded differently", read)
 	}
 }
--- a/internal/node/fleet_membership.go
+++ b/internal/node/fleet_membership.go
@@ -11,7 +11,7 @@
 	"passtack/internal/peers"
 )
 
-// fleetMembership runs the driver's membership list, where the operator's file has a block view. It is the list's host.
+// fleetMembership runs the driver's membership list, if the operator's file has a block view. It implements membership.Host.
 type fleetMembership struct {
 	node        *Node
 	messenger   *messenger
@@ -23,10 +23,10 @@
 	drainGossip *drainGossip
 }
 
-// summaryInterval is how often the driver's own summary is brought up to date; a shorter probe interval shortens it.
+// summaryInterval is the time between two updates of the driver's own summary. A shorter probe interval takes its place.
 const summaryInterval = 500 * time.Millisecond
 
-// joinFleet starts the membership list, where it is wanted.
+// joinFleet starts the membership list, if the operator's file has a block view.
 func (n *Node) joinFleet() {
 	config := n.config.Membership
 	if config == nil {
@@ -46,7 +46,7 @@
 	f.scheduleWake()
 }
 
-// PeerCount is how many addresses of drivers the platform gives.
+// PeerCount returns the number of drivers' addresses in the platform's file.
 func (f *fleetMembership) PeerCount() int { return len(f.node.site.Peers) }
 
 // Send sends a datagram of the membership list.
@@ -64,13 +64,13 @@
 	}
 }
 
-// receive takes another driver's datagram of the membership list.
+// receive processes a datagram of the membership list from another driver.
 func (f *fleetMembership) receive(from driver.Peer, datagram []byte) {
 	f.list.Receive(from, datagram, f.node.loop.Clock())
 	f.scheduleWake()
 }
 
-// scheduleWake sets the timer for what the list does next.
+// scheduleWake sets the timer for the next wake time of the list.
 func (f *fleetMembership) scheduleWake() {
 	l := f.node.loop
 	l.Cancel(f.wakeTimer)
@@ -81,7 +81,7 @@
 	})
 }
 
-// updateSummary publishes how ready and how loaded this driver is, and follows its shard of connections. It comes again by itself.
+// updateSummary publishes this driver's readiness and request rate, updates its connection shard and schedules its next call.
 func (f *fleetMembership) updateSummary() {
 	n, now := f.node, f.node.loop.Now()
 	rate := f.requestRate.update(n.counters["rpcs_taken"], now)
@@ -94,7 +94,7 @@
 	n.loop.At(now+min(summaryInterval, n.config.Membership.Interval), f.updateSummary)
 }
 
-// Membership returns the driver's membership list, nil where it has none.
+// Membership returns the driver's membership list, or nil if it has none.
 func (n *Node) Membership() *membership.List {
 	if n.membership == nil {
 		return nil
@@ -102,7 +102,7 @@
 	return n.membership.list
 }
 
-// requestRate measures requests a second between two updates.
+// requestRate measures the requests per second between two updates.
 type requestRate struct {
 	counted   int
 	countedAt time.Duration
@@ -117,10 +117,10 @@
 	return rate
 }
 
-// maxStatusLines is how many changes to one status are logged within logLimitInterval.
+// maxStatusLines is the number of changes to one status that are logged within logLimitInterval.
 const maxStatusLines = 10
 
-// driverStatusLog bounds how many changes of drivers' status are logged.
+// driverStatusLog limits how many changes of drivers' status are logged.
 type driverStatusLog struct {
 	lines map[membership.Status]int
 	since time.Duration
--- a/internal/node/fleet_status.go
+++ b/internal/node/fleet_status.go
@@ -2,14 +2,14 @@
 
 import "passtack/internal/membership"
 
-// FleetStatus is a driver's membership list, as the control endpoint shows it.
+// FleetStatus is a driver's membership list, as the control endpoint reports it.
 type FleetStatus struct {
 	Name            string
 	ActiveCount     int    `json:"Living"`
-	ConnectionShard int    `json:"Part"`  // connections at one member, 0: not bounded
-	InMajority      bool   `json:"Whole"` // the shard includes what is for drivers that see a majority
+	ConnectionShard int    `json:"Part"`  // limit of connections to one member, 0: unlimited
+	InMajority      bool   `json:"Whole"` // the shard includes connections reserved for drivers that see a majority
 	Checksum        uint64 `json:"Sum"`   // equal lists have equal checksums
-	Pauses          int    `json:"Halts"` // times that the process was suspended or starved
+	Pauses          int    `json:"Halts"` // how often the process was suspended or starved
 	Sent            int    // messages
 	SentBytes       int    `json:"Bytes"`
 	Received        int    `json:"Taken"`
@@ -18,7 +18,7 @@
 	Drivers []DriverStatus `json:"All"`
 }
 
-// DriverStatus is one driver as another one sees it.
+// DriverStatus is the status of one driver as seen by another one.
 type DriverStatus struct {
 	Name         string
 	Status       string
@@ -29,7 +29,7 @@
 	StatusAgeMS  int64  `json:"ForMS"`
 	LastSeenMS   int64  `json:"HeardMS"` // how long ago
 	Ready        float64
-	RequestRate  int `json:"Load"`     // RPCs a second
+	RequestRate  int `json:"Load"`     // RPCs per second
 	ListRevision int `json:"Revision"` // of its endpoint list
 }
 
@@ -69,7 +69,7 @@
 	}
 }
 
-// controlReason returns the text that the control endpoint has for a reason: scripts of operators compare it.
+// controlReason returns the text for a reason in answers of the control endpoint. It must not change: operators' scripts compare it.
 func controlReason(reason string) string {
 	switch reason {
 	case membership.ReasonReportedBySelf:
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -25,8 +25,8 @@
 
 var update = flag.Bool("update", false, "rewrite golden files")
 
-// everyKey reads testdata/every-key.hcl for a driver whose folders are new and empty.
-func everyKey(t *testing.T, site *Site) *config.File {
+// configWithEveryKey reads testdata/every-key.hcl for a driver whose folders are new and empty.
+func configWithEveryKey(t *testing.T, site *Site) *config.File {
 	t.Helper()
 	text, err := os.ReadFile("testdata/every-key.hcl")
 	if err != nil {
@@ -45,6 +45,7 @@
 	return file
 }
 
+// everyKeySite returns the site of a driver for configWithEveryKey.
 func everyKeySite(t *testing.T) *Site {
 	return &Site{
 		Name: "n0", Listen: netip.MustParseAddrPort("10.0.0.1:6543"), Discovery: netip.MustParseAddrPort("10.0.9.1:8500"), Seed: 5,
@@ -54,9 +55,9 @@
 	}
 }
 
-// Each key of the operator's file keeps its name and meaning.
+// Each key of the operator's file is read from testdata/every-key.hcl under its own name and with its own meaning.
 func TestEveryKeyOfTheOperatorsFileIsRead(t *testing.T) {
-	f := everyKey(t, everyKeySite(t))
+	f := configWithEveryKey(t, everyKeySite(t))
 	portal, second, offices := f.Listeners[0], f.Listeners[1], f.Listeners[2]
 	applications, drafts := offices.OData.Model.Set("Applications"), offices.OData.Model.Set("Drafts")
 	version, read := applications.Property("Version"), applications.Operations[odata.Read]
@@ -131,8 +132,8 @@
 	}
 }
 
-// A driver with every key in use starts, answers the control endpoint with the keys of testdata/control-keys.txt, and stops.
-func TestADriverWithEveryKeyInUse(t *testing.T) {
+// A driver whose file uses every key starts, answers the control endpoint with the keys of testdata/control-keys.txt, and stops.
+func TestDriverWithEveryKeyInUse(t *testing.T) {
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	site := everyKeySite(t)
 	world := sim.New(1, epoch)
@@ -141,12 +142,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n, err := On(l, site, everyKey(t, site))
+	n, err := On(l, site, configWithEveryKey(t, site))
 	if err != nil {
 		t.Fatal(err)
 	}
 	host.Serve(l, func() {})
-	world.Run(epoch + 15*time.Second) // a voter has granted something by then
+	world.Run(epoch + 15*time.Second) // by then a voter has made a grant
 	checkKeys(t, n)
 	host.Post(n.shutdown.begin)
 	world.Run(epoch + 25*time.Second)
@@ -156,16 +157,17 @@
 	n.learned.saveRemaining()
 }
 
+// checkKeys compares the JSON keys of all answers of the control endpoint with testdata/control-keys.txt.
 func checkKeys(t *testing.T, n *Node) {
 	t.Helper()
 	const file = "testdata/control-keys.txt"
 	answers := n.answers()
 	var all []string
-	for _, question := range []string{"status", "leases", "fleet"} {
-		if answers[question] == nil {
-			t.Fatalf("there is no answer to %s", question)
+	for _, query := range []string{"status", "leases", "fleet"} {
+		if answers[query] == nil {
+			t.Fatalf("the control endpoint has no handler for %s", query)
 		}
-		text, err := json.Marshal(answers[question]())
+		text, err := json.Marshal(answers[query]())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -173,7 +175,7 @@
 		if err := json.Unmarshal(text, &value); err != nil {
 			t.Fatal(err)
 		}
-		all = append(all, keyPaths(question, value)...)
+		all = append(all, keyPaths(query, value)...)
 	}
 	slices.Sort(all)
 	got := strings.Join(slices.Compact(all), "\n") + "\n"
@@ -191,7 +193,7 @@
 	}
 }
 
-// keyPaths lists the paths of all keys under a value. Keys that are names of counters or drivers stand as *.
+// keyPaths returns the paths of all keys in a value. Keys that are names of counters or drivers are replaced by *.
 func keyPaths(path string, value any) (paths []string) {
 	switch v := value.(type) {
 	case map[string]any:
@@ -212,7 +214,7 @@
 	return paths
 }
 
-// The sample for a control machine keeps its keys and their meaning.
+// Each key of the sample file for a control machine is read under its own name and with its own meaning.
 func TestEveryKeyOfAControlMachinesFileIsRead(t *testing.T) {
 	m, err := config.ReadMachine("../../deploy/control.hcl")
 	if err != nil {
--- a/internal/node/idle_driver_test.go
+++ b/internal/node/idle_driver_test.go
@@ -15,7 +15,7 @@
 	"passtack/internal/settings"
 )
 
-// idleDiscovery is a connection to a discovery whose list never changes.
+// idleDiscovery is a connection to a discovery whose list never changes. It answers each call after the hold_ms of the request.
 type idleDiscovery struct {
 	loop   *loop.Loop
 	stream *loop.Stream
@@ -39,7 +39,7 @@
 	return len(in)
 }
 
-// idleDriver returns a driver without clients that watches discovery, and its host.
+// idleDriver returns a driver without clients that watches discovery, its host, and the number of calls to discovery.
 func idleDriver(t *testing.T, members int) (w *sim.World, n *Node, driver *sim.Host, calls *int) {
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	w, calls = sim.New(3, epoch), new(int)
@@ -75,46 +75,46 @@
 	return w, n, driver, calls
 }
 
-// Without clients a driver wakes for the module's ticks and for discovery's answers only, however many members there are.
+// A driver without clients wakes only for the module's ticks and for discovery's answers. The number of members makes no difference.
 func TestIdleDriverWakesRarely(t *testing.T) {
 	const minutes = 2
-	woken := make(map[int]int)
+	wakes := make(map[int]int)
 	for _, members := range []int{100, 1100} {
 		w, n, driver, calls := idleDriver(t, members)
-		w.Run(epoch + 5*time.Second) // it has recovered and has its list
-		turns, called := driver.Iterations, *calls
+		w.Run(epoch + 5*time.Second) // by then it has recovered and has its list
+		iterationsBefore, callCount := driver.Iterations, *calls
 		w.Run(epoch + 5*time.Second + minutes*time.Minute)
-		woken[members] = driver.Iterations - turns
-		t.Logf("%d members: %d wakes and %d calls for the list in %d minutes", members, woken[members], *calls-called, minutes)
-		looks := int(minutes * time.Minute / (250 * time.Millisecond)) // ticks of the module while no RPC is in service
-		if called = *calls - called; called < 40*minutes/2 || woken[members] > looks+2*called {
-			t.Errorf("%d members: %d wakes in %d minutes, with %d looks and %d calls for the list", members, woken[members], minutes, looks, called)
+		wakes[members] = driver.Iterations - iterationsBefore
+		t.Logf("%d members: %d wakes and %d calls for the list in %d minutes", members, wakes[members], *calls-callCount, minutes)
+		moduleTicks := int(minutes * time.Minute / (250 * time.Millisecond)) // ticks of the module while no RPC is in service
+		if callCount = *calls - callCount; callCount < 40*minutes/2 || wakes[members] > moduleTicks+2*callCount {
+			t.Errorf("%d members: %d wakes in %d minutes, with %d ticks of the module and %d calls for the list", members, wakes[members], minutes, moduleTicks, callCount)
 		}
 		if len(n.members.ids) != members {
-			t.Errorf("it knows %d of %d members", len(n.members.ids), members)
+			t.Errorf("the driver knows %d of %d members", len(n.members.ids), members)
 		}
 	}
-	if more := woken[1100] - woken[100]; more < -2 || more > 2 {
-		t.Errorf("%d wakes with 100 members, %d with 1100", woken[100], woken[1100])
+	if more := wakes[1100] - wakes[100]; more < -2 || more > 2 {
+		t.Errorf("%d wakes with 100 members, %d with 1100", wakes[100], wakes[1100])
 	}
 }
 
-// An idle driver that was suspended for over a second restarts its recovery, whenever between two ticks that began. A pause
-// that is shorter by the time between two ticks does not count.
-func TestIdleDriverNoticesASuspension(t *testing.T) {
+// An idle driver that was suspended for over a second restarts its recovery, at whatever time between two module ticks the
+// suspension began. A pause that is shorter by the time between two ticks does not count as a suspension.
+func TestIdleDriverDetectsSuspension(t *testing.T) {
 	for phase := time.Duration(0); phase < 250*time.Millisecond; phase += 17 * time.Millisecond {
 		w, n, driver, _ := idleDriver(t, 4)
-		from := epoch + 15*time.Second + phase
-		w.At(from, func() { driver.Pause(from + 740*time.Millisecond) })
+		pauseAt := epoch + 15*time.Second + phase
+		w.At(pauseAt, func() { driver.Pause(pauseAt + 740*time.Millisecond) })
 		w.Run(epoch + 20*time.Second)
 		if n.counters["suspensions"] != 0 {
-			t.Fatalf("%d halts after a pause of 740 ms", n.counters["suspensions"])
+			t.Fatalf("%d suspensions counted after a pause of 740 ms, want 0", n.counters["suspensions"])
 		}
-		from += 10 * time.Second
-		w.At(from, func() { driver.Pause(from + 1010*time.Millisecond) })
+		pauseAt += 10 * time.Second
+		w.At(pauseAt, func() { driver.Pause(pauseAt + 1010*time.Millisecond) })
 		w.Run(epoch + 30*time.Second)
 		if n.counters["suspensions"] != 1 {
-			t.Errorf("%d halts after a pause of 1010 ms, %v into the second", n.counters["suspensions"], phase)
+			t.Errorf("%d suspensions counted after a pause of 1010 ms that began %v into the second, want 1", n.counters["suspensions"], phase)
 		}
 	}
 }
--- a/internal/node/learned.go
+++ b/internal/node/learned.go
@@ -12,16 +12,16 @@
 	"passtack/internal/storage"
 )
 
-// keepUnlistedFor is how long after a start what is saved of members is kept that are not on the endpoint list.
+// unlistedRetention is how long after a start the saved state of members that are not on the endpoint list is retained.
 const unlistedRetention = time.Minute
 
-// learnedState saves in a folder what the driver learns and restores it at the next start. A driver without a folder has a nil
+// learnedState saves the state that the driver learns in a folder and restores it at the next start. A driver without a folder has a nil
 // *learnedState, whose methods do nothing.
 type learnedState struct {
 	node  *Node
 	store *storage.Store
 
-	restored            *persist.LearnedState // of members: what the module has not taken over yet
+	restored            *persist.LearnedState // Members holds those that have not been passed to the module yet
 	retainUnlistedUntil time.Duration
 
 	saver          *persist.Saver
@@ -31,14 +31,14 @@
 	failureWarning logLimiter
 }
 
-// savedEndpoints is what the saver has been told of the endpoint list.
+// savedEndpoints identifies the endpoint list that was last passed to the saver.
 type savedEndpoints struct {
 	version persist.ListVersion
 	uids    map[string]bool
 }
 
-// restoreLearned opens the folder of learned state, if the operator's file names one, and restores all that the module takes at its
-// start. A folder that cannot be used is reported and otherwise ignored.
+// restoreLearned opens the folder of learned state, if the operator's file names one, and restores everything that the module receives at
+// its start. A folder that cannot be used is logged and otherwise ignored.
 func (n *Node) restoreLearned() {
 	config := n.config.State
 	if config == nil {
@@ -62,7 +62,7 @@
 	l.logRestored(now, len(report.Unreadable))
 	n.discovery.OnList = l.saveEndpoints
 	l.addJobs(config.SaveInterval)
-	n.learned = l // from now on writes of sessions are saved: the restored ones are stored already
+	n.learned = l // set last: from now on writes of sessions are saved, and the restored ones are stored already
 }
 
 func (l *learnedState) logRestored(now time.Duration, unreadable int) {
@@ -73,15 +73,15 @@
 	}
 }
 
-// restoreList gives discovery the saved endpoint list, if it is of the same discovery and newer than the one that the driver was
-// started with. It may be out of date, so the complete list is fetched first.
+// restoreList passes the saved endpoint list to discovery, if it comes from the same discovery and is newer than the list that the driver
+// was started with. It may be out of date, so the complete list is requested at once.
 func (l *learnedState) restoreList() {
 	if l == nil {
 		return
 	}
 	n, r := l.node, l.restored
 	body := r.EndpointList()
-	r.Endpoints = nil // the memory is not needed any more
+	r.Endpoints = nil // frees the memory
 	if body == nil || r.ListVersion.Discovery != n.site.Discovery || r.ListVersion.Revision <= n.discovery.Revision() {
 		return
 	}
@@ -93,7 +93,7 @@
 	n.discovery.Fetch()
 }
 
-// restoreRequests gives a front the saved idempotent requests, and saves those that it finishes from now on.
+// restoreRequests passes the saved idempotent requests to a front, and saves the requests that the front completes from now on.
 func (l *learnedState) restoreRequests(front string, requests *idempotency.Registry) {
 	if l == nil {
 		return
@@ -106,7 +106,7 @@
 	}
 }
 
-// restoreMember gives the module what was saved of a member that is listed for the first time.
+// restoreMember passes the saved state of a member to the module when the member is listed for the first time.
 func (l *learnedState) restoreMember(member driver.Member, uid string) {
 	if l == nil {
 		return
@@ -117,7 +117,7 @@
 	}
 }
 
-// close releases the folder for another process.
+// close closes the folder, so that another process may use it.
 func (l *learnedState) close() {
 	if l != nil {
 		l.store.Close()
--- a/internal/node/learned_save.go
+++ b/internal/node/learned_save.go
@@ -21,15 +21,15 @@
 	expirationInterval = time.Second // of idempotent requests
 )
 
-// learnedJobs are the background jobs that others trigger or that return from a worker.
+// learnedJobs holds the background jobs that are triggered or whose slices end on a worker.
 type learnedJobs struct {
 	save, compact background.JobID
 }
 
-// memberRound is a round over the module's members in slices, by which the saver is told what is known of them.
+// memberRound is a round over the module's members in slices, in which the saver receives the learned state of each.
 type memberRound struct {
 	begun bool
-	next  int // place of the next member
+	next  int // index of the next member
 }
 
 func (l *learnedState) addJobs(saveInterval time.Duration) {
@@ -45,7 +45,7 @@
 	jobs.add(background.Job{Name: "forget-repeats", Period: expirationInterval}, l.expireRequests)
 }
 
-// saveEndpoints tells the saver what an endpoint list says. Entries of endpoints that are gone are nil.
+// saveEndpoints passes an endpoint list to the saver. Entries of endpoints that are gone are nil.
 func (l *learnedState) saveEndpoints(revision int64, complete bool, entries map[string][]byte) {
 	saved := &l.endpoints
 	if complete {
@@ -77,7 +77,7 @@
 	}
 }
 
-// saveMembers tells the saver of up to membersPerSlice more members and reports whether the round is complete.
+// saveMembers passes up to membersPerSlice more members to the saver and reports whether the round is complete.
 func (l *learnedState) saveMembers() (complete bool) {
 	n, r := l.node, &l.round
 	if !r.begun {
@@ -96,7 +96,7 @@
 	return true
 }
 
-// keepUnlisted keeps what is saved of members that are not on the endpoint list, until keepUnlistedFor is over.
+// retainUnlisted retains the saved state of members that are not on the endpoint list, until unlistedRetention is over.
 func (l *learnedState) retainUnlisted() {
 	if l.node.loop.Now() >= l.retainUnlistedUntil {
 		clear(l.restored.Members)
@@ -107,7 +107,7 @@
 	}
 }
 
-// saveSlice is a slice of the job "save": it looks for changes and lets a worker commit them.
+// saveSlice is a slice of the job "save": it collects changes and lets a worker commit them.
 func (l *learnedState) saveSlice() (background.Usage, background.Outcome) {
 	if !l.saveMembers() {
 		return background.Usage{}, background.More
@@ -116,7 +116,7 @@
 	if changes == nil {
 		return background.Usage{}, background.Done
 	}
-	compactionDue := false // only the worker asks the store: it would wait for a commit in progress
+	compactionDue := false // read from the store by the worker only: the store blocks during a commit
 	commit := func() error {
 		err := l.store.Commit(changes)
 		compactionDue = err == nil && l.store.CompactionDue()
@@ -133,7 +133,7 @@
 	return background.Usage{}, background.OnWorker
 }
 
-// size returns the bytes of the names and values of changes.
+// size returns the total length of the names and values of changes in bytes.
 func size(changes []storage.Change) (bytes int) {
 	for _, c := range changes {
 		bytes += len(c.Name) + len(c.Value)
@@ -176,7 +176,7 @@
 	slog.Warn("learned state not saved", "folder", l.node.config.State.DataDir, "cause", err)
 }
 
-// expireRequests is the job "forget-repeats": it lets the fronts forget idempotent requests whose retention is over.
+// expireRequests is the job "forget-repeats": it removes idempotent requests whose retention is over from the fronts.
 func (l *learnedState) expireRequests() (background.Usage, background.Outcome) {
 	for _, listener := range l.node.listeners.all {
 		if f, ok := listener.front.(*odatafront.Front); ok {
@@ -186,8 +186,8 @@
 	return background.Usage{}, background.Done
 }
 
-// saveRemaining commits what has changed since the last commit, once the driver does not serve any more, and closes all stores. It
-// waits no longer than workerTimeout, and not at all if a commit is still in progress: the disk does not respond.
+// saveRemaining commits the changes since the last commit, after the driver has stopped serving, and closes all stores. It waits for
+// workerTimeout at most. If a commit is still in progress, the disk does not respond, and nothing is saved or closed.
 func (l *learnedState) saveRemaining() {
 	if l == nil || l.saver.Committing() {
 		return
--- a/internal/node/learned_test.go
+++ b/internal/node/learned_test.go
@@ -9,25 +9,26 @@
 	"passtack/internal/storage"
 )
 
-// What a driver has learned is in its folder once it has ended, and restored by its next process. No other driver may use the folder meanwhile.
-func TestLearnedStateSurvivesARestart(t *testing.T) {
+// A driver that stops has saved its learned state in its folder, and its next process restores it. A second driver cannot use the folder
+// while the first one has it open.
+func TestLearnedStateSurvivesRestart(t *testing.T) {
 	folder := t.TempDir()
 	m := startFakeMember(t, respondAsLeader)
-	next := func() *Node {
+	newDriver := func() *Node {
 		return buildDriverWithConfig(t, "", 100, endpointList(1, true, endpointEntry(0, 0, m.listener.Addr(), "in_service")), testSettings, func(string) string {
 			return fmt.Sprintf("state {\n  folder = %q\n  every = \"100ms\"\n}\n", folder)
 		})
 	}
-	first := next()
+	first := newDriver()
 	if first.learned == nil || first.learned.restored.SavedAt != 0 {
-		t.Fatalf("an empty folder gives %+v", first.learned)
+		t.Fatalf("from an empty folder the driver restored %+v", first.learned)
 	}
-	if other := next(); other.learned != nil || other.counters["state_unusable"] != 1 {
-		t.Error("two drivers use one folder")
+	if other := newDriver(); other.learned != nil || other.counters["state_unusable"] != 1 {
+		t.Error("a second driver opened a folder that is in use")
 	}
 	d := runDriver(t, first)
 	if a := dialPG(t, d.address).query(t, taggedStatement("x1", "order", 1900, 0)); !strings.HasPrefix(a, "ok") {
-		t.Fatalf("it is answered by %s", a)
+		t.Fatalf("the RPC is answered %s, want ok", a)
 	}
 	d.stop()
 	directory, err := storage.OpenDirectory(folder)
@@ -40,11 +41,11 @@
 	}
 	k := persist.Restore(s).Members["s-0"]
 	if k.Position == 0 || k.Timed == 0 {
-		t.Errorf("saved of the member: %+v", k)
+		t.Errorf("saved state of the member: %+v, want a position and a latency", k)
 	}
-	second := next()
+	second := newDriver()
 	if second.learned == nil || second.learned.restored.SavedAt == 0 || len(second.learned.restored.Members) != 0 {
-		t.Errorf("the next process restores %+v", second.learned)
+		t.Errorf("the next process restored %+v", second.learned)
 	}
 	runDriver(t, second).stop()
 }
--- a/internal/node/lease_golden_test.go
+++ b/internal/node/lease_golden_test.go
@@ -20,7 +20,7 @@
 	"passtack/internal/storage"
 )
 
-// checkGolden compares what is encoded with a file of testdata, and gives the file's bytes.
+// checkGolden compares an encoded value with a file of testdata, and returns the file's bytes.
 func checkGolden(t *testing.T, name string, encoded []byte) []byte {
 	t.Helper()
 	file := filepath.Join("testdata", name)
@@ -39,7 +39,7 @@
 	return golden
 }
 
-// TestGoldenTaskDatagrams checks the bytes of the datagrams that tasks of lease holders send.
+// TestGoldenTaskDatagrams checks the bytes of the datagrams that the tasks of lease holders send.
 func TestGoldenTaskDatagrams(t *testing.T) {
 	const fleet, revision = 0x1122334455667788, 987_654_321
 	own := digest{RPCs: 1000, OK: 900, Rejected: 50, InFlight: 7, Revision: revision, ReadyPercent: 95}
@@ -62,7 +62,7 @@
 	}
 }
 
-// TestGoldenLeaseJSON checks the JSON of the status for operators and of the summary that the holder puts.
+// TestGoldenLeaseJSON checks the JSON of the status for operators and of the summary that the holder uploads.
 func TestGoldenLeaseJSON(t *testing.T) {
 	l, err := loop.NewWithSystem(sim.New(1, epoch).AddHost("n0"), 100, 0)
 	if err != nil {
@@ -99,7 +99,7 @@
 	}
 }
 
-// TestGoldenPromises checks that promises which a voter stored earlier are read as they were.
+// TestGoldenPromises checks that promises that a voter of an earlier release stored are restored unchanged.
 func TestGoldenPromises(t *testing.T) {
 	const name = "n0"
 	want := map[string]lease.Promise{"summary": {FencingToken: 1_700_000_000_456, VoterSetVersion: 2}, "watch-discovery": {FencingToken: 1_700_000_000_123, VoterSetVersion: 1}}
@@ -125,7 +125,7 @@
 	}
 	store, found, err := persist.Open(folder, name, maxPromiseStorage)
 	if err != nil || len(found.Unreadable) > 0 {
-		t.Fatalf("%v, lost %v", err, found.Unreadable)
+		t.Fatalf("the golden folder is opened with error %v, unreadable files %v", err, found.Unreadable)
 	}
 	defer store.Close()
 	if got := persist.RestorePromises(store); !maps.Equal(got, want) {
--- a/internal/node/lease_hello.go
+++ b/internal/node/lease_hello.go
@@ -9,7 +9,7 @@
 	"passtack/internal/peers"
 )
 
-// Between two Hellos; the interval doubles while the address of a voter is unknown.
+// Bounds of the interval between two Hellos, which doubles while the address of a voter is unknown.
 const (
 	minHelloInterval = time.Second
 	maxHelloInterval = 8 * time.Second
@@ -18,8 +18,8 @@
 // helloAnswer is the body of a Hello that answers another.
 var helloAnswer = []byte{1}
 
-// sendHello greets all drivers while the address of a voter is unknown: voters answer, and so their addresses become known. A voter that
-// has just started greets them as well, since another process may vote under its name.
+// sendHello sends a Hello to all drivers while the address of a voter is unknown: voters answer, and so their addresses become known. A
+// voter that has just started sends it too, since another process may vote under its name.
 func (s *leaseService) sendHello() {
 	n := s.node
 	addressMissing := slices.ContainsFunc(s.config.VoterSet().All(), func(voter lease.Node) bool {
@@ -36,7 +36,7 @@
 	n.loop.At(n.loop.Now()+s.helloInterval, s.sendHello)
 }
 
-// handleHello answers a Hello of a known driver, if this one is a voter. An answer is not answered.
+// handleHello answers a Hello from a known driver, if this driver is a voter. A Hello that is itself an answer gets none.
 func (s *leaseService) handleHello(from lease.Node, m peers.Message) {
 	if _, known := s.messenger.addresses.Address(uint64(from)); known && s.voter.IsVoter() && len(m.Body) == 0 {
 		s.sendTo(from, peers.Hello, helloAnswer)
--- a/internal/node/lease_promises.go
+++ b/internal/node/lease_promises.go
@@ -12,13 +12,13 @@
 
 const maxPromiseStorage = 1 << 20 // bytes
 
-// promiseStorage stores a voter's promises. Promises that come while others are being written go into one commit.
+// promiseStorage stores a voter's promises. Promises that arrive during a commit are written together by the next one.
 type promiseStorage struct {
 	node           *Node
 	directory      string
 	store          *storage.Store
 	pending        []pendingPromise // not stored yet, oldest first
-	writing        int              // of pending, the first ones
+	writing        int              // number of promises at the start of pending that are being committed
 	afterCommit    func()
 	failureWarning logLimiter
 }
@@ -29,9 +29,9 @@
 	done    func(error)
 }
 
-// openPromises opens the storage and reads the promises in it. Without a directory, or where the storage cannot be used, it returns nil:
-// the voter may do without, since it grants nothing after a start until all earlier grants have expired. AfterCommit is called behind each
-// commit.
+// openPromises opens the storage and reads the promises in it. Without a directory, or if the storage cannot be used, it returns nil. The
+// voter may run without storage, since it grants nothing after a start until all earlier grants have expired. afterCommit is called after
+// each commit.
 func (n *Node) openPromises(directory string, afterCommit func()) (*promiseStorage, map[string]lease.Promise) {
 	if directory == "" {
 		return nil, nil
@@ -52,7 +52,7 @@
 	s.commit()
 }
 
-// commit writes all that is pending, unless a commit is running; that one is followed by another.
+// commit writes all pending promises. If a commit is in progress, they are written when it has ended.
 func (s *promiseStorage) commit() {
 	if s.writing > 0 || len(s.pending) == 0 {
 		return
@@ -81,7 +81,7 @@
 	s.afterCommit()
 }
 
-// close releases the directory for another process. The receiver may be nil.
+// close closes the directory, so that another process may use it. The receiver may be nil.
 func (s *promiseStorage) close() {
 	if s != nil {
 		s.store.Close()
--- a/internal/node/lease_service.go
+++ b/internal/node/lease_service.go
@@ -11,8 +11,8 @@
 	"passtack/internal/peers"
 )
 
-// leaseService is the driver's part in the leases of its fleet: it votes where the operator's file names it as a voter, and is a candidate
-// for the lease of each task.
+// leaseService takes part in the leases of the fleet: it votes if the operator's file names this driver as a voter, and is a candidate for
+// the lease of each task.
 type leaseService struct {
 	node        *Node
 	messenger   *messenger
@@ -26,7 +26,7 @@
 	helloInterval time.Duration
 }
 
-// candidacy is a candidate with the task that it does while it holds the lease.
+// candidacy is a candidate with the task that runs while it holds the lease.
 type candidacy struct {
 	*lease.Candidate
 	name string // of the lease and its task
@@ -37,15 +37,15 @@
 type leaseTask interface {
 	// acquired starts the work.
 	acquired()
-	// lost ends it.
+	// lost stops the work.
 	lost()
-	// receive takes a message between drivers that is neither a Hello nor about a lease. It may be for another task.
+	// receive processes a message from another driver that is neither a Hello nor a lease message. It may be for another task.
 	receive(from lease.Node, m peers.Message)
-	// status returns a struct for operators, encoded as JSON.
+	// status returns a struct for operators, which is encoded as JSON.
 	status() any
 }
 
-// startLeases starts to vote and to campaign, where the operator's file asks for leases.
+// startLeases starts voting and campaigning, if the operator's file asks for leases.
 func (n *Node) startLeases() {
 	config := n.config.Leases
 	if config == nil {
@@ -76,11 +76,11 @@
 	return newSummaryTask(s, candidate, t)
 }
 
-// clock is the time of this moment. The time of the loop's iteration may be older, by as long as the iteration was held up, and a promise
-// or a hold must not be counted from it.
+// clock returns the current time. The time of the loop's iteration is older by as long as the iteration has been delayed, so neither a
+// promise nor a held lease may be timed by it.
 func (s *leaseService) clock() time.Duration { return s.node.loop.Clock() }
 
-// handleMessage takes a message of any kind that is not for membership or drain gossip.
+// handleMessage processes a message of any kind other than membership and drain gossip.
 func (s *leaseService) handleMessage(m peers.Message) {
 	from := lease.Node(m.From)
 	switch m.Kind {
@@ -156,7 +156,7 @@
 	return s.candidacies[i].task
 }
 
-// schedule wakes the candidates when the first of them has something to do.
+// schedule sets the timer for the earliest wake time of all candidates.
 func (s *leaseService) schedule() {
 	l := s.node.loop
 	l.Cancel(s.wakeTimer)
@@ -192,7 +192,7 @@
 	s.schedule()
 }
 
-// resign gives all leases back, before the driver stops.
+// resign releases all leases, before the driver stops.
 func (s *leaseService) resign() {
 	for _, c := range s.candidacies {
 		c.Resign(s.clock())
--- a/internal/node/lease_status.go
+++ b/internal/node/lease_status.go
@@ -7,14 +7,14 @@
 	"passtack/internal/lease"
 )
 
-// LeasesStatus is what a driver reports of leases. Drivers are named where it knows their names: voters and itself. Times are in
-// milliseconds.
+// LeasesStatus is the state of the leases as one driver sees it. Voters and this driver appear by name, other drivers by number. Times are
+// in milliseconds.
 type LeasesStatus struct {
 	Name        string   // of the driver
 	Version     uint32   // of the set of voters
 	Voters      []string // by name
-	Former      []string // in a joint set, the voters before
-	SilentForMS int64    `json:"SilentMS"` // for which this voter still grants nothing
+	Former      []string // in a joint set, the previous voters
+	SilentForMS int64    `json:"SilentMS"` // how much longer this voter grants nothing
 	Leases      []LeaseStatus
 	Grants      []GrantStatus `json:"Votes"` // of this voter
 }
@@ -27,11 +27,11 @@
 	HeldForMS        int64             `json:"ForMS"`
 	RemainingMS      int64             `json:"LeftMS"`
 	RejectionReasons map[string]string `json:"Why"`   // by voter
-	LastHeardMS      map[string]int64  `json:"Heard"` // by voter, how long ago it was heard
+	LastHeardMS      map[string]int64  `json:"Heard"` // by voter, time since its last message
 	Task             any               // DiscoveryWatcherStatus or SummaryTaskStatus
 }
 
-// GrantStatus is what this voter has granted of one lease.
+// GrantStatus is the grant of this voter for one lease.
 type GrantStatus struct {
 	Lease        string
 	Holder       string // "": the lease is not granted
@@ -74,7 +74,7 @@
 	return status
 }
 
-// driverName returns the name of a voter or of this driver, the number of any other and "" for none.
+// driverName returns the name of a voter or of this driver, "" for no driver, and the number of any other in hexadecimal.
 func (s *leaseService) driverName(node lease.Node) string {
 	for _, name := range slices.Concat(s.config.Voters, s.config.FormerVoters, []string{s.node.site.Name}) {
 		if lease.NodeOf(name) == node {
--- a/internal/node/log_limiter.go
+++ b/internal/node/log_limiter.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// logLimitInterval is the pause after a log line that a logLimiter lets pass.
+// logLimitInterval is the time for which a logLimiter suppresses log lines after one that it allowed.
 const logLimitInterval = 5 * time.Second
 
-// logLimiter lets one log line pass in logLimitInterval. The zero value lets the first one pass.
+// logLimiter allows one log line in logLimitInterval. The zero value allows the first line.
 type logLimiter struct{ mutedUntil time.Duration }
 
 func (l *logLimiter) allow(now time.Duration) bool {
--- a/internal/node/messenger.go
+++ b/internal/node/messenger.go
@@ -10,8 +10,8 @@
 	"passtack/internal/peers"
 )
 
-// messenger exchanges messages with the other drivers of the fleet. It passes what it receives to the fleet's membership, to the gossip
-// about draining members and to leases.
+// messenger exchanges messages with the other drivers of the fleet. It passes received messages to the fleet's membership, to the gossip
+// about draining members and to the leases.
 type messenger struct {
 	node                 *Node
 	fleet                uint64 // xxh3 of the fleet's name
@@ -21,7 +21,7 @@
 	duplicateNameWarning logLimiter
 }
 
-// startMessaging starts the messenger and what uses it, where the operator's file asks for leases or membership.
+// startMessaging starts the messenger and the parts that use it, if the operator's file asks for leases or membership.
 func (n *Node) startMessaging() error {
 	fleet := ""
 	if n.config.Leases != nil {
@@ -32,7 +32,7 @@
 		return nil
 	}
 	if n.peers == nil {
-		return errors.New("leases, view: the platform gives no peer_listen, so that drivers cannot exchange messages")
+		return errors.New("leases, view: the platform's file has no peer_listen, which drivers need to exchange messages")
 	}
 	n.messenger = &messenger{
 		node: n, fleet: xxh3.HashString(fleet), self: xxh3.HashString(n.site.Name), incarnation: uint64(n.loop.Clock()),
@@ -43,14 +43,14 @@
 	return nil
 }
 
-// send sends a message to one driver, or to all where the receiver is driver.EveryPeer.
+// send sends a message to one driver, or to all drivers if to is driver.EveryPeer.
 func (m *messenger) send(to driver.Peer, kind peers.Kind, body []byte) {
 	m.node.Count("peer_messages_sent")
 	m.node.sendPeerMessage(to, peers.Message{Kind: kind, From: m.self, Incarnation: m.incarnation, Body: body}.Encode(m.fleet))
 }
 
-// receive takes a datagram of another driver. It reports false where that is no message of a messenger; the datagram is for the decision
-// module then.
+// receive processes a datagram from another driver. It returns false if the datagram is not a message of a messenger and is therefore for
+// the decision module.
 func (m *messenger) receive(from driver.Peer, datagram []byte) bool {
 	n := m.node
 	message, err := peers.ParseMessage(datagram, m.fleet)
--- a/internal/node/modulelog.go
+++ b/internal/node/modulelog.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// moduleLogInterval is the time within which an equal line of the module is logged once.
+// moduleLogInterval is the time within which equal lines of the module are logged only once.
 const moduleLogInterval = 5 * time.Second
 
-// moduleLog logs what the decision module reports and suppresses repetitions: a member whose role alternates would fill the log.
+// moduleLog logs the lines of the decision module and suppresses repetitions, as a member whose role alternates would fill the log.
 type moduleLog struct {
-	recent map[string]bool // lines logged in this interval
-	since  time.Duration   // when the interval began
+	recent map[string]bool // lines logged in the current interval
+	since  time.Duration   // start of the current interval
 }
 
-// write logs a line and reports whether it was one that this interval had not seen.
+// write logs a line unless it was already logged in the current interval, and reports whether it was logged.
 func (m *moduleLog) write(line string, now time.Duration) (logged bool) {
 	if now-m.since > moduleLogInterval {
 		clear(m.recent)
--- a/internal/node/recovery.go
+++ b/internal/node/recovery.go
@@ -7,7 +7,7 @@
 	"passtack/internal/recovery"
 )
 
-// recoveryCheckInterval is the time between two checks how far a driver has recovered.
+// recoveryCheckInterval is the time between two checks of the recovery stage.
 const recoveryCheckInterval = 50 * time.Millisecond
 
 // recoveryMonitor advances the driver's recovery stage after a start or after the process was suspended.
@@ -21,14 +21,14 @@
 	return recoveryMonitor{Tracker: recovery.NewTracker(n.loop.Now()), node: n}
 }
 
-// check advances the stage, and lets listeners return connections that others need.
+// check advances the stage, and lets listeners close borrowed connections that other listeners need.
 func (r *recoveryMonitor) check() {
 	n := r.node
 	now := n.loop.Now()
 	r.nextCheck = now + recoveryCheckInterval
 	if r.Check(now, n.members.waitingAttempts()) {
 		stage := r.Stage()
-		if stage == recovery.AwaitingList { // the process was suspended, and what it knows is old
+		if stage == recovery.AwaitingList { // the process was suspended, and its endpoint list is out of date
 			n.Count("suspensions")
 			n.discovery.Fetch()
 		}
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -11,7 +11,7 @@
 	odatafront "passtack/internal/front/odata"
 )
 
-// reload applies what the files say now, as far as that needs no restart.
+// reload applies the reloaded files as far as possible without a restart.
 func (n *Node) reload(fresh *Site, cfg *config.File, err error) {
 	if err != nil {
 		n.Count("reloads_failed")
@@ -33,7 +33,7 @@
 		"needs_restart", strings.Join(restart, ","))
 }
 
-// reloadSite applies the site's file, and returns what in it needs a restart.
+// reloadSite applies the platform's file and returns the changed parts of it that need a restart.
 func (n *Node) reloadSite(fresh *Site) (restart []string) {
 	s := n.site
 	settings := s.Settings
@@ -59,7 +59,7 @@
 	return restart
 }
 
-// applyConfig applies another version of the operator's file, and returns what in it needs a restart.
+// applyConfig applies another version of the operator's file and returns the changed parts of it that need a restart.
 func (n *Node) applyConfig(cfg *config.File) (restart []string) {
 	n.lines.Level.Set(cfg.LogLevel)
 	n.lines.RateLimit.Store(cfg.LogSample)
@@ -88,7 +88,7 @@
 	return append(restart, n.listeners.applyConfig(cfg.Listeners)...)
 }
 
-// applyConfig applies what the operator's file says of listeners, and names those that need a restart.
+// applyConfig applies the listeners of the operator's file and returns those that need a restart.
 func (s *listenerSet) applyConfig(listeners []*config.Listener) (restart []string) {
 	inForce := s.node.config.Listeners
 	for _, f := range listeners {
@@ -109,12 +109,12 @@
 	return restart
 }
 
-// sameTopology reports whether two files have as many listeners and the same members.
+// sameTopology reports whether two files have the same number of listeners and the same settings for members.
 func sameTopology(a, b *config.File) bool {
 	return len(a.Listeners) == len(b.Listeners) && a.MemberRoot == b.MemberRoot && a.MemberHost == b.MemberHost && maps.Equal(a.Forms, b.Forms)
 }
 
-// equalBlocks reports whether two optional blocks of a file are the same.
+// equalBlocks reports whether two optional blocks of a file are equal.
 func equalBlocks[T comparable](a, b *T) bool {
 	if a == nil || b == nil {
 		return a == b
@@ -122,7 +122,7 @@
 	return *a == *b
 }
 
-// leasesNeedRestart reports whether two blocks for leases differ in more than the set of voters.
+// leasesNeedRestart reports whether two blocks for leases differ in anything but the set of voters.
 func leasesNeedRestart(a, b *config.Leases) bool {
 	if a == nil || b == nil {
 		return a != b
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -2,7 +2,7 @@
 
 import "runtime/debug"
 
-// applyLimits makes the event loop and the runtime follow the site's limits.
+// applyLimits applies the site's limits to the event loop and the Go runtime.
 func (n *Node) applyLimits() {
 	n.loop.SetLimits(n.site.Descriptors, int(n.site.Memory/bufferFraction))
 	if !n.simulated {
@@ -10,7 +10,7 @@
 	}
 }
 
-// applySettings makes all parts of the driver but the module follow the site's settings.
+// applySettings applies the site's settings to all parts of the driver except the module.
 func (n *Node) applySettings() {
 	n.rpcs.applySettings(n.site)
 	n.members.applySettings(n.site)
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -8,21 +8,21 @@
 )
 
 const (
-	shutdownCheckInterval = 20 * time.Millisecond  // between two checks whether a graceful shutdown is complete
-	earlyCloseIdle        = 700 * time.Millisecond // a connection that has been idle for so long is closed before its phase
+	shutdownCheckInterval = 20 * time.Millisecond  // between two checks of whether a graceful shutdown is complete
+	earlyCloseIdle        = 700 * time.Millisecond // time without a request after which a connection is closed before its phase
 )
 
-// gracefulShutdown stops the driver by a plan in phases: listeners are closed, then connections between two requests, and at
-// last each RPC is answered.
+// gracefulShutdown stops the driver by a plan in phases: listeners are closed, then connections between two requests, and
+// finally each RPC gets its answer.
 type gracefulShutdown struct {
 	node      *Node
 	begun     bool
 	plan      shutdown.Plan
 	startedAt time.Duration
-	phase     shutdown.Phase // that was logged last
+	phase     shutdown.Phase // the last one that was logged
 }
 
-// begin starts the shutdown. The signal for it may have been sent at any time since the iteration of the loop before this one.
+// begin starts the shutdown. Its signal may have been sent at any time since the previous iteration of the loop.
 func (s *gracefulShutdown) begin() {
 	if s.begun {
 		return
@@ -41,8 +41,8 @@
 	s.advance()
 }
 
-// advance does what the current phase requires until no client is left. It schedules its next call first, so that a panic
-// does not end the shutdown.
+// advance carries out the current phase and stops the loop once no client is left. It schedules its next call first, so that a
+// panic does not end the shutdown.
 func (s *gracefulShutdown) advance() {
 	n := s.node
 	now := n.loop.Now()
@@ -74,7 +74,7 @@
 		"clients", n.listeners.openClients())
 }
 
-// bound limits the deadline of an RPC that has just been read to the end of a shutdown under way, and reports whether the RPC
+// bound limits the deadline of an RPC that has just been read to the end of a shutdown in progress, and reports whether the RPC
 // may still be sent to a member.
 func (s *gracefulShutdown) bound(deadline time.Duration) (bounded time.Duration, accepts bool) {
 	if !s.begun {
--- a/internal/node/signals.go
+++ b/internal/node/signals.go
@@ -10,38 +10,38 @@
 	"passtack/internal/loop"
 )
 
-// signals receives the process's signals. Each kind has a channel of its own, so that none is lost behind others; several of
-// one kind in a row count as one, as they do in the system.
+// signals receives the process's signals. Each kind has a channel of its own, so that signals of one kind do not displace those
+// of another. Several signals of one kind in a row count as one, as in the operating system.
 type signals struct {
 	loop             *loop.Loop
 	terminate        chan os.Signal
 	reload           chan os.Signal
-	print            chan os.Signal
+	counters         chan os.Signal
 	terminatePending atomic.Bool
-	printPending     atomic.Bool
+	countersPending  atomic.Bool
 	reloadPending    atomic.Bool
-	reloadRequests   chan Site              // whose files are to be read again
-	reloadResult     atomic.Pointer[func()] // what the loop is to do with the latest files
+	reloadRequests   chan Site              // sites whose files are to be read again
+	reloadResult     atomic.Pointer[func()] // called by the loop to apply the latest files
 }
 
-// watchSignals receives signals from now on. It must be called before the first socket listens: a signal's default action
-// would end the driver, and what clients have sent to it would be lost.
+// watchSignals starts receiving signals. It must be called before the first socket listens: a signal's default action would
+// end the driver, and requests that clients have already sent would be lost.
 func watchSignals(l *loop.Loop) *signals {
 	s := &signals{
-		loop: l, terminate: make(chan os.Signal, 1), reload: make(chan os.Signal, 1), print: make(chan os.Signal, 1),
+		loop: l, terminate: make(chan os.Signal, 1), reload: make(chan os.Signal, 1), counters: make(chan os.Signal, 1),
 		reloadRequests: make(chan Site, 1),
 	}
 	signal.Notify(s.terminate, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(s.reload, syscall.SIGHUP)
-	signal.Notify(s.print, syscall.SIGUSR1)
+	signal.Notify(s.counters, syscall.SIGUSR1)
 	signal.Ignore(syscall.SIGPIPE) // the reader of the log may have exited
 	return s
 }
 
-// forward passes the signals on to the loop. Files are read by one goroutine of their own, one reload after the other, so
-// that the latest result is of the latest files.
+// forward passes the signals on to the loop. A goroutine of its own reads the files, one reload after the other, so that the
+// latest result comes from the latest files.
 func (s *signals) forward(read func(Site) func()) {
-	for from, to := range map[chan os.Signal]*atomic.Bool{s.terminate: &s.terminatePending, s.reload: &s.reloadPending, s.print: &s.printPending} {
+	for from, to := range map[chan os.Signal]*atomic.Bool{s.terminate: &s.terminatePending, s.reload: &s.reloadPending, s.counters: &s.countersPending} {
 		go func() {
 			for range from {
 				to.Store(true)
@@ -58,7 +58,7 @@
 	}()
 }
 
-// requestReload has the files read again. A request that has not begun is replaced by this one.
+// requestReload requests that the files are read again. It replaces a request that has not been started.
 func (s *signals) requestReload(site Site) {
 	select {
 	case <-s.reloadRequests:
@@ -67,13 +67,13 @@
 	s.reloadRequests <- site
 }
 
-// handleSignals does what signals have asked for since its last call.
+// handleSignals handles the signals received since its last call, and applies reloaded files.
 func (n *Node) handleSignals() {
 	s := n.signals
 	if s.terminatePending.Swap(false) {
 		n.shutdown.begin()
 	}
-	if s.printPending.Swap(false) {
+	if s.countersPending.Swap(false) {
 		n.logCounters()
 	}
 	if s.reloadPending.Swap(false) {
@@ -84,7 +84,7 @@
 	}
 }
 
-// reread reads the driver's files again and returns what the loop is to do with them. It runs outside of the loop.
+// reread reads the driver's files again and returns a function by which the loop applies them. It runs outside of the loop.
 func (n *Node) reread(site Site) (apply func()) {
 	fresh, siteErr := site.reread()
 	cfg, cfgErr := site.ReadConfig()
--- a/internal/node/simulated_fleet_test.go
+++ b/internal/node/simulated_fleet_test.go
@@ -23,35 +23,37 @@
 
 const epoch = 1767225600 * time.Second
 
+// simulatedFleet is a set of drivers, members and clients in one simulated network, with a timeline of their requests.
 type simulatedFleet struct {
-	t                testing.TB
-	world            *sim.World
-	random           *pcg.Source
-	timeline         strings.Builder
-	members          []*simMember
-	drivers          []*simDriver
-	answers          map[string]string // by id
-	executions       map[string]int    // attempts that members have run, by id
-	sent             int
-	callsAfterAnswer int
+	t                   testing.TB
+	world               *sim.World
+	random              *pcg.Source
+	timeline            strings.Builder
+	members             []*simMember
+	drivers             []*simDriver
+	answers             map[string]string // what clients received, by RPC id
+	executions          map[string]int    // attempts that members have run, by RPC id
+	sent                int               // RPCs
+	attemptsAfterAnswer int               // received by members although the client already had its answer
 }
 
 type simMember struct {
-	play *simulatedFleet
-	host *sim.Host
-	at   netip.AddrPort
-	role string
-	loop *loop.Loop
-	work time.Duration
+	fleet         *simulatedFleet
+	host          *sim.Host
+	address       netip.AddrPort
+	role          string
+	loop          *loop.Loop
+	responseDelay time.Duration // to which up to 10 ms are added at random
 }
 
 type simDriver struct {
-	host *sim.Host
-	at   netip.AddrPort
-	node *Node
+	host    *sim.Host
+	address netip.AddrPort
+	node    *Node
 }
 
-func (p *simulatedFleet) note(format string, args ...any) {
+// record adds a line to the timeline.
+func (p *simulatedFleet) record(format string, args ...any) {
 	fmt.Fprintf(&p.timeline, "%v %s\n", p.world.Now()-epoch, fmt.Sprintf(format, args...))
 }
 
@@ -64,28 +66,28 @@
 	return l
 }
 
-func (p *simulatedFleet) member(i int, role string) {
-	m := &simMember{play: p, host: p.world.AddHost(fmt.Sprint("m", i)), at: netip.MustParseAddrPort(fmt.Sprintf("10.0.1.%d:5432", i+1)), role: role}
-	m.work = 20 * time.Millisecond
+func (p *simulatedFleet) addMember(i int, role string) {
+	m := &simMember{fleet: p, host: p.world.AddHost(fmt.Sprint("m", i)), address: netip.MustParseAddrPort(fmt.Sprintf("10.0.1.%d:5432", i+1)), role: role}
+	m.responseDelay = 20 * time.Millisecond
 	m.start()
 	p.members = append(p.members, m)
 }
 
 func (m *simMember) start() {
-	m.loop = m.play.loopOn(m.host)
-	if _, err := m.loop.Listen(m.at, 1<<20, loop.AcceptLimiter{}, func(open func(loop.Handler) *loop.Stream) {
+	m.loop = m.fleet.loopOn(m.host)
+	if _, err := m.loop.Listen(m.address, 1<<20, loop.AcceptLimiter{}, func(open func(loop.Handler) *loop.Stream) {
 		c := &simMemberConn{member: m}
 		c.stream = open(c)
 	}, func(bool) {}); err != nil {
-		m.play.t.Fatal(err)
+		m.fleet.t.Fatal(err)
 	}
 }
 
-// simMemberConn is one connection of a member.
+// simMemberConn is a driver's connection to a member.
 type simMemberConn struct {
 	member *simMember
 	stream *loop.Stream
-	began  bool
+	began  bool // the startup message was received
 }
 
 func (c *simMemberConn) Opened()          {}
@@ -108,36 +110,37 @@
 	}
 	text := string(body[:len(body)-1])
 	id, write := field(text, "id"), strings.Contains(text, "INSERT")
-	m.play.note("%s gets %s", m.host.Name, id)
-	if m.play.answers[id] != "" {
-		m.play.callsAfterAnswer++
+	m.fleet.record("%s receives %s", m.host.Name, id)
+	if m.fleet.answers[id] != "" {
+		m.fleet.attemptsAfterAnswer++
 	}
 	answer := func() {
 		out := appendSimReport(rowResponse("value of "+id), m)
 		if write && m.role != "leader" {
 			out = appendSimReport(pgwire.AppendError(nil, false, "25006", "no", -1), m)
 		} else {
-			m.play.executions[id]++
+			m.fleet.executions[id]++
 		}
 		c.stream.Send(pgwire.AppendReady(out))
 	}
-	m.loop.At(m.loop.Now()+m.work+time.Duration(m.play.random.Below(10))*time.Millisecond, answer)
+	m.loop.At(m.loop.Now()+m.responseDelay+time.Duration(m.fleet.random.Below(10))*time.Millisecond, answer)
 	return size
 }
 
+// appendSimReport appends a member's load report: its role and its replay position.
 func appendSimReport(out []byte, m *simMember) []byte {
 	out = pgwire.AppendParameter(out, "node_role", m.role)
 	return pgwire.AppendParameter(out, "replay_position", strconv.FormatInt(int64(m.loop.Now()/time.Millisecond), 10))
 }
 
-func (p *simulatedFleet) driver(i int) {
-	d := &simDriver{host: p.world.AddHost(fmt.Sprint("d", i)), at: netip.MustParseAddrPort(fmt.Sprintf("10.0.0.%d:6543", i+1))}
+func (p *simulatedFleet) addDriver(i int) {
+	d := &simDriver{host: p.world.AddHost(fmt.Sprint("d", i)), address: netip.MustParseAddrPort(fmt.Sprintf("10.0.0.%d:6543", i+1))}
 	var targets []string
 	for j, m := range p.members {
-		targets = append(targets, fmt.Sprintf(`{"uid":"s-%d","endpoint":"%s","az":"a","pod_group":0,"state":"in_service","capacity_hint":1,"boot_ms":0}`, j, m.at))
+		targets = append(targets, fmt.Sprintf(`{"uid":"s-%d","endpoint":"%s","az":"a","pod_group":0,"state":"in_service","capacity_hint":1,"boot_ms":0}`, j, m.address))
 	}
 	site := &Site{
-		Name: d.host.Name, Listen: d.at, Discovery: netip.MustParseAddrPort("10.0.9.1:8500"), Seed: p.randomSeed(), Descriptors: 256, Memory: 64 << 20,
+		Name: d.host.Name, Listen: d.address, Discovery: netip.MustParseAddrPort("10.0.9.1:8500"), Seed: p.randomSeed(), Descriptors: 256, Memory: 64 << 20,
 		InitialList: []byte(endpointList(1, true, targets...)), Settings: settings.Flatten(simSettings(p.t)),
 	}
 	n, err := On(p.loopOn(d.host), site, config.Default())
@@ -152,20 +155,20 @@
 	return uint64(p.random.Uint32())<<32 | uint64(p.random.Uint32())
 }
 
-// simClient sends one RPC after the other, on one connection for as long as that is open.
+// simClient sends one RPC after the other, on one connection as long as it stays open.
 type simClient struct {
-	play     *simulatedFleet
+	fleet    *simulatedFleet
 	loop     *loop.Loop
 	to       netip.AddrPort
 	name     string
 	stream   *loop.Stream
 	requests int
-	id       string
-	until    time.Duration
+	id       string        // of the current RPC
+	until    time.Duration // after this time no RPC is sent
 }
 
-func (p *simulatedFleet) client(i int, to netip.AddrPort, until time.Duration) {
-	c := &simClient{play: p, loop: p.loopOn(p.world.AddHost(fmt.Sprint("c", i))), to: to, name: fmt.Sprint("c", i), until: until}
+func (p *simulatedFleet) addClient(i int, to netip.AddrPort, until time.Duration) {
+	c := &simClient{fleet: p, loop: p.loopOn(p.world.AddHost(fmt.Sprint("c", i))), to: to, name: fmt.Sprint("c", i), until: until}
 	c.loop.Defer(c.connect)
 }
 
@@ -175,7 +178,7 @@
 	}
 	var err error
 	if c.stream, err = c.loop.Dial(c.to, c, 1<<20); err != nil {
-		c.play.t.Fatal(err)
+		c.fleet.t.Fatal(err)
 	}
 	c.stream.Send(pgwire.AppendFirst(nil, "app", "shop"))
 	c.sendNext()
@@ -186,7 +189,7 @@
 		return
 	}
 	c.requests++
-	c.play.sent++
+	c.fleet.sent++
 	c.id = fmt.Sprintf("%s-%d", c.name, c.requests)
 	method := []string{"look", "order", "look", "pay"}[c.requests%4]
 	text := taggedStatement(c.id, method, 500, 0)
@@ -196,7 +199,7 @@
 	c.stream.Send(queryMessage(text))
 	id := c.id
 	c.loop.At(c.loop.Now()+500*time.Millisecond, func() {
-		if c.id == id && c.play.answers[id] == "" { // there was no answer in time
+		if c.id == id && c.fleet.answers[id] == "" { // no answer within the deadline
 			c.finish("nothing")
 			c.stream.Close()
 			c.connect()
@@ -204,16 +207,17 @@
 	})
 }
 
-func (c *simClient) finish(what string) {
-	c.play.answers[c.id] = what
-	c.play.note("%s hears %s", c.id, what)
+// finish records the answer to the current RPC.
+func (c *simClient) finish(answer string) {
+	c.fleet.answers[c.id] = answer
+	c.fleet.record("%s is answered %s", c.id, answer)
 }
 
 func (c *simClient) Opened()          {}
 func (c *simClient) Panicked(e error) { panic(e) }
 
 func (c *simClient) Closed(cause error) {
-	if c.play.answers[c.id] == "" {
+	if c.fleet.answers[c.id] == "" {
 		c.finish("closed")
 	}
 	c.loop.At(c.loop.Now()+50*time.Millisecond, c.connect)
@@ -222,7 +226,7 @@
 func (c *simClient) Input(in []byte) int {
 	kind, body, size, err := pgwire.Next(in)
 	if err != nil {
-		c.play.t.Fatal(err)
+		c.fleet.t.Fatal(err)
 	}
 	switch {
 	case size == 0:
@@ -235,7 +239,7 @@
 				c.finish(string(value))
 			}
 		})
-	case kind == 'Z' && c.play.answers[c.id] != "":
+	case kind == 'Z' && c.fleet.answers[c.id] != "":
 		c.loop.At(c.loop.Now()+10*time.Millisecond, c.sendNext)
 	}
 	return size
@@ -246,22 +250,22 @@
 func runFaultScenario(t testing.TB, seed uint64) *simulatedFleet {
 	p := &simulatedFleet{t: t, world: sim.New(seed, epoch), random: pcg.New(seed), answers: make(map[string]string), executions: make(map[string]int)}
 	for i := range 3 {
-		p.member(i, roleName(i == 0))
+		p.addMember(i, roleName(i == 0))
 	}
-	p.driver(0)
-	p.driver(1)
+	p.addDriver(0)
+	p.addDriver(1)
 	for i := range 12 {
-		p.client(i, p.drivers[i%2].at, epoch+10*time.Second)
+		p.addClient(i, p.drivers[i%2].address, epoch+10*time.Second)
 	}
-	after := func(d time.Duration, act func()) { p.world.At(epoch+d, act) }
-	after(2*time.Second, func() { p.members[1].host.Pause(epoch + 3*time.Second) })
-	after(4*time.Second, func() { p.members[0].host.Kill() })
-	after(5*time.Second, func() { p.members[1].role = "leader" })
-	after(6*time.Second, func() {
+	at := func(d time.Duration, act func()) { p.world.At(epoch+d, act) }
+	at(2*time.Second, func() { p.members[1].host.Pause(epoch + 3*time.Second) })
+	at(4*time.Second, func() { p.members[0].host.Kill() })
+	at(5*time.Second, func() { p.members[1].role = "leader" })
+	at(6*time.Second, func() {
 		p.drivers[0].host.Kill()
-		p.note("d0 dies")
+		p.record("d0 is killed")
 	})
-	after(6500*time.Millisecond, func() {
+	at(6500*time.Millisecond, func() {
 		old := p.drivers[0]
 		old.host.Start()
 		n, err := On(p.loopOn(old.host), old.node.site, config.Default())
@@ -270,7 +274,7 @@
 		}
 		old.node = n
 	})
-	after(7500*time.Millisecond, func() {
+	at(7500*time.Millisecond, func() {
 		lossy := sim.LocalLink
 		lossy.Loss, lossy.Jitter = 0.05, 20*time.Millisecond
 		p.world.SetLink(p.drivers[1].host, p.members[2].host, lossy)
@@ -283,7 +287,8 @@
 	return decoded(t, testSettings)
 }
 
-// Equal seeds give equal timelines to the byte, different seeds different ones; no RPC runs twice that must not.
+// Equal seeds give byte-identical timelines and different seeds different ones. Even with faults, no RPC that must not run twice does, and
+// no RPC is answered ok without having run.
 func TestDriverInSimulatedTime(t *testing.T) {
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	digests := make(map[uint64]bool)
@@ -292,7 +297,7 @@
 		p := runFaultScenario(t, seed)
 		again := runFaultScenario(t, seed)
 		if p.timeline.String() != again.timeline.String() {
-			t.Fatalf("seed %d has two courses", seed)
+			t.Fatalf("two runs with seed %d have different timelines", seed)
 		}
 		hash := fnv.New64a()
 		hash.Write([]byte(p.timeline.String()))
@@ -300,13 +305,13 @@
 		counts := make(map[string]int)
 		for id, answer := range p.answers {
 			counts[answer]++
-			turn, _ := strconv.Atoi(id[strings.IndexByte(id, '-')+1:])
-			pay := turn%4 == 3
+			number, _ := strconv.Atoi(id[strings.IndexByte(id, '-')+1:])
+			pay := number%4 == 3
 			if pay && p.executions[id] > 1 || pay && answer == codeRejected && p.executions[id] > 0 {
-				t.Errorf("seed %d: %s, which must not run twice, hears %s and ran %d times", seed, id, answer, p.executions[id])
+				t.Errorf("seed %d: %s, which must not run twice or after a rejection, is answered %s and ran %d times", seed, id, answer, p.executions[id])
 			}
 			if answer == "ok" && p.executions[id] == 0 {
-				t.Errorf("seed %d: %s hears ok though nothing ran", seed, id)
+				t.Errorf("seed %d: %s is answered ok but no member ran it", seed, id)
 			}
 		}
 		if counts["ok"] < p.sent*3/4 || counts["ok"] == p.sent || p.sent < 1000 {
@@ -315,11 +320,12 @@
 		t.Logf("seed %d: %d RPCs, answered %v", seed, p.sent, counts)
 	}
 	if len(digests) != 4 {
-		t.Errorf("4 seeds have %d courses", len(digests))
+		t.Errorf("4 seeds give %d timelines, want 4", len(digests))
 	}
 	t.Logf("96 simulated seconds took %v", time.Since(began))
 }
 
+// decoded returns the object in a JSON text, with numbers as json.Number.
 func decoded(t testing.TB, text string) (object map[string]any) {
 	d := json.NewDecoder(strings.NewReader(text))
 	d.UseNumber()
--- a/internal/node/site.go
+++ b/internal/node/site.go
@@ -15,23 +15,23 @@
 	"passtack/internal/settings"
 )
 
-// Site is the platform's configuration of a driver: its file, overridden by variables of the environment.
+// Site is the platform's configuration of a driver: its file, overridden by environment variables.
 type Site struct {
 	Name                      string
 	Listen, Discovery         netip.AddrPort
-	PeerListen, PeerBroadcast netip.AddrPort // for messages between drivers; invalid: there are none
+	PeerListen, PeerBroadcast netip.AddrPort // for messages between drivers; invalid: not configured
 	Peers                     []netip.AddrPort
 	Seed                      uint64 // of the driver's random numbers
-	Descriptors               int    // that the driver may have open
-	Memory                    int64  // bytes
-	InitialList               []byte // the endpoint list as the platform has it, JSON
+	Descriptors               int    // limit of open descriptors
+	Memory                    int64  // limit in bytes
+	InitialList               []byte // the endpoint list of the platform's file, JSON
 	Settings                  map[string]string
 
 	ConfigFile string // path of the operator's file, "" if there is none
 
 	file          string
 	environment   func(string) string
-	fileDiscovery netip.AddrPort // the discovery of the file, whatever the environment says
+	fileDiscovery netip.AddrPort // the discovery of the file, without regard to the environment
 }
 
 // siteFile is the platform's file. Its keys are compared without regard to case.
@@ -48,10 +48,10 @@
 	Settings      map[string]any
 }
 
-// requiredSettings are those without which no driver can serve.
+// requiredSettings are the settings without which no driver can serve.
 var requiredSettings = []string{"methods.count", "methods.0.name", "family_info.needs", "tick"}
 
-// ReadSite reads the platform's file. Variables of the environment override it.
+// ReadSite reads the platform's file. Environment variables override it.
 func ReadSite(file string, environment func(string) string) (*Site, error) {
 	var text []byte
 	err := retryOnResourceShortage(func() (err error) {
@@ -68,7 +68,7 @@
 	return s, nil
 }
 
-// parse takes the values of the platform's file.
+// parse sets the site's values from the text of the platform's file.
 func (s *Site) parse(text []byte) error {
 	var f siteFile
 	decoder := json.NewDecoder(bytes.NewReader(text))
@@ -81,18 +81,18 @@
 	s.Descriptors, s.Memory = f.Limits.Sockets, f.Limits.MemoryMB<<20
 	var err error
 	if s.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
-		return fmt.Errorf("seed %q is no number in hex", f.Seed)
+		return fmt.Errorf("seed %q is not a hexadecimal number", f.Seed)
 	}
 	if err := s.parseAddresses(&f); err != nil {
 		return err
 	}
 	if s.Descriptors <= 0 || s.Memory <= 0 {
-		return errors.New("limits give no sockets or no memory_mb")
+		return errors.New("limits: sockets and memory_mb must both be positive")
 	}
 	return s.checkSettings()
 }
 
-// override returns the value of a variable of the environment, if it has one.
+// override returns the value of an environment variable if it is set, and otherwise the value given.
 func (s *Site) override(variable, value string) string {
 	if v := s.environment(variable); v != "" {
 		return v
@@ -102,7 +102,7 @@
 
 func (s *Site) parseAddresses(f *siteFile) error {
 	for _, a := range []struct {
-		to       *netip.AddrPort
+		target   *netip.AddrPort
 		key      string
 		text     string
 		optional bool
@@ -117,7 +117,7 @@
 			continue
 		}
 		var err error
-		if *a.to, err = parseAddress(a.key, a.text); err != nil {
+		if *a.target, err = parseAddress(a.key, a.text); err != nil {
 			return err
 		}
 	}
@@ -134,7 +134,7 @@
 func parseAddress(key, text string) (netip.AddrPort, error) {
 	address, err := netip.ParseAddrPort(text)
 	if err != nil {
-		return address, fmt.Errorf("%s %q is no address with a port: %w", key, text, err)
+		return address, fmt.Errorf("%s %q is not an address with a port: %w", key, text, err)
 	}
 	return address, nil
 }
@@ -142,7 +142,7 @@
 func (s *Site) checkSettings() error {
 	for _, name := range requiredSettings {
 		if s.Settings[name] == "" {
-			return fmt.Errorf("the settings give no %s", name)
+			return fmt.Errorf("settings: %s is missing", name)
 		}
 	}
 	if err := settings.New(s.Settings).Validate(); err != nil {
@@ -163,39 +163,39 @@
 	return cfg, err
 }
 
-// ParseConfig reads the text of an operator's file. Errors name it by the name given.
+// ParseConfig parses the text of an operator's file. Errors refer to the file by the given name.
 func (s *Site) ParseConfig(text []byte, name string) (*config.File, error) {
 	return config.Parse(text, name, s.Listen, methodsOf(s.Settings))
 }
 
-// methodsOf returns the methods of the settings, which the operator's file is checked against. Retired ones have no name.
+// methodsOf returns the methods of the settings, against which the operator's file is checked. Retired methods have no name.
 func methodsOf(values map[string]string) []config.Method {
 	t := settings.New(values)
 	var methods []config.Method
 	for i := range int(t.Number("methods.count", 0)) {
-		at := "methods." + strconv.Itoa(i) + "."
-		name := t.Text(at + "name")
-		if t.Bool(at + settings.RetiredKey) {
+		prefix := "methods." + strconv.Itoa(i) + "."
+		name := t.Text(prefix + "name")
+		if t.Bool(prefix + settings.RetiredKey) {
 			name = ""
 		}
-		effect := t.Text(at + "effect")
+		effect := t.Text(prefix + "effect")
 		methods = append(methods, config.Method{
 			Name: name, Need: t.ListItem("family_info.needs", i), Idempotent: effect == "idempotent",
-			HasIdempotencyKey: effect == "tokened", Window: t.Duration(at + "window"), SoftDeadline: t.Duration(at + "soft_deadline"),
-			MaxDeadline: t.Duration(at + "limit"),
+			HasIdempotencyKey: effect == "tokened", Window: t.Duration(prefix + "window"), SoftDeadline: t.Duration(prefix + "soft_deadline"),
+			MaxDeadline: t.Duration(prefix + "limit"),
 		})
 	}
 	return methods
 }
 
-// The platform's file is read so often, in such intervals, before a reload fails: it may be half written.
+// A reload fails after rereadAttempts attempts to read the platform's file, one each rereadInterval: the file may be half written.
 const (
 	rereadAttempts = 5
 	rereadInterval = 100 * time.Millisecond
 )
 
-// reread reads the platform's file once more. A discovery that the file names is newer than what the environment says, which
-// stays as it was at the start.
+// reread reads the platform's file again. A discovery in the file takes precedence over the environment, which does not change
+// after the start and is therefore older.
 func (s *Site) reread() (fresh *Site, err error) {
 	for range rereadAttempts {
 		if fresh, err = ReadSite(s.file, s.environment); err == nil {
@@ -209,29 +209,29 @@
 	return fresh, err
 }
 
-// siteMethods are the methods of the settings, each a column by its number.
+// siteMethods holds the methods of the settings in columns, indexed by method number.
 type siteMethods struct {
 	names     []string
-	inSession []bool // the method needs or writes a session's position
+	inSession []bool // the method reads from or writes a session's position
 	tokened   []bool // RPCs carry an idempotency key
-	retired   []bool // clients may not use it any more
+	retired   []bool // clients may no longer use the method
 }
 
 func (s *Site) methods() siteMethods {
 	t := settings.New(s.Settings)
 	var m siteMethods
 	for i := range int(t.Number("methods.count", 0)) {
-		at := "methods." + strconv.Itoa(i)
+		prefix := "methods." + strconv.Itoa(i)
 		need := t.ListItem("family_info.needs", i)
-		m.names = append(m.names, t.Text(at+".name"))
+		m.names = append(m.names, t.Text(prefix+".name"))
 		m.inSession = append(m.inSession, need == "session" || need == "write")
-		m.tokened = append(m.tokened, t.Text(at+".effect") == "tokened")
-		m.retired = append(m.retired, t.Bool(at+"."+settings.RetiredKey))
+		m.tokened = append(m.tokened, t.Text(prefix+".effect") == "tokened")
+		m.retired = append(m.retired, t.Bool(prefix+"."+settings.RetiredKey))
 	}
 	return m
 }
 
-// maxDeadline is the longest time for which the settings let a client wait for an answer.
+// maxDeadline returns the longest time for which the settings let a client wait for an answer.
 func (s *Site) maxDeadline() (longest time.Duration) {
 	t := settings.New(s.Settings)
 	for i := range int(t.Number("methods.count", 0)) {
@@ -240,13 +240,13 @@
 	return longest
 }
 
-// duration returns a duration of the settings, or the default where they have none.
-func (s *Site) duration(name string, byDefault time.Duration) time.Duration {
+// duration returns a duration of the settings, or the default value if they have none.
+func (s *Site) duration(name string, defaultValue time.Duration) time.Duration {
 	if d := settings.New(s.Settings).Duration(name); d > 0 {
 		return d
 	}
-	return byDefault
+	return defaultValue
 }
 
-// reportColumns are the names of the values in members' load reports.
+// reportColumns returns the names of the values in members' load reports.
 func (s *Site) reportColumns() []string { return strings.Split(s.Settings["report.columns"], ",") }
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -7,7 +7,7 @@
 	"passtack/internal/control"
 )
 
-// answers returns what operators may query through the control endpoint.
+// answers returns the handlers for the queries of operators through the control endpoint.
 func (n *Node) answers() control.Handlers {
 	all := control.Handlers{"status": func() any { return n.status() }}
 	if n.leases != nil {
@@ -19,17 +19,17 @@
 	return all
 }
 
-// Status is a driver's answer to the query "status". Operators' scripts read its keys: they keep their names.
+// Status is a driver's answer to the query "status". Its keys must not change, because operators' scripts read them.
 type Status struct {
 	Name          string               `json:"Name"`
 	RecoveryStage string               `json:"Comeback"`
-	Ready         float64              `json:"Ready"` // how much of the recovery is done, 0 to 1
+	Ready         float64              `json:"Ready"` // progress of the recovery, 0 to 1
 	Counters      map[string]int       `json:"Counters"`
 	Jobs          []JobStatus          `json:"Chores"`
 	Configuration *ConfigurationStatus `json:"Configuration"` // nil: the driver takes no published configurations
 }
 
-// JobStatus describes a background job. Fields in MS are milliseconds.
+// JobStatus describes a background job. Fields whose names end in MS are in milliseconds.
 type JobStatus struct {
 	Name            string  `json:"Name"`
 	State           string  `json:"State"`
--- a/internal/node/summary_task.go
+++ b/internal/node/summary_task.go
@@ -14,23 +14,23 @@
 )
 
 const (
-	maxDigests   = 2000 // drivers in a summary
-	readyPercent = 95   // from which a driver counts as ready
+	maxDigests   = 2000 // limit of drivers in a summary
+	readyPercent = 95   // from which on a driver counts as ready
 )
 
-// summaryTask is the task of collecting digests of all drivers of the fleet and bringing their sum to an address of the operator's, by
-// HTTP. Its server keeps the highest fencing token and answers lower ones with 409.
+// summaryTask collects digests from all drivers of the fleet and uploads their sum by HTTP to an address in the operator's file. The
+// server there keeps the highest fencing token and answers lower ones with 409.
 type summaryTask struct {
 	leases    *leaseService
 	candidate *lease.Candidate
 	interval  time.Duration
-	holding   bool
+	holding   bool                  // the lease
 	digests   map[lease.Node]digest // since the last summary
 	timer     loop.Timer            // of the next collection
 	upload    *summaryUpload
 }
 
-// digest is what one driver reports of itself. Its fields are encoded in this order.
+// digest is the report of one driver about itself. Its fields are encoded in this order.
 type digest struct {
 	RPCs, OK, Rejected uint32 // since the driver's start
 	InFlight           uint32 // RPCs
@@ -38,11 +38,11 @@
 	ReadyPercent       uint8
 }
 
-// FleetSummary is what the holder uploads.
+// FleetSummary is the sum of all digests, which the lease holder uploads.
 type FleetSummary struct {
 	FencingToken   uint64 `json:"Number"`
 	Holder         string
-	HeldAt         time.Duration `json:"At"` // when the holder checked that it holds the lease, by its own clock
+	HeldAt         time.Duration `json:"At"` // when the holder checked that it held the lease, by its own clock
 	Drivers        int
 	ReadyDrivers   int `json:"Ready"`
 	RPCs           uint64
@@ -55,8 +55,8 @@
 
 // SummaryTaskStatus is the status of the task on one driver.
 type SummaryTaskStatus struct {
-	Failed   int    `json:"failed"`              // uploads without an answer, or with another error than a rejection
-	LatestMS *int64 `json:"latest_ms,omitempty"` // how long ago the latest upload was accepted, nil: none was
+	Failed   int    `json:"failed"`              // uploads without an answer, or with an error other than a rejection
+	LatestMS *int64 `json:"latest_ms,omitempty"` // time since the latest upload was accepted, nil: none was accepted
 	Accepted int    `json:"put"`
 	Rejected int    `json:"refused"` // for a lower fencing token
 }
@@ -80,7 +80,7 @@
 	s.upload.disconnect()
 }
 
-// collect uploads the summary of the digests that have come, and asks all drivers for new ones.
+// collect uploads the summary of the received digests, and requests new ones from all drivers.
 func (s *summaryTask) collect() {
 	l := s.leases.node.loop
 	if !s.holding {
@@ -104,7 +104,7 @@
 	}
 }
 
-// receive answers the holder's question, or takes an answer.
+// receive answers the holder's request for a digest, or records a digest that was requested.
 func (s *summaryTask) receive(from lease.Node, m peers.Message) {
 	switch {
 	case m.Kind == peers.CollectDigests:
@@ -116,7 +116,7 @@
 	}
 }
 
-// uploadSummary checks that the lease is held right before the upload begins. It skips the upload while another is running.
+// uploadSummary checks that the lease is held right before the upload begins. It skips the upload while another is in progress.
 func (s *summaryTask) uploadSummary() {
 	if !s.upload.prepare() {
 		return
@@ -160,7 +160,7 @@
 	return status
 }
 
-// encode returns the fields in little-endian order.
+// encode returns the fields in little-endian byte order.
 func (d digest) encode() []byte {
 	var out bytes.Buffer
 	binary.Write(&out, binary.LittleEndian, d)
--- a/internal/node/summary_upload.go
+++ b/internal/node/summary_upload.go
@@ -14,15 +14,15 @@
 const (
 	maxUploadBuffer = 16 << 10 // bytes
 
-	statusMultipleChoices = 300 // HTTP; lower ones are successes
+	statusMultipleChoices = 300 // HTTP; lower codes are successes
 	statusConflict        = 409
 )
 
-// errUploadTimeout ends an upload whose answer does not come.
-var errUploadTimeout = errors.New("no answer in time")
+// errUploadTimeout is the cause of failure of an upload that was not answered within the timeout.
+var errUploadTimeout = errors.New("the server did not answer the upload in time")
 
-// summaryUpload brings summaries to one address by HTTP, one at a time over a connection that stays open. It implements the loop's handler
-// of a stream. An upload that failed is not repeated: the next summary is newer.
+// summaryUpload uploads summaries to one address by HTTP, one at a time over a connection that stays open. It implements loop.Handler. A
+// failed upload is not retried, because the next summary is newer.
 type summaryUpload struct {
 	node    *Node
 	address netip.AddrPort
@@ -34,10 +34,10 @@
 	timer    loop.Timer // of the timeout
 
 	accepted, rejected, failed int           // uploads
-	latest                     time.Duration // when one was last accepted
+	latest                     time.Duration // when an upload was last accepted
 }
 
-// prepare connects where that is needed. It reports false while another upload is running, and where it cannot connect.
+// prepare connects if there is no connection. It returns false while another upload is in progress, and if it cannot connect.
 func (u *summaryUpload) prepare() bool {
 	if u.inFlight {
 		return false
@@ -66,13 +66,13 @@
 	u.timer = l.At(l.Now()+u.timeout, func() { u.fail(errUploadTimeout) })
 }
 
-// Opened implements the stream's handler.
+// Opened implements loop.Handler.
 func (u *summaryUpload) Opened() {}
 
-// Panicked implements the stream's handler.
+// Panicked implements loop.Handler.
 func (u *summaryUpload) Panicked(cause error) { u.fail(cause) }
 
-// Input implements the stream's handler: it takes an answer off and returns its length, 0 while it is incomplete.
+// Input implements loop.Handler: it processes an answer and returns its length, 0 while the answer is incomplete.
 func (u *summaryUpload) Input(in []byte) int {
 	status, _, size, last, err := httpwire.Answer(in, false)
 	if err != nil {
@@ -103,7 +103,7 @@
 	return size
 }
 
-// Closed implements the stream's handler.
+// Closed implements loop.Handler.
 func (u *summaryUpload) Closed(cause error) {
 	u.stream = nil
 	if u.inFlight {
@@ -111,7 +111,7 @@
 	}
 }
 
-// fail gives the running upload up.
+// fail abandons the upload in progress and counts it as failed.
 func (u *summaryUpload) fail(cause error) {
 	u.failed++
 	u.node.Count("summaries_failed")
@@ -119,7 +119,7 @@
 	u.disconnect()
 }
 
-// disconnect ends the connection, and forgets an upload that is running.
+// disconnect closes the connection and abandons an upload in progress.
 func (u *summaryUpload) disconnect() {
 	u.node.loop.Cancel(u.timer)
 	u.inFlight = false
--- a/internal/node/workers.go
+++ b/internal/node/workers.go
@@ -9,11 +9,11 @@
 const (
 	workerCount = 2 // for background jobs
 
-	// workerTimeout is how long the end of a driver waits for its workers, and for what they leave to write.
+	// workerTimeout is the longest time for which a stopping driver waits for its workers, and again for the last commit.
 	workerTimeout = 2 * time.Second
 )
 
-// workerPool runs on goroutines of its own what would block the event loop. The results are processed on the loop.
+// workerPool runs work that would block the event loop on goroutines of its own. The results are processed on the loop.
 type workerPool struct {
 	loop    *loop.Loop
 	tasks   chan workerTask // nil: there are no workers, and tasks run on the loop
@@ -25,7 +25,7 @@
 	done func(err error, took time.Duration)
 }
 
-// run lets a worker do the work. Done is called on the loop, in a later iteration.
+// run lets a worker do the work. done is called on the loop, in a later iteration.
 func (p *workerPool) run(work func() error, done func(err error, took time.Duration)) {
 	if p.tasks == nil {
 		err := work()
@@ -47,14 +47,14 @@
 	}
 }
 
-// start starts the workers. Stop ends them, waits for them for workerTimeout at most and processes their results.
+// start starts the workers. stop ends them, waits for them for workerTimeout at most and processes their results.
 func (p *workerPool) start(count int) (stop func()) {
 	p.tasks = make(chan workerTask, count)
 	p.results = make(chan func(), count)
 	ended := make(chan struct{}, count)
 	for range count {
 		go func() {
-			p.work()
+			p.runTasks()
 			ended <- struct{}{}
 		}()
 	}
@@ -65,8 +65,8 @@
 	}
 }
 
-// work is one worker. It rings the loop after each task.
-func (p *workerPool) work() {
+// runTasks is the body of one worker. It wakes the loop after each task.
+func (p *workerPool) runTasks() {
 	for task := range p.tasks {
 		began := time.Now()
 		err := task.work()
@@ -76,7 +76,7 @@
 	}
 }
 
-// awaitAll waits for count messages, but not longer than the timeout.
+// awaitAll waits for count messages, but no longer than the timeout.
 func awaitAll(ended <-chan struct{}, count int, timeout time.Duration) {
 	expired := time.After(timeout)
 	for range count {
@@ -88,12 +88,13 @@
 	}
 }
 
-// startWorkers starts the workers that this driver needs. Stop ends them and saves what has been learned since the last commit.
+// startWorkers starts the workers that this driver needs. stop ends them and saves the state learned since the last commit.
 func (n *Node) startWorkers() (stop func()) {
 	if len(n.background.slices) == 0 && n.leases == nil && n.configuration == nil {
 		return func() {}
 	}
-	// One more for lease promises and one for configurations, so that the loop never waits for a place in the queue.
+	// One worker more for lease promises and one for configurations: the queue has as many places as there are workers, so that the
+	// loop never waits for one.
 	stopWorkers := n.workers.start(workerCount + 2)
 	return func() {
 		stopWorkers()
