--- a/internal/front/pg/front.go
+++ b/internal/front/pg/front.go
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// Ask implements driver.Front. It returns the parts of the client's statement before and after the remaining
+// MemberRequest implements driver.Front. It returns the parts of the client's statement before and after the remaining
 // time in its comment.
 func (f *Front) MemberRequest(from driver.Client) *driver.MemberRequest {
 	c := f.busyClient(from)
