--- a/internal/lab/capacity/driver_state.go
+++ b/internal/lab/capacity/driver_state.go
@@ -22,323 +22,329 @@
 	"passtack/rules"
 )
 
-// held counts the bytes that what build makes holds on the heap, beyond what it found there.
-func held(build func() (any, error)) (bytes float64, err error) {
-	from := heapBytes()
-	what, err := build()
-	bytes = heapBytes() - from
-	runtime.KeepAlive(what)
+// heldBytes returns the heap bytes held by the value that build makes.
+func heldBytes(build func() (any, error)) (bytes float64, err error) {
+	before := heapBytes()
+	built, err := build()
+	bytes = heapBytes() - before
+	runtime.KeepAlive(built)
 	return bytes, err
 }
 
+// heapBytes returns the bytes of live heap objects after garbage collection.
 func heapBytes() float64 {
 	var s runtime.MemStats
 	runtime.GC()
-	runtime.GC() // what the first has found to be finalized
+	runtime.GC() // frees the objects whose finalizers the first collection queued
 	runtime.ReadMemStats(&s)
 	return float64(s.HeapAlloc)
 }
 
-// mallocs counts the objects and bytes that something allocates, and the time it takes.
-func mallocs(act func()) (objects, bytes float64, took time.Duration) {
-	var from, to runtime.MemStats
-	runtime.ReadMemStats(&from)
+// allocationsDuring returns the objects and bytes that act allocates, and the time it takes.
+func allocationsDuring(act func()) (objects, bytes float64, took time.Duration) {
+	var before, after runtime.MemStats
+	runtime.ReadMemStats(&before)
 	began := time.Now()
 	act()
 	took = time.Since(began)
-	runtime.ReadMemStats(&to)
-	return float64(to.Mallocs - from.Mallocs), float64(to.TotalAlloc - from.TotalAlloc), took
+	runtime.ReadMemStats(&after)
+	return float64(after.Mallocs - before.Mallocs), float64(after.TotalAlloc - before.TotalAlloc), took
 }
 
-// quiet is a host of the module, and of pools and lists, that only notes what was sent.
-type quiet struct {
-	now    time.Duration
-	module *rules.Router
-	sent   []sentTo
-	ids    map[string]driver.Member
+// noopHost is a host for the decision module, member pools and endpoint lists. It records sent attempts, passes lists on to the
+// module and ignores all other calls.
+type noopHost struct {
+	now     time.Duration
+	router  *rules.Router
+	sent    []sentAttempt
+	members map[string]driver.Member
 }
 
-type sentTo struct {
-	rpc driver.RPC
-	to  driver.Member
+type sentAttempt struct {
+	rpc    driver.RPC
+	member driver.Member
 }
 
-// Now implements driver.Host with the time that the sweep sets.
-func (q *quiet) Now() time.Duration { return q.now }
+// Now implements driver.Host with the time set by the sweep.
+func (q *noopHost) Now() time.Duration { return q.now }
 
-// Attempt implements driver.Host.
-func (q *quiet) Attempt(rpc driver.RPC, to driver.Member, _, _ time.Duration) {
-	q.sent = append(q.sent, sentTo{rpc, to})
+// Attempt implements driver.Host by recording the attempt.
+func (q *noopHost) Attempt(rpc driver.RPC, to driver.Member, _, _ time.Duration) {
+	q.sent = append(q.sent, sentAttempt{rpc, to})
 }
 
 // Cancel implements driver.Host; it does nothing.
-func (q *quiet) Cancel(driver.RPC, int) {}
+func (q *noopHost) Cancel(driver.RPC, int) {}
 
 // PushBack implements driver.Host; it does nothing.
-func (q *quiet) PushBack(driver.RPC, time.Duration) {}
+func (q *noopHost) PushBack(driver.RPC, time.Duration) {}
 
 // Abort implements driver.Host; it does nothing.
-func (q *quiet) Abort(driver.RPC) {}
+func (q *noopHost) Abort(driver.RPC) {}
 
 // Probe implements driver.Host; it does nothing.
-func (q *quiet) Probe(driver.Member) {}
+func (q *noopHost) Probe(driver.Member) {}
 
 // CloseIdle implements driver.Host; it does nothing.
-func (q *quiet) CloseIdle(driver.Member) {}
+func (q *noopHost) CloseIdle(driver.Member) {}
 
 // Remembered implements driver.Host; it does nothing.
-func (q *quiet) Remembered(driver.Session, time.Duration) {}
+func (q *noopHost) Remembered(driver.Session, time.Duration) {}
 
 // Forget implements driver.Host; it does nothing.
-func (q *quiet) Forget(driver.Member) {}
+func (q *noopHost) Forget(driver.Member) {}
 
 // Watch implements driver.Host; it does nothing.
-func (q *quiet) Watch(bool) {}
+func (q *noopHost) Watch(bool) {}
 
 // FetchList implements driver.Host; it does nothing.
-func (q *quiet) FetchList() {}
+func (q *noopHost) FetchList() {}
 
 // Tell implements driver.Host; it does nothing.
-func (q *quiet) Tell(driver.Peer, []byte) {}
+func (q *noopHost) Tell(driver.Peer, []byte) {}
 
 // WakeAfter implements driver.Host; it does nothing.
-func (q *quiet) WakeAfter(time.Duration) {}
+func (q *noopHost) WakeAfter(time.Duration) {}
 
 // Log implements driver.Host; it does nothing.
-func (q *quiet) Log(string) {}
+func (q *noopHost) Log(string) {}
 
 // Fault implements driver.Host; it does nothing.
-func (q *quiet) Fault(string) {}
+func (q *noopHost) Fault(string) {}
 
 // Count implements the hosts' counters; it does nothing.
-func (q *quiet) Count(string) {}
+func (q *noopHost) Count(string) {}
 
 // Probed implements member.Host; it does nothing.
-func (q *quiet) Probed(driver.Member, bool, time.Duration, []float64) {}
+func (q *noopHost) Probed(driver.Member, bool, time.Duration, []float64) {}
 
 // AttemptEnded implements member.Host; it does nothing.
-func (q *quiet) AttemptEnded(driver.RPC, int, driver.Member, driver.Outcome, time.Duration, time.Duration, driver.Role, []float64, *driver.Answer) {
+func (q *noopHost) AttemptEnded(driver.RPC, int, driver.Member, driver.Outcome, time.Duration, time.Duration, driver.Role, []float64, *driver.Answer) {
 }
 
 // ListBegins implements discovery.Host by passing the event on.
-func (q *quiet) ListBegins(how driver.Listing) { q.module.ListBegins(how) }
+func (q *noopHost) ListBegins(how driver.Listing) { q.router.ListBegins(how) }
 
 // ListEnds implements discovery.Host by passing the event on.
-func (q *quiet) ListEnds(how driver.Listing) { q.module.ListEnds(how) }
+func (q *noopHost) ListEnds(how driver.Listing) { q.router.ListEnds(how) }
 
 // Listed implements discovery.Host by passing the entry on.
-func (q *quiet) Listed(uid string, _ netip.AddrPort, _ string, group driver.Group, state driver.Standing, size float64, started time.Duration, primary bool) {
-	m, known := q.ids[uid]
+func (q *noopHost) Listed(uid string, _ netip.AddrPort, _ string, group driver.Group, state driver.Standing, size float64, started time.Duration, primary bool) {
+	m, known := q.members[uid]
 	if !known {
-		m = driver.Member(len(q.ids) + 1)
-		q.ids[uid] = m
+		m = driver.Member(len(q.members) + 1)
+		q.members[uid] = m
 	}
-	q.module.EndpointListed(m, 0, group, state, size, started, primary)
+	q.router.EndpointListed(m, 0, group, state, size, started, primary)
 }
 
-// soft is how long methods may take where RPCs are left under way.
-const soft = time.Minute
+// longSoftDeadline is the soft deadline of methods where RPCs are kept in flight during the measurement.
+const longSoftDeadline = time.Minute
 
-// module makes one that knows so many members in groups of each; remembered lets it keep its sessions' writes.
-func module(members, each int, remembered bool) *quiet {
-	q := &quiet{now: simulatedFrom, ids: make(map[string]driver.Member)}
-	terms := settingsTerms(designDrivers, false, soft)
-	if remembered {
-		terms["family_info.token"] = "remembered"
+// newRouterHost returns a host whose decision module knows members in groups of groupSize; with rememberWrites, the module keeps the
+// positions of its sessions' writes.
+func newRouterHost(members, groupSize int, rememberWrites bool) *noopHost {
+	host := &noopHost{now: simulationStart, members: make(map[string]driver.Member)}
+	flat := flatDriverSettings(designDrivers, false, longSoftDeadline)
+	if rememberWrites {
+		flat["family_info.token"] = "remembered"
 	}
-	q.module = rules.New(q, 1, terms)
-	q.module.ListBegins(driver.Whole)
+	host.router = rules.New(host, 1, flat)
+	host.router.ListBegins(driver.Whole)
 	for n := range members {
-		q.module.EndpointListed(driver.Member(n+1), 0, driver.Group(n/each), driver.Ready, 1, driver.LongAgo, n%each == 0)
+		host.router.EndpointListed(driver.Member(n+1), 0, driver.Group(n/groupSize), driver.Ready, 1, driver.LongAgo, n%groupSize == 0)
 	}
-	q.module.ListEnds(driver.Whole)
-	return q
+	host.router.ListEnds(driver.Whole)
+	return host
 }
 
-const order, look = driver.Method(2), driver.Method(0) // of settings
+const orderMethod, lookMethod = driver.Method(2), driver.Method(0) // indexes in settingsTemplate
 
-// take hands it RPCs of a method, each of a session of its own, spread over the groups.
-func (q *quiet) take(from, count, groups int, method driver.Method) {
+// takeRPCs hands the module count RPCs of a method, each in a session of its own, spread over the groups.
+func (q *noopHost) takeRPCs(from, count, groups int, method driver.Method) {
 	for n := from; n < from+count; n++ {
-		q.module.Take(rules.Request{
+		q.router.Take(rules.Request{
 			ID: driver.RPC(n + 1), Method: method, Group: driver.Group(n % groups), Session: driver.Session(n + 1),
-			ArrivedAt: q.now, Deadline: q.now + 2*soft,
+			ArrivedAt: q.now, Deadline: q.now + 2*longSoftDeadline,
 		})
 	}
 }
 
-// answer ends all that it has sent.
-func (q *quiet) answer(role func(driver.Member) driver.Role) {
+// answerAttempts reports all sent attempts as successful.
+func (q *noopHost) answerAttempts(role func(driver.Member) driver.Role) {
 	for _, s := range q.sent {
-		q.module.AttemptEnded(s.rpc, 0, s.to, driver.OK, 2*time.Millisecond, true, q.now, role(s.to), nil)
+		q.router.AttemptEnded(s.rpc, 0, s.member, driver.OK, 2*time.Millisecond, true, q.now, role(s.member), nil)
 	}
 	q.sent = q.sent[:0]
 }
 
-func primaryOf(each int) func(driver.Member) driver.Role {
+// roleInGroups returns a function for the role of a member, where the first of each group is the primary.
+func roleInGroups(groupSize int) func(driver.Member) driver.Role {
 	return func(m driver.Member) driver.Role {
-		if int(m-1)%each == 0 {
+		if int(m-1)%groupSize == 0 {
 			return driver.Primary
 		}
 		return driver.Replica
 	}
 }
 
-func memberPlace(n int) netip.AddrPort {
+// memberAddress returns the simulated address of member n.
+func memberAddress(n int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, byte(n >> 8), byte(n)}), 5432)
 }
 
-// standing makes a whole driver on a loop, with so many members and groups of each; view lets it keep one of its fleet.
-func standing(l *loop.Loop, listen netip.AddrPort, list []byte, view bool) (*node.Node, error) {
+// newDriver makes a complete driver on a loop with an endpoint list; with withView, it keeps a view of its fleet.
+func newDriver(l *loop.Loop, listen netip.AddrPort, list []byte, withView bool) (*node.Node, error) {
 	site := &node.Site{
-		Name: "d0", Listen: listen, Discovery: netip.MustParseAddrPort("10.2.0.1:8500"), Seed: 1, Descriptors: 1 << 15, Memory: memoryMB << 20,
-		InitialList: list, Settings: settingsTerms(designDrivers, false, soft),
+		Name: "d0", Listen: listen, Discovery: netip.MustParseAddrPort("10.2.0.1:8500"), Seed: 1, Descriptors: 1 << 15, Memory: driverMemoryMB << 20,
+		InitialList: list, Settings: flatDriverSettings(designDrivers, false, longSoftDeadline),
 	}
-	wants := config.Default()
-	if view {
+	operatorConfig := config.Default()
+	if withView {
 		site.PeerListen, site.PeerBroadcast = netip.MustParseAddrPort("10.3.0.1:7946"), netip.MustParseAddrPort("10.3.255.255:7946")
 		var err error
-		if wants, err = site.ParseConfig([]byte("view {\n fleet = \"capacity\"\n every = \"1s\"\n}\n"), "view.hcl"); err != nil {
+		if operatorConfig, err = site.ParseConfig([]byte("view {\n fleet = \"capacity\"\n every = \"1s\"\n}\n"), "view.hcl"); err != nil {
 			return nil, err
 		}
 	}
-	return node.On(l, site, wants)
+	return node.On(l, site, operatorConfig)
 }
 
-// membersState counts what is held for members, part by part, for groups, and for sessions' writes.
+// membersState counts the bytes held for members by part of the driver, for groups, and for sessions' writes.
 func membersState(members int, point func(measure, unit string, value float64)) error {
-	groups := (members + perGroup - 1) / perGroup
-	heapBytes() // what the runtime makes at the first time is there from now on
-	fives, err := held(func() (any, error) { return module(members, perGroup, false), nil })
+	groups := (members + membersPerGroup - 1) / membersPerGroup
+	heapBytes() // so that one-time allocations of the runtime are not counted below
+	groupsOfFive, err := heldBytes(func() (any, error) { return newRouterHost(members, membersPerGroup, false), nil })
 	if err != nil {
 		return err
 	}
-	point("rules_members", "bytes", fives)
-	point("rules_members_each", "bytes", fives/float64(members))
-	ones, err := held(func() (any, error) { return module(members, 1, false), nil })
+	point("rules_members", "bytes", groupsOfFive)
+	point("rules_members_each", "bytes", groupsOfFive/float64(members))
+	groupsOfOne, err := heldBytes(func() (any, error) { return newRouterHost(members, 1, false), nil })
 	if err != nil {
 		return err
 	}
-	point("rules_group", "bytes", (ones-fives)/float64(members-groups))
+	point("rules_group", "bytes", (groupsOfOne-groupsOfFive)/float64(members-groups))
 	for _, part := range []struct {
-		what  string
-		build func(members int) (any, error)
-	}{{"pool_members", pools}, {"driver_members", simulatedDriver(false)}, {"driver_members_view", simulatedDriver(true)}} {
-		alone, err := held(func() (any, error) { return part.build(0) })
+		prefix string
+		build  func(members int) (any, error)
+	}{{"pool_members", memberPool}, {"driver_members", driverBuilder(false)}, {"driver_members_view", driverBuilder(true)}} {
+		empty, err := heldBytes(func() (any, error) { return part.build(0) })
 		if err != nil {
 			return err
 		}
-		whole, err := held(func() (any, error) { return part.build(members) })
+		full, err := heldBytes(func() (any, error) { return part.build(members) })
 		if err != nil {
 			return err
 		}
-		point(part.what, "bytes", whole-alone)
-		point(part.what+"_each", "bytes", (whole-alone)/float64(members))
+		point(part.prefix, "bytes", full-empty)
+		point(part.prefix+"_each", "bytes", (full-empty)/float64(members))
 	}
 	return sessionsState(members, point)
 }
 
-// pools makes the side of the members, none of which is connected.
-func pools(members int) (any, error) {
-	l, err := loop.NewWithSystem(sim.New(1, simulatedFrom).AddHost("d0"), 1<<15, 1<<20)
+// memberPool makes a member pool in which no member is connected.
+func memberPool(members int) (any, error) {
+	l, err := loop.NewWithSystem(sim.New(1, simulationStart).AddHost("d0"), 1<<15, 1<<20)
 	if err != nil {
 		return nil, err
 	}
-	opens := recovery.NewConnectLimiter(250 * time.Millisecond)
-	p := member.New(l, new(quiet), &pgmember.Protocol{}, &opens, 250*time.Millisecond, 15*time.Second)
+	connects := recovery.NewConnectLimiter(250 * time.Millisecond)
+	pool := member.New(l, new(noopHost), &pgmember.Protocol{}, &connects, 250*time.Millisecond, 15*time.Second)
 	for n := range members {
-		p.SetAddress(driver.Member(n+1), memberPlace(n))
+		pool.SetAddress(driver.Member(n+1), memberAddress(n))
 	}
-	return p, nil
+	return pool, nil
 }
 
-// simulatedDriver makes a whole driver that has heard a list and served nobody.
-func simulatedDriver(view bool) func(members int) (any, error) {
+// driverBuilder returns a function that makes a complete driver with an endpoint list; the driver has served no clients.
+func driverBuilder(withView bool) func(members int) (any, error) {
 	return func(members int) (any, error) {
-		l, err := loop.NewWithSystem(sim.New(1, simulatedFrom).AddHost("d0"), 1<<15, 1<<20)
+		l, err := loop.NewWithSystem(sim.New(1, simulationStart).AddHost("d0"), 1<<15, 1<<20)
 		if err != nil {
 			return nil, err
 		}
-		return standing(l, netip.MustParseAddrPort("10.0.0.1:6543"), listText(members, 0, members, memberPlace), view)
+		return newDriver(l, netip.MustParseAddrPort("10.0.0.1:6543"), endpointListJSON(members, 0, members, memberAddress), withView)
 	}
 }
 
-// sessionsState counts what the module holds of RPCs under way and of sessions that have written, and what an RPC allocates.
+// sessionsState counts the bytes that the decision module holds for RPCs in flight and for sessions that have written, and what one
+// RPC allocates.
 func sessionsState(members int, point func(measure, unit string, value float64)) error {
 	const sessions = 4000
-	groups := (members + perGroup - 1) / perGroup
-	q := module(members, perGroup, true)
+	groups := (members + membersPerGroup - 1) / membersPerGroup
+	q := newRouterHost(members, membersPerGroup, true)
 	before := heapBytes()
-	q.take(0, sessions, groups, order)
+	q.takeRPCs(0, sessions, groups, orderMethod)
 	if len(q.sent) != sessions {
-		return fmt.Errorf("%d of %d RPCs are under way", len(q.sent), sessions)
+		return fmt.Errorf("%d of %d RPCs in flight, want all", len(q.sent), sessions)
 	}
 	point("rules_rpc", "bytes", (heapBytes()-before)/sessions)
-	q.answer(primaryOf(perGroup))
+	q.answerAttempts(roleInGroups(membersPerGroup))
 	point("rules_session", "bytes", (heapBytes()-before)/sessions)
-	objects, bytes := allocations(q, groups)
+	objects, bytes := rpcAllocations(q, groups)
 	point("rules_rpc_objects", "allocations", objects)
 	point("rules_rpc_allocated", "bytes", bytes)
 	runtime.KeepAlive(q)
 	return nil
 }
 
-// allocations tells what the module allocates for an RPC, from its taking to its answer: the least of several batches, as
-// tables grow now and then.
-func allocations(q *quiet, groups int) (objects, bytes float64) {
-	const batches, each = 20, 50
+// rpcAllocations returns what the decision module allocates for one RPC until its answer. It is taken from the batch with the fewest
+// allocations, as tables grow in some batches.
+func rpcAllocations(q *noopHost, groups int) (objects, bytes float64) {
+	const batches, perBatch = 20, 50
 	for n := range batches {
-		some, size, _ := mallocs(func() {
-			for i := range each {
-				q.take(1<<20+n*each+i, 1, groups, look)
-				q.answer(primaryOf(perGroup))
+		count, size, _ := allocationsDuring(func() {
+			for i := range perBatch {
+				q.takeRPCs(1<<20+n*perBatch+i, 1, groups, lookMethod)
+				q.answerAttempts(roleInGroups(membersPerGroup))
 			}
 		})
-		if n == 0 || some < objects {
-			objects, bytes = some, size
+		if n == 0 || count < objects {
+			objects, bytes = count, size
 		}
 	}
-	return objects / each, bytes / each
+	return objects / perBatch, bytes / perBatch
 }
 
-// listCost counts what a list and a change of it cost: bytes, time on the loop, allocations.
+// listCost counts the cost of an endpoint list and of a change to it: bytes, time on the loop and allocations.
 func listCost(members int, point func(measure, unit string, value float64)) error {
-	const times = 20
-	q := module(0, perGroup, false)
-	l, err := loop.NewWithSystem(sim.New(1, simulatedFrom).AddHost("d0"), 1<<10, 1<<20)
+	const repetitions = 20
+	q := newRouterHost(0, membersPerGroup, false)
+	l, err := loop.NewWithSystem(sim.New(1, simulationStart).AddHost("d0"), 1<<10, 1<<20)
 	if err != nil {
 		return err
 	}
-	d := discovery.New(l, q, memberPlace(0))
-	for what, text := range map[string][]byte{"whole": listText(members, 0, members, memberPlace), "change": listText(members, 0, 1, memberPlace), "nothing": listText(members, 0, 0, memberPlace)} {
-		if err := d.Restore(listText(members, 0, members, memberPlace)); err != nil { // so that all are known
+	d := discovery.New(l, q, memberAddress(0))
+	for kind, text := range map[string][]byte{"whole": endpointListJSON(members, 0, members, memberAddress), "change": endpointListJSON(members, 0, 1, memberAddress), "nothing": endpointListJSON(members, 0, 0, memberAddress)} {
+		if err := d.Restore(endpointListJSON(members, 0, members, memberAddress)); err != nil { // so that all members are known
 			return err
 		}
-		least := time.Duration(0)
+		shortest := time.Duration(0)
 		var objects, bytes float64
-		for n := range times {
-			o, b, took := mallocs(func() { err = errors.Join(err, d.Restore(text)) })
-			if n == 0 || took < least {
-				objects, bytes, least = o, b, took
+		for n := range repetitions {
+			o, b, took := allocationsDuring(func() { err = errors.Join(err, d.Restore(text)) })
+			if n == 0 || took < shortest {
+				objects, bytes, shortest = o, b, took
 			}
 		}
-		point(what+"_bytes", "bytes", float64(len(text)))
-		point(what+"_took", "µs", float64(least)/1e3)
-		point(what+"_objects", "allocations", objects)
-		point(what+"_allocated", "bytes", bytes)
+		point(kind+"_bytes", "bytes", float64(len(text)))
+		point(kind+"_took", "µs", float64(shortest)/1e3)
+		point(kind+"_objects", "allocations", objects)
+		point(kind+"_allocated", "bytes", bytes)
 	}
 	return err
 }
 
-// clientsState counts what a whole driver holds for clients that are connected; for RPCs under way, each with its connection to a
-// member and the buffer that its statement is in; and for such connections that rest, each with that buffer, kept for the next.
+// clientsState counts the bytes that a complete driver holds for connected clients; for RPCs in flight, each with its connection to
+// a member and its statement's buffer; and for idle connections to members, each with that buffer, which is kept for reuse.
 func clientsState(clients int, point func(measure, unit string, value float64)) error {
-	r, err := newRaw(clients)
+	r, err := newRawPeers(clients)
 	if err != nil {
 		return err
 	}
 	defer r.close()
-	if err := r.connect(1); err != nil { // the first brings what all share
+	if err := r.connect(1); err != nil { // so that state shared by all clients is not counted below
 		return err
 	}
 	empty := heapBytes()
@@ -346,66 +352,66 @@
 		return err
 	}
 	connected := heapBytes()
-	if err := r.ask(); err != nil {
+	if err := r.sendStatements(); err != nil {
 		return err
 	}
-	under := heapBytes()
-	if err := r.answer(); err != nil {
+	withRPCs := heapBytes()
+	if err := r.answerStatements(); err != nil {
 		return err
 	}
-	rested := heapBytes()
+	withIdle := heapBytes()
 	runtime.KeepAlive(r)
-	per := float64(clients)
-	point("client", "bytes", (connected-empty)/(per-1))
-	point("rpc_under_way", "bytes", (under-connected)/per)
-	point("member_connection", "bytes", (rested-connected)/per)
+	count := float64(clients)
+	point("client", "bytes", (connected-empty)/(count-1))
+	point("rpc_under_way", "bytes", (withRPCs-connected)/count)
+	point("member_connection", "bytes", (withIdle-connected)/count)
 	return nil
 }
 
-// raw are clients and members as bare descriptors, which hold nothing on the heap beside the driver's own.
-type raw struct {
-	loop      *loop.Loop
-	node      *node.Node
-	at        unix.SockaddrInet4
-	listeners []int
-	clients   []int
-	conns     []int
-	in        []byte
+// rawPeers are clients and members as bare descriptors, so that the heap holds only the driver's own state.
+type rawPeers struct {
+	loop          *loop.Loop
+	driver        *node.Node
+	driverAddress unix.SockaddrInet4
+	listeners     []int
+	clients       []int
+	conns         []int
+	buffer        []byte
 }
 
-func newRaw(clients int) (r *raw, err error) {
+func newRawPeers(clients int) (r *rawPeers, err error) {
 	port, err := freePort()
 	if err != nil {
 		return nil, err
 	}
-	r = &raw{in: make([]byte, 1<<16), clients: make([]int, 0, clients), conns: make([]int, 0, clients), listeners: make([]int, 0, clients)}
-	for n := range clients { // one for each, in a group of its own: nothing is known of more to send
+	r = &rawPeers{buffer: make([]byte, 1<<16), clients: make([]int, 0, clients), conns: make([]int, 0, clients), listeners: make([]int, 0, clients)}
+	for n := range clients { // one per client, each in a group of its own: the driver sends a member it has not heard from only one RPC at a time
 		fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 		if err != nil {
 			r.close()
 			return nil, err
 		}
 		r.listeners = append(r.listeners, fd)
-		at := loopback(n, port)
+		at := loopbackAddress(n, port)
 		if err = errors.Join(unix.Bind(fd, &unix.SockaddrInet4{Port: port, Addr: at.Addr().As4()}), unix.Listen(fd, 1024)); err != nil {
 			r.close()
 			return nil, fmt.Errorf("member %d: %w", n, err)
 		}
 	}
-	if r.loop, err = loop.New(1<<15, memoryMB<<18); err != nil {
+	if r.loop, err = loop.New(1<<15, driverMemoryMB<<18); err != nil {
 		r.close()
 		return nil, err
 	}
 	listen := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 2}), uint16(port))
-	r.at = unix.SockaddrInet4{Port: port, Addr: listen.Addr().As4()}
-	text := listIn(1, clients, 0, clients, func(n int) netip.AddrPort { return loopback(n, port) })
-	if r.node, err = standing(r.loop, listen, text, false); err != nil {
+	r.driverAddress = unix.SockaddrInet4{Port: port, Addr: listen.Addr().As4()}
+	text := groupedListJSON(1, clients, 0, clients, func(n int) netip.AddrPort { return loopbackAddress(n, port) })
+	if r.driver, err = newDriver(r.loop, listen, text, false); err != nil {
 		r.close()
 	}
 	return r, err
 }
 
-func (r *raw) close() {
+func (r *rawPeers) close() {
 	for _, fds := range [][]int{r.clients, r.conns, r.listeners} {
 		for _, fd := range fds {
 			unix.Close(fd)
@@ -416,23 +422,23 @@
 	}
 }
 
-const mostTurns = 20000
+const maxLoopIterations = 20000 // of up to 1 ms each
 
-// until turns the loop until something is so.
-func (r *raw) until(what string, so func() bool) error {
-	for range mostTurns {
-		if so() {
+// runUntil runs the loop until reached returns true.
+func (r *rawPeers) runUntil(condition string, reached func() bool) error {
+	for range maxLoopIterations {
+		if reached() {
 			return nil
 		}
 		if err := r.loop.RunOnce(time.Millisecond, func() {}); err != nil {
 			return err
 		}
 	}
-	return errors.New("it never came to be that " + what)
+	return errors.New("loop reached its iteration limit before this condition held: " + condition)
 }
 
-// connect lets clients in, until there are so many.
-func (r *raw) connect(clients int) error {
+// connect adds clients until the given number is connected.
+func (r *rawPeers) connect(clients int) error {
 	first := pgwire.AppendFirst(nil, "app", "shop")
 	from := len(r.clients)
 	for len(r.clients) < clients {
@@ -441,7 +447,7 @@
 			return err
 		}
 		r.clients = append(r.clients, fd)
-		if err := unix.Connect(fd, &r.at); err != nil && err != unix.EINPROGRESS {
+		if err := unix.Connect(fd, &r.driverAddress); err != nil && err != unix.EINPROGRESS {
 			return err
 		}
 		if err := r.loop.RunOnce(0, func() {}); err != nil {
@@ -449,15 +455,15 @@
 		}
 		unix.Write(fd, first)
 	}
-	return r.hear("all clients are let in", from)
+	return r.awaitReady("all clients have completed the handshake", from)
 }
 
-// hear waits until each client from one on has heard that the driver is ready for it.
-func (r *raw) hear(what string, from int) error {
-	return r.until(what, func() bool {
+// awaitReady waits until each client, starting at index from, has received ReadyForQuery.
+func (r *rawPeers) awaitReady(condition string, from int) error {
+	return r.runUntil(condition, func() bool {
 		for ; from < len(r.clients); from++ {
-			n, err := unix.Read(r.clients[from], r.in)
-			if err != nil || n < 6 || r.in[n-6] != 'Z' {
+			n, err := unix.Read(r.clients[from], r.buffer)
+			if err != nil || n < 6 || r.buffer[n-6] != 'Z' {
 				return false
 			}
 		}
@@ -465,8 +471,8 @@
 	})
 }
 
-// ask lets each client ask, until all have reached a member.
-func (r *raw) ask() error {
+// sendStatements sends one statement from each client and waits until all have reached a member.
+func (r *rawPeers) sendStatements() error {
 	welcome := pgwire.AppendWelcome(nil, 1, 1)
 	for n, fd := range r.clients {
 		text := fmt.Sprintf("/* id=r%d,c=look,d=60000,cluster=%d */ SELECT doc FROM items WHERE id = 's%d'", n, n, n)
@@ -474,31 +480,31 @@
 			return err
 		}
 	}
-	asked := 0
-	return r.until("all RPCs are at members", func() bool {
+	received := 0
+	return r.runUntil("all RPCs have reached members", func() bool {
 		for _, l := range r.listeners {
 			for fd, _, err := unix.Accept4(l, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC); err == nil; fd, _, err = unix.Accept4(l, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC) {
 				r.conns = append(r.conns, fd)
 				unix.Write(fd, welcome)
 			}
 		}
-		for ; asked < len(r.conns); asked++ {
-			if n, err := unix.Read(r.conns[asked], r.in); err != nil || n < 6 || r.in[n-1] != 0 {
+		for ; received < len(r.conns); received++ {
+			if n, err := unix.Read(r.conns[received], r.buffer); err != nil || n < 6 || r.buffer[n-1] != 0 {
 				return false
 			}
 		}
-		return asked == len(r.clients)
+		return received == len(r.clients)
 	})
 }
 
-// answer lets members answer all.
-func (r *raw) answer() error {
-	out := pgwire.AppendParameter(row("{}"), "node_role", "leader")
+// answerStatements answers all statements from the members and waits until the clients have received the answers.
+func (r *rawPeers) answerStatements() error {
+	out := pgwire.AppendParameter(dataRow("{}"), "node_role", "leader")
 	out = pgwire.AppendReady(pgwire.AppendParameter(out, "replay_position", "1"))
 	for _, fd := range r.conns {
 		if _, err := unix.Write(fd, out); err != nil {
 			return err
 		}
 	}
-	return r.hear("all clients have their answer", 0)
+	return r.awaitReady("all clients have received their answer", 0)
 }
--- a/internal/lab/capacity/failures_test.go
+++ b/internal/lab/capacity/failures_test.go
@@ -5,17 +5,17 @@
 	"testing"
 )
 
-// Of each failure the fleet loses no more than told here, comes back to 95% of its level, and breaks no rule.
+// After each failure the fleet loses no more utility than the limit below, returns to 95% of its level in time, and breaks no rule.
 func TestFailures(t *testing.T) {
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	const drivers = 14 // and 36 members
 	for _, c := range []struct {
 		name                  string
-		lost                  float64 // seconds of the level, at most
-		whole                 float64 // seconds until 95%, at most
-		drivers, members      float64 // gone
-		leastLoad, mostLoad   float64 // of a driver that is left
-		leastMoved, mostMoved float64 // primaries
+		lost                  float64 // at most, in seconds of the level before
+		whole                 float64 // at most, in seconds until 95% of the level
+		drivers, members      float64 // that fail
+		leastLoad, mostLoad   float64 // of a remaining driver, relative to the mean before
+		leastMoved, mostMoved float64 // changes of primary
 	}{
 		{"machines", 1, 6, 0, 2, 0, 0, 1, 1},
 		{"restart-replica", 0.5, 1, 0, 1, 0, 0, 0, 0},
@@ -34,20 +34,21 @@
 	}
 }
 
-// In the play of each failure, at each size, every driver has sessions of every group: a play's session n belongs to driver and group by n alone.
-func TestEveryDriverMeetsEveryGroup(t *testing.T) {
+// Every driver must have sessions of every group. A session's number alone determines its driver and its group, so a common divisor
+// of the two counts would leave some pairs without sessions.
+func TestEveryDriverHasSessionsOfEveryGroup(t *testing.T) {
 	for _, f := range failures {
 		for _, drivers := range []int{14, 30, 60, 120, 240} {
 			s, err := failureScript(&f, drivers)
 			if err != nil {
 				t.Fatal(err)
 			}
-			met := make(map[[2]int]bool)
+			pairs := make(map[[2]int]bool)
 			for n := range s.Sessions {
-				met[[2]int{n % s.Drivers, n % s.Groups}] = true
+				pairs[[2]int{n % s.Drivers, n % s.Groups}] = true
 			}
-			if len(met) != s.Drivers*s.Groups {
-				t.Errorf("%s: %d drivers and %d groups met in %d pairs", f.name, s.Drivers, s.Groups, len(met))
+			if len(pairs) != s.Drivers*s.Groups {
+				t.Errorf("%s: %d drivers and %d groups have sessions in %d pairs, want every pair", f.name, s.Drivers, s.Groups, len(pairs))
 			}
 		}
 	}
--- a/internal/lab/capacity/primary.go
+++ b/internal/lab/capacity/primary.go
@@ -10,171 +10,175 @@
 )
 
 const (
-	changeBound = 8 * time.Second // from a primary's silence to the first write at the next one, at every driver
-	alwaysAsked = 20.0            // statements a second of a driver to one group at which it always has a write to make
-	apartBefore = time.Second     // regions lose each other so long before the primary falls silent
-	apartFor    = 9 * time.Second
-	afterApart  = 4 * time.Second
-	backBefore  = 3 * time.Second // the end: when a primary that hung or vanished is back
+	maxChangeTime     = 8 * time.Second // from a primary's failure to the first write at its successor, for every driver
+	busyGroupRate     = 20.0            // statements per second and driver to one group; at this rate a driver always has a write waiting
+	partitionLead     = time.Second     // time from the start of the partition to the primary's failure
+	partitionDuration = 9 * time.Second
+	afterPartition    = 4 * time.Second
+	returnLead        = 3 * time.Second // time from the return of a hung or vanished primary to the end of the play
 )
 
-// silences are the ways in which a primary falls silent.
-var silences = []string{"death", "hang", "vanish"}
+// primaryFailures are the ways in which a primary stops answering.
+var primaryFailures = []string{"death", "hang", "vanish"}
 
-// silence lets a member fall silent.
-func silence(s *play.Script, how string, member int, at time.Duration) {
-	lasts := s.Lasts - at - backBefore
-	switch how {
-	case "death": // it comes back cold
-		s.Troubles = append(s.Troubles, play.Trouble{Kind: "kill", At: at, Lasts: trouble, On: []int{member}})
-	case "vanish": // neither its process nor its machine takes anything
-		s.Troubles = append(s.Troubles, play.Trouble{Kind: "cut", At: at, Lasts: lasts, From: places(play.Driver, 0, s.Drivers), To: []string{play.Member(member)}})
+// addPrimaryFailure adds a failure of a member to a play.
+func addPrimaryFailure(s *play.Script, kind string, member int, at time.Duration) {
+	duration := s.Lasts - at - returnLead
+	switch kind {
+	case "death": // it restarts cold
+		s.Troubles = append(s.Troubles, play.Trouble{Kind: "kill", At: at, Lasts: faultStart, On: []int{member}})
+	case "vanish": // paused, and its machine accepts no packets from drivers
+		s.Troubles = append(s.Troubles, play.Trouble{Kind: "cut", At: at, Lasts: duration, From: nodeNames(play.Driver, 0, s.Drivers), To: []string{play.Member(member)}})
 		fallthrough
 	case "hang":
-		s.Troubles = append(s.Troubles, play.Trouble{Kind: "pause", At: at, Lasts: lasts, On: []int{member}})
+		s.Troubles = append(s.Troubles, play.Trouble{Kind: "pause", At: at, Lasts: duration, On: []int{member}})
 	}
 }
 
-// spans are a change as some drivers lived it, in seconds. A driver that made no write until the end counts as if it had then.
-type spans struct {
-	all   []float64 // from a moment, such as the old one's silence, to its first write at the new one
-	own   []float64 // of it, since the group had the new one
-	asked []float64 // of that, since a client's write waited: the rest was want of a write
-	never int
+// changeTimes are the durations of a change of primary for some drivers, in seconds. A driver that made no write before the end of
+// the play counts as if it had written at the end.
+type changeTimes struct {
+	total             []float64 // from a start, such as the old primary's failure, to the driver's first write at the new primary
+	driverPart        []float64 // part of total after the group had its new primary
+	driverPartWaiting []float64 // part of driverPart while a client's write was waiting; in the rest the driver had none to send
+	withoutWrite      int
 }
 
-// add counts a driver. Since is the moment, begun the first one at which it could have written.
-func (p *spans) add(c *play.Change, driver int, since, begun, end time.Duration) {
+// add adds a driver. Total is counted from since; earliest is the first time at which the driver could have written.
+func (p *changeTimes) add(c *play.Change, driver int, since, earliest, end time.Duration) {
 	first := c.First[driver]
 	if first < 0 {
 		first = end
-		p.never++
+		p.withoutWrite++
 	}
-	p.all = append(p.all, (first - since).Seconds())
-	p.own = append(p.own, max(0, first-begun).Seconds())
+	p.total = append(p.total, (first - since).Seconds())
+	p.driverPart = append(p.driverPart, max(0, first-earliest).Seconds())
 	if w := c.Waited[driver]; w >= 0 {
-		p.asked = append(p.asked, max(0, first-max(w, begun)).Seconds())
+		p.driverPartWaiting = append(p.driverPartWaiting, max(0, first-max(w, earliest)).Seconds())
 	}
 }
 
-func (p *points) spans(s *spans) {
-	p.ranks("all", s.all)
-	p.ranks("driver_part", s.own)
-	p.ranks("driver_part_asked", s.asked)
-	p.say("never", "drivers", float64(s.never))
+// changeTimes reports the times of a change and the drivers that made no write.
+func (p *playReporter) changeTimes(s *changeTimes) {
+	p.reportPercentiles("all", s.total)
+	p.reportPercentiles("driver_part", s.driverPart)
+	p.reportPercentiles("driver_part_asked", s.driverPartWaiting)
+	p.report("never", "drivers", float64(s.withoutWrite))
 }
 
-// changeAt plays one change in one group, and gives its points. Apart: half of the drivers are cut off from half of the members meanwhile.
-func changeAt(how string, apart bool, rate float64, name string, drivers int, seed uint64, point func(Point)) error {
-	s, err := playOf(name, drivers, 1, rate*float64(drivers))
+// playChange plays one change of primary in one group and records its points. With partition, half of the drivers are cut off from
+// half of the members during the change.
+func playChange(kind string, partition bool, rate float64, name string, drivers int, seed uint64, point func(Point)) error {
+	s, err := newPlayScript(name, drivers, 1, rate*float64(drivers))
 	if err != nil {
 		return err
 	}
-	s.Build.Cores, s.Build.Queue = 64*max(1, drivers/fleetDrivers), 4096 // what it bears is not what is asked here
-	healed, half := trouble-apartBefore+apartFor, drivers
-	if apart {
-		half, s.Lasts = drivers/2, healed+afterApart
-		s.Troubles = append(s.Troubles, play.Trouble{Kind: "partition", At: trouble - apartBefore, Lasts: apartFor, Islands: [][]string{
-			append(places(play.Driver, 0, half), places(play.Member, 0, groupMembers/2)...),
-			append(places(play.Driver, half, drivers), places(play.Member, groupMembers/2, groupMembers)...)}})
+	s.Build.Cores, s.Build.Queue = 64*max(1, drivers/fleetDrivers), 4096 // large, as the capacity of members is not measured here
+	healedAt, firstHalf := faultStart-partitionLead+partitionDuration, drivers
+	if partition {
+		firstHalf, s.Lasts = drivers/2, healedAt+afterPartition
+		s.Troubles = append(s.Troubles, play.Trouble{Kind: "partition", At: faultStart - partitionLead, Lasts: partitionDuration, Islands: [][]string{
+			append(nodeNames(play.Driver, 0, firstHalf), nodeNames(play.Member, 0, groupMembers/2)...),
+			append(nodeNames(play.Driver, firstHalf, drivers), nodeNames(play.Member, groupMembers/2, groupMembers)...)}})
 	}
-	silence(s, how, 0, trouble)
+	addPrimaryFailure(s, kind, 0, faultStart)
 	r, err := play.Rehearse(s, seed)
 	if err != nil {
 		return err
 	}
 	if len(r.Changes) == 0 {
-		return fmt.Errorf("%s at %d, seed %d: the group has no new primary", name, drivers, seed)
+		return fmt.Errorf("%s at %d drivers, seed %d: group got no new primary", name, drivers, seed)
 	}
 	c := &r.Changes[0]
-	onFirst := c.Member == play.Member(0) || c.Member == play.Member(1) // half of the members
-	var near, far spans
+	newPrimaryInFirstHalf := c.Member == play.Member(0) || c.Member == play.Member(1) // the members on the side of the first half of the drivers
+	var connected, cutOff changeTimes
 	for d := range drivers {
-		if !apart || d < half == onFirst {
-			near.add(c, d, trouble, c.At, s.Ends())
+		if !partition || d < firstHalf == newPrimaryInFirstHalf {
+			connected.add(c, d, faultStart, c.At, s.Ends())
 		} else {
-			far.add(c, d, healed, healed, s.Ends())
+			cutOff.add(c, d, healedAt, healedAt, s.Ends())
 		}
 	}
-	p := &points{name, Drivers, drivers, s, seed, point}
-	p.say("group_part", "s", (c.At - trouble).Seconds())
-	p.spans(&near)
-	if apart {
-		p.ranks("cut_off_since_healed", far.all)
-		p.say("cut_off_never", "drivers", float64(far.never))
+	p := &playReporter{name, Drivers, drivers, s, seed, point}
+	p.report("group_part", "s", (c.At - faultStart).Seconds())
+	p.changeTimes(&connected)
+	if partition {
+		p.reportPercentiles("cut_off_since_healed", cutOff.total)
+		p.report("cut_off_never", "drivers", float64(cutOff.withoutWrite))
 	}
-	p.changeLoads(r, c)
-	return p.rules(r)
+	p.reportChangeLoad(r, c)
+	return p.reportBrokenRules(r)
 }
 
-// changeLoads is what a change brings to the new primary, and what goes astray.
-func (p *points) changeLoads(r *play.Result, c *play.Change) {
-	from, end := int(trouble/time.Second), r.Ledger.Seconds()
-	p.say("new_primary_attempts", "attempts in its first second", float64(c.Attempts))
-	p.say("new_primary_connects", "connections in its first second", float64(c.Connects))
-	p.say("usual_attempts", "attempts a second of the play's members", r.Ledger.Sum(emu.Attempts, 1, from)/float64(from-1))
-	p.say("former_writes", "attempts", r.Ledger.Sum(emu.Stale, from, end))
-	p.say("scouts", "attempts", r.Ledger.Sum(emu.Scouts, from, end))
-	p.say("lists_busiest", "calls a second", r.Ledger.Total(emu.Lists, from, end))
+// reportChangeLoad reports the load of a change on the new primary, and the attempts that reached the former one.
+func (p *playReporter) reportChangeLoad(r *play.Result, c *play.Change) {
+	from, end := int(faultStart/time.Second), r.Ledger.Seconds()
+	p.report("new_primary_attempts", "attempts in its first second", float64(c.Attempts))
+	p.report("new_primary_connects", "connections in its first second", float64(c.Connects))
+	p.report("usual_attempts", "attempts a second of the play's members", r.Ledger.Sum(emu.Attempts, 1, from)/float64(from-1))
+	p.report("former_writes", "attempts", r.Ledger.Sum(emu.Stale, from, end))
+	p.report("scouts", "attempts", r.Ledger.Sum(emu.Scouts, from, end))
+	p.report("lists_busiest", "calls a second", r.Ledger.Total(emu.Lists, from, end))
 	cold, _ := r.Ledger.Peak(emu.ColdPart, from, end)
-	p.say("cold_part", "of what tips a cold member", cold)
-	p.say("utility", "of what was asked", r.Utility)
+	p.report("cold_part", "of what tips a cold member", cold)
+	p.report("utility", "of what was asked", r.Utility)
 }
 
-// loneDriver has its ordinary part of all groups, of which some change their primary one after the other.
-func loneDriver(how string) Sweep {
-	const changing, every = 6, 500 * time.Millisecond
-	name := "primary-" + how + "-lone"
+// loneDriverSweep plays one driver with its ordinary load on all groups, some of which change their primary one after the other.
+func loneDriverSweep(kind string) Sweep {
+	const changing, interval = 6, 500 * time.Millisecond
+	name := "primary-" + kind + "-lone"
 	return Sweep{Name: name, Axis: Members, Sizes: []int{120, 550, 1100, 2200},
-		About: fmt.Sprintf("one driver with its ordinary %.0f statements a second, dealt over all groups, of which %d change their primary (%s); there is no other driver", driverStatements, changing, how),
+		About: fmt.Sprintf("one driver with its ordinary %.0f statements a second, spread over all groups, of which %d change their primary (%s); there is no other driver", driverStatements, changing, kind),
 		Play: func(_ context.Context, members int, seed uint64, point func(Point)) error {
-			s, err := playOf(name, 1, members/groupMembers, driverStatements)
+			s, err := newPlayScript(name, 1, members/groupMembers, driverStatements)
 			if err != nil {
 				return err
 			}
 			for n := range changing {
-				silence(s, how, n*groupMembers, trouble+time.Duration(n)*every)
+				addPrimaryFailure(s, kind, n*groupMembers, faultStart+time.Duration(n)*interval)
 			}
 			r, err := play.Rehearse(s, seed)
 			if err != nil {
 				return err
 			}
-			var all spans
-			var group []float64
+			var times changeTimes
+			var groupTimes []float64
 			for i := range r.Changes {
 				c := &r.Changes[i]
-				at := trouble + time.Duration(c.Group)*every
-				all.add(c, 0, at, c.At, s.Ends())
-				group = append(group, (c.At - at).Seconds())
+				at := faultStart + time.Duration(c.Group)*interval
+				times.add(c, 0, at, c.At, s.Ends())
+				groupTimes = append(groupTimes, (c.At - at).Seconds())
 			}
-			p := &points{name, Members, members, s, seed, point}
-			p.say("changes", "groups", float64(len(group)))
-			p.ranks("group_part", group)
-			p.spans(&all)
-			p.say("utility", "of what was asked", r.Utility)
-			return p.rules(r)
+			p := &playReporter{name, Members, members, s, seed, point}
+			p.report("changes", "groups", float64(len(groupTimes)))
+			p.reportPercentiles("group_part", groupTimes)
+			p.changeTimes(&times)
+			p.report("utility", "of what was asked", r.Utility)
+			return p.reportBrokenRules(r)
 		}}
 }
 
-// primarySweeps play changes of primary and failures.
+// primarySweeps returns the sweeps of changes of primary and of failures.
 func primarySweeps() []Sweep { return append(changeSweeps(), failureSweeps()...) }
 
+// changeSweeps returns the sweeps of changes of primary: by failure, load and partition, and one of a lone driver per failure.
 func changeSweeps() (all []Sweep) {
-	for _, how := range silences {
-		for _, apart := range []string{"", "-apart"} {
+	for _, kind := range primaryFailures {
+		for _, suffix := range []string{"", "-apart"} {
 			for _, load := range []struct {
 				name string
 				rate float64
-			}{{"-ordinary", groupStatements}, {"-asked", alwaysAsked}} {
-				name := "primary-" + how + load.name + apart
+			}{{"-ordinary", groupStatements}, {"-asked", busyGroupRate}} {
+				name := "primary-" + kind + load.name + suffix
 				all = append(all, Sweep{Name: name, Axis: Drivers, Sizes: []int{30, 100, 235, 470, 940},
-					About: fmt.Sprintf("one group of %d whose primary falls silent (%s), %.1f statements a second from each driver; the other members and what drivers send them are left out", groupMembers, how, load.rate),
+					About: fmt.Sprintf("one group of %d whose primary stops answering (%s), %.1f statements a second from each driver; members of other groups and their load are left out", groupMembers, kind, load.rate),
 					Play: func(_ context.Context, size int, seed uint64, point func(Point)) error {
-						return changeAt(how, apart != "", load.rate, name, size, seed, point)
+						return playChange(kind, suffix != "", load.rate, name, size, seed, point)
 					}})
 			}
 		}
-		all = append(all, loneDriver(how))
+		all = append(all, loneDriverSweep(kind))
 	}
 	return all
 }
--- a/internal/lab/capacity/primary_play.go
+++ b/internal/lab/capacity/primary_play.go
@@ -10,8 +10,8 @@
 	"passtack/internal/emu/play"
 )
 
-// playLoad is what the plays of changes and failures are like: the reads and writes of the drills.
-const playLoad = `lasts = "14s"
+// playTemplate is the script of the plays of changes and failures, with the reads and writes of the drills.
+const playTemplate = `lasts = "14s"
 fleet {
   drivers    = 1
   members    = 4
@@ -53,25 +53,25 @@
 }
 `
 
-// The fleet of two years.
+// The fleet size in two years, for which the sweeps measure.
 const (
-	fleetStatements = 840000.0 // a second
+	fleetStatements = 840000.0 // per second
 	fleetDrivers    = 470.0
 	fleetMembers    = 1100.0
 	groupMembers    = 4
 
-	// driverStatements is the ordinary part of one driver, groupStatements what of it goes to one group, each a second.
+	// driverStatements is the ordinary load of one driver, groupStatements its part for one group, both per second.
 	driverStatements = fleetStatements / fleetDrivers
 	groupStatements  = driverStatements * groupMembers / fleetMembers
 )
 
-// trouble is when it begins in these plays: what comes before is how things were.
-const trouble = 4 * time.Second
+// faultStart is when faults begin in these plays; the time before serves as the baseline.
+const faultStart = 4 * time.Second
 
-// playOf is a script of so many drivers before so many groups, at a rate of all drivers together. The parser's bounds are for what
-// people write, so sizes are set beside it.
-func playOf(name string, drivers, groups int, rate float64) (*play.Script, error) {
-	s, err := play.ParseScript([]byte(playLoad), name)
+// newPlayScript returns a script with the given drivers and groups, and the statement rate of all drivers together. Sizes are set
+// after parsing, as the parser's bounds are meant for scripts written by people.
+func newPlayScript(name string, drivers, groups int, rate float64) (*play.Script, error) {
+	s, err := play.ParseScript([]byte(playTemplate), name)
 	if err != nil {
 		return nil, err
 	}
@@ -79,15 +79,15 @@
 	return s, nil
 }
 
-// places names the drivers or members from one number until another.
-func places(name func(int) string, from, to int) (all []string) {
+// nodeNames returns the names of the drivers or members from one number up to, but not including, another.
+func nodeNames(name func(int) string, from, to int) (all []string) {
 	for n := from; n < to; n++ {
 		all = append(all, name(n))
 	}
 	return all
 }
 
-// percentile gives one by rank, the worst for 100.
+// percentile returns the nearest-rank percentile; 100 gives the largest value.
 func percentile(values []float64, percent float64) float64 {
 	if len(values) == 0 {
 		return math.NaN()
@@ -96,8 +96,8 @@
 	return sorted[max(int(math.Ceil(percent/100*float64(len(sorted)))), 1)-1]
 }
 
-// points makes the points of one play.
-type points struct {
+// playReporter records the points of one play.
+type playReporter struct {
 	sweep  string
 	axis   Axis
 	size   int
@@ -106,24 +106,24 @@
 	point  func(Point)
 }
 
-func (p *points) say(measure, unit string, value float64) {
+func (p *playReporter) report(measure, unit string, value float64) {
 	p.point(Point{Sweep: p.sweep, Measure: measure, Unit: unit, Axis: string(p.axis), Size: int64(p.size), Drivers: int64(p.script.Drivers),
 		Members: int64(p.script.Groups * p.script.Members), Seed: p.seed, Value: value, How: "simulated"})
 }
 
-// ranks tells nothing where there is no value.
-func (p *points) ranks(measure string, values []float64) {
+// reportPercentiles reports the median, 99th percentile and largest value, or nothing if there are no values.
+func (p *playReporter) reportPercentiles(measure string, values []float64) {
 	if len(values) == 0 {
 		return
 	}
-	p.say(measure+"_p50", "s", percentile(values, 50))
-	p.say(measure+"_p99", "s", percentile(values, 99))
-	p.say(measure+"_worst", "s", percentile(values, 100))
+	p.report(measure+"_p50", "s", percentile(values, 50))
+	p.report(measure+"_p99", "s", percentile(values, 99))
+	p.report(measure+"_worst", "s", percentile(values, 100))
 }
 
-// rules tells how many were broken; a play in which one was is no measurement.
-func (p *points) rules(r *play.Result) error {
-	p.say("rules_broken", "rules", float64(len(r.Broken)))
+// reportBrokenRules reports how many rules were broken, and returns an error if any was: such a play is not a valid measurement.
+func (p *playReporter) reportBrokenRules(r *play.Result) error {
+	p.report("rules_broken", "rules", float64(len(r.Broken)))
 	if len(r.Broken) > 0 {
 		return fmt.Errorf("%s at %d, seed %d: rules broken: %s", p.sweep, p.size, p.seed, strings.Join(r.Broken[:min(len(r.Broken), 3)], "; "))
 	}
--- a/internal/lab/capacity/processes.go
+++ b/internal/lab/capacity/processes.go
@@ -20,86 +20,86 @@
 	"passtack/internal/node"
 )
 
-// Program is what the sweeps with processes start as drivers; "": they are not played.
+// Program is the path of the driver program that sweeps with processes start; if empty, these sweeps are not played.
 var Program string
 
-// ErrProgram is why a sweep with processes is not played.
-var ErrProgram = errors.New("it starts drivers as processes, and no program is given")
+// ErrProgram is returned by a sweep with processes when Program is empty.
+var ErrProgram = errors.New("sweep starts driver processes, but no driver program is set")
 
 func processSweeps() []Sweep {
 	return []Sweep{{
 		Name: "processes", Axis: Drivers, Sizes: []int{10, 30}, Play: playProcesses,
-		About: "The check of hollow drivers: as many processes of the driver on loopback, with a view of a question a second and a list without members, and then as many hollow drivers. " +
-			"Both are counted by the drivers' own counters of the view, without the 28 bytes of a letter's head, over 30 s from 15 s after all know all; then one is killed. " +
-			"Views are asked for every 100 ms.",
+		About: "Check of hollow drivers against processes: driver processes on loopback, with a view that sends one probe a second and an empty endpoint list, and then as many hollow drivers. " +
+			"Messages and bytes are those of the drivers' own view counters, without the 28 bytes of IP and UDP headers, over 30 s from 15 s after all drivers know each other; then one is killed. " +
+			"Views are queried every 100 ms.",
 	}}
 }
 
-// process is one driver.
-type process struct {
-	command *exec.Cmd
-	control string
+// fleetProcess is one driver process.
+type fleetProcess struct {
+	command        *exec.Cmd
+	controlAddress string
 }
 
-// fleetOf starts drivers as processes, in a folder of their own.
-func fleetOf(folder string, drivers int, seed uint64, agents []*agent) (all []*process, err error) {
+// startFleet starts drivers as processes, with their files in the given folder.
+func startFleet(folder string, drivers int, seed uint64, agents []*agent) (all []*fleetProcess, err error) {
 	s, err := play.ParseScript([]byte(plainScript), "processes")
 	if err != nil {
 		return nil, err
 	}
-	places, err := play.Free(3*drivers + 1)
+	addresses, err := play.Free(3*drivers + 1)
 	if err != nil {
 		return nil, err
 	}
-	talk := places[:drivers]
+	peerAddresses := addresses[:drivers]
 	for i := range drivers {
-		at := filepath.Join(folder, driverName(i))
-		control := places[2*drivers+i].String()
-		site := s.SiteJSON(play.Told{Name: driverName(i), Number: i, Listen: places[drivers+i], Discovery: agents[i].at, Seed: seed*1000003 + uint64(i),
-			Known: []byte(`{"rev":1,"all":true,"targets":[]}`), PeerListen: talk[i], PeerAll: places[3*drivers], Peers: talk})
-		wants := fmt.Appendf(nil, "%scontrol {\n  listen = %q\n}\n", viewWants, control)
-		if err := errors.Join(os.WriteFile(at+".json", site, 0o600), os.WriteFile(at+".hcl", wants, 0o600)); err != nil {
+		base := filepath.Join(folder, driverName(i))
+		controlAddress := addresses[2*drivers+i].String()
+		site := s.SiteJSON(play.Told{Name: driverName(i), Number: i, Listen: addresses[drivers+i], Discovery: agents[i].at, Seed: seed*1000003 + uint64(i),
+			Known: []byte(`{"rev":1,"all":true,"targets":[]}`), PeerListen: peerAddresses[i], PeerAll: addresses[3*drivers], Peers: peerAddresses})
+		operatorFile := fmt.Appendf(nil, "%scontrol {\n  listen = %q\n}\n", viewWants, controlAddress)
+		if err := errors.Join(os.WriteFile(base+".json", site, 0o600), os.WriteFile(base+".hcl", operatorFile, 0o600)); err != nil {
 			return all, err
 		}
-		c := exec.Command(Program, "serve", "--site", at+".json", "--operator", at+".hcl")
+		c := exec.Command(Program, "serve", "--site", base+".json", "--operator", base+".hcl")
 		c.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 		c.Stderr = io.Discard
 		if err := c.Start(); err != nil {
 			return all, err
 		}
-		all = append(all, &process{c, control})
+		all = append(all, &fleetProcess{c, controlAddress})
 	}
 	return all, nil
 }
 
-func (p *process) kill() {
+func (p *fleetProcess) kill() {
 	p.command.Process.Kill()
 	p.command.Wait()
 }
 
-// usage is the processor time that a process has taken, and what it holds of memory.
-func (p *process) usage() (spent time.Duration, held float64) {
-	at := filepath.Join("/proc", strconv.Itoa(p.command.Process.Pid))
-	text, _ := os.ReadFile(filepath.Join(at, "stat"))
+// usage returns the CPU time of a process and its resident memory in bytes.
+func (p *fleetProcess) usage() (cpuTime time.Duration, resident float64) {
+	folder := filepath.Join("/proc", strconv.Itoa(p.command.Process.Pid))
+	text, _ := os.ReadFile(filepath.Join(folder, "stat"))
 	_, rest, _ := strings.Cut(string(text), ") ")
 	if fields := strings.Fields(rest); len(fields) > 12 {
 		user, _ := strconv.Atoi(fields[11])
 		system, _ := strconv.Atoi(fields[12])
-		spent = time.Duration(user+system) * (time.Second / 100) // USER_HZ
+		cpuTime = time.Duration(user+system) * (time.Second / 100) // USER_HZ
 	}
-	text, _ = os.ReadFile(filepath.Join(at, "statm"))
+	text, _ = os.ReadFile(filepath.Join(folder, "statm"))
 	if fields := strings.Fields(string(text)); len(fields) > 1 {
 		pages, _ := strconv.Atoi(fields[1])
-		held = float64(pages * os.Getpagesize())
+		resident = float64(pages * os.Getpagesize())
 	}
-	return spent, held
+	return cpuTime, resident
 }
 
-// asks gives the views of all that run.
-func asks(all []*process) (views []node.FleetStatus, err error) {
+// fleetViews returns the fleet views of all running processes.
+func fleetViews(all []*fleetProcess) (views []node.FleetStatus, err error) {
 	for _, p := range all {
 		var s node.FleetStatus
-		if err := control.Query(p.control, "fleet", &s); err != nil {
+		if err := control.Query(p.controlAddress, "fleet", &s); err != nil {
 			return nil, err
 		}
 		views = append(views, s)
@@ -107,12 +107,13 @@
 	return views, nil
 }
 
+// playProcesses measures driver processes in steady state and after the crash of one, and then as many hollow drivers.
 func playProcesses(stop context.Context, size int, seed uint64, point func(Point)) error {
 	if Program == "" {
 		return ErrProgram
 	}
 	p := Point{Drivers: int64(size)}
-	one := func(how, measure, unit string, value float64) {
+	record := func(how, measure, unit string, value float64) {
 		p.How, p.Measure, p.Unit, p.Value = how, measure, unit, value
 		point(p)
 	}
@@ -126,31 +127,31 @@
 		return err
 	}
 	d := &discoveryAgent{rev: 1}
-	places, err := play.Free(size)
+	addresses, err := play.Free(size)
 	if err != nil {
 		return err
 	}
-	for _, at := range places {
+	for _, at := range addresses {
 		if _, err := d.agent(l, at); err != nil {
 			return err
 		}
 	}
-	var over atomic.Bool
-	served := make(chan error, 1)
+	var stopping atomic.Bool
+	loopDone := make(chan error, 1)
 	go func() {
-		served <- l.Run(func() {
-			if over.Load() {
+		loopDone <- l.Run(func() {
+			if stopping.Load() {
 				l.Stop()
 			}
 		})
 	}()
 	defer func() {
-		over.Store(true)
+		stopping.Store(true)
 		l.Wake()
-		<-served
+		<-loopDone
 		l.Close()
 	}()
-	all, err := fleetOf(folder, size, seed, d.agents)
+	all, err := startFleet(folder, size, seed, d.agents)
 	defer func() {
 		for _, p := range all {
 			p.kill()
@@ -167,8 +168,8 @@
 			return nil
 		}
 	}
-	whole := func() bool {
-		views, err := asks(all)
+	complete := func() bool {
+		views, err := fleetViews(all)
 		for _, v := range views {
 			if v.ActiveCount != size {
 				return false
@@ -176,82 +177,82 @@
 		}
 		return err == nil
 	}
-	for began := time.Now(); !whole(); {
+	for began := time.Now(); !complete(); {
 		if err := pause(100 * time.Millisecond); err != nil {
 			return err
 		}
 		if time.Since(began) > 30*time.Second {
-			return fmt.Errorf("%d processes do not know each other after 30 s", size)
+			return fmt.Errorf("not all %d processes know each other after 30 s", size)
 		}
 	}
 	if err := pause(15 * time.Second); err != nil {
 		return err
 	}
-	before, err := asks(all)
+	before, err := fleetViews(all)
 	if err != nil {
 		return err
 	}
 	began := time.Now()
-	var spent []float64
+	var cpuTimes []float64
 	for _, p := range all {
 		s, _ := p.usage()
-		spent = append(spent, -float64(s.Microseconds()))
+		cpuTimes = append(cpuTimes, -float64(s.Microseconds()))
 	}
 	if err := pause(30 * time.Second); err != nil {
 		return err
 	}
-	var held []float64
+	var resident []float64
 	for i, p := range all {
 		s, h := p.usage()
-		spent[i], held = spent[i]+float64(s.Microseconds()), append(held, h)
+		cpuTimes[i], resident = cpuTimes[i]+float64(s.Microseconds()), append(resident, h)
 	}
-	after, err := asks(all)
+	after, err := fleetViews(all)
 	if err != nil {
 		return err
 	}
-	lasts := time.Since(began).Seconds()
+	seconds := time.Since(began).Seconds()
 	var messages, bytes []float64
 	for i := range all {
-		messages, bytes = append(messages, float64(after[i].Sent-before[i].Sent)/lasts), append(bytes, float64(after[i].SentBytes-before[i].SentBytes)/lasts)
-	}
-	one("loopback", "messages", "messages/s per driver", mean(messages))
-	one("loopback", "messages_worst", "messages/s of the worst", worst(messages))
-	one("loopback", "bytes", "B/s per driver, sent", mean(bytes))
-	one("loopback", "processor", "us a second per driver", mean(spent)/lasts)
-	one("loopback", "memory", "B per driver, resident", mean(held))
-	gone := size / 3
-	all[gone].kill()
-	killed := time.Now()
-	all = append(all[:gone], all[gone+1:]...)
-	when := make(map[string]float64)
-	for len(when) < len(all) {
+		messages, bytes = append(messages, float64(after[i].Sent-before[i].Sent)/seconds), append(bytes, float64(after[i].SentBytes-before[i].SentBytes)/seconds)
+	}
+	record("loopback", "messages", "messages/s per driver", mean(messages))
+	record("loopback", "messages_worst", "messages/s of the worst", worst(messages))
+	record("loopback", "bytes", "B/s per driver, sent", mean(bytes))
+	record("loopback", "processor", "us a second per driver", mean(cpuTimes)/seconds)
+	record("loopback", "memory", "B per driver, resident", mean(resident))
+	killed := size / 3
+	all[killed].kill()
+	killedAt := time.Now()
+	all = append(all[:killed], all[killed+1:]...)
+	detected := make(map[string]float64)
+	for len(detected) < len(all) {
 		for _, q := range all {
-			if _, known := when[q.control]; known {
+			if _, known := detected[q.controlAddress]; known {
 				continue
 			}
 			var s node.FleetStatus
-			if control.Query(q.control, "fleet", &s) == nil && s.ActiveCount == size-1 {
-				when[q.control] = time.Since(killed).Seconds()
+			if control.Query(q.controlAddress, "fleet", &s) == nil && s.ActiveCount == size-1 {
+				detected[q.controlAddress] = time.Since(killedAt).Seconds()
 			}
 		}
-		if time.Since(killed) > time.Minute {
-			return fmt.Errorf("%d of %d processes know of the crash after a minute", len(when), len(all))
+		if time.Since(killedAt) > time.Minute {
+			return fmt.Errorf("only %d of %d processes detected the crash within a minute", len(detected), len(all))
 		}
 		if err := pause(100 * time.Millisecond); err != nil {
 			return err
 		}
 	}
 	var known []float64
-	for _, t := range when {
+	for _, t := range detected {
 		known = append(known, t)
 	}
-	one("loopback", "crash_known_p50", "s", quantile(known, 0.5))
-	one("loopback", "crash_known_worst", "s", worst(known))
-	return playAlike(stop, size, seed, one)
+	record("loopback", "crash_known_p50", "s", quantile(known, 0.5))
+	record("loopback", "crash_known_worst", "s", worst(known))
+	return playHollow(stop, size, seed, record)
 }
 
-// playAlike plays as many hollow drivers as there were processes.
-func playAlike(stop context.Context, size int, seed uint64, one func(how, measure, unit string, value float64)) error {
+// playHollow measures as many hollow drivers as there were processes.
+func playHollow(stop context.Context, size int, seed uint64, record func(how, measure, unit string, value float64)) error {
 	f, err := newHollow(stop, size, seed, viewWants)
 	if err != nil {
 		return err
@@ -276,18 +277,18 @@
 	for i, n := range f.nodes {
 		messages[i], bytes[i] = (messages[i]+float64(n.Membership().Stats().Sent))/30, (bytes[i]+float64(n.Membership().Stats().SentBytes))/30
 	}
-	one("simulated", "hollow_messages", "messages/s per driver", mean(messages))
-	one("simulated", "hollow_messages_worst", "messages/s of the worst", worst(messages))
-	one("simulated", "hollow_bytes", "B/s per driver, sent", mean(bytes))
+	record("simulated", "hollow_messages", "messages/s per driver", mean(messages))
+	record("simulated", "hollow_messages_worst", "messages/s of the worst", worst(messages))
+	record("simulated", "hollow_bytes", "B/s per driver, sent", mean(bytes))
 	f.kill(size / 3)
 	known, never, err := f.until(time.Minute, 20*time.Millisecond, func(i int) bool { return f.nodes[i].Membership().ActiveCount() == size-1 })
 	if err == nil && never > 0 {
-		err = fmt.Errorf("%d hollow drivers never knew of the crash", never)
+		err = fmt.Errorf("%d hollow drivers did not detect the crash within a minute", never)
 	}
 	if err != nil {
 		return err
 	}
-	one("simulated", "hollow_crash_known_p50", "s", quantile(known, 0.5))
-	one("simulated", "hollow_crash_known_worst", "s", worst(known))
+	record("simulated", "hollow_crash_known_p50", "s", quantile(known, 0.5))
+	record("simulated", "hollow_crash_known_worst", "s", worst(known))
 	return nil
 }
