--- a/cmd/passlab/capacity.go
+++ b/cmd/passlab/capacity.go
@@ -80,7 +80,7 @@
 	})
 	kept.Add(points, cuts)
 	if len(kept.Points)+len(kept.Cuts) > 0 {
-		if wrong := kept.Keep(c.Out); wrong != nil {
+		if wrong := kept.Save(c.Out); wrong != nil {
 			return errors.Join(err, wrong)
 		}
 	}
--- a/cmd/passlab/main.go
+++ b/cmd/passlab/main.go
@@ -44,9 +44,9 @@
 	stop, end := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer end()
 	shown := time.Now()
-	how := lab.How{Scale: c.Scale, Program: c.Program}
+	how := lab.Options{Scale: c.Scale, Program: c.Program}
 	if c.Program != "" {
-		how.AtOnce = 1
+		how.Concurrency = 1
 	}
 	rows, err := lab.Play(stop, how, c.Scripts, arms, seeds, func(done, all int, _ lab.Row) {
 		if time.Since(shown) > time.Second {
@@ -55,7 +55,7 @@
 		}
 	})
 	if len(rows) > 0 {
-		if kept := lab.Keep(c.Out, rows); kept != nil {
+		if kept := lab.Save(c.Out, rows); kept != nil {
 			return kept
 		}
 	}
--- a/internal/lab/capacity/capacity.go
+++ b/internal/lab/capacity/capacity.go
@@ -1,5 +1,5 @@
-// Package capacity measures how what a fleet costs grows with its size. Each sweep plays one axis at a time, in simulated
-// time or with processes on loopback, and gives points; slopes are fitted to them.
+// Package capacity measures how the cost of a fleet grows with its size. Each sweep varies one size, in simulated time or with
+// processes on loopback, and yields points, to which growth curves are fitted.
 package capacity
 
 import (
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// Axis is the size that a sweep changes; all others stay as they are.
+// Axis is the size that a sweep varies; all other sizes are fixed.
 type Axis string
 
 const (
@@ -24,41 +24,43 @@
 	Clients Axis = "clients"
 )
 
-// Point is one measured value at one size.
+// Point is one measured value at one size. Its fields are the columns of rows.csv and rows.parquet, and its type name is the name of the
+// Parquet schema.
 type Point struct {
 	Sweep   string  `parquet:"sweep"`
-	Measure string  `parquet:"measure"` // such as view_bytes
-	Unit    string  `parquet:"unit"`    // such as B/s per driver
+	Measure string  `parquet:"measure"` // for example view_bytes
+	Unit    string  `parquet:"unit"`    // for example B/s per driver
 	Axis    string  `parquet:"axis"`
-	Size    int64   `parquet:"size"` // along the axis
+	Size    int64   `parquet:"size"` // value on the axis
 	Drivers int64   `parquet:"drivers"`
 	Members int64   `parquet:"members"`
 	Seed    uint64  `parquet:"seed"`
 	Value   float64 `parquet:"value"`
-	How     string  `parquet:"how"` // simulated, loopback or counted
+	How     string  `parquet:"how"` // how the value was obtained: simulated, loopback or counted
 }
 
-// Sweep plays one axis. Play gives its points as they are measured; it ends early when the context does.
+// Sweep measures along one axis. Play measures one size and passes each point to the callback as it is measured; it returns early when
+// the context ends.
 type Sweep struct {
 	Name  string
-	About string // what is played, and what is left out
+	About string // what is measured, and what the model leaves out
 	Axis  Axis
 	Sizes []int
-	Play  func(stop context.Context, size int, seed uint64, point func(Point)) error
+	Play  func(ctx context.Context, size int, seed uint64, point func(Point)) error
 }
 
-// sources are where the sweeps come from.
-var sources = []func() []Sweep{viewSweeps, leaseSweeps, listSweeps, processSweeps, driverSweeps, primarySweeps, configurationSweeps}
+// sweepSources lists the functions that return sweeps.
+var sweepSources = []func() []Sweep{viewSweeps, leaseSweeps, listSweeps, processSweeps, driverSweeps, primarySweeps, configurationSweeps}
 
-// Sweeps are all that there are, in the order in which they are played.
+// Sweeps returns all sweeps, in the order in which they are played.
 func Sweeps() (all []Sweep) {
-	for _, source := range sources {
+	for _, source := range sweepSources {
 		all = append(all, source()...)
 	}
 	return all
 }
 
-// The sizes that sweeps have along each axis, and those on which the other axis stays.
+// Sizes that sweeps measure along each axis.
 var (
 	DriverSizes = []int{30, 100, 235, 470, 940}
 	MemberSizes = []int{120, 550, 1100, 2200}
@@ -71,20 +73,20 @@
 	UsualMembers = 1100
 )
 
-// Bounds end what takes too much.
+// Bounds limit the time and memory of a part. Play cuts off a part that exceeds one.
 type Bounds struct {
-	Time   time.Duration // of one sweep at one size
-	Memory int64         // bytes that the process holds
+	Time   time.Duration // of one part
+	Memory int64         // of this process, in bytes
 }
 
-// Part is one sweep at one size with one seed.
+// Part is one run of a sweep: at one size, with one seed.
 type Part struct {
 	Sweep Sweep
 	Size  int
 	Seed  uint64
 }
 
-// Cut is a part that did not come to its end, and why.
+// Cut records a part that was cut off or not played, and why.
 type Cut struct {
 	Sweep string `json:"sweep"`
 	Size  int    `json:"size"`
@@ -92,7 +94,7 @@
 	Why   string `json:"why"`
 }
 
-// Pick gives the parts of the named sweeps, all of them for no names, at the named sizes, all of theirs for none.
+// Pick returns the parts of the named sweeps at the given sizes. No names select all sweeps; no sizes select all sizes of each sweep.
 func Pick(all []Sweep, names []string, sizes []int, seeds []uint64) (parts []Part, err error) {
 	for _, name := range names {
 		if !slices.ContainsFunc(all, func(s Sweep) bool { return s.Name == name }) {
@@ -100,7 +102,7 @@
 			for _, s := range all {
 				known = append(known, s.Name)
 			}
-			return nil, fmt.Errorf("sweep %q: there is none; there are %s", name, strings.Join(known, ", "))
+			return nil, fmt.Errorf("unknown sweep %q; known sweeps are %s", name, strings.Join(known, ", "))
 		}
 	}
 	for _, s := range all {
@@ -118,82 +120,83 @@
 	}
 	for _, size := range sizes {
 		if !slices.ContainsFunc(parts, func(p Part) bool { return p.Size == size }) {
-			return nil, fmt.Errorf("size %d: none of the sweeps has it", size)
+			return nil, fmt.Errorf("size %d: not a size of any selected sweep", size)
 		}
 	}
 	return parts, nil
 }
 
-// ErrTime and ErrMemory are why a part was cut off.
+// ErrTime and ErrMemory are the reasons why a part is cut off.
 var (
 	ErrTime   = errors.New("it took longer than its bound")
 	ErrMemory = errors.New("it held more memory than its bound")
 )
 
-// Play plays the parts one after the other. A part that passes a bound is ended and counts as cut off: its points are left out,
-// as is a larger size of the same sweep, which would not fit either. An error is one of a sweep's own, or the context's.
-func Play(c context.Context, b Bounds, parts []Part, told func(done int, p Part, took time.Duration, cut error)) (points []Point, cuts []Cut, err error) {
-	passed := make(map[string]int) // the size that a sweep could not take
+// Play plays the parts one after the other and calls report after each. A part that exceeds a bound is cut off: its points are dropped,
+// and the same and larger sizes of the sweep are skipped, because they would exceed the bound too. Play returns an error when a sweep
+// fails or the context ends.
+func Play(ctx context.Context, bounds Bounds, parts []Part, report func(done int, p Part, took time.Duration, cut error)) (points []Point, cuts []Cut, err error) {
+	cutOffSize := make(map[string]int) // by sweep, the size that was cut off
 	for i, p := range parts {
-		if c.Err() != nil {
-			return points, cuts, context.Cause(c)
+		if ctx.Err() != nil {
+			return points, cuts, context.Cause(ctx)
 		}
-		if most, some := passed[p.Sweep.Name]; some && p.Size >= most {
-			cuts = append(cuts, Cut{p.Sweep.Name, p.Size, p.Seed, fmt.Sprintf("not played: size %d was cut off", most)})
+		if limit, known := cutOffSize[p.Sweep.Name]; known && p.Size >= limit {
+			cuts = append(cuts, Cut{p.Sweep.Name, p.Size, p.Seed, fmt.Sprintf("not played: size %d was cut off", limit)})
 			continue
 		}
-		began := time.Now()
-		got, err := one(c, b, p)
-		why := error(nil)
+		start := time.Now()
+		measured, err := playPart(ctx, bounds, p)
+		cutErr := error(nil)
 		switch {
 		case errors.Is(err, ErrTime), errors.Is(err, ErrMemory), errors.Is(err, ErrProgram):
-			why = err
-			passed[p.Sweep.Name] = p.Size
+			cutErr = err
+			cutOffSize[p.Sweep.Name] = p.Size
 			cuts = append(cuts, Cut{p.Sweep.Name, p.Size, p.Seed, err.Error()})
 		case err != nil:
 			return points, cuts, fmt.Errorf("sweep %s, size %d, seed %d: %w", p.Sweep.Name, p.Size, p.Seed, err)
 		default:
-			points = append(points, got...)
+			points = append(points, measured...)
 		}
-		told(i+1, p, time.Since(began), why)
+		report(i+1, p, time.Since(start), cutErr)
 	}
 	return points, cuts, nil
 }
 
-// one plays a part within its bounds.
-func one(c context.Context, b Bounds, p Part) (points []Point, err error) {
-	within, end := context.WithCancelCause(c)
-	defer end(nil)
+// playPart plays a part and ends it when it exceeds a bound. It reads the memory in use every 100 ms.
+func playPart(ctx context.Context, bounds Bounds, p Part) (points []Point, err error) {
+	partCtx, cancel := context.WithCancelCause(ctx)
+	defer cancel(nil)
 	done := make(chan error, 1)
 	go func() {
-		done <- p.Sweep.Play(within, p.Size, p.Seed, func(at Point) {
-			at.Sweep, at.Axis, at.Size, at.Seed = p.Sweep.Name, string(p.Sweep.Axis), int64(p.Size), p.Seed
-			points = append(points, at)
+		done <- p.Sweep.Play(partCtx, p.Size, p.Seed, func(point Point) {
+			point.Sweep, point.Axis, point.Size, point.Seed = p.Sweep.Name, string(p.Sweep.Axis), int64(p.Size), p.Seed
+			points = append(points, point)
 		})
 	}()
-	look := time.NewTicker(100 * time.Millisecond)
-	defer look.Stop()
-	late := time.NewTimer(b.Time)
-	defer late.Stop()
+	memoryCheck := time.NewTicker(100 * time.Millisecond)
+	defer memoryCheck.Stop()
+	timeout := time.NewTimer(bounds.Time)
+	defer timeout.Stop()
 	for {
 		select {
 		case err = <-done:
-			if within.Err() != nil {
-				err = context.Cause(within)
+			if partCtx.Err() != nil {
+				err = context.Cause(partCtx)
 			}
 			return points, err
-		case <-late.C:
-			end(fmt.Errorf("%w of %v", ErrTime, b.Time))
-		case <-look.C:
-			if held := Held(); held > b.Memory {
-				end(fmt.Errorf("%w of %d MB: %d", ErrMemory, b.Memory>>20, held>>20))
+		case <-timeout.C:
+			cancel(fmt.Errorf("%w of %v", ErrTime, bounds.Time))
+		case <-memoryCheck.C:
+			if inUse := MemoryInUse(); inUse > bounds.Memory {
+				cancel(fmt.Errorf("%w of %d MB: %d", ErrMemory, bounds.Memory>>20, inUse>>20))
 			}
 		}
 	}
 }
 
-// Held is what the process holds of the machine's memory, in bytes.
-func Held() int64 {
+// MemoryInUse returns the memory that this process holds, in bytes, without heap memory returned to the operating system.
+func MemoryInUse() int64 {
 	samples := []metrics.Sample{{Name: "/memory/classes/total:bytes"}, {Name: "/memory/classes/heap/released:bytes"}}
 	metrics.Read(samples)
 	return int64(samples[0].Value.Uint64() - samples[1].Value.Uint64())
--- a/internal/lab/capacity/capacity_test.go
+++ b/internal/lab/capacity/capacity_test.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// Each shape is found again in values that have it, with its slope and the exponent.
-func TestFitsFindTheShape(t *testing.T) {
+// A fit to values with a known shape finds that shape, its exponent and the values.
+func TestFitFindsShape(t *testing.T) {
 	sizes := []float64{30, 100, 235, 470, 940}
 	for _, c := range []struct {
 		shape    Shape
@@ -30,11 +30,11 @@
 			values = append(values, c.of(x)*(1+0.01*float64(1-i%2*2)))
 		}
 		f := FitOf(sizes, values)
-		if f.Shape != c.shape || f.Residual > 0.05 || !math.IsNaN(c.exponent) && math.Abs(f.Power-c.exponent) > 0.03 {
+		if f.Shape != c.shape || f.Residual > 0.05 || !math.IsNaN(c.exponent) && math.Abs(f.Exponent-c.exponent) > 0.03 {
 			t.Errorf("%s: %+v", c.shape, f)
 		}
 		if at := f.At(470); math.Abs(at-c.of(470)) > 0.05*c.of(470) {
-			t.Errorf("%s: %v at 470, not %v", c.shape, at, c.of(470))
+			t.Errorf("%s: the fit gives %v at 470, want %v", c.shape, at, c.of(470))
 		}
 	}
 	if f := FitOf([]float64{1, 2}, []float64{1, 2}); f.Shape != Unfitted {
@@ -42,31 +42,31 @@
 	}
 }
 
-func told(int, Part, time.Duration, error) {}
+func ignoreReport(int, Part, time.Duration, error) {}
 
-// What passes a bound is ended and told as cut off, with all larger sizes of its sweep; others go on.
-func TestBoundsCutOff(t *testing.T) {
-	kept := []byte(nil)
-	sweep := func(name string, play func(stop context.Context, size int) error) Sweep {
-		return Sweep{Name: name, Axis: Drivers, Sizes: []int{1, 2, 3}, Play: func(stop context.Context, size int, seed uint64, point func(Point)) error {
+// A part that exceeds a bound is cut off, and larger sizes of its sweep are skipped; other sweeps are still played.
+func TestPlayCutsOffPartsOverBounds(t *testing.T) {
+	allocated := []byte(nil)
+	sweep := func(name string, play func(ctx context.Context, size int) error) Sweep {
+		return Sweep{Name: name, Axis: Drivers, Sizes: []int{1, 2, 3}, Play: func(ctx context.Context, size int, seed uint64, point func(Point)) error {
 			point(Point{Measure: "size", Unit: "B", Value: float64(size)})
-			return play(stop, size)
+			return play(ctx, size)
 		}}
 	}
 	all := []Sweep{
-		sweep("slow", func(stop context.Context, size int) error {
+		sweep("slow", func(ctx context.Context, size int) error {
 			if size > 1 {
-				<-stop.Done()
+				<-ctx.Done()
 			}
-			return stop.Err()
+			return ctx.Err()
 		}),
-		sweep("large", func(stop context.Context, size int) error {
+		sweep("large", func(ctx context.Context, size int) error {
 			if size > 1 {
-				kept = make([]byte, 200<<20)
-				for i := range kept {
-					kept[i] = 1
+				allocated = make([]byte, 200<<20)
+				for i := range allocated {
+					allocated[i] = 1
 				}
-				<-stop.Done()
+				<-ctx.Done()
 			}
 			return nil
 		}),
@@ -76,43 +76,45 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	points, cuts, err := Play(context.Background(), Bounds{500 * time.Millisecond, Held() + 100<<20}, parts, told)
-	kept = nil
+	points, cuts, err := Play(context.Background(), Bounds{500 * time.Millisecond, MemoryInUse() + 100<<20}, parts, ignoreReport)
+	allocated = nil
 	if err != nil || len(points) != 5 || len(cuts) != 4 {
 		t.Fatalf("%v, %d points, %+v", err, len(points), cuts)
 	}
 	for i, want := range []string{"longer than its bound of 500ms", "not played: size 2", "more memory than its bound", "not played: size 2"} {
 		if !strings.Contains(cuts[i].Why, want) {
-			t.Errorf("%+v has no %q", cuts[i], want)
+			t.Errorf("%+v does not contain %q", cuts[i], want)
 		}
 	}
 	broken := sweep("broken", func(_ context.Context, size int) error { return errors.New("out of tune") })
-	if _, _, err := Play(context.Background(), Bounds{time.Minute, 1 << 40}, []Part{{broken, 2, 7}}, told); err == nil || err.Error() != "sweep broken, size 2, seed 7: out of tune" {
+	if _, _, err := Play(context.Background(), Bounds{time.Minute, 1 << 40}, []Part{{broken, 2, 7}}, ignoreReport); err == nil || err.Error() != "sweep broken, size 2, seed 7: out of tune" {
 		t.Errorf("%v", err)
 	}
 }
 
-func TestMistakesInWhatIsPlayed(t *testing.T) {
+// Unknown sweeps and sizes are errors; a sweep with processes that has no program to start is a cut, not an error.
+func TestInvalidSelectionsAreRejected(t *testing.T) {
 	for want, c := range map[string]struct {
 		names []string
 		sizes []int
 	}{
-		`sweep "veiw": there is none; there are view,`: {names: []string{"veiw"}},
-		"size 471: none of the sweeps has it":          {sizes: []int{471}},
+		`unknown sweep "veiw"; known sweeps are view,`: {names: []string{"veiw"}},
+		"size 471: not a size of any selected sweep":   {sizes: []int{471}},
 	} {
 		if _, err := Pick(Sweeps(), c.names, c.sizes, []uint64{1}); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%v has no %q", err, want)
+			t.Errorf("%v does not contain %q", err, want)
 		}
 	}
-	if _, _, err := Play(context.Background(), Bounds{time.Minute, 1 << 40}, []Part{{processSweeps()[0], 10, 1}}, told); err != nil {
-		t.Errorf("processes without a program are a cut, not %v", err)
+	if _, _, err := Play(context.Background(), Bounds{time.Minute, 1 << 40}, []Part{{processSweeps()[0], 10, 1}}, ignoreReport); err != nil {
+		t.Errorf("a sweep with processes and no program: error %v, want a cut", err)
 	}
 }
 
-// A folder keeps the rows of all runs; what is played again goes over what was there, and a cut over rows.
-func TestKeptAndReadAgain(t *testing.T) {
+// A folder holds the rows of all runs: a repeated run replaces earlier rows of the same sweep, size and seed, and a cut does so too.
+// Damaged files are errors that name the file.
+func TestResultsAreSavedAndRead(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "kept")
-	var k Kept
+	var k Results
 	for _, size := range []int64{30, 100, 235} {
 		for seed := range uint64(2) {
 			k.Add([]Point{{Sweep: "view", Measure: "bytes", Unit: "B/s per driver", Axis: "drivers", Size: size, Seed: seed, Value: float64(size), How: "simulated"}}, nil)
@@ -120,7 +122,7 @@
 	}
 	k.Add([]Point{{Sweep: "view", Measure: "bytes", Unit: "B/s per driver", Axis: "drivers", Size: 30, Seed: 1, Value: 34, How: "simulated"}}, nil)
 	k.Add(nil, []Cut{{"view", 100, 1, "it took longer"}})
-	if err := k.Keep(folder); err != nil {
+	if err := k.Save(folder); err != nil {
 		t.Fatal(err)
 	}
 	again, err := Read(folder)
@@ -151,8 +153,8 @@
 	}
 }
 
-// Series that are too many for one chart are drawn by family of sweeps, and by sweep; each has its place in one.
-func TestChartsHaveFewLines(t *testing.T) {
+// Series that are too many for one chart are split by sweep family, then by sweep; each series is in exactly one chart.
+func TestLargeChartsAreSplit(t *testing.T) {
 	var all []Series
 	for _, sweep := range []string{"view", "view-cut", "list", "primary-death", "primary-hang"} {
 		for n := range 5 {
@@ -166,16 +168,16 @@
 		all = append(all, Series{Sweep: "primary-hang", Measure: "more"})
 	}
 	sum := 0
-	parts := split(all)
+	parts := splitCharts(all)
 	for name, some := range parts {
-		if sum += len(some); len(some) > mostLines+1 {
-			t.Errorf("%q has %d lines", name, len(some))
+		if sum += len(some); len(some) > maxChartLines+1 {
+			t.Errorf("chart %q has %d lines", name, len(some))
 		}
 	}
 	if sum != len(all) || len(parts) != 4 || len(parts["-view"]) != 10 || len(parts["-primary-death"]) != 5 {
 		t.Errorf("%d of %d series in %d charts", sum, len(all), len(parts))
 	}
-	if few := split(all[:mostLines]); len(few) != 1 || len(few[""]) != mostLines {
-		t.Errorf("few lines are in %d charts", len(few))
+	if few := splitCharts(all[:maxChartLines]); len(few) != 1 || len(few[""]) != maxChartLines {
+		t.Errorf("%d charts for a number of lines that fits into one", len(few))
 	}
 }
--- a/internal/lab/capacity/configuration_test.go
+++ b/internal/lab/capacity/configuration_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// rolled plays a sweep of configuration and gives its points by measure.
-func rolled(t *testing.T, name string, drivers int, seed uint64) map[string]float64 {
+// playConfigurationSweep plays a sweep of configuration versions and returns its values by measure.
+func playConfigurationSweep(t *testing.T, name string, drivers int, seed uint64) map[string]float64 {
 	t.Helper()
 	got := make(map[string]float64)
 	for _, s := range configurationSweeps() {
@@ -20,9 +20,9 @@
 	return got
 }
 
-// Under drawn faults each version is in force everywhere within 4 s, with bytes under the budget of a driver; what a play itself finds broken
-// (a version that goes back, comes twice, says two things or is not gone by) is its error.
-func TestConfigurationUnderDrawnFaults(t *testing.T) {
+// Under random faults each version is in force at every reachable driver within 4 s, and a driver's traffic is within its budget of
+// 5000 B/s. The sweep itself fails when a version goes back, is committed out of order, has two texts or is reported but not applied.
+func TestConfigurationUnderRandomFaults(t *testing.T) {
 	for _, c := range []struct {
 		drivers int
 		seeds   uint64
@@ -30,7 +30,7 @@
 		for seed := range c.seeds {
 			t.Run(fmt.Sprintf("%d drivers, seed %d", c.drivers, seed+1), func(t *testing.T) {
 				t.Parallel()
-				got := rolled(t, "configuration-faults", c.drivers, seed+1)
+				got := playConfigurationSweep(t, "configuration-faults", c.drivers, seed+1)
 				if got["in_force_worst"] > 4 || got["late"] > 0 || got["versions"] < 10 || got["driver_bytes"] > 5000 {
 					t.Errorf("%v", got)
 				}
@@ -40,13 +40,13 @@
 	}
 }
 
-// What a driver spends on calls does not grow with the fleet.
-func TestConfigurationCostsADriverTheSame(t *testing.T) {
-	few, many := rolled(t, "configuration", 20, 1), rolled(t, "configuration", 160, 1)
+// The calls and bytes of a driver do not grow with the fleet.
+func TestConfigurationCostPerDriverDoesNotGrowWithFleet(t *testing.T) {
+	few, many := playConfigurationSweep(t, "configuration", 20, 1), playConfigurationSweep(t, "configuration", 160, 1)
 	if calls := many["calls"] / few["calls"]; calls > 1.05 || many["driver_bytes"] > few["driver_bytes"] {
 		t.Errorf("calls a second %v and %v, bytes %v and %v", few["calls"], many["calls"], few["driver_bytes"], many["driver_bytes"])
 	}
 	if many["in_force_worst"] > 0.5 {
-		t.Errorf("%v s without faults", many["in_force_worst"])
+		t.Errorf("without faults the slowest driver applied a version after %v s, want at most 0.5 s", many["in_force_worst"])
 	}
 }
--- a/internal/lab/capacity/fit.go
+++ b/internal/lab/capacity/fit.go
@@ -8,7 +8,7 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Series is one measure by size, over its seeds.
+// Series is one measure by size: the median over the seeds at each size, and the fit to the medians.
 type Series struct {
 	Sweep, Measure, Unit, Axis, How string
 	Sizes                           []float64
@@ -16,7 +16,7 @@
 	Fit                             Fit
 }
 
-// Shape is how a measure grows with a size.
+// Shape is the kind of growth of a measure with the size.
 type Shape string
 
 const (
@@ -32,51 +32,51 @@
 	Unfitted Shape = "too few sizes"
 )
 
-// Fit is how a measure grows: value = Base + Slope * f(size), where f is that of the shape. Power is the exponent of the line through the
-// logarithms, with its standard error.
+// Fit describes the growth of a measure: value = Base + Slope * f(size), where f is the function of the shape. Exponent is the slope of the
+// regression line through the logarithms of sizes and values, with its standard error.
 type Fit struct {
-	Shape       Shape
-	Base, Slope float64
-	Residual    float64 // root mean square of the relative residuals
-	Power       float64
-	PowerError  float64 // not a number with two sizes or with values that are not over zero
+	Shape         Shape
+	Base, Slope   float64
+	Residual      float64 // root mean square of the relative residuals
+	Exponent      float64
+	ExponentError float64 // NaN with two sizes, or where a value is not positive
 }
 
 var shapes = []struct {
-	shape Shape
-	of    func(size float64) float64
+	shape     Shape
+	transform func(size float64) float64
 }{{Logarithm, math.Log}, {Linear, func(x float64) float64 { return x }}, {Square, func(x float64) float64 { return x * x }}}
 
 const (
-	flatUnder = 0.05 // relative residual of the mean up to which a measure counts as flat
-	leastFit  = 3    // sizes
+	maxFlatResidual = 0.05 // largest relative residual of the mean at which a measure counts as flat
+	minFitSizes     = 3    // fewest sizes to which a shape is fitted
 )
 
-// At gives what the fit says of a size.
+// At returns the value of the fit at a size.
 func (f Fit) At(size float64) float64 {
 	for _, s := range shapes {
 		if s.shape == f.Shape {
-			return f.Base + f.Slope*s.of(size)
+			return f.Base + f.Slope*s.transform(size)
 		}
 	}
 	return f.Base
 }
 
-// FitOf chooses the shape with the smallest relative residual: flat where the mean is within 5% of all, or no other shape leaves less than half of its
-// residual. Each size weighs the same, whatever its value.
+// FitOf chooses the shape with the smallest relative residual. It chooses Flat where the relative residual of the mean is at most 5%, or
+// where no other shape has less than half of that residual. Each size has the same weight, whatever its value.
 func FitOf(sizes, values []float64) (f Fit) {
-	f = Fit{Shape: Unfitted, Power: math.NaN(), PowerError: math.NaN()}
+	f = Fit{Shape: Unfitted, Exponent: math.NaN(), ExponentError: math.NaN()}
 	if len(sizes) == 0 {
 		return f
 	}
 	f.Base = stat.Mean(values, nil)
-	if len(sizes) < leastFit {
+	if len(sizes) < minFitSizes {
 		return f
 	}
-	f.Power, f.PowerError = power(sizes, values)
+	f.Exponent, f.ExponentError = fitExponent(sizes, values)
 	weights := make([]float64, len(values))
 	scale := max(slices.Max(values), -slices.Min(values))
-	if scale == 0 { // all are nothing
+	if scale == 0 { // all values are 0
 		f.Shape = Flat
 		return f
 	}
@@ -92,25 +92,25 @@
 	}
 	mean := stat.Mean(values, weights)
 	f.Shape, f.Base, f.Residual = Flat, mean, residual(func(int) float64 { return mean })
-	flat := f.Residual
-	if flat <= flatUnder {
+	flatResidual := f.Residual
+	if flatResidual <= maxFlatResidual {
 		return f
 	}
 	for _, s := range shapes {
 		xs := make([]float64, len(sizes))
 		for i, x := range sizes {
-			xs[i] = s.of(x)
+			xs[i] = s.transform(x)
 		}
 		base, slope := stat.LinearRegression(xs, values, weights, false)
-		if r := residual(func(i int) float64 { return base + slope*xs[i] }); r < f.Residual && r < flat/2 {
+		if r := residual(func(i int) float64 { return base + slope*xs[i] }); r < f.Residual && r < flatResidual/2 {
 			f.Shape, f.Base, f.Slope, f.Residual = s.shape, base, slope, r
 		}
 	}
 	return f
 }
 
-// power fits value = a * size^exponent.
-func power(sizes, values []float64) (exponent, err float64) {
+// fitExponent fits value = a * size^exponent and returns the exponent with its standard error.
+func fitExponent(sizes, values []float64) (exponent, standardError float64) {
 	var xs, ys []float64
 	for i, v := range values {
 		if v <= 0 {
@@ -130,7 +130,7 @@
 	return exponent, math.Sqrt(sum / (n - 2) / (stat.Variance(xs, nil) * (n - 1)))
 }
 
-// SeriesOf groups points by sweep and measure, in order, and fits each.
+// SeriesOf groups points by sweep and measure, sorted by both, and fits each series.
 func SeriesOf(points []Point) (all []Series) {
 	type key struct{ sweep, measure string }
 	values, first := make(map[key]map[int64][]float64), make(map[key]Point)
@@ -169,11 +169,11 @@
 	return v[len(v)/2]
 }
 
-// quantile gives the value that a part of all do not pass; of none, nothing.
-func quantile(values []float64, part float64) float64 {
+// quantile returns the empirical quantile of the values, or 0 without values.
+func quantile(values []float64, fraction float64) float64 {
 	if len(values) == 0 {
 		return 0
 	}
 	v := slices.Sorted(slices.Values(values))
-	return stat.Quantile(part, stat.Empirical, v, nil)
+	return stat.Quantile(fraction, stat.Empirical, v, nil)
 }
--- a/internal/lab/capacity/golden_test.go
+++ b/internal/lab/capacity/golden_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// The results under docs/results/capacity were written by earlier versions: their Parquet rows are read to the same values as stand
-// in their CSV file.
+// A change of the row format would make stored results unreadable: the Parquet rows under docs/results/capacity, written by earlier
+// versions, give the values in the CSV file beside them.
 func TestStoredResultsAreRead(t *testing.T) {
 	const folder = "../../../docs/results/capacity"
 	stored, err := Read(folder)
--- a/internal/lab/capacity/growth_test.go
+++ b/internal/lab/capacity/growth_test.go
@@ -20,27 +20,28 @@
 	os.Exit(m.Run())
 }
 
-// Growth is held by counts at small sizes, not by time: bytes, messages, allocations and bytes of state, the same for the same seed.
+// These tests limit growth by counts at small sizes rather than by time: bytes, messages, allocations and bytes of state, which are the same for
+// the same seed.
 
-// grows fails where a count grows faster with the size than with the given exponent.
-func grows(t *testing.T, what string, most float64, sizes, values []float64) {
+// checkGrowth fails when values grow with the size by a larger exponent than the given one.
+func checkGrowth(t *testing.T, what string, maxExponent float64, sizes, values []float64) {
 	t.Helper()
-	exponent, _ := power(sizes, values)
-	t.Logf("%s: %.4g at %v, exponent %.2f, up to %.2f", what, values, sizes, exponent, most)
-	if math.IsNaN(exponent) || exponent > most {
-		t.Errorf("%s grows with the size to the %.2f, of %.2f at most: %.4g at %v", what, exponent, most, values, sizes)
+	exponent, _ := fitExponent(sizes, values)
+	t.Logf("%s: %.4g at sizes %v, exponent %.2f, limit %.2f", what, values, sizes, exponent, maxExponent)
+	if math.IsNaN(exponent) || exponent > maxExponent {
+		t.Errorf("%s grows with exponent %.2f, want at most %.2f: %.4g at sizes %v", what, exponent, maxExponent, values, sizes)
 	}
 }
 
-// steps gives how much each value is over the one before, with the sizes they belong to: what is the same at each size is left out.
-func steps(sizes, values []float64) (at, by []float64) {
+// increments returns the differences between consecutive values, with the larger size of each pair: a part that all sizes share cancels out.
+func increments(sizes, values []float64) (upperSizes, differences []float64) {
 	for i := 1; i < len(values); i++ {
-		at, by = append(at, sizes[i]), append(by, values[i]-values[i-1])
+		upperSizes, differences = append(upperSizes, sizes[i]), append(differences, values[i]-values[i-1])
 	}
-	return at, by
+	return upperSizes, differences
 }
 
-// collect gives the points of a play by measure.
+// collect returns the values that a sweep measures, by measure.
 func collect(t *testing.T, play func(point func(Point)) error) map[string]float64 {
 	t.Helper()
 	values := make(map[string]float64)
@@ -50,14 +51,14 @@
 	return values
 }
 
-// What a driver sends and hears of a view that rests is the same in a fleet of any size; what it knows grows with the fleet, and what it takes to come
-// to know it when it starts does so too.
-func TestAViewCostsADriverTheSameInAnyFleet(t *testing.T) {
+// In the steady state the membership traffic of a driver does not depend on the fleet's size. Its state, and the bytes it exchanges at a start, grow
+// about linearly.
+func TestViewCostPerDriverDoesNotGrowWithFleet(t *testing.T) {
 	sizes := []float64{20, 40, 80, 160}
-	var messages, worst, state, start []float64
+	var messages, worstMessages, state, startBytes []float64
 	for _, size := range sizes {
-		before := heap()
-		f, err := newHollow(context.Background(), int(size), 7, viewWants)
+		before := heapInUse()
+		f, err := newSimulatedFleet(context.Background(), int(size), 7, viewConfig)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -70,50 +71,51 @@
 		if err := f.run(30 * time.Second); err != nil {
 			t.Fatal(err)
 		}
-		state = append(state, (heap()-before)/size)
-		got := collect(t, func(point func(Point)) error { return f.steady(point, Point{}, "view", 20*time.Second) })
-		messages, worst = append(messages, got["view_messages"]), append(worst, got["view_messages_worst"])
+		state = append(state, (heapInUse()-before)/size)
+		got := collect(t, func(point func(Point)) error { return f.measureSteadyState(point, Point{}, "view", 20*time.Second) })
+		messages, worstMessages = append(messages, got["view_messages"]), append(worstMessages, got["view_messages_worst"])
 		if most := got["view_messages"] * peers.MaxDatagramLength; got["view_bytes"] > most {
-			t.Errorf("%v drivers: %.0f bytes a second in messages for %.0f", size, got["view_bytes"], most)
+			t.Errorf("%v drivers: %.0f bytes a second, want at most %.0f in that many messages", size, got["view_bytes"], most)
 		}
 		f.kill(3)
 		if err := f.run(5 * time.Second); err != nil {
 			t.Fatal(err)
 		}
-		f.forget()
+		f.resetCounts()
 		if err := f.start(3); err != nil {
 			t.Fatal(err)
 		}
 		if err := f.run(5 * time.Second); err != nil {
 			t.Fatal(err)
 		}
-		_, sent := f.sent[3].of(peers.Membership)
-		_, taken := f.taken[3].of(peers.Membership)
-		start = append(start, sent+taken)
+		_, sent := f.sent[3].sum(peers.Membership)
+		_, taken := f.received[3].sum(peers.Membership)
+		startBytes = append(startBytes, sent+taken)
 	}
-	grows(t, "messages a second", 0.02, sizes, messages)
-	grows(t, "messages a second of the worst", 0.25, sizes, worst) // whom more ask at once, by chance, than others
-	at, by := steps(sizes, state)
-	grows(t, "bytes of state of a driver", 1.25, at, by)
-	grows(t, "bytes of a start", 1.2, sizes, start)
+	checkGrowth(t, "messages a second", 0.02, sizes, messages)
+	checkGrowth(t, "messages a second of the worst", 0.25, sizes, worstMessages) // by chance, some drivers are probed by more others at once
+	at, by := increments(sizes, state)
+	checkGrowth(t, "bytes of state of a driver", 1.25, at, by)
+	checkGrowth(t, "bytes of a start", 1.2, sizes, startBytes)
 }
 
-// Leases cost the voters little more where there are more drivers, as who finds the line full rests, and the others nothing more.
-func TestLeasesGrowFarSlowerThanTheFleet(t *testing.T) {
+// Lease traffic of the voters grows far slower than the fleet, because a driver that finds a voter's queue full stops requesting for a while. That of
+// other drivers hardly grows.
+func TestLeaseTrafficGrowsSlowerThanFleet(t *testing.T) {
 	sizes := []float64{20, 40, 80, 160}
 	var voters, askers, words []float64
 	for _, size := range sizes {
 		got := collect(t, func(point func(Point)) error { return playLeases(context.Background(), int(size), 7, point) })
 		voters, askers, words = append(voters, got["voter_bytes"]), append(askers, got["asker_bytes"]), append(words, got["word_bytes"])
 	}
-	grows(t, "bytes a second of the worst voter", 0.5, sizes, voters)
-	grows(t, "bytes a second of an asker", 0.25, sizes, askers)
-	grows(t, "bytes a second of the holder's words", 0.1, sizes, words)
+	checkGrowth(t, "bytes a second of the worst voter", 0.5, sizes, voters)
+	checkGrowth(t, "bytes a second of an asker", 0.25, sizes, askers)
+	checkGrowth(t, "bytes a second of the holder's words", 0.1, sizes, words)
 }
 
-// A list's bytes, and what it takes to read one and to know its drains, grow with its members; a watch that brings nothing costs the same whatever the
-// list is.
-func TestAListGrowsWithItsMembers(t *testing.T) {
+// The bytes of a list, and the cost of reading one and of storing its drain state, grow about linearly with its members. The cost of a watch without
+// changes does not depend on the list's length.
+func TestListCostGrowsWithMembers(t *testing.T) {
 	sizes := []float64{100, 200, 400, 800}
 	all := make(map[string][]float64)
 	for _, size := range sizes {
@@ -123,17 +125,17 @@
 	}
 	for measure, most := range map[string]float64{"whole": 1.1, "start_bytes": 1.1, "read_allocations": 1.1, "read_allocated": 1.2, "drains_memory": 1.2,
 		"watch_calls": 0.02, "watch_bytes": 0.02, "change_bytes": 0.05} {
-		grows(t, measure, most, sizes, all[measure])
+		checkGrowth(t, measure, most, sizes, all[measure])
 	}
 }
 
-// A driver's whole state of members, and what it allocates while it rests, grow with its members. They refuse its connections.
-func TestADriversStateGrowsWithItsMembers(t *testing.T) {
+// A driver's state of its members, and its allocations while it is idle, grow about linearly with its members, which refuse its connections.
+func TestDriverStateGrowsWithMembers(t *testing.T) {
 	sizes := []float64{100, 200, 400, 800}
 	var state, allocated []float64
 	for _, size := range sizes {
-		before := heap()
-		f, err := newHollow(context.Background(), 1, 7, viewWants)
+		before := heapInUse()
+		f, err := newSimulatedFleet(context.Background(), 1, 7, viewConfig)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -144,7 +146,7 @@
 		if err := f.run(10 * time.Second); err != nil {
 			t.Fatal(err)
 		}
-		state = append(state, heap()-before)
+		state = append(state, heapInUse()-before)
 		var from, to runtime.MemStats
 		runtime.ReadMemStats(&from)
 		if err := f.run(10 * time.Second); err != nil {
@@ -153,30 +155,30 @@
 		runtime.ReadMemStats(&to)
 		allocated = append(allocated, float64(to.TotalAlloc-from.TotalAlloc))
 	}
-	at, by := steps(sizes, state)
-	grows(t, "bytes of state", 1.25, at, by)
-	grows(t, "bytes allocated in 10 s", 1.2, sizes, allocated)
+	at, by := increments(sizes, state)
+	checkGrowth(t, "bytes of state", 1.25, at, by)
+	checkGrowth(t, "bytes allocated in 10 s", 1.2, sizes, allocated)
 }
 
-// Reading a list twice takes as much as twice reading it: nothing stays of the first.
-func TestListsLeaveNothingBehind(t *testing.T) {
+// Restoring a list repeatedly does not grow the heap: the memory of the previous list is released.
+func TestRestoringListsLeavesNoMemory(t *testing.T) {
 	l, err := loop.NewWithSystem(sim.New(1, epoch).AddHost("one"), 16, 1<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
-	side := discovery.New(l, counted{}, placeOf(2, 0, 8500))
-	whole := (&discoveryAgent{members: 400, rev: 1}).list(true)
+	client := discovery.New(l, discardHost{}, addressOf(2, 0, 8500))
+	list := (&discoveryService{members: 400, rev: 1}).list(true)
 	read := func(times int) {
 		for range times {
-			if err := side.Restore(whole); err != nil {
+			if err := client.Restore(list); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
 	read(2)
-	before := heap()
+	before := heapInUse()
 	read(50)
-	if left := heap() - before; left > 16<<10 {
-		t.Errorf("fifty lists leave %.0f bytes", left)
+	if left := heapInUse() - before; left > 16<<10 {
+		t.Errorf("fifty restored lists left %.0f bytes on the heap", left)
 	}
 }
--- a/internal/lab/capacity/leases.go
+++ b/internal/lab/capacity/leases.go
@@ -11,26 +11,26 @@
 func leaseSweeps() []Sweep {
 	return []Sweep{{
 		Name: "leases", Axis: Drivers, Sizes: DriverSizes, Play: playLeases,
-		About: hollowLeaves + " Five voters among the drivers, without folders; all ask for the one lease, of 5 s, whose holder watches discovery for all. No view. " +
-			"Counted over 60 s from 30 s on; the holder is killed three times, 20 s apart. A word to all at once counts once for its sender.",
+		About: simulatedFleetAbout + " Five of the drivers are voters, without folders; all drivers request the only lease, of 5 s, whose holder watches discovery for the fleet. No view. " +
+			"Counted over 60 s from 30 s on; then the holder is killed three times, 20 s apart. A broadcast counts once for its sender.",
 	}, {
 		Name: "leases-regions", Axis: Drivers, Sizes: DriverSizes, Play: playLeasesInRegions,
-		About: hollowLeaves + " The same with a view, in two regions 30 ms apart one way, of 4 and 3 zones; four of the five voters are in the first. Counted over 60 s from 30 s on. Holders of the first region are killed and started " +
-			"again until one of the second holds; then the regions lose each other for a minute and find each other again, and a member drains of which discovery tells one driver. Who holds is looked at every 10 ms.",
+		About: simulatedFleetAbout + " As in leases, with a view, in two regions 30 ms apart one way, of 4 and 3 zones; four of the five voters are in the first region. Counted over 60 s from 30 s on. Holders in the first region are killed and " +
+			"restarted until a driver of the second region holds the lease; then the regions are partitioned for 80 s, and after that a member drains, of which discovery informs one driver only. The holder is sampled every 10 ms.",
 	}}
 }
 
-const voters = 5
+const voterCount = 5
 
-const leaseWants = `leases {
+const leaseConfig = `leases {
   fleet  = "sweep"
   voters = ["d0", "d1", "d2", "d3", "d4"]
   task "watch-discovery" {}
 }
 `
 
-// holders are the drivers that hold the lease: one, or none.
-func (f *hollow) holders() (all []int) {
+// holders returns the drivers that hold the lease, at most one unless the lease protocol fails.
+func (f *simulatedFleet) holders() (all []int) {
 	for i, n := range f.nodes {
 		if n != nil && n.Counted("leases_acquired") > n.Counted("leases_lost") {
 			all = append(all, i)
@@ -39,12 +39,12 @@
 	return all
 }
 
-// holder is the driver that holds the lease; under 0: none does.
-func (f *hollow) holder() int { return append(f.holders(), -1)[0] }
+// holder returns the driver that holds the lease, or -1 if none does.
+func (f *simulatedFleet) holder() int { return append(f.holders(), -1)[0] }
 
-// holds waits for a holder and gives how long that took, in seconds.
-func (f *hollow) holds(most time.Duration) (float64, error) {
-	for from := f.world.Now(); f.world.Now() < from+most; {
+// waitForHolder runs the fleet until a driver holds the lease and returns the time that took, in seconds.
+func (f *simulatedFleet) waitForHolder(timeout time.Duration) (float64, error) {
+	for from := f.world.Now(); f.world.Now() < from+timeout; {
 		if f.holder() >= 0 {
 			return (f.world.Now() - from).Seconds(), nil
 		}
@@ -52,85 +52,85 @@
 			return 0, err
 		}
 	}
-	return 0, fmt.Errorf("nobody holds the lease after %v", most)
+	return 0, fmt.Errorf("no driver holds the lease after %v", timeout)
 }
 
-func playLeases(stop context.Context, size int, seed uint64, point func(Point)) error {
-	p := Point{Drivers: int64(size), Members: few, How: "simulated"}
-	one := func(measure, unit string, value float64) {
+func playLeases(ctx context.Context, size int, seed uint64, point func(Point)) error {
+	p := Point{Drivers: int64(size), Members: minimalMembers, How: "simulated"}
+	emit := func(measure, unit string, value float64) {
 		p.Measure, p.Unit, p.Value = measure, unit, value
 		point(p)
 	}
-	f, err := newHollow(stop, size, seed, leaseWants)
+	f, err := newSimulatedFleet(ctx, size, seed, leaseConfig)
 	if err != nil {
 		return err
 	}
 	if err := f.startAll(); err != nil {
 		return err
 	}
-	first, err := f.holds(time.Minute)
+	first, err := f.waitForHolder(time.Minute)
 	if err != nil {
 		return err
 	}
-	one("first_holder", "s after a start of all within a second", first+2)
+	emit("first_holder", "s after a start of all within a second", first+2)
 	if err := f.run(10 * time.Second); err != nil {
 		return err
 	}
-	var greeted []float64
-	for i := range f.taken {
-		_, b := f.taken[i].of(peers.Hello)
-		greeted = append(greeted, b)
+	var helloBytes []float64
+	for i := range f.received {
+		_, b := f.received[i].sum(peers.Hello)
+		helloBytes = append(helloBytes, b)
 	}
-	one("greetings_worst", "B of the worst, taken, at a start of all", worst(greeted))
+	emit("greetings_worst", "B of the worst, taken, at a start of all", worst(helloBytes))
 	if err := f.run(30*time.Second - time.Duration(first*float64(time.Second))); err != nil {
 		return err
 	}
-	f.forget()
-	spent := processor()
-	const lasts = time.Minute
-	if err := f.run(lasts); err != nil {
+	f.resetCounts()
+	cpuTime := processCPUTime()
+	const duration = time.Minute
+	if err := f.run(duration); err != nil {
 		return err
 	}
-	spent = processor() - spent
+	cpuTime = processCPUTime() - cpuTime
 	holder := f.holder()
-	about := []peers.Kind{peers.Hello, peers.Lease}
-	var votedMessages, votedBytes, askedMessages, askedBytes, words []float64
+	kinds := []peers.Kind{peers.Hello, peers.Lease}
+	var voterMessages, voterBytes, askerMessages, askerBytes, revisionBytes []float64
 	for i := range f.sent {
-		m, b := f.sent[i].of(about...)
-		cm, cb := f.crowds[i].of(about...)
-		tm, tb := f.taken[i].of(about...)
-		m, b = (m+cm+tm)/lasts.Seconds(), (b+cb+tb)/lasts.Seconds()
-		_, w := f.taken[i].of(peers.Revision)
-		if i < voters {
-			votedMessages, votedBytes = append(votedMessages, m), append(votedBytes, b)
+		m, b := f.sent[i].sum(kinds...)
+		cm, cb := f.broadcasts[i].sum(kinds...)
+		tm, tb := f.received[i].sum(kinds...)
+		m, b = (m+cm+tm)/duration.Seconds(), (b+cb+tb)/duration.Seconds()
+		_, w := f.received[i].sum(peers.Revision)
+		if i < voterCount {
+			voterMessages, voterBytes = append(voterMessages, m), append(voterBytes, b)
 		} else {
-			askedMessages, askedBytes = append(askedMessages, m), append(askedBytes, b)
+			askerMessages, askerBytes = append(askerMessages, m), append(askerBytes, b)
 		}
-		words = append(words, w/lasts.Seconds())
+		revisionBytes = append(revisionBytes, w/duration.Seconds())
 	}
-	one("voter_messages", "messages/s of the worst voter, sent and taken", worst(votedMessages))
-	one("voter_bytes", "B/s of the worst voter, sent and taken", worst(votedBytes))
-	one("asker_messages", "messages/s per asker, sent and taken", mean(askedMessages))
-	one("asker_bytes", "B/s per asker, sent and taken", mean(askedBytes))
-	one("asker_bytes_worst", "B/s of the worst asker, sent and taken", worst(askedBytes))
-	one("word_bytes", "B/s of the holder's words, taken by the worst", worst(words))
+	emit("voter_messages", "messages/s of the worst voter, sent and taken", worst(voterMessages))
+	emit("voter_bytes", "B/s of the worst voter, sent and taken", worst(voterBytes))
+	emit("asker_messages", "messages/s per asker, sent and taken", mean(askerMessages))
+	emit("asker_bytes", "B/s per asker, sent and taken", mean(askerBytes))
+	emit("asker_bytes_worst", "B/s of the worst asker, sent and taken", worst(askerBytes))
+	emit("word_bytes", "B/s of the holder's words, taken by the worst", worst(revisionBytes))
 	if holder >= 0 {
-		m, _ := f.crowds[holder].of(peers.Revision)
-		one("words", "words to all/s of the holder", m/lasts.Seconds())
+		m, _ := f.broadcasts[holder].sum(peers.Revision)
+		emit("words", "words to all/s of the holder", m/duration.Seconds())
 	}
 	calls := 0
 	for _, a := range f.agents {
 		calls += a.calls
 	}
-	one("list_calls", "calls/s of the fleet while one watches for all", float64(calls)/lasts.Seconds())
-	one("processor", "us a second per driver", float64(spent.Microseconds())/lasts.Seconds()/float64(size))
+	emit("list_calls", "calls/s of the fleet while one watches for all", float64(calls)/duration.Seconds())
+	emit("processor", "us a second per driver", float64(cpuTime.Microseconds())/duration.Seconds()/float64(size))
 	var took []float64
 	for range 3 {
 		if holder = f.holder(); holder < 0 {
-			return fmt.Errorf("nobody holds the lease at %v", f.world.Now()-epoch)
+			return fmt.Errorf("no driver holds the lease at %v", f.world.Now()-epoch)
 		}
 		f.kill(holder)
-		t, err := f.holds(time.Minute)
+		t, err := f.waitForHolder(time.Minute)
 		if err != nil {
 			return err
 		}
@@ -142,114 +142,114 @@
 			return err
 		}
 	}
-	one("new_holder", "s until another holds, after the holder's crash", median(took))
-	one("new_holder_worst", "s until another holds, worst of three", worst(took))
+	emit("new_holder", "s until another holds, after the holder's crash", median(took))
+	emit("new_holder_worst", "s until another holds, worst of three", worst(took))
 	return nil
 }
 
-func playLeasesInRegions(stop context.Context, size int, seed uint64, point func(Point)) error {
-	p := Point{Drivers: int64(size), Members: few, How: "simulated"}
-	one := func(measure, unit string, value float64) {
+func playLeasesInRegions(ctx context.Context, size int, seed uint64, point func(Point)) error {
+	p := Point{Drivers: int64(size), Members: minimalMembers, How: "simulated"}
+	emit := func(measure, unit string, value float64) {
 		p.Measure, p.Unit, p.Value = measure, unit, value
 		point(p)
 	}
-	f, apart, err := startRegions(stop, size, seed, leaseWants+viewWants)
+	f, partitioned, err := startInRegions(ctx, size, seed, leaseConfig+viewConfig)
 	if err != nil {
 		return err
 	}
-	if _, err := f.holds(time.Minute); err != nil {
+	if _, err := f.waitForHolder(time.Minute); err != nil {
 		return err
 	}
 	if err := f.run(30 * time.Second); err != nil {
 		return err
 	}
-	// spent tells what the worst voter spends over a minute from now on, and how often the fleet asks for the list
-	spent := func(during string) error {
-		f.forget()
-		const lasts = time.Minute
-		if err := f.run(lasts); err != nil {
+	// measureMinute measures for one minute the bytes of the busiest voter and the fleet's calls for the endpoint list.
+	measureMinute := func(prefix string) error {
+		f.resetCounts()
+		const duration = time.Minute
+		if err := f.run(duration); err != nil {
 			return err
 		}
 		var bytes []float64
 		calls := 0
 		for i := range f.sent {
-			_, b := f.sent[i].of(peers.Hello, peers.Lease)
-			_, c := f.crowds[i].of(peers.Hello, peers.Lease)
-			_, t := f.taken[i].of(peers.Hello, peers.Lease)
-			if i < voters {
-				bytes = append(bytes, (b+c+t)/lasts.Seconds())
+			_, b := f.sent[i].sum(peers.Hello, peers.Lease)
+			_, c := f.broadcasts[i].sum(peers.Hello, peers.Lease)
+			_, t := f.received[i].sum(peers.Hello, peers.Lease)
+			if i < voterCount {
+				bytes = append(bytes, (b+c+t)/duration.Seconds())
 			}
 			calls += f.agents[i].calls
 		}
-		one(during+"_voter_bytes", "B/s of the worst voter, sent and taken", worst(bytes))
-		one(during+"_list_calls", "calls/s of the fleet", float64(calls)/lasts.Seconds())
+		emit(prefix+"_voter_bytes", "B/s of the worst voter, sent and taken", worst(bytes))
+		emit(prefix+"_list_calls", "calls/s of the fleet", float64(calls)/duration.Seconds())
 		return nil
 	}
-	if err := spent("together"); err != nil {
+	if err := measureMinute("together"); err != nil {
 		return err
 	}
 	kills := 0
 	for regionOf(f.holder()) != 1 {
 		if kills++; kills > 40 {
-			return fmt.Errorf("after %d kills no driver of the second region holds", kills)
+			return fmt.Errorf("after %d kills no driver of the second region holds the lease", kills)
 		}
-		gone := f.holder()
-		f.kill(gone)
-		if _, err := f.holds(time.Minute); err != nil {
+		killed := f.holder()
+		f.kill(killed)
+		if _, err := f.waitForHolder(time.Minute); err != nil {
 			return err
 		}
-		if err := f.start(gone); err != nil {
+		if err := f.start(killed); err != nil {
 			return err
 		}
-		if err := f.run(11 * time.Second); err != nil { // a voter that has started is silent for ten
+		if err := f.run(11 * time.Second); err != nil { // a restarted voter grants nothing for 10 s
 			return err
 		}
 		if f.holder() < 0 {
-			if _, err := f.holds(time.Minute); err != nil {
+			if _, err := f.waitForHolder(time.Minute); err != nil {
 				return err
 			}
 		}
 	}
-	*apart = true
-	from, twice, moved := f.world.Now(), 0, -1.0
+	*partitioned = true
+	from, twoHolders, newHolderAfter := f.world.Now(), 0, -1.0
 	for f.world.Now() < from+20*time.Second {
 		if err := f.run(10 * time.Millisecond); err != nil {
 			return err
 		}
 		if len(f.holders()) > 1 {
-			twice++
+			twoHolders++
 		}
-		if h := f.holder(); moved < 0 && h >= 0 && regionOf(h) == 0 {
-			moved = (f.world.Now() - from).Seconds()
+		if h := f.holder(); newHolderAfter < 0 && h >= 0 && regionOf(h) == 0 {
+			newHolderAfter = (f.world.Now() - from).Seconds()
 		}
 	}
-	if moved < 0 {
-		return fmt.Errorf("with the regions apart for 20 s nobody of the first holds")
+	if newHolderAfter < 0 {
+		return fmt.Errorf("20 s after the partition no driver of the first region holds the lease")
 	}
-	one("apart_new_holder", "s until one of the majority's region holds", moved)
-	if err := spent("apart"); err != nil {
+	emit("apart_new_holder", "s until one of the majority's region holds", newHolderAfter)
+	if err := measureMinute("apart"); err != nil {
 		return err
 	}
-	*apart = false
-	f.forget()
+	*partitioned = false
+	f.resetCounts()
 	from = f.world.Now()
 	for f.world.Now() < from+20*time.Second {
 		if err := f.run(10 * time.Millisecond); err != nil {
 			return err
 		}
 		if len(f.holders()) > 1 {
-			twice++
+			twoHolders++
 		}
 	}
-	one("two_hold", "times of 4,000 looks", float64(twice))
+	emit("two_hold", "times of 4,000 looks", float64(twoHolders))
 	if err := f.run(2 * time.Minute); err != nil {
 		return err
 	}
 	f.agents[0].discovery.drain(0, f.agents[1])
-	when, never, err := f.until(20*time.Second, 5*time.Millisecond, func(i int) bool { return i == 1 || f.nodes[i].Counted("drain_notices_applied") > 0 })
+	delays, missing, err := f.until(20*time.Second, 5*time.Millisecond, func(i int) bool { return i == 1 || f.nodes[i].Counted("drain_notices_applied") > 0 })
 	if err != nil {
 		return err
 	}
-	one("drain_not_heard", "drivers that no other tells: their own list does", float64(never))
-	return times(point, p, "drain_known", when, 0)
+	emit("drain_not_heard", "drivers that no other tells: their own list does", float64(missing))
+	return emitDelays(point, p, "drain_known", delays, 0)
 }
--- a/internal/lab/capacity/lists.go
+++ b/internal/lab/capacity/lists.go
@@ -15,57 +15,57 @@
 )
 
 func listSweeps() []Sweep {
-	const about = "Drivers' side of discovery (internal/discovery) on simulated loops, one connection and one agent each; what a list is told to counts and keeps nothing: no module, no " +
-		"connections to members. Bytes are those of HTTP, both ways. All start at once and fetch the whole list; they watch for 60 s; then one member drains."
+	const about = "The drivers' discovery client (internal/discovery) on simulated loops, with one connection and one agent each. Entries of lists are counted and dropped: no decision module, no " +
+		"connections to members. Bytes are those of HTTP, in both directions. All drivers start at once and fetch the whole list; they watch it for 60 s; then one member drains."
 	return []Sweep{
-		{Name: "list", Axis: Members, Sizes: MemberSizes, About: about + " 30 drivers.", Play: func(stop context.Context, size int, seed uint64, point func(Point)) error {
-			return playList(stop, 30, size, seed, point)
+		{Name: "list", Axis: Members, Sizes: MemberSizes, About: about + " 30 drivers.", Play: func(ctx context.Context, size int, seed uint64, point func(Point)) error {
+			return playList(ctx, 30, size, seed, point)
 		}},
-		{Name: "list-fleet", Axis: Drivers, Sizes: DriverSizes, About: about + " 1,100 members.", Play: func(stop context.Context, size int, seed uint64, point func(Point)) error {
-			return playList(stop, size, UsualMembers, seed, point)
+		{Name: "list-fleet", Axis: Drivers, Sizes: DriverSizes, About: about + " 1,100 members.", Play: func(ctx context.Context, size int, seed uint64, point func(Point)) error {
+			return playList(ctx, size, UsualMembers, seed, point)
 		}},
 	}
 }
 
-// reader is told what a list says.
-type reader struct {
-	list    *discovery.Client
-	entries int
-	whole   time.Duration // when it had the whole list
-	changed time.Duration // when it first had a change
-	now     func() time.Duration
+// listRecorder is a discovery.Host that records when the first whole list and the first change arrive.
+type listRecorder struct {
+	list          *discovery.Client
+	entries       int
+	fullListAt    time.Duration // when the whole list had arrived
+	firstChangeAt time.Duration // when the first change had arrived
+	now           func() time.Duration
 }
 
 // ListBegins implements discovery.Host; it does nothing.
-func (r *reader) ListBegins(driver.Listing) {}
+func (r *listRecorder) ListBegins(driver.Listing) {}
 
 // Count implements discovery.Host; it does nothing.
-func (r *reader) Count(string) {}
+func (r *listRecorder) Count(string) {}
 
 // Listed implements discovery.Host by counting the entry.
-func (r *reader) Listed(string, netip.AddrPort, string, driver.Group, driver.Standing, float64, time.Duration, bool) {
+func (r *listRecorder) Listed(string, netip.AddrPort, string, driver.Group, driver.Standing, float64, time.Duration, bool) {
 	r.entries++
 }
 
-// ListEnds implements discovery.Host.
-func (r *reader) ListEnds(how driver.Listing) {
+// ListEnds implements discovery.Host by recording the time.
+func (r *listRecorder) ListEnds(how driver.Listing) {
 	switch {
-	case how == driver.Whole && r.whole == 0:
-		r.whole = r.now()
-	case how == driver.Changes && r.entries > 0 && r.whole > 0 && r.changed == 0:
-		r.changed = r.now()
+	case how == driver.Whole && r.fullListAt == 0:
+		r.fullListAt = r.now()
+	case how == driver.Changes && r.entries > 0 && r.fullListAt > 0 && r.firstChangeAt == 0:
+		r.firstChangeAt = r.now()
 	}
 	r.entries = 0
 }
 
-func playList(stop context.Context, drivers, members int, seed uint64, point func(Point)) error {
+func playList(ctx context.Context, drivers, members int, seed uint64, point func(Point)) error {
 	p := Point{Drivers: int64(drivers), Members: int64(members), How: "simulated"}
-	one := func(measure, unit string, value float64) {
+	emit := func(measure, unit string, value float64) {
 		p.Measure, p.Unit, p.Value = measure, unit, value
 		point(p)
 	}
 	world := sim.New(seed, epoch)
-	serve := func(name string, descriptors int) (*loop.Loop, error) {
+	newLoop := func(name string, descriptors int) (*loop.Loop, error) {
 		h := world.AddHost(name)
 		l, err := loop.NewWithSystem(h, descriptors, 8<<20)
 		if err == nil {
@@ -73,22 +73,22 @@
 		}
 		return l, err
 	}
-	field, err := serve("discovery", 2*drivers+100)
+	discoveryLoop, err := newLoop("discovery", 2*drivers+100)
 	if err != nil {
 		return err
 	}
-	d := &discoveryAgent{members: members, rev: 1}
-	var readers []*reader
+	d := &discoveryService{members: members, rev: 1}
+	var readers []*listRecorder
 	for i := range drivers {
-		at := placeOf(2, i, 8500)
-		if _, err := d.agent(field, at); err != nil {
+		at := addressOf(2, i, 8500)
+		if _, err := d.agent(discoveryLoop, at); err != nil {
 			return err
 		}
-		l, err := serve(driverName(i), 16)
+		l, err := newLoop(driverName(i), 16)
 		if err != nil {
 			return err
 		}
-		r := &reader{now: world.Now}
+		r := &listRecorder{now: world.Now}
 		r.list = discovery.New(l, r, at)
 		l.Defer(func() {
 			r.list.Fetch()
@@ -96,121 +96,121 @@
 		})
 		readers = append(readers, r)
 	}
-	run := func(lasts time.Duration) error {
-		for end := world.Now() + lasts; world.Now() < end; {
-			if stop.Err() != nil {
-				return context.Cause(stop)
+	run := func(duration time.Duration) error {
+		for end := world.Now() + duration; world.Now() < end; {
+			if ctx.Err() != nil {
+				return context.Cause(ctx)
 			}
 			world.Run(min(end, world.Now()+100*time.Millisecond))
 		}
 		return nil
 	}
-	sum := func() (calls, bytes float64) {
+	takeCounts := func() (calls, bytes float64) {
 		for _, a := range d.agents {
-			calls, bytes = calls+float64(a.calls), bytes+float64(a.sent+a.taken)
-			a.calls, a.sent, a.taken = 0, 0, 0
+			calls, bytes = calls+float64(a.calls), bytes+float64(a.bytesSent+a.bytesReceived)
+			a.calls, a.bytesSent, a.bytesReceived = 0, 0, 0
 		}
 		return calls, bytes
 	}
-	spent := processor()
+	cpuTime := processCPUTime()
 	if err := run(2 * time.Second); err != nil {
 		return err
 	}
-	spent = processor() - spent
+	cpuTime = processCPUTime() - cpuTime
 	for i, r := range readers {
-		if r.whole == 0 {
-			return fmt.Errorf("driver %d has no list after 2 s", i)
+		if r.fullListAt == 0 {
+			return fmt.Errorf("driver %d has no endpoint list after 2 s", i)
 		}
 	}
-	calls, bytes := sum()
-	one("start_bytes", "B per driver at a start", bytes/float64(drivers))
-	one("start_fleet", "MB of the fleet at a start of all", bytes/1e6)
-	one("start_calls", "calls of the fleet at a start of all", calls)
-	one("start_processor", "us per driver at a start, both ends", float64(spent.Microseconds())/float64(drivers))
-	one("starts_a_day", "B/s of the fleet for 370 starts a day", bytes/float64(drivers)*370/86400)
-	const lasts = time.Minute
-	if err := run(lasts); err != nil {
+	calls, bytes := takeCounts()
+	emit("start_bytes", "B per driver at a start", bytes/float64(drivers))
+	emit("start_fleet", "MB of the fleet at a start of all", bytes/1e6)
+	emit("start_calls", "calls of the fleet at a start of all", calls)
+	emit("start_processor", "us per driver at a start, both ends", float64(cpuTime.Microseconds())/float64(drivers))
+	emit("starts_a_day", "B/s of the fleet for 370 starts a day", bytes/float64(drivers)*370/86400)
+	const duration = time.Minute
+	if err := run(duration); err != nil {
 		return err
 	}
-	calls, bytes = sum()
-	one("watch_calls", "calls/s of the fleet", calls/lasts.Seconds())
-	one("watch_bytes", "B/s per driver", bytes/lasts.Seconds()/float64(drivers))
-	drained := world.Now()
-	field.At(world.Now(), func() { d.drain(members/2, nil) })
+	calls, bytes = takeCounts()
+	emit("watch_calls", "calls/s of the fleet", calls/duration.Seconds())
+	emit("watch_bytes", "B/s per driver", bytes/duration.Seconds()/float64(drivers))
+	drainedAt := world.Now()
+	discoveryLoop.At(world.Now(), func() { d.drain(members/2, nil) })
 	if err := run(100 * time.Millisecond); err != nil {
 		return err
 	}
-	var known []float64
+	var delays []float64
 	for i, r := range readers {
-		if r.changed == 0 {
-			return fmt.Errorf("driver %d knows of no change", i)
+		if r.firstChangeAt == 0 {
+			return fmt.Errorf("driver %d did not receive the change of the list within 100 ms", i)
 		}
-		known = append(known, (r.changed - drained).Seconds())
+		delays = append(delays, (r.firstChangeAt - drainedAt).Seconds())
 	}
-	_, bytes = sum()
-	one("change_bytes", "B per driver and change, with the next call", bytes/float64(drivers))
-	one("change_known", "s until the last driver knows", worst(known))
-	return listCounts(point, p, d)
+	_, bytes = takeCounts()
+	emit("change_bytes", "B per driver and change, with the next call", bytes/float64(drivers))
+	emit("change_known", "s until the last driver knows", worst(delays))
+	return measureListCosts(point, p, d)
 }
 
-// counted is a host that keeps nothing.
-type counted struct{}
+// discardHost is a discovery.Host that ignores all calls.
+type discardHost struct{}
 
 // ListBegins implements discovery.Host; it does nothing.
-func (counted) ListBegins(driver.Listing) {}
+func (discardHost) ListBegins(driver.Listing) {}
 
 // ListEnds implements discovery.Host; it does nothing.
-func (counted) ListEnds(driver.Listing) {}
+func (discardHost) ListEnds(driver.Listing) {}
 
 // Count implements discovery.Host; it does nothing.
-func (counted) Count(string) {}
+func (discardHost) Count(string) {}
 
 // Listed implements discovery.Host; it does nothing.
-func (counted) Listed(string, netip.AddrPort, string, driver.Group, driver.Standing, float64, time.Duration, bool) {
+func (discardHost) Listed(string, netip.AddrPort, string, driver.Group, driver.Standing, float64, time.Duration, bool) {
 }
 
-// listCounts counts what reading a whole list and knowing its drains takes, on this machine's own loop.
-func listCounts(point func(Point), p Point, d *discoveryAgent) error {
-	one := func(measure, unit string, value float64) {
+// measureListCosts measures, in real time and on the real heap, the cost of reading a whole list and of storing the drain state of its members.
+func measureListCosts(point func(Point), p Point, d *discoveryService) error {
+	emit := func(measure, unit string, value float64) {
 		p.Measure, p.Unit, p.Value, p.How = measure, unit, value, "counted"
 		point(p)
 	}
 	whole := d.list(true)
-	one("whole", "B of a whole list, as JSON", float64(len(whole)))
+	emit("whole", "B of a whole list, as JSON", float64(len(whole)))
 	l, err := loop.NewWithSystem(sim.New(1, epoch).AddHost("one"), 16, 1<<20)
 	if err != nil {
 		return err
 	}
-	side := discovery.New(l, counted{}, placeOf(2, 0, 8500))
+	client := discovery.New(l, discardHost{}, addressOf(2, 0, 8500))
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
-	if err := side.Restore(whole); err != nil {
+	if err := client.Restore(whole); err != nil {
 		return err
 	}
 	runtime.ReadMemStats(&after)
-	one("read_allocations", "allocations to read a whole list", float64(after.Mallocs-before.Mallocs))
-	one("read_allocated", "B allocated to read a whole list", float64(after.TotalAlloc-before.TotalAlloc))
+	emit("read_allocations", "allocations to read a whole list", float64(after.Mallocs-before.Mallocs))
+	emit("read_allocated", "B allocated to read a whole list", float64(after.TotalAlloc-before.TotalAlloc))
 	var took []float64
 	for range 11 {
 		began := time.Now()
-		if err := side.Restore(whole); err != nil {
+		if err := client.Restore(whole); err != nil {
 			return err
 		}
 		took = append(took, float64(time.Since(began).Microseconds())/1000)
 	}
-	one("read", "ms to read a whole list", median(took))
-	one("drains_memory", "B of what a driver knows of drains", drainsHeap(d.members))
+	emit("read", "ms to read a whole list", median(took))
+	emit("drains_memory", "B of what a driver knows of drains", drainStateBytes(d.members))
 	return nil
 }
 
-// drainsHeap is what knowing members' drains takes.
-func drainsHeap(members int) float64 {
-	before := heap()
-	known := draingossip.NewTracker()
+// drainStateBytes returns the heap bytes of the drain state of so many members.
+func drainStateBytes(members int) float64 {
+	before := heapInUse()
+	tracker := draingossip.NewTracker()
 	for m := range members {
-		known.UpdateFromList(draingossip.MemberID(m)*0x9e3779b97f4a7c15, draingossip.Member{Group: driver.Group(m / 2), StartedAt: epoch, Standing: driver.Ready}, true)
+		tracker.UpdateFromList(draingossip.MemberID(m)*0x9e3779b97f4a7c15, draingossip.Member{Group: driver.Group(m / 2), StartedAt: epoch, Standing: driver.Ready}, true)
 	}
-	after := heap()
-	runtime.KeepAlive(known)
+	after := heapInUse()
+	runtime.KeepAlive(tracker)
 	return after - before
 }
--- a/internal/lab/capacity/processes.go
+++ b/internal/lab/capacity/processes.go
@@ -55,9 +55,9 @@
 	for i := range drivers {
 		at := filepath.Join(folder, driverName(i))
 		control := places[2*drivers+i].String()
-		site := s.SiteJSON(play.Told{Name: driverName(i), Number: i, Listen: places[drivers+i], Discovery: agents[i].at, Seed: seed*1000003 + uint64(i),
+		site := s.SiteJSON(play.Told{Name: driverName(i), Number: i, Listen: places[drivers+i], Discovery: agents[i].address, Seed: seed*1000003 + uint64(i),
 			Known: []byte(`{"rev":1,"all":true,"targets":[]}`), PeerListen: talk[i], PeerAll: places[3*drivers], Peers: talk})
-		wants := fmt.Appendf(nil, "%scontrol {\n  listen = %q\n}\n", viewWants, control)
+		wants := fmt.Appendf(nil, "%scontrol {\n  listen = %q\n}\n", viewConfig, control)
 		if err := errors.Join(os.WriteFile(at+".json", site, 0o600), os.WriteFile(at+".hcl", wants, 0o600)); err != nil {
 			return all, err
 		}
@@ -125,7 +125,7 @@
 	if err != nil {
 		return err
 	}
-	d := &discoveryAgent{rev: 1}
+	d := &discoveryService{rev: 1}
 	places, err := play.Free(size)
 	if err != nil {
 		return err
@@ -252,7 +252,7 @@
 
 // playAlike plays as many hollow drivers as there were processes.
 func playAlike(stop context.Context, size int, seed uint64, one func(how, measure, unit string, value float64)) error {
-	f, err := newHollow(stop, size, seed, viewWants)
+	f, err := newSimulatedFleet(stop, size, seed, viewConfig)
 	if err != nil {
 		return err
 	}
--- a/internal/lab/capacity/results.go
+++ b/internal/lab/capacity/results.go
@@ -17,14 +17,14 @@
 	"passtack/internal/lab"
 )
 
-// Kept is what a folder has of all runs so far.
-type Kept struct {
+// Results holds the points and cuts of all runs that a folder stores.
+type Results struct {
 	Points []Point
 	Cuts   []Cut
 }
 
-// Read gives what a folder has; one that is not there has nothing.
-func Read(folder string) (k Kept, err error) {
+// Read reads the results in a folder. A folder that does not exist has none.
+func Read(folder string) (k Results, err error) {
 	if k.Points, err = parquet.ReadFile[Point](filepath.Join(folder, "rows.parquet")); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return k, fmt.Errorf("%s: rows.parquet: %w", folder, err)
 	}
@@ -41,22 +41,22 @@
 	return k, nil
 }
 
-// Add takes over a run: what is played again goes over what was there of the same sweep, size and seed.
-func (k *Kept) Add(points []Point, cuts []Cut) {
+// Add adds the points and cuts of a run. They replace earlier points and cuts of the same sweep, size and seed.
+func (k *Results) Add(points []Point, cuts []Cut) {
 	type key struct {
 		sweep string
 		size  int64
 		seed  uint64
 	}
-	anew := make(map[key]bool)
+	replaced := make(map[key]bool)
 	for _, p := range points {
-		anew[key{p.Sweep, p.Size, p.Seed}] = true
+		replaced[key{p.Sweep, p.Size, p.Seed}] = true
 	}
 	for _, c := range cuts {
-		anew[key{c.Sweep, int64(c.Size), c.Seed}] = true
+		replaced[key{c.Sweep, int64(c.Size), c.Seed}] = true
 	}
-	k.Points = slices.DeleteFunc(k.Points, func(p Point) bool { return anew[key{p.Sweep, p.Size, p.Seed}] })
-	k.Cuts = slices.DeleteFunc(k.Cuts, func(c Cut) bool { return anew[key{c.Sweep, int64(c.Size), c.Seed}] })
+	k.Points = slices.DeleteFunc(k.Points, func(p Point) bool { return replaced[key{p.Sweep, p.Size, p.Seed}] })
+	k.Cuts = slices.DeleteFunc(k.Cuts, func(c Cut) bool { return replaced[key{c.Sweep, int64(c.Size), c.Seed}] })
 	k.Points, k.Cuts = append(k.Points, points...), append(k.Cuts, cuts...)
 	slices.SortStableFunc(k.Points, func(a, b Point) int {
 		return cmp.Or(cmp.Compare(a.Sweep, b.Sweep), cmp.Compare(a.Measure, b.Measure), cmp.Compare(a.Size, b.Size), cmp.Compare(a.Seed, b.Seed))
@@ -66,8 +66,8 @@
 	})
 }
 
-// Keep writes rows.csv, rows.parquet, cut.json, tables.md and the charts into a folder. Each file is whole or not there.
-func (k *Kept) Keep(folder string) error {
+// Save writes rows.csv, rows.parquet, cut.json, tables.md and the charts into a folder. Each file is written atomically.
+func (k *Results) Save(folder string) error {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return err
 	}
@@ -85,14 +85,14 @@
 		files[name] = write
 	}
 	for name, write := range files {
-		if err := lab.Whole(filepath.Join(folder, name), write); err != nil {
+		if err := lab.WriteFileAtomically(filepath.Join(folder, name), write); err != nil {
 			return fmt.Errorf("%s: %w", name, err)
 		}
 	}
 	return nil
 }
 
-func (k *Kept) writeCSV(out io.Writer) error {
+func (k *Results) writeCSV(out io.Writer) error {
 	w := csv.NewWriter(out)
 	w.Write([]string{"sweep", "measure", "unit", "axis", "size", "drivers", "members", "seed", "value", "how"})
 	for _, p := range k.Points {
--- a/internal/lab/capacity/simulated_fleet.go
+++ b/internal/lab/capacity/simulated_fleet.go
@@ -20,28 +20,29 @@
 	"passtack/internal/peers"
 )
 
-// What a hollow driver is: the driver of internal/node as it is, on a simulated loop. It leaves out clients and RPCs, connections to members (those that
-// its list names refuse each), files, and the kernel's part of what goes over sockets. Its tick is longer than the platform's.
-const hollowLeaves = "Hollow drivers: the node itself on a simulated loop, without clients, RPCs, members that take connections, folders and a kernel; a tick of 100 ms. " +
-	"Bytes are those of datagrams, without the 28 of IP and UDP."
+// simulatedFleetAbout describes the drivers of a simulatedFleet: the unchanged driver of internal/node on a simulated loop, without clients, RPCs, files
+// and the kernel's work on sockets. The members in its list refuse all connections. Its tick is longer than on the platform.
+const simulatedFleetAbout = "Simulated drivers: internal/node on a simulated loop, without clients, RPCs, members that accept connections, folders and a kernel; a tick of 100 ms. " +
+	"Bytes are those of datagram payloads, without the 28 bytes of the IP and UDP headers."
 
 const (
-	epoch       = 1767225600 * time.Second
-	hollowTick  = "100000"
-	hollowEvery = time.Second // between two questions of a view, as the operator's file has it where it says nothing
-	few         = 4           // members in the list of those who are not about it
+	epoch          = 1767225600 * time.Second
+	tickSetting    = "100000"    // µs
+	viewInterval   = time.Second // default interval between two probes of a view
+	minimalMembers = 4           // members in the endpoint list of sweeps that do not measure the list
 )
 
-// everyPeer is where a datagram goes that is for all other drivers.
-var everyPeer = netip.MustParseAddrPort("10.3.255.255:7946")
+// broadcastAddress is the destination of datagrams to all other drivers.
+var broadcastAddress = netip.MustParseAddrPort("10.3.255.255:7946")
 
-func placeOf(kind, n, port int) netip.AddrPort {
-	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(kind), byte(n >> 8), byte(n)}), uint16(port))
+// addressOf returns address n of a network: 0 for drivers' listeners, 1 for members, 2 for discovery, 3 for peer messages and 4 for control machines.
+func addressOf(network, n, port int) netip.AddrPort {
+	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(network), byte(n >> 8), byte(n)}), uint16(port))
 }
 
 func driverName(n int) string { return "d" + strconv.Itoa(n) }
 
-// plainScript gives what drivers are told of methods.
+// plainScript is the script whose methods the drivers are configured with.
 const plainScript = `lasts = "5s"
 fleet {
   drivers = 1
@@ -59,108 +60,108 @@
 }
 `
 
-// traffic counts datagrams, by what they are about.
-type traffic struct{ messages, bytes [16]int }
+// datagramCounts counts datagrams and their bytes by kind of message.
+type datagramCounts struct{ messages, bytes [16]int }
 
-func (t *traffic) add(text []byte) {
+func (t *datagramCounts) add(datagram []byte) {
 	kind := 0
-	if len(text) > 3 {
-		kind = int(text[3] & 15)
+	if len(datagram) > 3 {
+		kind = int(datagram[3] & 15)
 	}
 	t.messages[kind]++
-	t.bytes[kind] += len(text)
+	t.bytes[kind] += len(datagram)
 }
 
-// of sums up some kinds.
-func (t *traffic) of(kinds ...peers.Kind) (messages, bytes float64) {
+// sum returns the totals over the given kinds.
+func (t *datagramCounts) sum(kinds ...peers.Kind) (messages, bytes float64) {
 	for _, k := range kinds {
 		messages, bytes = messages+float64(t.messages[k]), bytes+float64(t.bytes[k])
 	}
 	return messages, bytes
 }
 
-// hollow is a fleet of hollow drivers.
-type hollow struct {
-	stop        context.Context
-	world       *sim.World
-	seed        uint64
-	starts      uint64
-	terms       map[string]string
-	wants       string // the operator's file
-	hosts       []*sim.Host
-	numbers     map[*sim.Host]int
-	nodes       []*node.Node // nil: it is down
-	talk        []netip.AddrPort
-	agents      []*agent
-	sent, taken []traffic
-	crowds      []traffic // sent to all at once, one for each
+// simulatedFleet is a fleet of simulated drivers with a discovery service.
+type simulatedFleet struct {
+	ctx            context.Context
+	world          *sim.World
+	seed           uint64
+	starts         uint64
+	settings       map[string]string
+	config         string // configuration file of every driver
+	hosts          []*sim.Host
+	driverIndex    map[*sim.Host]int
+	nodes          []*node.Node // by driver; nil while it is down
+	peerAddresses  []netip.AddrPort
+	agents         []*agent
+	sent, received []datagramCounts
+	broadcasts     []datagramCounts // by driver, datagrams sent to broadcastAddress, each counted once
 }
 
-// newHollow makes a fleet in which nobody runs yet, and discovery.
-func newHollow(stop context.Context, drivers int, seed uint64, wants string) (*hollow, error) {
-	s, err := play.ParseScript([]byte(plainScript), "hollow")
+// newSimulatedFleet creates a fleet whose discovery service runs and whose drivers are not started.
+func newSimulatedFleet(ctx context.Context, drivers int, seed uint64, config string) (*simulatedFleet, error) {
+	s, err := play.ParseScript([]byte(plainScript), "simulated-fleet")
 	if err != nil {
 		return nil, err
 	}
-	f := &hollow{stop: stop, world: sim.New(seed, epoch), seed: seed, terms: s.Terms(0), wants: wants, numbers: make(map[*sim.Host]int), nodes: make([]*node.Node, drivers),
-		sent: make([]traffic, drivers), taken: make([]traffic, drivers), crowds: make([]traffic, drivers)}
-	f.terms["tick"] = hollowTick
-	f.world.OnDatagram = f.posted
-	field := f.world.AddHost("discovery")
-	field.IterationTime = 0
-	l, err := loop.NewWithSystem(field, 2*drivers+100, 64<<20)
+	f := &simulatedFleet{ctx: ctx, world: sim.New(seed, epoch), seed: seed, settings: s.Terms(0), config: config, driverIndex: make(map[*sim.Host]int), nodes: make([]*node.Node, drivers),
+		sent: make([]datagramCounts, drivers), received: make([]datagramCounts, drivers), broadcasts: make([]datagramCounts, drivers)}
+	f.settings["tick"] = tickSetting
+	f.world.OnDatagram = f.countDatagram
+	discoveryHost := f.world.AddHost("discovery")
+	discoveryHost.IterationTime = 0
+	l, err := loop.NewWithSystem(discoveryHost, 2*drivers+100, 64<<20)
 	if err != nil {
 		return nil, err
 	}
-	field.Serve(l, func() {})
-	d := &discoveryAgent{members: few, rev: 1}
+	discoveryHost.Serve(l, func() {})
+	d := &discoveryService{members: minimalMembers, rev: 1}
 	for i := range drivers {
-		f.talk = append(f.talk, placeOf(3, i, 7946))
-		a, err := d.agent(l, placeOf(2, i, 8500))
+		f.peerAddresses = append(f.peerAddresses, addressOf(3, i, 7946))
+		a, err := d.agent(l, addressOf(2, i, 8500))
 		if err != nil {
 			return nil, err
 		}
 		f.agents = append(f.agents, a)
 		h := f.world.AddHost(driverName(i))
 		f.hosts = append(f.hosts, h)
-		f.numbers[h] = i
+		f.driverIndex[h] = i
 	}
-	f.world.SetMulticast(everyPeer, f.talk)
+	f.world.SetMulticast(broadcastAddress, f.peerAddresses)
 	return f, nil
 }
 
-// posted counts a datagram.
-func (f *hollow) posted(from *sim.Host, to netip.AddrPort, text []byte) {
-	i, known := f.numbers[from]
+// countDatagram counts a datagram for its sender and its receivers.
+func (f *simulatedFleet) countDatagram(from *sim.Host, to netip.AddrPort, datagram []byte) {
+	i, known := f.driverIndex[from]
 	if !known {
 		return
 	}
-	if to == everyPeer {
-		f.crowds[i].add(text)
-		for o := range f.taken {
-			if o != i {
-				f.taken[o].add(text)
+	if to == broadcastAddress {
+		f.broadcasts[i].add(datagram)
+		for other := range f.received {
+			if other != i {
+				f.received[other].add(datagram)
 			}
 		}
 		return
 	}
-	f.sent[i].add(text)
+	f.sent[i].add(datagram)
 	if at := to.Addr().As4(); at[1] == 3 {
-		f.taken[int(at[2])<<8|int(at[3])].add(text)
+		f.received[int(at[2])<<8|int(at[3])].add(datagram)
 	}
 }
 
-// forget lets all counts begin anew.
-func (f *hollow) forget() {
+// resetCounts sets all counts to 0.
+func (f *simulatedFleet) resetCounts() {
 	clear(f.sent)
-	clear(f.taken)
-	clear(f.crowds)
+	clear(f.received)
+	clear(f.broadcasts)
 	for _, a := range f.agents {
-		a.calls, a.sent, a.taken = 0, 0, 0
+		a.calls, a.bytesSent, a.bytesReceived = 0, 0, 0
 	}
 }
 
-func (f *hollow) start(i int) error {
+func (f *simulatedFleet) start(i int) error {
 	h := f.hosts[i]
 	h.Start()
 	l, err := loop.NewWithSystem(h, 64, 1<<20)
@@ -169,55 +170,56 @@
 	}
 	h.Serve(l, func() {})
 	f.starts++
-	site := &node.Site{Name: h.Name, Listen: placeOf(0, i, 6543), Discovery: f.agents[i].at, PeerListen: f.talk[i], PeerBroadcast: everyPeer, Peers: f.talk,
-		Seed: f.seed*1000003 + f.starts, Descriptors: 64, Memory: 64 << 20, Settings: f.terms}
-	wants, err := site.ParseConfig([]byte(f.wants), h.Name+".hcl")
+	site := &node.Site{Name: h.Name, Listen: addressOf(0, i, 6543), Discovery: f.agents[i].address, PeerListen: f.peerAddresses[i], PeerBroadcast: broadcastAddress, Peers: f.peerAddresses,
+		Seed: f.seed*1000003 + f.starts, Descriptors: 64, Memory: 64 << 20, Settings: f.settings}
+	config, err := site.ParseConfig([]byte(f.config), h.Name+".hcl")
 	if err != nil {
 		return err
 	}
-	f.nodes[i], err = node.On(l, site, wants)
+	f.nodes[i], err = node.On(l, site, config)
 	return err
 }
 
-// kill ends a driver at once.
-func (f *hollow) kill(i int) {
+// kill ends a driver without a shutdown.
+func (f *simulatedFleet) kill(i int) {
 	f.hosts[i].Kill()
 	f.nodes[i].CloseStores()
 	f.nodes[i] = nil
 }
 
-// startAll starts all, spread over a second.
-func (f *hollow) startAll() (err error) {
+// startAll starts all drivers, spread over 1 s, and runs the fleet for 2 s.
+func (f *simulatedFleet) startAll() (err error) {
 	for i := range f.hosts {
 		f.world.At(epoch+time.Duration(i)*time.Second/time.Duration(len(f.hosts)), func() {
-			if wrong := f.start(i); wrong != nil && err == nil {
-				err = wrong
+			if startErr := f.start(i); startErr != nil && err == nil {
+				err = startErr
 			}
 		})
 	}
-	return errorOf(f.run(2*time.Second), &err)
+	return firstError(f.run(2*time.Second), &err)
 }
 
-func errorOf(err error, other *error) error {
+func firstError(err error, other *error) error {
 	if err == nil {
 		err = *other
 	}
 	return err
 }
 
-// run lets time pass, in steps, between which it looks whether to stop.
-func (f *hollow) run(lasts time.Duration) error {
-	for end := f.world.Now() + lasts; f.world.Now() < end; {
-		if f.stop.Err() != nil {
-			return context.Cause(f.stop)
+// run advances simulated time in steps of 100 ms and ends early when the context ends.
+func (f *simulatedFleet) run(duration time.Duration) error {
+	for end := f.world.Now() + duration; f.world.Now() < end; {
+		if f.ctx.Err() != nil {
+			return context.Cause(f.ctx)
 		}
 		f.world.Run(min(end, f.world.Now()+100*time.Millisecond))
 	}
 	return nil
 }
 
-// until lets time pass in steps until each driver that runs knows, and gives when each did, in seconds; who did not within the time is counted apart.
-func (f *hollow) until(most, step time.Duration, knows func(i int) bool) (when []float64, never int, err error) {
+// until advances time in steps until the condition has held once at each running driver. It returns the delays after which it first held, in seconds,
+// and the number of drivers at which it did not hold within the timeout.
+func (f *simulatedFleet) until(timeout, step time.Duration, condition func(i int) bool) (delays []float64, missing int, err error) {
 	from, done := f.world.Now(), make([]bool, len(f.nodes))
 	for {
 		left := 0
@@ -225,131 +227,132 @@
 			if n == nil || done[i] {
 				continue
 			}
-			if knows(i) {
+			if condition(i) {
 				done[i] = true
-				when = append(when, (f.world.Now() - from).Seconds())
+				delays = append(delays, (f.world.Now() - from).Seconds())
 			} else {
 				left++
 			}
 		}
-		if left == 0 || f.world.Now() >= from+most {
-			return when, left, nil
+		if left == 0 || f.world.Now() >= from+timeout {
+			return delays, left, nil
 		}
-		if f.stop.Err() != nil {
-			return nil, left, context.Cause(f.stop)
+		if f.ctx.Err() != nil {
+			return nil, left, context.Cause(f.ctx)
 		}
 		f.world.Run(f.world.Now() + step)
 	}
 }
 
-// sees tells how one driver sees another.
-func (f *hollow) sees(i, o int) (membership.Status, uint64) {
-	e, known := f.nodes[i].Membership().Lookup(membership.NodeIDOf(driverName(o)))
+// statusSeen returns the status and incarnation that driver i has for another driver.
+func (f *simulatedFleet) statusSeen(i, other int) (membership.Status, uint64) {
+	e, known := f.nodes[i].Membership().Lookup(membership.NodeIDOf(driverName(other)))
 	if !known {
 		return membership.Dead, 0
 	}
 	return e.Status, e.Incarnation
 }
 
-// settled tells whether a driver sees all who run as alive, and nobody else.
-func (f *hollow) settled(i int) bool {
-	up := 0
+// isSettled reports whether a driver has as many active drivers in its view as are running.
+func (f *simulatedFleet) isSettled(i int) bool {
+	running := 0
 	for _, n := range f.nodes {
 		if n != nil {
-			up++
+			running++
 		}
 	}
-	return f.nodes[i].Membership().ActiveCount() == up
+	return f.nodes[i].Membership().ActiveCount() == running
 }
 
-// discovery tells which members there are.
-type discoveryAgent struct {
-	members int
-	rev     int
-	drains  int    // member that drains since the latest revision; none: 0
-	only    *agent // who is told of what has changed; nil: all
-	agents  []*agent
+// discoveryService simulates discovery. It serves the endpoint list through one agent for each driver.
+type discoveryService struct {
+	members   int
+	rev       int
+	draining  int    // member that drains, from revision 2 on
+	onlyAgent *agent // the only agent that learns of the drain; nil: all learn of it
+	agents    []*agent
 }
 
-// agent is discovery as one driver meets it.
+// agent is the discovery agent of one driver, with counts of its calls and bytes.
 type agent struct {
-	discovery          *discoveryAgent
-	loop               *loop.Loop
-	at                 netip.AddrPort
-	waiting            *asker
-	calls, sent, taken int
+	discovery                       *discoveryService
+	loop                            *loop.Loop
+	address                         netip.AddrPort
+	pending                         *agentConnection
+	calls, bytesSent, bytesReceived int
 }
 
-func (d *discoveryAgent) agent(l *loop.Loop, at netip.AddrPort) (*agent, error) {
-	a := &agent{discovery: d, loop: l, at: at}
+// agent adds an agent, which serves the endpoint list at an address.
+func (d *discoveryService) agent(l *loop.Loop, address netip.AddrPort) (*agent, error) {
+	a := &agent{discovery: d, loop: l, address: address}
 	d.agents = append(d.agents, a)
-	_, err := l.Listen(at, 1<<16, loop.AcceptLimiter{}, func(open func(loop.Handler) *loop.Stream) {
-		k := &asker{agent: a}
+	_, err := l.Listen(address, 1<<16, loop.AcceptLimiter{}, func(open func(loop.Handler) *loop.Stream) {
+		k := &agentConnection{agent: a}
 		k.stream = open(k)
 	}, func(bool) {})
 	return a, err
 }
 
-// drain lets a member drain, of which one agent alone tells, or all.
-func (d *discoveryAgent) drain(member int, only *agent) {
-	d.rev, d.drains, d.only = d.rev+1, member, only
+// drain marks a member as draining, in the lists of one agent, or of all for a nil agent.
+func (d *discoveryService) drain(member int, onlyAgent *agent) {
+	d.rev, d.draining, d.onlyAgent = d.rev+1, member, onlyAgent
 	for _, a := range d.agents {
-		if k := a.waiting; k != nil && (only == nil || a == only) {
-			a.loop.Cancel(k.due)
+		if k := a.pending; k != nil && (onlyAgent == nil || a == onlyAgent) {
+			a.loop.Cancel(k.timer)
 			k.answer()
 		}
 	}
 }
 
-// list is a whole one, or what a drain changes.
-func (d *discoveryAgent) list(whole bool) []byte {
+// list returns the JSON of a whole endpoint list, or of the changes that a drain makes.
+func (d *discoveryService) list(whole bool) []byte {
 	type target struct {
 		UID      string  `json:"uid"`
 		Endpoint string  `json:"endpoint"`
 		Zone     string  `json:"az"`
 		Group    int     `json:"pod_group"`
 		State    string  `json:"state"`
-		Size     float64 `json:"capacity_hint"`
-		Booted   int64   `json:"boot_ms"`
+		Capacity float64 `json:"capacity_hint"`
+		BootedMS int64   `json:"boot_ms"`
 	}
 	targets := []target{}
 	for m := range d.members {
 		state := "in_service"
-		if m == d.drains && d.rev > 1 {
+		if m == d.draining && d.rev > 1 {
 			state = "terminating"
 		}
 		if whole || state != "in_service" {
-			targets = append(targets, target{"m" + strconv.Itoa(m), placeOf(1, m, 5432).String(), "zone-" + strconv.Itoa(m%7), m / 2, state, 1, int64(epoch / time.Millisecond)})
+			targets = append(targets, target{"m" + strconv.Itoa(m), addressOf(1, m, 5432).String(), "zone-" + strconv.Itoa(m%7), m / 2, state, 1, int64(epoch / time.Millisecond)})
 		}
 	}
 	body, _ := json.Marshal(map[string]any{"rev": d.rev, "all": whole, "targets": targets})
 	return body
 }
 
-// asker is one connection.
-type asker struct {
-	agent  *agent
-	stream *loop.Stream
-	from   int
-	due    loop.Timer
+// agentConnection is a driver's connection to its agent.
+type agentConnection struct {
+	agent        *agent
+	stream       *loop.Stream
+	fromRevision int
+	timer        loop.Timer
 }
 
 // Opened implements loop.Handler.
-func (k *asker) Opened() {}
+func (k *agentConnection) Opened() {}
 
 // Panicked implements loop.Handler.
-func (k *asker) Panicked(cause error) { k.stream.Close() }
+func (k *agentConnection) Panicked(cause error) { k.stream.Close() }
 
 // Closed implements loop.Handler.
-func (k *asker) Closed(error) {
-	k.agent.loop.Cancel(k.due)
-	if k.agent.waiting == k {
-		k.agent.waiting = nil
+func (k *agentConnection) Closed(error) {
+	k.agent.loop.Cancel(k.timer)
+	if k.agent.pending == k {
+		k.agent.pending = nil
 	}
 }
 
 // Input implements loop.Handler.
-func (k *asker) Input(in []byte) int {
+func (k *agentConnection) Input(in []byte) int {
 	a := k.agent
 	r, fault := httpwire.Next(in, httpwire.Limits{Target: 1000, Head: 4000, Fields: 50, Body: 1000})
 	if fault != nil {
@@ -360,39 +363,39 @@
 		return 0
 	}
 	a.calls++
-	a.taken += r.Size
+	a.bytesReceived += r.Size
 	_, query, watches := strings.Cut(string(r.Target), "?")
 	hold := 0
-	k.from = 0
+	k.fromRevision = 0
 	if watches {
-		fmt.Sscanf(query, "from=%d&hold_ms=%d", &k.from, &hold)
+		fmt.Sscanf(query, "from=%d&hold_ms=%d", &k.fromRevision, &hold)
 	}
-	if d := a.discovery; !watches || k.from < d.rev && (d.only == nil || d.only == a) {
+	if d := a.discovery; !watches || k.fromRevision < d.rev && (d.onlyAgent == nil || d.onlyAgent == a) {
 		k.answer()
 		return r.Size
 	}
-	a.waiting = k
-	k.due = a.loop.At(a.loop.Now()+time.Duration(hold)*time.Millisecond, k.answer)
+	a.pending = k
+	k.timer = a.loop.At(a.loop.Now()+time.Duration(hold)*time.Millisecond, k.answer)
 	return r.Size
 }
 
-func (k *asker) answer() {
+func (k *agentConnection) answer() {
 	a, d := k.agent, k.agent.discovery
-	if a.waiting == k {
-		a.waiting = nil
+	if a.pending == k {
+		a.pending = nil
 	}
-	body := d.list(k.from == 0)
-	if k.from >= d.rev || k.from > 0 && d.only != nil && d.only != a {
-		body = fmt.Appendf(nil, `{"all":false,"rev":%d,"targets":[]}`, k.from)
+	body := d.list(k.fromRevision == 0)
+	if k.fromRevision >= d.rev || k.fromRevision > 0 && d.onlyAgent != nil && d.onlyAgent != a {
+		body = fmt.Appendf(nil, `{"all":false,"rev":%d,"targets":[]}`, k.fromRevision)
 	}
 	out := httpwire.AppendField(httpwire.AppendStatus(nil, 200), "Content-Type", "application/json")
 	out = append(httpwire.AppendLength(out, len(body)), body...)
-	a.sent += len(out)
+	a.bytesSent += len(out)
 	k.stream.Send(out)
 }
 
-// processor is the time that this process has taken of the cores.
-func processor() time.Duration {
+// processCPUTime returns the CPU time that this process has used, user and system.
+func processCPUTime() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
 		return 0
@@ -400,8 +403,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// heap is what is in use, after all else was let go.
-func heap() float64 {
+// heapInUse returns the bytes of live objects on the heap, after garbage collection.
+func heapInUse() float64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.GC()
@@ -409,7 +412,7 @@
 	return float64(m.HeapAlloc)
 }
 
-// worst is the greatest of all.
+// worst returns the greatest value, or 0 if none is positive.
 func worst(values []float64) (most float64) {
 	for _, v := range values {
 		most = max(most, v)
--- a/internal/lab/capacity/tables.go
+++ b/internal/lab/capacity/tables.go
@@ -14,16 +14,16 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Tables writes the measured series as Markdown, a table for each sweep: the median over the seeds at each size, and the fit.
-func Tables(out io.Writer, k Kept) error {
-	w := &sink{out: out}
+// Tables writes the measured series as Markdown, one table for each sweep: the median over the seeds at each size, and the fit.
+func Tables(out io.Writer, k Results) error {
+	w := &errWriter{out: out}
 	w.line("Written by `passlab capacity`. Each value is the median over the seeds that were played.\n")
 	w.line("Fit: the shape with the smallest relative residual of flat, logarithm, linear and square, value = base + slope * f(size); the exponent is that of the")
 	w.line("line through the logarithms, with its standard error. Residuals are relative, root mean square.")
 	all := SeriesOf(k.Points)
-	abouts := make(map[string]string)
+	descriptions := make(map[string]string)
 	for _, s := range Sweeps() {
-		abouts[s.Name] = s.About
+		descriptions[s.Name] = s.About
 	}
 	for i := 0; i < len(all); {
 		j := i
@@ -34,8 +34,8 @@
 		slices.Sort(sizes)
 		sizes = slices.Compact(sizes)
 		w.line("\n## %s, by %s\n", all[i].Sweep, all[i].Axis)
-		if about := abouts[all[i].Sweep]; about != "" {
-			w.line("%s\n", about)
+		if description := descriptions[all[i].Sweep]; description != "" {
+			w.line("%s\n", description)
 		}
 		head, rule := "| measure | unit |", "|---|---|"
 		for _, size := range sizes {
@@ -45,8 +45,8 @@
 		for _, s := range all[i:j] {
 			row := "| " + s.Measure + " | " + s.Unit + " |"
 			for _, size := range sizes {
-				if at, there := slices.BinarySearch(s.Sizes, size); there {
-					row += " " + number(s.Medians[at]) + " |"
+				if column, found := slices.BinarySearch(s.Sizes, size); found {
+					row += " " + number(s.Medians[column]) + " |"
 				} else {
 					row += " |"
 				}
@@ -68,19 +68,19 @@
 	return w.err
 }
 
-// sink keeps the first error.
-type sink struct {
+// errWriter writes lines and keeps the first error; after an error it writes nothing.
+type errWriter struct {
 	out io.Writer
 	err error
 }
 
-func (w *sink) line(format string, args ...any) {
+func (w *errWriter) line(format string, args ...any) {
 	if w.err == nil {
 		_, w.err = fmt.Fprintf(w.out, format+"\n", args...)
 	}
 }
 
-// number writes four digits of a value.
+// number formats a value with four significant digits, or as an integer where it is one or is 1000 or more.
 func number(v float64) string {
 	if a := math.Abs(v); a >= 1000 || v == math.Trunc(v) {
 		return strconv.FormatFloat(math.Round(v), 'f', -1, 64)
@@ -92,16 +92,17 @@
 
 func exponent(f Fit) string {
 	switch {
-	case math.IsNaN(f.Power):
+	case math.IsNaN(f.Exponent):
 		return ""
-	case math.IsNaN(f.PowerError):
-		return fmt.Sprintf("%.2f", f.Power)
+	case math.IsNaN(f.ExponentError):
+		return fmt.Sprintf("%.2f", f.Exponent)
 	}
-	return fmt.Sprintf("%.2f ± %.2f", f.Power, f.PowerError)
+	return fmt.Sprintf("%.2f ± %.2f", f.Exponent, f.ExponentError)
 }
 
-// kindOf tells which chart a unit belongs to, and by what its values are multiplied there; "": none.
-func kindOf(unit string) (kind string, times float64) {
+// chartKind returns the kind of chart that shows a unit and the factor that converts its values to the chart's unit. Units with kind ""
+// are in no chart.
+func chartKind(unit string) (kind string, scale float64) {
 	first, _, _ := strings.Cut(unit, " ")
 	switch first {
 	case "B/s":
@@ -124,26 +125,26 @@
 	return "", 0
 }
 
-const mostLines = 12 // of one chart that can still be told apart
+const maxChartLines = 12 // lines that can still be told apart in one chart
 
-// family is what the sweeps of one matter have in common in their names.
-func family(sweep string) string {
+// sweepFamily returns the first word of a sweep's name, which related sweeps share.
+func sweepFamily(sweep string) string {
 	return strings.FieldsFunc(sweep, func(c rune) bool { return c == '-' || c == '_' })[0]
 }
 
-// split gives the charts of some series by what stands behind their name: one, one for each family of sweeps where those are too many for one, and
-// one for each sweep of a family that has too many.
-func split(all []Series) map[string][]Series {
+// splitCharts distributes series over charts, by the suffix of the chart's file name: a single chart, or one for each family of sweeps
+// where the series are too many for one chart, and one for each sweep of a family that has too many.
+func splitCharts(all []Series) map[string][]Series {
 	parts := map[string][]Series{"": all}
-	for _, by := range []func(Series) string{func(s Series) string { return "-" + family(s.Sweep) }, func(s Series) string { return "-" + s.Sweep }} {
+	for _, suffix := range []func(Series) string{func(s Series) string { return "-" + sweepFamily(s.Sweep) }, func(s Series) string { return "-" + s.Sweep }} {
 		finer := make(map[string][]Series)
-		for name, some := range parts {
-			if len(some) <= mostLines {
-				finer[name] = some
+		for name, group := range parts {
+			if len(group) <= maxChartLines {
+				finer[name] = group
 				continue
 			}
-			for _, s := range some {
-				finer[by(s)] = append(finer[by(s)], s)
+			for _, s := range group {
+				finer[suffix(s)] = append(finer[suffix(s)], s)
 			}
 		}
 		parts = finer
@@ -151,34 +152,34 @@
 	return parts
 }
 
-// charts are the pictures of bytes, time and memory by size, for each axis that has some.
+// charts returns, by file name, the writers of the charts of bytes, time and memory by size, for each axis that has such series.
 func charts(points []Point) map[string]func(io.Writer) error {
 	labels := map[string]string{"bytes": "bytes a second", "time": "seconds", "memory": "bytes"}
-	by := make(map[[2]string][]Series)
+	groups := make(map[[2]string][]Series)
 	for _, s := range SeriesOf(points) {
-		kind, times := kindOf(s.Unit)
-		drawn := Series{Sweep: s.Sweep, Measure: s.Measure, Unit: s.Unit, Axis: s.Axis}
+		kind, scale := chartKind(s.Unit)
+		plotted := Series{Sweep: s.Sweep, Measure: s.Measure, Unit: s.Unit, Axis: s.Axis}
 		for i, v := range s.Medians {
-			if v > 0 { // nothing has no place on a logarithmic axis
-				drawn.Sizes, drawn.Medians = append(drawn.Sizes, s.Sizes[i]), append(drawn.Medians, v*times)
+			if v > 0 { // a logarithmic axis cannot show 0
+				plotted.Sizes, plotted.Medians = append(plotted.Sizes, s.Sizes[i]), append(plotted.Medians, v*scale)
 			}
 		}
-		if s = drawn; kind == "" || len(s.Sizes) < 2 {
+		if s = plotted; kind == "" || len(s.Sizes) < 2 {
 			continue
 		}
-		by[[2]string{kind, s.Axis}] = append(by[[2]string{kind, s.Axis}], s)
+		groups[[2]string{kind, s.Axis}] = append(groups[[2]string{kind, s.Axis}], s)
 	}
 	files := make(map[string]func(io.Writer) error)
-	for k, all := range by {
-		for name, some := range split(all) {
-			files[k[0]+"-"+k[1]+name+".png"] = func(out io.Writer) error { return chart(out, k[1], labels[k[0]], some) }
+	for k, all := range groups {
+		for name, group := range splitCharts(all) {
+			files[k[0]+"-"+k[1]+name+".png"] = func(out io.Writer) error { return writeChart(out, k[1], labels[k[0]], group) }
 		}
 	}
 	return files
 }
 
-// chart draws a line for each series, on two logarithmic axes.
-func chart(out io.Writer, axis, label string, all []Series) error {
+// writeChart writes a PNG with one line for each series, on two logarithmic axes.
+func writeChart(out io.Writer, axis, label string, all []Series) error {
 	p := plot.New()
 	p.X.Label.Text, p.Y.Label.Text = axis, label
 	p.X.Scale, p.Y.Scale = plot.LogScale{}, plot.LogScale{}
@@ -199,7 +200,7 @@
 		p.Add(line, dots)
 		p.Legend.Add(s.Sweep+" "+s.Measure+", "+s.Unit, line, dots)
 	}
-	p.Y.Max *= math.Pow(10, float64(len(all))*0.12) // room for the legend
+	p.Y.Max *= math.Pow(10, float64(len(all))*0.12) // leave room for the legend
 	w, err := p.WriterTo(9*vg.Inch, 7*vg.Inch, "png")
 	if err != nil {
 		return err
@@ -208,7 +209,7 @@
 	return err
 }
 
-// sizeTicks marks the sizes that were played.
+// sizeTicks returns a tick for each measured size.
 func sizeTicks(all []Series) plot.ConstantTicks {
 	var sizes []float64
 	for _, s := range all {
--- a/internal/lab/golden_test.go
+++ b/internal/lab/golden_test.go
@@ -13,21 +13,22 @@
 
 var update = flag.Bool("update", false, "rewrite golden files")
 
-// Rows that earlier versions stored are read to the same values; the CSV file has the same bytes.
+// A change of the row format would make stored results unreadable: rows stored by earlier versions give the same values, and the CSV
+// file has the same bytes.
 func TestGoldenRows(t *testing.T) {
 	want := []Row{
-		{Script: "hung-or-dead", Arm: "as-it-is", Seed: 1<<63 + 1, RPCs: 1000, OK: 0.5, Utility: 0.25, PushedBack: 1, Aborted: 2, Nothing: 3, Broken: 4, P50: 1.5, P99: 20.25,
-			Digest: "0123456789abcdef", Drivers: 5, Whole: 6.5, Lost: 7.5, Connects: 8.5, ConnectsUsual: 9.5, Member: 10.5, MemberUsual: 11.5, Lists: 12.5, ListsUsual: 13.5,
-			Full: 14.5, Cold: 15.5, Stale: 16.5, First: 17.5},
-		{Script: "hung-or-dead", Arm: "heavy", Seed: 2, Whole: -1},
+		{Script: "hung-or-dead", Arm: "as-it-is", Seed: 1<<63 + 1, RPCs: 1000, OK: 0.5, Utility: 0.25, PushedBack: 1, Aborted: 2, NoAnswer: 3, Broken: 4, P50: 1.5, P99: 20.25,
+			Digest: "0123456789abcdef", Drivers: 5, RecoverySeconds: 6.5, LostSeconds: 7.5, Connects: 8.5, ConnectsUsual: 9.5, MemberConnects: 10.5, MemberConnectsUsual: 11.5, Lists: 12.5, ListsUsual: 13.5,
+			QueueFull: 14.5, ColdBudgetUsed: 15.5, StaleWrites: 16.5, UtilityFirst10s: 17.5},
+		{Script: "hung-or-dead", Arm: "heavy", Seed: 2, RecoverySeconds: -1},
 	}
-	file := filepath.Join("testdata", "rows.parquet")
+	parquetFile := filepath.Join("testdata", "rows.parquet")
 	if *update {
-		if err := parquet.WriteFile(file, want); err != nil {
+		if err := parquet.WriteFile(parquetFile, want); err != nil {
 			t.Fatal(err)
 		}
 	}
-	got, err := ReadParquet(file)
+	got, err := ReadParquet(parquetFile)
 	if err != nil || !slices.Equal(got, want) {
 		t.Errorf("read %+v, %v, want %+v", got, err, want)
 	}
@@ -35,13 +36,13 @@
 	if err := writeCSV(&written, want); err != nil {
 		t.Fatal(err)
 	}
-	table := filepath.Join("testdata", "rows.csv")
+	csvFile := filepath.Join("testdata", "rows.csv")
 	if *update {
-		if err := os.WriteFile(table, written.Bytes(), 0o644); err != nil {
+		if err := os.WriteFile(csvFile, written.Bytes(), 0o644); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if golden, err := os.ReadFile(table); err != nil || !bytes.Equal(written.Bytes(), golden) {
+	if golden, err := os.ReadFile(csvFile); err != nil || !bytes.Equal(written.Bytes(), golden) {
 		t.Errorf("written %s, %v, want %s", written.Bytes(), err, golden)
 	}
 }
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -1,4 +1,4 @@
-// Package lab plays rehearsals over scripts, arms and seeds, and keeps what they came to as tables and charts.
+// Package lab plays rehearsal scripts with several arms and seeds, and saves the results as tables and charts.
 package lab
 
 import (
@@ -21,7 +21,8 @@
 	"passtack/internal/emu/rig"
 )
 
-// Row is one rehearsal.
+// Row holds the results of one rehearsal. Its fields are the columns of rows.csv and rows.parquet; Usual columns hold the value before
+// the last driver failure.
 type Row struct {
 	Script     string  `parquet:"script"`
 	Arm        string  `parquet:"arm"`
@@ -31,97 +32,97 @@
 	Utility    float64 `parquet:"utility"`
 	PushedBack int64   `parquet:"pushed_back"`
 	Aborted    int64   `parquet:"aborted"`
-	Nothing    int64   `parquet:"nothing"`
-	Broken     int64   `parquet:"broken"`
+	NoAnswer   int64   `parquet:"nothing"`
+	Broken     int64   `parquet:"broken"` // violations of rules
 	P50        float64 `parquet:"p50_ms"`
 	P99        float64 `parquet:"p99_ms"`
 	Digest     string  `parquet:"digest"`
 
-	Drivers       int64   `parquet:"drivers"`
-	Whole         float64 `parquet:"whole_s"` // after the last fall; under 0: never
-	Lost          float64 `parquet:"lost_s"`  // of service, in seconds of the level before
-	Connects      float64 `parquet:"connects"`
-	ConnectsUsual float64 `parquet:"connects_usual"`
-	Member        float64 `parquet:"connects_at_one"`
-	MemberUsual   float64 `parquet:"connects_at_one_usual"`
-	Lists         float64 `parquet:"lists"`
-	ListsUsual    float64 `parquet:"lists_usual"`
-	Full          float64 `parquet:"full"`
-	Cold          float64 `parquet:"cold"`
-	Stale         float64 `parquet:"stale"`
+	Drivers             int64   `parquet:"drivers"`
+	RecoverySeconds     float64 `parquet:"whole_s"` // time until full service after the last driver failure; negative: never reached
+	LostSeconds         float64 `parquet:"lost_s"`  // lost service, as seconds at the service level before the failure
+	Connects            float64 `parquet:"connects"`
+	ConnectsUsual       float64 `parquet:"connects_usual"`
+	MemberConnects      float64 `parquet:"connects_at_one"` // at the busiest member
+	MemberConnectsUsual float64 `parquet:"connects_at_one_usual"`
+	Lists               float64 `parquet:"lists"`
+	ListsUsual          float64 `parquet:"lists_usual"`
+	QueueFull           float64 `parquet:"full"`  // attempts that found the queue of a member full
+	ColdBudgetUsed      float64 `parquet:"cold"`  // largest part of its cold budget that a member was sent in a window
+	StaleWrites         float64 `parquet:"stale"` // writes at members that are no longer primary
 
-	First float64 `parquet:"first_10s"` // utility got of what began in the ten seconds after the script's last end of drivers
+	UtilityFirst10s float64 `parquet:"first_10s"` // part of the utility of RPCs begun in the 10 s after the last drivers that the script ends are back
 }
 
-// How tells how rehearsals are played.
-type How struct {
-	Scale   int    // times the drivers, groups, sessions and RPCs of each script
-	Program string // what is started as the drivers, as processes; "": simulated
-	AtOnce  int    // plays at a time, 0: as many as there are cores
+// Options tells how rehearsals are played.
+type Options struct {
+	Scale       int    // multiplies the drivers, groups, sessions and RPCs of each script
+	Program     string // program started for each driver process; "": drivers are simulated
+	Concurrency int    // rehearsals played at the same time; 0: GOMAXPROCS
 }
 
-// Arm is a change of each script, by which it is compared with the first.
+// Arm is a variant of the scripts: a name and the changes made to each script. Results are compared with those of the first arm.
 type Arm struct {
-	Name   string
-	change []func(*play.Script)
+	Name    string
+	changes []func(*play.Script)
 }
 
-// ParseArm reads NAME or NAME:KEY=VALUE,... as a command line gives it.
+// ParseArm parses a command-line argument of the form NAME or NAME:KEY=VALUE,...
 func ParseArm(text string) (Arm, error) {
-	name, changes, some := strings.Cut(text, ":")
+	name, changes, hasChanges := strings.Cut(text, ":")
 	a := Arm{Name: name}
 	if name == "" {
 		return a, fmt.Errorf("arm %q has no name", text)
 	}
-	if !some {
+	if !hasChanges {
 		return a, nil
 	}
 	for change := range strings.SplitSeq(changes, ",") {
 		key, value, _ := strings.Cut(change, "=")
-		number, notNumber := strconv.ParseFloat(value, 64)
-		span, notSpan := time.ParseDuration(value)
-		whole := int(number)
-		var act func(*play.Script)
-		bad := notNumber != nil || number <= 0
+		number, numberErr := strconv.ParseFloat(value, 64)
+		duration, durationErr := time.ParseDuration(value)
+		integer := int(number)
+		var apply func(*play.Script)
+		invalid := numberErr != nil || number <= 0
 		switch key {
-		case "load": // times the script's rate
-			act = func(s *play.Script) { s.Rate *= number }
+		case "load": // multiplies the script's rate
+			apply = func(s *play.Script) { s.Rate *= number }
 		case "drivers":
-			act, bad = func(s *play.Script) { s.Drivers = whole }, bad || number != float64(whole) || whole > 500
+			apply, invalid = func(s *play.Script) { s.Drivers = integer }, invalid || number != float64(integer) || integer > 500
 		case "cores":
-			act, bad = func(s *play.Script) { s.Build.Cores = whole }, bad || number != float64(whole)
+			apply, invalid = func(s *play.Script) { s.Build.Cores = integer }, invalid || number != float64(integer)
 		case "queue":
-			act, bad = func(s *play.Script) { s.Build.Queue = whole }, bad || number != float64(whole)
+			apply, invalid = func(s *play.Script) { s.Build.Queue = integer }, invalid || number != float64(integer)
 		case "retries":
-			act, bad = func(s *play.Script) { s.Retries = whole }, notNumber != nil || number < 0 || number != float64(whole)
+			apply, invalid = func(s *play.Script) { s.Retries = integer }, numberErr != nil || number < 0 || number != float64(integer)
 		case "obeys":
-			act, bad = func(s *play.Script) { s.Obeys = value == "true" }, value != "true" && value != "false"
-		case "folders": // drivers keep what they learn, and find it kept or emptied
-			act, bad = func(s *play.Script) { s.Folders = value == "true" }, value != "true" && value != "false"
-		case "spared": // no driver ends, however the script has it
-			act, bad = (*play.Script).Spare, value != "true"
-		case "down": // how long the drivers stay away that the script ends, almost without load if it is long
-			act, bad = func(s *play.Script) { s.Absent(span) }, notSpan != nil || span < 50*time.Millisecond || span > 24*time.Hour
+			apply, invalid = func(s *play.Script) { s.Obeys = value == "true" }, value != "true" && value != "false"
+		case "folders": // drivers save learned state in folders that a restart finds intact or emptied
+			apply, invalid = func(s *play.Script) { s.Folders = value == "true" }, value != "true" && value != "false"
+		case "spared": // drivers keep running where the script would end them
+			apply, invalid = (*play.Script).Spare, value != "true"
+		case "down": // downtime of the drivers that the script ends; a long one has almost no load
+			apply, invalid = func(s *play.Script) { s.Absent(duration) }, durationErr != nil || duration < 50*time.Millisecond || duration > 24*time.Hour
 		case "list_delay":
-			act, bad = func(s *play.Script) { s.ListDelay = span }, notSpan != nil || span < 0
+			apply, invalid = func(s *play.Script) { s.ListDelay = duration }, durationErr != nil || duration < 0
 		case "apply":
-			act, bad = func(s *play.Script) { s.Build.Apply = span }, notSpan != nil || span < 0
+			apply, invalid = func(s *play.Script) { s.Build.Apply = duration }, durationErr != nil || duration < 0
 		default:
-			return a, fmt.Errorf("arm %q: there is no %q; load, drivers, cores, queue, retries, obeys, folders, spared, down, list_delay and apply can be changed", name, key)
+			return a, fmt.Errorf("arm %q: unknown key %q; known keys are load, drivers, cores, queue, retries, obeys, folders, spared, down, list_delay and apply", name, key)
 		}
-		if bad {
-			return a, fmt.Errorf("arm %q: %s cannot be %q", name, key, value)
+		if invalid {
+			return a, fmt.Errorf("arm %q: key %s has the invalid value %q", name, key, value)
 		}
-		a.change = append(a.change, act)
+		a.changes = append(a.changes, apply)
 	}
 	return a, nil
 }
 
-// Play plays every script with every arm and seed, as many at a time as there are cores. When the context ends, those under
-// way are ended and their rows are there; rows come in order in any case.
-func Play(c context.Context, how How, files []string, arms []Arm, seeds []uint64, each func(done, all int, r Row)) ([]Row, error) {
+// Play plays every script with every arm and seed, options.Concurrency rehearsals at a time. When the context ends, rehearsals under
+// way are completed and their rows returned. Rows are ordered by script, arm and seed. onRow is called after each rehearsal.
+func Play(ctx context.Context, options Options, files []string, arms []Arm, seeds []uint64, onRow func(done, total int, r Row)) ([]Row, error) {
 	type task struct {
-		place int
+		index int
 		file  string
 		arm   Arm
 		seed  uint64
@@ -134,67 +135,67 @@
 			}
 		}
 	}
-	for _, file := range files { // all are read before any is played
-		if _, err := play.ReadScaled(file, max(how.Scale, 1)); err != nil {
+	for _, file := range files { // read all scripts before playing any, so that errors in them show at once
+		if _, err := play.ReadScaled(file, max(options.Scale, 1)); err != nil {
 			return nil, err
 		}
 	}
-	rows, have := make([]Row, len(tasks)), make([]bool, len(tasks))
+	rows, completed := make([]Row, len(tasks)), make([]bool, len(tasks))
 	queue := make(chan task)
 	var workers sync.WaitGroup
 	var mutex sync.Mutex
-	var failed error
+	var playErr error
 	done := 0
-	if how.AtOnce == 0 {
-		how.AtOnce = runtime.GOMAXPROCS(0)
+	if options.Concurrency == 0 {
+		options.Concurrency = runtime.GOMAXPROCS(0)
 	}
-	for range min(how.AtOnce, len(tasks)) {
+	for range min(options.Concurrency, len(tasks)) {
 		workers.Go(func() {
 			for t := range queue {
-				r, err := one(how, t.file, t.arm, t.seed)
+				r, err := playOne(options, t.file, t.arm, t.seed)
 				mutex.Lock()
 				if err != nil {
-					failed = err
+					playErr = err
 				} else {
 					done++
-					rows[t.place], have[t.place] = r, true
-					each(done, len(tasks), r)
+					rows[t.index], completed[t.index] = r, true
+					onRow(done, len(tasks), r)
 				}
 				mutex.Unlock()
 			}
 		})
 	}
 	for _, t := range tasks {
-		if c.Err() != nil {
+		if ctx.Err() != nil {
 			break
 		}
 		select {
 		case queue <- t:
-		case <-c.Done():
+		case <-ctx.Done():
 		}
 	}
 	close(queue)
 	workers.Wait()
-	var whole []Row
+	var completedRows []Row
 	for i, r := range rows {
-		if have[i] {
-			whole = append(whole, r)
+		if completed[i] {
+			completedRows = append(completedRows, r)
 		}
 	}
-	return whole, failed
+	return completedRows, playErr
 }
 
-func one(how How, file string, arm Arm, seed uint64) (Row, error) {
-	s, err := play.ReadScaled(file, max(how.Scale, 1))
+func playOne(options Options, file string, arm Arm, seed uint64) (Row, error) {
+	s, err := play.ReadScaled(file, max(options.Scale, 1))
 	if err != nil {
 		return Row{}, err
 	}
-	for _, change := range arm.change {
+	for _, change := range arm.changes {
 		change(s)
 	}
 	var r *play.Result
-	if how.Program != "" {
-		r, err = rig.Play(s, seed, rig.Programs{Path: how.Program}, io.Discard)
+	if options.Program != "" {
+		r, err = rig.Play(s, seed, rig.Programs{Path: options.Program}, io.Discard)
 	} else {
 		r, err = play.Rehearse(s, seed)
 	}
@@ -204,45 +205,45 @@
 	name := file[strings.LastIndexByte(file, '/')+1:]
 	row := Row{
 		Script: strings.TrimSuffix(name, ".hcl"), Arm: arm.Name, Seed: seed, RPCs: int64(r.Asked), OK: float64(r.Served) / float64(max(r.Asked, 1)),
-		Utility: r.Utility, PushedBack: int64(r.Answers["pushed back"]), Aborted: int64(r.Answers["aborted"]), Nothing: int64(r.Answers["nothing"]),
+		Utility: r.Utility, PushedBack: int64(r.Answers["pushed back"]), Aborted: int64(r.Answers["aborted"]), NoAnswer: int64(r.Answers["nothing"]),
 		Broken: int64(len(r.Broken)), P50: r.Latency(50), P99: r.Latency(99), Digest: fmt.Sprintf("%016x", r.Digest),
 		Drivers: int64(s.Drivers),
 	}
-	if back := s.Return(); back > 0 {
-		row.First = r.Flow.Part(play.Every, back, back+10*time.Second)
+	if returnAt := s.Return(); returnAt > 0 {
+		row.UtilityFirst10s = r.Flow.Part(play.Every, returnAt, returnAt+10*time.Second)
 	}
 	if returns := r.Returns(); len(returns) > 0 {
-		row.fell(returns[len(returns)-1])
+		row.setRecovery(returns[len(returns)-1])
 	}
 	return row, nil
 }
 
-// fell takes over how the fleet came back.
-func (r *Row) fell(back play.Return) {
-	connects, lists := back.Load(emu.Connects), back.Load(emu.Lists)
-	r.Whole, r.Lost, r.Cold, r.Stale = back.Whole.Seconds(), back.Lost, back.Cold, back.Stale
-	if back.Whole < 0 {
-		r.Whole = -1
-	}
-	r.Connects, r.ConnectsUsual, r.Member, r.MemberUsual = connects.AllAfter, connects.AllBefore, connects.After, connects.Before
-	r.Lists, r.ListsUsual, r.Full = lists.AllAfter, lists.AllBefore, back.Load(emu.Fulls).AllAfter
+// setRecovery copies the measures of a recovery from a driver failure into the row.
+func (r *Row) setRecovery(recovery play.Return) {
+	connects, lists := recovery.Load(emu.Connects), recovery.Load(emu.Lists)
+	r.RecoverySeconds, r.LostSeconds, r.ColdBudgetUsed, r.StaleWrites = recovery.Whole.Seconds(), recovery.Lost, recovery.Cold, recovery.Stale
+	if recovery.Whole < 0 {
+		r.RecoverySeconds = -1
+	}
+	r.Connects, r.ConnectsUsual, r.MemberConnects, r.MemberConnectsUsual = connects.AllAfter, connects.AllBefore, connects.After, connects.Before
+	r.Lists, r.ListsUsual, r.QueueFull = lists.AllAfter, lists.AllBefore, recovery.Load(emu.Fulls).AllAfter
 }
 
-// numbers are the columns of a row that can be compared, by name.
-func (r *Row) numbers() map[string]float64 {
-	return map[string]float64{"ok": r.OK, "utility": r.Utility, "broken": float64(r.Broken), "p99_ms": r.P99, "whole_s": r.Whole, "lost_s": r.Lost,
-		"connects": r.Connects, "connects_at_one": r.Member, "lists": r.Lists, "full": r.Full, "cold": r.Cold, "stale": r.Stale, "first_10s": r.First}
+// numericColumns returns the columns that Compare compares, by name.
+func (r *Row) numericColumns() map[string]float64 {
+	return map[string]float64{"ok": r.OK, "utility": r.Utility, "broken": float64(r.Broken), "p99_ms": r.P99, "whole_s": r.RecoverySeconds, "lost_s": r.LostSeconds,
+		"connects": r.Connects, "connects_at_one": r.MemberConnects, "lists": r.Lists, "full": r.QueueFull, "cold": r.ColdBudgetUsed, "stale": r.StaleWrites, "first_10s": r.UtilityFirst10s}
 }
 
-// Difference is how a column of two sets of rows differs, over the plays of the same script, arm and seed.
+// Difference is the difference between two sets of rows in one column, over the rehearsals with the same script and seed.
 type Difference struct {
-	Script, Column string
-	Pairs          int
-	A, B           float64 // means
-	By, Around     float64 // mean of B - A, and half of its interval of 95%
+	Script, Column         string
+	Pairs                  int
+	MeanFirst, MeanSecond  float64
+	MeanDifference, Margin float64 // mean of second - first, and half the width of its 95% confidence interval
 }
 
-// Compare pairs the rows of two sets by script and seed.
+// Compare pairs the rows of two sets by script and seed and returns the differences, second minus first, for each script and column.
 func Compare(a, b []Row) (all []Difference) {
 	type key struct {
 		script string
@@ -254,53 +255,53 @@
 	}
 	pairs, scripts := make(map[string][][2]Row), []string(nil)
 	for _, r := range b {
-		if o, known := first[key{r.Script, r.Seed}]; known {
+		if other, known := first[key{r.Script, r.Seed}]; known {
 			if pairs[r.Script] == nil {
 				scripts = append(scripts, r.Script)
 			}
-			pairs[r.Script] = append(pairs[r.Script], [2]Row{o, r})
+			pairs[r.Script] = append(pairs[r.Script], [2]Row{other, r})
 		}
 	}
 	for _, script := range scripts {
-		var none Row
-		for _, column := range slices.Sorted(maps.Keys(none.numbers())) {
+		var empty Row
+		for _, column := range slices.Sorted(maps.Keys(empty.numericColumns())) {
 			d := Difference{Script: script, Column: column, Pairs: len(pairs[script])}
-			var by []float64
+			var differences []float64
 			for _, p := range pairs[script] {
-				x, y := p[0].numbers()[column], p[1].numbers()[column]
-				d.A, d.B, by = d.A+x/float64(d.Pairs), d.B+y/float64(d.Pairs), append(by, y-x)
+				x, y := p[0].numericColumns()[column], p[1].numericColumns()[column]
+				d.MeanFirst, d.MeanSecond, differences = d.MeanFirst+x/float64(d.Pairs), d.MeanSecond+y/float64(d.Pairs), append(differences, y-x)
 			}
-			d.By, d.Around = spread(by)
-			d.Around *= student(d.Pairs - 1)
+			d.MeanDifference, d.Margin = meanWithError(differences)
+			d.Margin *= studentQuantile(d.Pairs - 1)
 			all = append(all, d)
 		}
 	}
 	return all
 }
 
-// student is the factor of a standard error that gives an interval of 95% with so many degrees of freedom.
-func student(freedom int) float64 {
-	if freedom < 1 {
+// studentQuantile returns the factor by which a standard error is multiplied to give half the width of a 95% confidence interval.
+func studentQuantile(degreesOfFreedom int) float64 {
+	if degreesOfFreedom < 1 {
 		return math.Inf(1)
 	}
-	return distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(freedom)}.Quantile(0.975)
+	return distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(degreesOfFreedom)}.Quantile(0.975)
 }
 
-// Summary is what one arm of one script came to over its seeds.
+// Summary aggregates the rows of one arm of one script over its seeds.
 type Summary struct {
-	Script, Arm      string
-	Seeds            int
-	Mean, Least      float64 // of utility
-	Most             float64
-	OK               float64 // mean
-	P99              float64 // mean, ms
-	Broken           int64
-	Against, Scatter float64 // mean difference to the first arm on the same seeds, and its standard error
+	Script, Arm                      string
+	Seeds                            int
+	MeanUtility, MinUtility          float64
+	MaxUtility                       float64
+	OK                               float64 // mean
+	P99                              float64 // mean, ms
+	Broken                           int64
+	DifferenceToFirst, StandardError float64 // mean difference in utility to the first arm on the same seeds, and its standard error
 }
 
-// Summarize sums rows up, in their order.
+// Summarize aggregates consecutive rows of the same script and arm, in their order.
 func Summarize(rows []Row) (all []Summary) {
-	first := make(map[string]string) // arm by script
+	first := make(map[string]string) // first arm by script
 	base := make(map[string]float64)
 	key := func(r Row) string { return fmt.Sprint(r.Script, " ", r.Seed) }
 	for _, r := range rows {
@@ -313,27 +314,27 @@
 	}
 	for i := 0; i < len(rows); {
 		j := i
-		s := Summary{Script: rows[i].Script, Arm: rows[i].Arm, Least: math.Inf(1), Most: math.Inf(-1)}
+		s := Summary{Script: rows[i].Script, Arm: rows[i].Arm, MinUtility: math.Inf(1), MaxUtility: math.Inf(-1)}
 		var differences []float64
 		for ; j < len(rows) && rows[j].Script == s.Script && rows[j].Arm == s.Arm; j++ {
 			r := rows[j]
-			s.Mean, s.OK, s.P99 = s.Mean+r.Utility, s.OK+r.OK, s.P99+r.P99
-			s.Least, s.Most, s.Broken = min(s.Least, r.Utility), max(s.Most, r.Utility), s.Broken+r.Broken
+			s.MeanUtility, s.OK, s.P99 = s.MeanUtility+r.Utility, s.OK+r.OK, s.P99+r.P99
+			s.MinUtility, s.MaxUtility, s.Broken = min(s.MinUtility, r.Utility), max(s.MaxUtility, r.Utility), s.Broken+r.Broken
 			if b, known := base[key(r)]; known {
 				differences = append(differences, r.Utility-b)
 			}
 		}
 		n := float64(j - i)
-		s.Seeds, s.Mean, s.OK, s.P99 = j-i, s.Mean/n, s.OK/n, s.P99/n
-		s.Against, s.Scatter = spread(differences)
+		s.Seeds, s.MeanUtility, s.OK, s.P99 = j-i, s.MeanUtility/n, s.OK/n, s.P99/n
+		s.DifferenceToFirst, s.StandardError = meanWithError(differences)
 		all = append(all, s)
 		i = j
 	}
 	return all
 }
 
-// spread gives the mean and its standard error.
-func spread(values []float64) (mean, err float64) {
+// meanWithError returns the mean and its standard error, which is 0 for fewer than two values.
+func meanWithError(values []float64) (mean, standardError float64) {
 	if len(values) == 0 {
 		return 0, 0
 	}
@@ -350,16 +351,16 @@
 	return mean, math.Sqrt(sum / float64(len(values)-1) / float64(len(values)))
 }
 
-// Seeds reads 7 or 1..20.
+// Seeds parses a single seed such as 7 or a range such as 1..20.
 func Seeds(text string) (seeds []uint64, err error) {
 	from, to, ranged := strings.Cut(text, "..")
 	if !ranged {
 		to = from
 	}
-	a, bad := strconv.ParseUint(from, 10, 32)
-	b, worse := strconv.ParseUint(to, 10, 32)
-	if bad != nil || worse != nil || b < a || b-a >= 10_000 {
-		return nil, fmt.Errorf("seeds %q are no number nor a range as 1..20, of up to 10000", text)
+	a, fromErr := strconv.ParseUint(from, 10, 32)
+	b, toErr := strconv.ParseUint(to, 10, 32)
+	if fromErr != nil || toErr != nil || b < a || b-a >= 10_000 {
+		return nil, fmt.Errorf("seeds %q: expected a number or a range such as 1..20, with at most 10000 seeds", text)
 	}
 	for s := a; s <= b; s++ {
 		seeds = append(seeds, s)
--- a/internal/lab/output.go
+++ b/internal/lab/output.go
@@ -15,9 +15,8 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Keep writes the rows into a folder, as rows.csv and rows.parquet, and the charts utility.png and returns.png. Each file is
-// whole or not there.
-func Keep(folder string, rows []Row) error {
+// Save writes rows.csv, rows.parquet and the charts utility.png and returns.png into a folder. Each file is written atomically.
+func Save(folder string, rows []Row) error {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return err
 	}
@@ -25,21 +24,21 @@
 		"rows.csv":     func(out io.Writer) error { return writeCSV(out, rows) },
 		"rows.parquet": func(out io.Writer) error { return parquet.Write(out, rows) },
 		"utility.png": func(out io.Writer) error {
-			return chart(out, rows, "utility in time", func(r Row) float64 { return r.Utility })
+			return writeChart(out, rows, "utility answered in time", func(r Row) float64 { return r.Utility })
 		},
 		"returns.png": func(out io.Writer) error {
-			return chart(out, rows, "seconds of service lost by a fall", func(r Row) float64 { return r.Lost })
+			return writeChart(out, rows, "seconds of service lost in a driver failure", func(r Row) float64 { return r.LostSeconds })
 		},
 	} {
-		if err := Whole(filepath.Join(folder, name), write); err != nil {
+		if err := WriteFileAtomically(filepath.Join(folder, name), write); err != nil {
 			return fmt.Errorf("%s: %w", name, err)
 		}
 	}
 	return nil
 }
 
-// Whole writes a file that is there whole or not at all.
-func Whole(name string, write func(io.Writer) error) error {
+// WriteFileAtomically writes a temporary file and renames it, so that the named file is either complete or unchanged.
+func WriteFileAtomically(name string, write func(io.Writer) error) error {
 	f, err := os.CreateTemp(filepath.Dir(name), filepath.Base(name))
 	if err != nil {
 		return err
@@ -65,19 +64,19 @@
 	number := func(f float64) string { return strconv.FormatFloat(f, 'f', 4, 64) }
 	for _, r := range rows {
 		w.Write([]string{r.Script, r.Arm, fmt.Sprint(r.Seed), fmt.Sprint(r.RPCs), number(r.OK), number(r.Utility), fmt.Sprint(r.PushedBack),
-			fmt.Sprint(r.Aborted), fmt.Sprint(r.Nothing), fmt.Sprint(r.Broken), number(r.P50), number(r.P99), r.Digest,
-			fmt.Sprint(r.Drivers), number(r.Whole), number(r.Lost), number(r.Connects), number(r.ConnectsUsual), number(r.Member), number(r.MemberUsual),
-			number(r.Lists), number(r.ListsUsual), number(r.Full), number(r.Cold), number(r.Stale), number(r.First)})
+			fmt.Sprint(r.Aborted), fmt.Sprint(r.NoAnswer), fmt.Sprint(r.Broken), number(r.P50), number(r.P99), r.Digest,
+			fmt.Sprint(r.Drivers), number(r.RecoverySeconds), number(r.LostSeconds), number(r.Connects), number(r.ConnectsUsual), number(r.MemberConnects), number(r.MemberConnectsUsual),
+			number(r.Lists), number(r.ListsUsual), number(r.QueueFull), number(r.ColdBudgetUsed), number(r.StaleWrites), number(r.UtilityFirst10s)})
 	}
 	w.Flush()
 	return w.Error()
 }
 
-// ReadParquet reads rows that Keep has written.
+// ReadParquet reads the rows.parquet that Save has written.
 func ReadParquet(name string) ([]Row, error) { return parquet.ReadFile[Row](name) }
 
-// chart draws a box of a value for each arm of each script.
-func chart(out io.Writer, rows []Row, label string, value func(Row) float64) error {
+// writeChart writes a PNG with a box plot of a value for each arm of each script.
+func writeChart(out io.Writer, rows []Row, label string, value func(Row) float64) error {
 	p := plot.New()
 	p.Y.Label.Text = label
 	var names []string
@@ -104,51 +103,52 @@
 	return err
 }
 
-// PrintReturns writes how fleets came back, a line for each script and arm: means, and the worst time to full service.
+// PrintReturns prints how fleets recovered from driver failures, one line for each script and arm: means, the worst time to full service
+// and the largest part used of a cold member's budget.
 func PrintReturns(out io.Writer, rows []Row) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "script\tarm\tdrivers\tseeds\twhole s\tworst s\tnever\tlost s\tconnects\tusual\tat one\tusual\tlists\tusual\tfull\tcold\tstale\t")
 	for i := 0; i < len(rows); {
-		j, never, worst, whole := i, 0, 0.0, 0.0
+		j, never, worst, recoverySum := i, 0, 0.0, 0.0
 		var sum Row
 		for ; j < len(rows) && rows[j].Script == rows[i].Script && rows[j].Arm == rows[i].Arm; j++ {
 			r := rows[j]
-			if r.Whole < 0 {
+			if r.RecoverySeconds < 0 {
 				never++
 			} else {
-				whole += r.Whole
+				recoverySum += r.RecoverySeconds
 			}
-			worst = max(worst, r.Whole)
-			sum.Lost, sum.Connects, sum.ConnectsUsual, sum.Member = sum.Lost+r.Lost, sum.Connects+r.Connects, sum.ConnectsUsual+r.ConnectsUsual, sum.Member+r.Member
-			sum.MemberUsual, sum.Lists, sum.ListsUsual = sum.MemberUsual+r.MemberUsual, sum.Lists+r.Lists, sum.ListsUsual+r.ListsUsual
-			sum.Full, sum.Cold, sum.Stale = sum.Full+r.Full, max(sum.Cold, r.Cold), sum.Stale+r.Stale
+			worst = max(worst, r.RecoverySeconds)
+			sum.LostSeconds, sum.Connects, sum.ConnectsUsual, sum.MemberConnects = sum.LostSeconds+r.LostSeconds, sum.Connects+r.Connects, sum.ConnectsUsual+r.ConnectsUsual, sum.MemberConnects+r.MemberConnects
+			sum.MemberConnectsUsual, sum.Lists, sum.ListsUsual = sum.MemberConnectsUsual+r.MemberConnectsUsual, sum.Lists+r.Lists, sum.ListsUsual+r.ListsUsual
+			sum.QueueFull, sum.ColdBudgetUsed, sum.StaleWrites = sum.QueueFull+r.QueueFull, max(sum.ColdBudgetUsed, r.ColdBudgetUsed), sum.StaleWrites+r.StaleWrites
 		}
 		n := float64(j - i)
 		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%.2f\t%.2f\t%d\t%.2f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.2f\t%.0f\t\n", rows[i].Script, rows[i].Arm, rows[i].Drivers,
-			j-i, whole/max(n-float64(never), 1), worst, never, sum.Lost/n, sum.Connects/n, sum.ConnectsUsual/n, sum.Member/n, sum.MemberUsual/n, sum.Lists/n, sum.ListsUsual/n,
-			sum.Full/n, sum.Cold, sum.Stale/n)
+			j-i, recoverySum/max(n-float64(never), 1), worst, never, sum.LostSeconds/n, sum.Connects/n, sum.ConnectsUsual/n, sum.MemberConnects/n, sum.MemberConnectsUsual/n, sum.Lists/n, sum.ListsUsual/n,
+			sum.QueueFull/n, sum.ColdBudgetUsed, sum.StaleWrites/n)
 		i = j
 	}
 	w.Flush()
 }
 
-// PrintDifferences writes how two sets of rows differ.
+// PrintDifferences prints the differences between two sets of rows as a table.
 func PrintDifferences(out io.Writer, all []Difference) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "script\tcolumn\tpairs\tfirst\tsecond\tdifference, 95%\t")
 	for _, d := range all {
-		fmt.Fprintf(w, "%s\t%s\t%d\t%.4f\t%.4f\t%+.4f ± %.4f\t\n", d.Script, d.Column, d.Pairs, d.A, d.B, d.By, d.Around)
+		fmt.Fprintf(w, "%s\t%s\t%d\t%.4f\t%.4f\t%+.4f ± %.4f\t\n", d.Script, d.Column, d.Pairs, d.MeanFirst, d.MeanSecond, d.MeanDifference, d.Margin)
 	}
 	w.Flush()
 }
 
-// Print writes the summaries as a table.
+// Print prints the summaries as a table.
 func Print(out io.Writer, all []Summary) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "script\tarm\tseeds\tutility\tleast\tmost\tagainst first\tok\tp99 ms\tbroken\t")
 	for _, s := range all {
-		fmt.Fprintf(w, "%s\t%s\t%d\t%.4f\t%.4f\t%.4f\t%+.4f ± %.4f\t%.4f\t%.1f\t%d\t\n", s.Script, s.Arm, s.Seeds, s.Mean, s.Least, s.Most, s.Against,
-			s.Scatter, s.OK, s.P99, s.Broken)
+		fmt.Fprintf(w, "%s\t%s\t%d\t%.4f\t%.4f\t%.4f\t%+.4f ± %.4f\t%.4f\t%.1f\t%d\t\n", s.Script, s.Arm, s.Seeds, s.MeanUtility, s.MinUtility, s.MaxUtility, s.DifferenceToFirst,
+			s.StandardError, s.OK, s.P99, s.Broken)
 	}
 	w.Flush()
 }
