--- a/internal/lab/capacity/processes.go
+++ b/internal/lab/capacity/processes.go
@@ -55,9 +55,9 @@
 	for i := range drivers {
 		base := filepath.Join(folder, driverName(i))
 		controlAddress := addresses[2*drivers+i].String()
-		site := s.SiteJSON(play.Told{Name: driverName(i), Number: i, Listen: addresses[drivers+i], Discovery: agents[i].at, Seed: seed*1000003 + uint64(i),
+		site := s.SiteJSON(play.Told{Name: driverName(i), Number: i, Listen: addresses[drivers+i], Discovery: agents[i].address, Seed: seed*1000003 + uint64(i),
 			Known: []byte(`{"rev":1,"all":true,"targets":[]}`), PeerListen: peerAddresses[i], PeerAll: addresses[3*drivers], Peers: peerAddresses})
-		operatorFile := fmt.Appendf(nil, "%scontrol {\n  listen = %q\n}\n", viewWants, controlAddress)
+		operatorFile := fmt.Appendf(nil, "%scontrol {\n  listen = %q\n}\n", viewConfig, controlAddress)
 		if err := errors.Join(os.WriteFile(base+".json", site, 0o600), os.WriteFile(base+".hcl", operatorFile, 0o600)); err != nil {
 			return all, err
 		}
@@ -126,7 +126,7 @@
 	if err != nil {
 		return err
 	}
-	d := &discoveryAgent{rev: 1}
+	d := &discoveryService{rev: 1}
 	addresses, err := play.Free(size)
 	if err != nil {
 		return err
@@ -253,7 +253,7 @@
 
 // playHollow measures as many hollow drivers as there were processes.
 func playHollow(stop context.Context, size int, seed uint64, record func(how, measure, unit string, value float64)) error {
-	f, err := newHollow(stop, size, seed, viewWants)
+	f, err := newSimulatedFleet(stop, size, seed, viewConfig)
 	if err != nil {
 		return err
 	}
