--- a/internal/emu/rig/controls_test.go
+++ b/internal/emu/rig/control_machines_test.go
@@ -10,7 +10,7 @@
 	"passtack/internal/emu/play"
 )
 
-const configured = `lasts = "36s"
+const configurationScript = `lasts = "36s"
 fleet {
   drivers  = 20
   members  = 3
@@ -49,8 +49,8 @@
 }
 `
 
-// publishAt gives the block of a configuration that differs from all others, with more methods each time than the script has.
-func publishAt(at string, n, from int) string {
+// publishBlock returns a publish block whose configuration differs for each n, and has one method more than the script.
+func publishBlock(at string, n, from int) string {
 	return fmt.Sprintf(`publish {
   at   = %q
   from = %d
@@ -66,15 +66,16 @@
 `, at, from, 500000+n, 4+n%3, 3+n%2, n, 1+n%4, 700000+10000*n)
 }
 
-// excuse is a time in which some drivers need not have what is published meanwhile, and what they have by 4 s after it.
-type excuse struct {
+// exemption is a period in which some drivers need not apply what is published; they have to within 4 s of its end.
+type exemption struct {
 	from, to time.Duration
 	drivers  func(n int) bool
 }
 
-// inForce tells when each version was first known to count, and how long each driver took to have it in force or to say why not, from then or
-// from the end of its excuse. A driver that never did is named.
-func inForce(r *play.Result, drivers int, excuses []excuse) (took map[uint64][]time.Duration, wrong []string) {
+// activationTimes returns, for each version, how long each driver took to have it in force or to reject it, counted from the first time at which a
+// control machine reported the version as committed, or from the end of the driver's exemption. Its second result names drivers that never did,
+// and drivers whose version decreased.
+func activationTimes(r *play.Result, drivers int, exemptions []exemption) (took map[uint64][]time.Duration, wrong []string) {
 	counts, took := make(map[uint64]time.Duration), make(map[uint64][]time.Duration)
 	for _, s := range r.Versions {
 		if s.Who[0] != 'c' {
@@ -90,7 +91,7 @@
 			if s.Who != play.Driver(d) {
 				continue
 			}
-			down := slices.ContainsFunc(r.Script.Troubles, func(t play.Trouble) bool { // it has started again: without a folder with its own file
+			down := slices.ContainsFunc(r.Script.Troubles, func(t play.Trouble) bool { // it restarts; drivers of odd numbers may go back then
 				return t.Kind == "driver_kill" && slices.Contains(t.On, d) && s.At >= t.At && s.At < t.At+t.Lasts+2*time.Second
 			})
 			if s.Version < last && (!down || d%2 == 0) {
@@ -101,7 +102,7 @@
 				if done[version] || max(s.Version, s.Refused) < version {
 					continue
 				}
-				for _, e := range excuses {
+				for _, e := range exemptions {
 					if e.drivers(d) && at < e.to && s.At > e.from {
 						at = max(at, e.to)
 					}
@@ -112,35 +113,35 @@
 		}
 		for version := range counts {
 			if !done[version] {
-				wrong = append(wrong, fmt.Sprintf("d%d never had version %d", d, version))
+				wrong = append(wrong, fmt.Sprintf("d%d never had version %d in force and never rejected it", d, version))
 			}
 		}
 	}
 	return took, wrong
 }
 
-// Three control machines and twenty drivers as processes, under RPCs: versions are published while control machines are killed, stopped, cut off
-// one way or come back with an empty folder, two at once, one that no driver can take, while drivers start again and while the fleet is in two
-// halves. Rules are kept; each version is in force everywhere within 4 s of counting, or it is told why not; none comes twice and none goes back.
+// Three control machines and twenty drivers as processes, under load. Versions are published while control machines are killed, paused, cut off in
+// one direction or restarted with an empty folder, while drivers restart and in a partition; two at once, and one that no driver can apply. Each
+// version has to be in force, or rejected with a reason, at all drivers within 4 s of its commit; none may be published twice or go back.
 func TestConfigurationInForceEverywhere(t *testing.T) {
-	text := configured
+	text := configurationScript
 	for n, at := range []string{"2s", "4s", "6s", "9500ms", "13500ms", "17500ms", "21s", "21s", "26s", "28500ms"} {
 		from := 0
-		if at == "21s" { // two at once, made from the same
+		if at == "21s" { // two at once, made from the same version
 			from = 6
 		}
-		text += publishAt(at, n, from)
+		text += publishBlock(at, n, from)
 	}
 	text += "publish {\n  at   = \"23500ms\"\n  text = \"{\\\"settings\\\":{\\\"family_info\\\":{\\\"class_read\\\":[\\\"old\\\"]}}}\"\n}\n"
-	text += trouble("control_kill", "5500ms", "2s", "on = [0]") + trouble("control_pause", "9s", "3s", "on = [1]") +
-		trouble("cut", "13s", "2500ms", `from = ["c2"];to = ["c0..1"];one_way = true`) + trouble("control_kill", "17s", "1s", "on = [2];folder = \"emptied\"") +
-		trouble("driver_kill", "25s", "1s", "on = [1, 2, 3, 4]") + trouble("partition", "28s", "3s", `islands = [["c0", "c1", "d0..9"], ["c2", "d10..19"]]`)
+	text += faultBlock("control_kill", "5500ms", "2s", "on = [0]") + faultBlock("control_pause", "9s", "3s", "on = [1]") +
+		faultBlock("cut", "13s", "2500ms", `from = ["c2"];to = ["c0..1"];one_way = true`) + faultBlock("control_kill", "17s", "1s", "on = [2];folder = \"emptied\"") +
+		faultBlock("driver_kill", "25s", "1s", "on = [1, 2, 3, 4]") + faultBlock("partition", "28s", "3s", `islands = [["c0", "c1", "d0..9"], ["c2", "d10..19"]]`)
 	s, err := play.ParseScript([]byte(text), "configuration.hcl")
 	if err != nil {
 		t.Fatal(err)
 	}
 	var log strings.Builder
-	r, err := playAbreast(s, 3, &log)
+	r, err := playLimited(s, 3, &log)
 	if err != nil {
 		t.Fatalf("%v\n%s", err, log.String())
 	}
@@ -155,13 +156,13 @@
 		t.Errorf("rules are broken: %v", r.Broken[:min(3, len(r.Broken))])
 	}
 	if r.Utility < 0.9 {
-		t.Errorf("utility %.3f", r.Utility)
+		t.Errorf("utility %.3f is below 0.9", r.Utility)
 	}
-	excuses := []excuse{
+	excuses := []exemption{
 		{25 * time.Second, 27 * time.Second, func(n int) bool { return n >= 1 && n <= 4 }},
 		{28 * time.Second, 31 * time.Second, func(n int) bool { return n >= 10 }},
 	}
-	took, wrong := inForce(r, 20, excuses)
+	took, wrong := activationTimes(r, 20, excuses)
 	if len(wrong) > 0 {
 		t.Errorf("%v", wrong[:min(5, len(wrong))])
 	}
@@ -169,7 +170,7 @@
 	for version, each := range took {
 		worst := slices.Max(each)
 		if all = append(all, each...); worst > 4*time.Second {
-			t.Errorf("version %d took %v to the last driver", version, worst)
+			t.Errorf("version %d took %v to be in force at the last driver, more than 4 s", version, worst)
 		}
 	}
 	published, outdated, refused := make(map[string]bool), 0, make(map[string]bool)
@@ -188,10 +189,10 @@
 		}
 	}
 	if len(published) != 10 || len(took) != 10 || outdated != 1 {
-		t.Errorf("%d versions count, %v are said to be published, %d publications were outdated", len(took), published, outdated)
+		t.Errorf("%d versions are committed, %v are reported as published, %d publications were outdated; want 10, 10 and 1", len(took), published, outdated)
 	}
 	if len(refused) < 20 {
-		t.Errorf("%d drivers have told why they do not take what they cannot", len(refused))
+		t.Errorf("%d of 20 drivers reported why they reject version 8", len(refused))
 	}
 	slices.Sort(all)
 	if len(all) > 0 {
--- a/internal/emu/rig/process.go
+++ b/internal/emu/rig/process.go
@@ -7,18 +7,18 @@
 	"syscall"
 )
 
-// process is a program that runs beside the loop. Its start is not waited for there: all members, clients and roads of the play are on the loop, and
-// ten starts in a row would hold up whatever has a deadline just then.
+// process is a program that is started outside of the loop. The loop does not wait for the start: it also runs all members, clients and relays
+// of the play, and ten starts in a row would delay requests that are close to their deadlines.
 type process struct {
-	command *exec.Cmd
-	ended   chan struct{}
-	mutex   sync.Mutex
-	started bool
-	owed    []syscall.Signal // sent before it had started
+	command        *exec.Cmd
+	ended          chan struct{}
+	mutex          sync.Mutex
+	started        bool
+	pendingSignals []syscall.Signal // sent before the program was started
 }
 
-// run starts a program. Each line that it logs goes to heard, and at last why it ended, both from another goroutine.
-func (f *fleet) run(c *exec.Cmd, heard func(s said)) (*process, error) {
+// runProcess starts a program. It passes each line that the program logs to report, and finally its exit, both from another goroutine.
+func (f *fleet) runProcess(c *exec.Cmd, report func(s processEvent)) (*process, error) {
 	c.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	log, err := c.StderrPipe()
 	if err != nil {
@@ -26,17 +26,17 @@
 	}
 	p := &process{command: c, ended: make(chan struct{})}
 	f.readers.Go(func() {
-		cause := p.start()
-		if cause == nil {
+		exitErr := p.start()
+		if exitErr == nil {
 			lines := bufio.NewScanner(log)
 			lines.Buffer(nil, 1<<20)
 			for lines.Scan() {
-				heard(said{line: lines.Text()})
+				report(processEvent{line: lines.Text()})
 			}
-			cause = c.Wait()
+			exitErr = c.Wait()
 		}
 		close(p.ended)
-		heard(said{ended: true, cause: cause})
+		report(processEvent{ended: true, exitErr: exitErr})
 	})
 	return p, nil
 }
@@ -48,19 +48,19 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.started = true
-	for _, s := range p.owed {
+	for _, s := range p.pendingSignals {
 		p.command.Process.Signal(s)
 	}
 	return nil
 }
 
-// signal sends it a signal, once it has started, in the order of the calls.
+// signal sends a signal to the program. Signals sent before the start are delivered after it, in the order of the calls.
 func (p *process) signal(s syscall.Signal) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.started {
 		p.command.Process.Signal(s)
 	} else {
-		p.owed = append(p.owed, s)
+		p.pendingSignals = append(p.pendingSignals, s)
 	}
 }
--- a/internal/emu/rig/process_test.go
+++ b/internal/emu/rig/process_test.go
@@ -8,16 +8,17 @@
 	"time"
 )
 
-// A start that takes its time holds nobody up who asks for it, and what is signalled meanwhile reaches the process afterwards, in order.
-func TestAStartIsNotWaitedFor(t *testing.T) {
+// Guards against a slow process start that blocks the loop, and against losing signals that are sent before the start: they have to reach
+// the process afterwards, in order.
+func TestRunProcessDoesNotWaitForStart(t *testing.T) {
 	f := &fleet{}
 	ends := make(chan error, 1)
 	asked := make(chan *process)
-	syscall.ForkLock.Lock() // no process starts
+	syscall.ForkLock.Lock() // prevents any process from starting
 	go func() {
-		p, err := f.run(exec.Command("sleep", "60"), func(s said) {
+		p, err := f.runProcess(exec.Command("sleep", "60"), func(s processEvent) {
 			if s.ended {
-				ends <- s.cause
+				ends <- s.exitErr
 			}
 		})
 		if err != nil {
@@ -32,7 +33,7 @@
 	select {
 	case p = <-asked:
 	case <-time.After(5 * time.Second):
-		t.Error("the start is waited for")
+		t.Error("runProcess waits for the start of the process")
 	}
 	syscall.ForkLock.Unlock()
 	if p == nil {
@@ -42,24 +43,24 @@
 	case err := <-ends:
 		var exit *exec.ExitError
 		if !errors.As(err, &exit) || exit.Sys().(syscall.WaitStatus).Signal() != syscall.SIGTERM {
-			t.Errorf("it ended by %v", err)
+			t.Errorf("the process ended with %v, want SIGTERM", err)
 		}
 	case <-time.After(20 * time.Second):
-		t.Error("a signal from before the start did not reach it")
+		t.Error("the process did not get a signal that was sent before its start")
 		p.signal(syscall.SIGKILL)
 	}
 	f.readers.Wait()
 }
 
-// A program that cannot be started is told like one that ends by itself.
-func TestAStartThatFailsIsTold(t *testing.T) {
+// A program that cannot be started is reported like one that exits with an error.
+func TestRunProcessReportsFailedStart(t *testing.T) {
 	f := &fleet{}
 	ends := make(chan error, 1)
-	if _, err := f.run(exec.Command("/nowhere/at/all"), func(s said) { ends <- s.cause }); err != nil {
+	if _, err := f.runProcess(exec.Command("/nowhere/at/all"), func(s processEvent) { ends <- s.exitErr }); err != nil {
 		t.Fatal(err)
 	}
 	if err := <-ends; err == nil {
-		t.Error("it is said to have ended well")
+		t.Error("a failed start is reported as a successful exit")
 	}
 	f.readers.Wait()
 }
--- a/internal/emu/rig/relay.go
+++ b/internal/emu/rig/relay.go
@@ -1,5 +1,5 @@
-// Package rig plays scripts with processes of the program on loopback addresses. A relay of its own stands on every road
-// between clients, drivers, members and discovery, so that links are troubled there by the same words as in simulated time.
+// Package rig plays scripts in real time, with drivers and control machines as processes on loopback addresses. Every link between
+// clients, drivers, members and discovery passes through a relay, which applies the same link faults as a play in simulated time.
 package rig
 
 import (
@@ -16,212 +16,212 @@
 )
 
 const (
-	mostHeld = 256 << 10              // bytes on their way in one direction of one stream; then reading rests
-	resend   = 200 * time.Millisecond // what a stream loses comes later by so much
+	maxBufferedBytes = 256 << 10              // buffered bytes per direction of a stream, above which reading pauses
+	retransmitDelay  = 200 * time.Millisecond // added per simulated packet loss, as streams retransmit
 )
 
-// relay stands on one road of streams: it listens where the caller calls, and calls the place itself.
+// relay is a proxy on one link: it listens on the address that callers use, and opens a connection to the target for each of theirs.
 type relay struct {
-	loop        *loop.Loop
-	chance      *pcg.Source
-	at, to      netip.AddrPort
-	there, back play.Condition
-	listener    *loop.Listener
-	pairs       chain.List[*pair]
+	loop                  *loop.Loop
+	rng                   *pcg.Source
+	listenAddress, target netip.AddrPort
+	forward, backward     play.Condition
+	listener              *loop.Listener
+	connections           chain.List[*relayedConnection]
 }
 
-func newRelay(l *loop.Loop, chance *pcg.Source, at, to netip.AddrPort) (*relay, error) {
-	r := &relay{loop: l, chance: chance, at: at, to: to}
+func newRelay(l *loop.Loop, rng *pcg.Source, listenAddress, target netip.AddrPort) (*relay, error) {
+	r := &relay{loop: l, rng: rng, listenAddress: listenAddress, target: target}
 	return r, r.listen()
 }
 
 func (r *relay) listen() (err error) {
-	r.listener, err = r.loop.Listen(r.at, mostHeld, loop.AcceptLimiter{Descriptors: func(most int) int { return most }}, func(open func(loop.Handler) *loop.Stream) {
-		p := &pair{relay: r}
-		p.caller, p.place = &end{pair: p}, &end{pair: p, back: true}
-		p.caller.other, p.place.other = p.place, p.caller
-		if p.caller.stream = open(p.caller); p.caller.stream == nil {
+	r.listener, err = r.loop.Listen(r.listenAddress, maxBufferedBytes, loop.AcceptLimiter{Descriptors: func(limit int) int { return limit }}, func(open func(loop.Handler) *loop.Stream) {
+		p := &relayedConnection{relay: r}
+		p.callerSide, p.targetSide = &connectionSide{connection: p}, &connectionSide{connection: p, backward: true}
+		p.callerSide.other, p.targetSide.other = p.targetSide, p.callerSide
+		if p.callerSide.stream = open(p.callerSide); p.callerSide.stream == nil {
 			return
 		}
-		p.link.Value = p
-		r.pairs.PushBack(&p.link)
-		p.call()
+		p.element.Value = p
+		r.connections.PushBack(&p.element)
+		p.dial()
 	}, func(bool) {})
 	return err
 }
 
-// bend changes how bytes go from now on; what is on its way already keeps its time.
-func (r *relay) bend(there, back play.Condition) error {
-	refused := r.there.Refuse
-	r.there, r.back = there, back
-	if there.Refuse && !refused {
+// setConditions changes the conditions of the link. Data that is already queued keeps its arrival time.
+func (r *relay) setConditions(forward, backward play.Condition) error {
+	wasRefusing := r.forward.Refuse
+	r.forward, r.backward = forward, backward
+	if forward.Refuse && !wasRefusing {
 		r.listener.Close()
-	} else if refused && !there.Refuse {
+	} else if wasRefusing && !forward.Refuse {
 		if err := r.listen(); err != nil {
 			return err
 		}
 	}
-	r.each(func(p *pair) {
-		p.call()
-		p.caller.pump()
-		p.place.pump()
+	r.each(func(p *relayedConnection) {
+		p.dial()
+		p.callerSide.flush()
+		p.targetSide.flush()
 	})
 	return nil
 }
 
-// reset breaks all that is open.
-func (r *relay) reset() { r.each((*pair).reset) }
+// reset resets all open connections.
+func (r *relay) reset() { r.each((*relayedConnection).reset) }
 
-func (r *relay) each(act func(*pair)) {
-	for at := r.pairs.Front(); at != nil; {
-		next := at.Next()
-		act(at.Value)
-		at = next
+func (r *relay) each(act func(*relayedConnection)) {
+	for element := r.connections.Front(); element != nil; {
+		next := element.Next()
+		act(element.Value)
+		element = next
 	}
 }
 
-// pair is one stream of the caller and the one that goes on to the place.
-type pair struct {
-	relay         *relay
-	caller, place *end
-	called        bool
-	link          chain.Element[*pair]
+// relayedConnection is the stream of a caller together with the stream to the target.
+type relayedConnection struct {
+	relay                  *relay
+	callerSide, targetSide *connectionSide
+	dialed                 bool
+	element                chain.Element[*relayedConnection]
 }
 
-// call opens the way to the place, once something can go there.
-func (p *pair) call() {
-	if p.called || p.relay.there.Cut {
+// dial connects to the target, unless the link is cut.
+func (p *relayedConnection) dial() {
+	if p.dialed || p.relay.forward.Cut {
 		return
 	}
-	p.called = true
-	stream, err := p.relay.loop.Dial(p.relay.to, p.place, mostHeld)
+	p.dialed = true
+	stream, err := p.relay.loop.Dial(p.relay.target, p.targetSide, maxBufferedBytes)
 	if err != nil {
 		p.reset()
 		return
 	}
-	p.place.stream = stream
-	p.caller.pump()
+	p.targetSide.stream = stream
+	p.callerSide.flush()
 }
 
-func (p *pair) reset() {
-	p.link.Remove()
-	for _, e := range []*end{p.caller, p.place} {
-		e.pieces, e.over = nil, true
+func (p *relayedConnection) reset() {
+	p.element.Remove()
+	for _, e := range []*connectionSide{p.callerSide, p.targetSide} {
+		e.queue, e.outputClosed = nil, true
 		if e.stream != nil {
 			e.stream.Reset()
 		}
 	}
 }
 
-// shipment is what goes one way at once: bytes, or the end of the stream.
-type shipment struct {
-	text  []byte
-	ends  bool
-	reset bool
-	at    time.Duration // when it arrives
+// segment is a unit of one direction: bytes, or the end of the stream.
+type segment struct {
+	data    []byte
+	end     bool
+	reset   bool
+	arrival time.Duration // when it is due at the other side
 }
 
-// end is one stream of a pair. What it reads goes out at the other.
-type end struct {
-	pair   *pair
-	other  *end
-	stream *loop.Stream
-	back   bool // it reads what goes back to the caller
-	pieces []shipment
-	held   int
-	last   time.Duration // when the latest shipment arrives: order is kept
-	due    loop.Timer
-	rests  bool // it was not read on for want of room
-	gone   bool // its stream is closed
-	over   bool // nothing more is to go out from it
+// connectionSide is one of the two streams of a relayed connection. Data that it reads is sent on the other one.
+type connectionSide struct {
+	connection   *relayedConnection
+	other        *connectionSide
+	stream       *loop.Stream
+	backward     bool // this side reads what the target sends to the caller
+	queue        []segment
+	queuedBytes  int
+	lastArrival  time.Duration // arrival of the newest segment: later ones never overtake it
+	timer        loop.Timer
+	readPaused   bool // input was left unread, as the queue was full
+	streamClosed bool // the stream of this side is closed
+	outputClosed bool // segments of this side are no longer forwarded
 }
 
-func (e *end) condition() *play.Condition {
-	if e.back {
-		return &e.pair.relay.back
+func (e *connectionSide) condition() *play.Condition {
+	if e.backward {
+		return &e.connection.relay.backward
 	}
-	return &e.pair.relay.there
+	return &e.connection.relay.forward
 }
 
 // Opened implements loop.Handler.
-func (e *end) Opened() {}
+func (e *connectionSide) Opened() {}
 
 // Panicked implements loop.Handler.
-func (e *end) Panicked(cause error) { e.pair.reset() }
+func (e *connectionSide) Panicked(cause error) { e.connection.reset() }
 
 // Input implements loop.Handler.
-func (e *end) Input(in []byte) int {
-	if e.held >= mostHeld {
-		e.rests = true
+func (e *connectionSide) Input(in []byte) int {
+	if e.queuedBytes >= maxBufferedBytes {
+		e.readPaused = true
 		return 0
 	}
-	e.ship(shipment{text: append([]byte(nil), in...)})
+	e.enqueue(segment{data: append([]byte(nil), in...)})
 	return len(in)
 }
 
 // Closed implements loop.Handler.
-func (e *end) Closed(cause error) {
-	e.gone = true
+func (e *connectionSide) Closed(cause error) {
+	e.streamClosed = true
 	if rest := e.stream.Unread(); len(rest) > 0 {
-		e.ship(shipment{text: append([]byte(nil), rest...)})
+		e.enqueue(segment{data: append([]byte(nil), rest...)})
 	}
 	var code unix.Errno
-	e.ship(shipment{ends: true, reset: errors.As(cause, &code)})
+	e.enqueue(segment{end: true, reset: errors.As(cause, &code)})
 }
 
-// ship sends something on its way.
-func (e *end) ship(s shipment) {
-	if e.over {
+// enqueue schedules a segment to arrive at the other side according to the conditions of the link.
+func (e *connectionSide) enqueue(s segment) {
+	if e.outputClosed {
 		return
 	}
-	c, r := e.condition(), e.pair.relay
-	s.at = r.loop.Now() + c.Delay
+	c, r := e.condition(), e.connection.relay
+	s.arrival = r.loop.Now() + c.Delay
 	if c.Jitter > 0 {
-		s.at += time.Duration(r.chance.Float() * float64(c.Jitter))
+		s.arrival += time.Duration(r.rng.Float() * float64(c.Jitter))
 	}
-	for c.Loss > 0 && r.chance.Float() < c.Loss {
-		s.at += resend
+	for c.Loss > 0 && r.rng.Float() < c.Loss {
+		s.arrival += retransmitDelay
 	}
-	if s.at = max(s.at, e.last); c.Rate > 0 {
-		s.at += time.Duration(len(s.text)) * time.Second / time.Duration(c.Rate)
+	if s.arrival = max(s.arrival, e.lastArrival); c.Rate > 0 {
+		s.arrival += time.Duration(len(s.data)) * time.Second / time.Duration(c.Rate)
 	}
-	e.last = s.at
-	e.held += len(s.text)
-	e.pieces = append(e.pieces, s)
-	e.pump()
+	e.lastArrival = s.arrival
+	e.queuedBytes += len(s.data)
+	e.queue = append(e.queue, s)
+	e.flush()
 }
 
-// pump lets out what has arrived, as long as the way is open.
-func (e *end) pump() {
-	l, out := e.pair.relay.loop, e.other.stream
-	for len(e.pieces) > 0 && !e.over {
-		s := e.pieces[0]
+// flush forwards the segments that are due, unless the link is cut.
+func (e *connectionSide) flush() {
+	l, out := e.connection.relay.loop, e.other.stream
+	for len(e.queue) > 0 && !e.outputClosed {
+		s := e.queue[0]
 		if e.condition().Cut || out == nil {
 			return
 		}
-		if s.at > l.Now() {
-			l.Cancel(e.due)
-			e.due = l.At(s.at, e.pump)
+		if s.arrival > l.Now() {
+			l.Cancel(e.timer)
+			e.timer = l.At(s.arrival, e.flush)
 			return
 		}
-		e.pieces = e.pieces[1:]
-		if e.held -= len(s.text); s.ends {
-			e.over = true
+		e.queue = e.queue[1:]
+		if e.queuedBytes -= len(s.data); s.end {
+			e.outputClosed = true
 			e.finish(s.reset)
 			return
 		}
-		out.Send(s.text)
+		out.Send(s.data)
 	}
-	if e.rests && !e.gone {
-		e.rests = false
+	if e.readPaused && !e.streamClosed {
+		e.readPaused = false
 		l.Defer(e.stream.DeliverInput)
 	}
 }
 
-// finish ends the other stream, and what the other direction has yet to say with it.
-func (e *end) finish(reset bool) {
-	e.pair.link.Remove()
-	e.other.over = true
+// finish closes the other stream and discards what is queued in the other direction.
+func (e *connectionSide) finish(reset bool) {
+	e.connection.element.Remove()
+	e.other.outputClosed = true
 	if reset {
 		e.other.stream.Reset()
 	} else {
@@ -229,38 +229,39 @@
 	}
 }
 
-// post stands where one driver addresses another: what comes here goes on to that one, from where it addresses the first.
-type post struct {
+// datagramRelay listens on the address under which one driver knows another. It forwards datagrams to the other driver, with the address
+// under which that one knows the first as their source.
+type datagramRelay struct {
 	loop      *loop.Loop
-	chance    *pcg.Source
+	rng       *pcg.Source
 	socket    *loop.DatagramSocket
-	from      *post // where the other addresses this one's user
-	to        netip.AddrPort
+	reverse   *datagramRelay // relay of the opposite direction, whose socket sends the datagrams
+	target    netip.AddrPort
 	condition play.Condition
 }
 
-// pass lets a datagram go on, once, twice or not at all.
-func (p *post) pass(text []byte) {
+// forward sends a datagram on once, twice or not at all, according to the conditions of the link.
+func (p *datagramRelay) forward(data []byte) {
 	c := &p.condition
-	if c.Cut || c.Loss > 0 && p.chance.Float() < c.Loss {
+	if c.Cut || c.Loss > 0 && p.rng.Float() < c.Loss {
 		return
 	}
-	text = append([]byte(nil), text...)
+	data = append([]byte(nil), data...)
 	send := func() {
 		if !p.condition.Cut {
-			p.from.socket.Send(p.to, text)
+			p.reverse.socket.Send(p.target, data)
 		}
 	}
-	wait := c.Delay + time.Duration(p.chance.Float()*float64(c.Jitter))
-	if c.Reorder > 0 && p.chance.Float() < c.Reorder {
-		wait += time.Duration(p.chance.Float() * float64(c.Late))
+	delay := c.Delay + time.Duration(p.rng.Float()*float64(c.Jitter))
+	if c.Reorder > 0 && p.rng.Float() < c.Reorder {
+		delay += time.Duration(p.rng.Float() * float64(c.Late))
 	}
-	if wait == 0 {
+	if delay == 0 {
 		send()
 	} else {
-		p.loop.At(p.loop.Now()+wait, send)
+		p.loop.At(p.loop.Now()+delay, send)
 	}
-	if c.Double > 0 && p.chance.Float() < c.Double {
-		p.loop.At(p.loop.Now()+wait+time.Duration(p.chance.Float()*float64(c.Late)), send)
+	if c.Double > 0 && p.rng.Float() < c.Double {
+		p.loop.At(p.loop.Now()+delay+time.Duration(p.rng.Float()*float64(c.Late)), send)
 	}
 }
--- a/internal/emu/rig/rig.go
+++ b/internal/emu/rig/rig.go
@@ -21,77 +21,77 @@
 	"passtack/internal/pcg"
 )
 
-// Programs are what is started as drivers.
+// Programs are the paths of the programs that are started as drivers.
 type Programs struct {
 	Path  string
-	Older string // for the drivers that the script names as older
+	Older string // an older build, for the drivers that the script marks as older
 }
 
-// driver is one process, and what it is started with.
+// driver is a driver that runs as a process, with the values it is started with.
 type driver struct {
-	number  int
-	name    string
-	told    play.Told
-	program string
-	process *process
-	life    int  // counts processes
-	running bool // and not told to end
-	serves  bool // it has said that it has started
-	behind  netip.AddrPort
+	number        int
+	name          string
+	site          play.Told
+	program       string
+	process       *process
+	processNumber int            // increases with each start
+	running       bool           // it was started and not signalled to end
+	serving       bool           // it has logged that it is started
+	listenAddress netip.AddrPort // the relay for clients forwards to it
 }
 
-// said is a line of a driver's log, or its end; or a line of a control machine's, or of a publisher.
-type said struct {
-	machine   *machine
-	publisher string
-	driver    *driver
-	life      int
-	line      string
-	ended     bool
-	cause     error
+// processEvent is a log line or the exit of a driver or control machine, or the first line that a publisher printed.
+type processEvent struct {
+	machine       *controlMachine
+	publisher     string
+	driver        *driver
+	processNumber int
+	line          string
+	ended         bool
+	exitErr       error
 }
 
-// fleet is a play under way.
+// fleet is a running play.
 type fleet struct {
-	script   *play.Script
-	seed     uint64
-	log      io.Writer
-	folder   string
-	loop     *loop.Loop
-	chance   *pcg.Source
-	record   *emu.Record
-	cluster  *play.Cluster
-	clients  *play.Clients
-	drivers  []*driver
-	relays   map[play.Road]*relay
-	posts    map[play.Road]*post
-	everyone []*loop.DatagramSocket // where each driver addresses all others at once
-	falls    play.Falls
-	said     chan said
-	readers  sync.WaitGroup // of the drivers' logs
-	began    time.Duration  // of the script; 0: not yet
-	starts   uint64
-	folders  *play.Folders
-	witness  *play.Witness
-	views    *viewers
-	program  string
-	machines []*machine
-	versions *versions
-	places   []play.Places // of each driver's operator's file
-	voters   play.Electorate
-	fault    error
+	script           *play.Script
+	seed             uint64
+	log              io.Writer
+	folder           string
+	loop             *loop.Loop
+	rng              *pcg.Source
+	record           *emu.Record
+	cluster          *play.Cluster
+	clients          *play.Clients
+	drivers          []*driver
+	relays           map[play.Road]*relay
+	datagramRelays   map[play.Road]*datagramRelay
+	broadcastSockets []*loop.DatagramSocket // one per driver: what it sends there goes to all others
+	falls            play.Falls
+	events           chan processEvent
+	readers          sync.WaitGroup // goroutines that read the logs of processes
+	scriptStart      time.Duration  // 0 until all drivers serve
+	startCount       uint64
+	folders          *play.Folders
+	witness          *play.Witness
+	membershipPoller *membershipPoller
+	programPath      string
+	machines         []*controlMachine
+	versionPoller    *versionPoller
+	places           []play.Places // addresses and folders in each driver's operator file
+	voters           play.Electorate
+	failure          error
 }
 
 const (
-	mostStart = 20 * time.Second // that drivers may take to serve
-	mostEnd   = 20 * time.Second // that a driver may take to end when it is told to
+	maxStartTime = 20 * time.Second // until all drivers serve
+	maxStopTime  = 20 * time.Second // from SIGTERM to the exit of a driver
 )
 
-// Play plays the script in real time with processes as the drivers. What they log goes to log, each line behind its driver's
-// name. No process outlives the call, nor this process.
+// Play plays the script in real time, with processes as the drivers. It writes their log lines to log, each with its driver's name
+// before it. All processes end before the call returns, and also when the calling process dies.
 func Play(s *play.Script, seed uint64, programs Programs, log io.Writer) (*play.Result, error) {
-	f := &fleet{script: s, seed: seed, log: log, program: programs.Path, chance: pcg.New(seed + 3), relays: make(map[play.Road]*relay),
-		posts: make(map[play.Road]*post), said: make(chan said, 1024),
+	f := &fleet{script: s, seed: seed, log: log, programPath: programs.Path, rng: pcg.New(seed + 3), relays: make(map[play.Road]*relay),
+		datagramRelays: make(map[play.Road]*datagramRelay), events: make(chan processEvent, 1024),
 		record: emu.NewRecord(emu.Allowed{Grace: s.Grace, Slack: 150 * time.Millisecond})}
 	var err error
 	if f.folder, err = os.MkdirTemp("", "rig"); err != nil {
@@ -103,78 +103,78 @@
 			return nil, err
 		}
 	}
-	lots, err := claim()
+	addresses, err := newAddresses()
 	if err != nil {
 		return nil, err
 	}
-	defer lots.claim.Close() // once nobody listens in its block
+	defer addresses.reservation.Close() // after the loop and all processes have stopped listening in the block
 	if f.loop, err = loop.New(1<<16, 1<<30); err != nil {
 		return nil, err
 	}
 	defer f.loop.Close()
-	if err := f.build(programs, lots); err != nil {
+	if err := f.build(programs, addresses); err != nil {
 		return nil, err
 	}
 	defer f.stop()
 	for _, d := range f.drivers {
-		if err := f.start(d); err != nil {
+		if err := f.startDriver(d); err != nil {
 			return nil, err
 		}
 	}
-	f.loop.At(f.loop.Now()+mostStart, func() {
-		if f.began == 0 {
-			f.fail("not all drivers serve after %v", mostStart)
+	f.loop.At(f.loop.Now()+maxStartTime, func() {
+		if f.scriptStart == 0 {
+			f.fail("not all drivers serve %v after the start", maxStartTime)
 		}
 	})
-	err = f.loop.Run(f.hear)
-	var views []play.ViewSample
-	var told []play.VersionSample
-	if f.views != nil {
-		views, told = f.views.over(), f.versions.over()
+	err = f.loop.Run(f.handleEvents)
+	var memberships []play.ViewSample
+	var versions []play.VersionSample
+	if f.membershipPoller != nil {
+		memberships, versions = f.membershipPoller.finish(), f.versionPoller.finish()
 	}
 	if err != nil {
 		return nil, err
 	}
-	if f.fault == nil {
-		f.fault = f.cluster.Fault()
+	if f.failure == nil {
+		f.failure = f.cluster.Fault()
 	}
-	if f.fault != nil {
-		return nil, fmt.Errorf("the play broke down: %w", f.fault)
+	if f.failure != nil {
+		return nil, fmt.Errorf("play failed: %w", f.failure)
 	}
 	result := f.clients.Result(s, seed, f.cluster, f.falls, f.witness, f.loop.Now())
-	result.Views, result.Versions = views, told
+	result.Views, result.Versions = memberships, versions
 	return result, nil
 }
 
 func (f *fleet) fail(format string, args ...any) {
-	if f.fault == nil {
-		f.fault = fmt.Errorf(format, args...)
+	if f.failure == nil {
+		f.failure = fmt.Errorf(format, args...)
 	}
 	f.loop.Stop()
 }
 
-// build lays all roads.
-func (f *fleet) build(programs Programs, lots *lots) (err error) {
+// build creates the cluster, the drivers' values and the relays on all links.
+func (f *fleet) build(programs Programs, addresses *addresses) (err error) {
 	s := f.script
-	agents := make([]netip.AddrPort, s.Drivers)
-	for i := range agents {
-		agents[i] = lots.next()
+	discoveryAddresses := make([]netip.AddrPort, s.Drivers)
+	for i := range discoveryAddresses {
+		discoveryAddresses[i] = addresses.next()
 	}
-	members := make([]netip.AddrPort, s.Groups*s.Members)
-	for i := range members {
-		members[i] = lots.next()
+	memberAddresses := make([]netip.AddrPort, s.Groups*s.Members)
+	for i := range memberAddresses {
+		memberAddresses[i] = addresses.next()
 	}
-	if f.cluster, err = play.NewCluster(f.loop, s, f.record, f.seed+1, func(n int) netip.AddrPort { return members[n] }, agents); err != nil {
+	if f.cluster, err = play.NewCluster(f.loop, s, f.record, f.seed+1, func(n int) netip.AddrPort { return memberAddresses[n] }, discoveryAddresses); err != nil {
 		return err
 	}
 	f.cluster.Address = func(driver, member int) netip.AddrPort {
-		return f.relays[play.Road{From: play.Driver(driver), To: play.Member(member)}].at
+		return f.relays[play.Road{From: play.Driver(driver), To: play.Member(member)}].listenAddress
 	}
 	for i := range s.Drivers {
-		d := &driver{number: i, name: play.Driver(i), program: programs.Path, behind: lots.next()}
+		d := &driver{number: i, name: play.Driver(i), program: programs.Path, listenAddress: addresses.next()}
 		if slices.Contains(s.Older, i) {
 			if d.program = programs.Older; d.program == "" {
-				return fmt.Errorf("the script has an older program for driver %d, and none is given", i)
+				return fmt.Errorf("the script wants an older program for driver %d, and none is given", i)
 			}
 		}
 		f.drivers = append(f.drivers, d)
@@ -182,20 +182,20 @@
 	for _, r := range s.Roads() {
 		d := f.drivers[0]
 		if r.From[0] == 'd' {
-			d = f.drivers[number(r.From)]
+			d = f.drivers[numberInName(r.From)]
 		}
-		var to netip.AddrPort
+		var target netip.AddrPort
 		switch {
 		case r.To == "discovery":
-			to = agents[d.number]
+			target = discoveryAddresses[d.number]
 		case r.To[0] == 'm':
-			to = members[number(r.To)]
+			target = memberAddresses[numberInName(r.To)]
 		case r.From == "clients":
-			to = f.drivers[number(r.To)].behind
+			target = f.drivers[numberInName(r.To)].listenAddress
 		default:
 			continue
 		}
-		if f.relays[r], err = newRelay(f.loop, f.chance, lots.next(), to); err != nil {
+		if f.relays[r], err = newRelay(f.loop, f.rng, addresses.next(), target); err != nil {
 			return err
 		}
 	}
@@ -204,39 +204,39 @@
 		if slices.Contains(s.Twins, d.number) {
 			name = play.Driver(d.number - 1)
 		}
-		d.told = play.Told{Name: name, Number: d.number, Listen: d.behind, Discovery: f.relays[play.Road{From: d.name, To: "discovery"}].at}
+		d.site = play.Told{Name: name, Number: d.number, Listen: d.listenAddress, Discovery: f.relays[play.Road{From: d.name, To: "discovery"}].listenAddress}
 	}
-	if err := f.lease(lots); err != nil {
+	if err := f.assignOperatorSettings(addresses); err != nil {
 		return err
 	}
-	if err := f.controlMachines(lots); err != nil {
+	if err := f.buildControlMachines(addresses); err != nil {
 		return err
 	}
 	if s.Peers {
-		return f.connect(lots)
+		return f.connectPeers(addresses)
 	}
 	return nil
 }
 
-// lease gives drivers what their own operator's files name.
-func (f *fleet) lease(lots *lots) (err error) {
+// assignOperatorSettings chooses the addresses and folders that the drivers' operator files name, and starts the lease witness.
+func (f *fleet) assignOperatorSettings(addresses *addresses) (err error) {
 	s := f.script
 	f.places = make([]play.Places, len(f.drivers))
 	if s.Leases != nil {
 		f.voters = play.Electorate{Version: 1, Voters: s.Leases.Voters}
 	}
 	if s.Leases != nil && s.Leases.Summary > 0 {
-		at := lots.next()
-		if f.witness, err = play.NewWitness(f.loop, at); err != nil {
+		address := addresses.next()
+		if f.witness, err = play.NewWitness(f.loop, address); err != nil {
 			return err
 		}
 		for i := range f.places {
-			f.places[i].Witness = at
+			f.places[i].Witness = address
 		}
 	}
 	for i := range f.places {
 		if s.OwnFile() {
-			f.places[i].Control = lots.next()
+			f.places[i].Control = addresses.next()
 		}
 		if s.Folders {
 			f.places[i].State = f.folders.Path(i)
@@ -248,8 +248,8 @@
 	return nil
 }
 
-// operate writes a driver's own operator's file.
-func (f *fleet) operate(d *driver) (name string, err error) {
+// writeOperatorFile writes the operator file of a driver.
+func (f *fleet) writeOperatorFile(d *driver) (name string, err error) {
 	text, err := f.script.OperatorText(d.number, f.places[d.number], f.voters)
 	if err != nil {
 		return "", err
@@ -258,90 +258,90 @@
 	return name, os.WriteFile(name, text, 0o600)
 }
 
-// connect lets drivers talk with each other: a post for each pair and direction, and one for all at once.
-func (f *fleet) connect(lots *lots) error {
+// connectPeers creates a datagram relay for each ordered pair of drivers, and for each driver a socket that forwards to all others.
+func (f *fleet) connectPeers(addresses *addresses) error {
 	for _, d := range f.drivers {
-		d.told.PeerListen = lots.next()
-		d.told.PeerAll = lots.next()
-		d.told.Peers = make([]netip.AddrPort, len(f.drivers))
-		d.told.Peers[d.number] = d.told.PeerListen
+		d.site.PeerListen = addresses.next()
+		d.site.PeerAll = addresses.next()
+		d.site.Peers = make([]netip.AddrPort, len(f.drivers))
+		d.site.Peers[d.number] = d.site.PeerListen
 	}
 	for _, d := range f.drivers {
 		for _, o := range f.drivers {
 			if o == d {
 				continue
 			}
-			p := &post{loop: f.loop, chance: f.chance, to: o.told.PeerListen}
-			at := lots.next()
+			p := &datagramRelay{loop: f.loop, rng: f.rng, target: o.site.PeerListen}
+			address := addresses.next()
 			var err error
-			if p.socket, err = f.loop.ListenUDP(at, func(_ netip.AddrPort, text []byte) { p.pass(text) }); err != nil {
+			if p.socket, err = f.loop.ListenUDP(address, func(_ netip.AddrPort, data []byte) { p.forward(data) }); err != nil {
 				return err
 			}
-			d.told.Peers[o.number] = at
-			f.posts[play.Road{From: d.name, To: o.name}] = p
+			d.site.Peers[o.number] = address
+			f.datagramRelays[play.Road{From: d.name, To: o.name}] = p
 		}
-		every, err := f.loop.ListenUDP(d.told.PeerAll, func(_ netip.AddrPort, text []byte) {
+		broadcastSocket, err := f.loop.ListenUDP(d.site.PeerAll, func(_ netip.AddrPort, data []byte) {
 			for _, o := range f.drivers {
-				if p := f.posts[play.Road{From: d.name, To: o.name}]; p != nil {
-					p.pass(text)
+				if p := f.datagramRelays[play.Road{From: d.name, To: o.name}]; p != nil {
+					p.forward(data)
 				}
 			}
 		})
 		if err != nil {
 			return err
 		}
-		f.everyone = append(f.everyone, every)
+		f.broadcastSockets = append(f.broadcastSockets, broadcastSocket)
 	}
-	for r, p := range f.posts {
-		p.from = f.posts[play.Road{From: r.To, To: r.From}]
+	for r, p := range f.datagramRelays {
+		p.reverse = f.datagramRelays[play.Road{From: r.To, To: r.From}]
 	}
 	return nil
 }
 
-func number(name string) int {
+func numberInName(name string) int {
 	n, _ := strconv.Atoi(name[1:])
 	return n
 }
 
-// start runs a driver.
-func (f *fleet) start(d *driver) error {
-	f.starts++
-	d.life++
-	d.told.Seed, d.told.Known = f.seed*1000003+f.starts, f.cluster.Known(d.number)
-	at := filepath.Join(f.folder, d.name+".json")
-	err := os.WriteFile(at, f.script.SiteJSON(d.told), 0o600)
+// startDriver writes a driver's files and starts its process.
+func (f *fleet) startDriver(d *driver) error {
+	f.startCount++
+	d.processNumber++
+	d.site.Seed, d.site.Known = f.seed*1000003+f.startCount, f.cluster.Known(d.number)
+	siteFile := filepath.Join(f.folder, d.name+".json")
+	err := os.WriteFile(siteFile, f.script.SiteJSON(d.site), 0o600)
 	if err != nil {
 		return err
 	}
-	args := []string{"serve", "--site", at}
+	args := []string{"serve", "--site", siteFile}
 	switch {
 	case f.folders != nil:
-		operatorFile, err := f.operate(d)
+		operatorFile, err := f.writeOperatorFile(d)
 		if err = errors.Join(err, f.folders.Starts(d.number)); err != nil {
 			return err
 		}
-		if !slices.Contains(f.script.Older, d.number) || accepts(d.program, at, operatorFile) {
+		if !slices.Contains(f.script.Older, d.number) || acceptsFiles(d.program, siteFile, operatorFile) {
 			args = append(args, "--operator", operatorFile)
 		}
 	case f.script.Operator != "":
 		args = append(args, "--operator", f.script.Operator)
 	}
-	life := d.life
-	d.process, err = f.run(exec.Command(d.program, args...), func(s said) {
-		s.driver, s.life = d, life
-		f.said <- s
+	processNumber := d.processNumber
+	d.process, err = f.runProcess(exec.Command(d.program, args...), func(s processEvent) {
+		s.driver, s.processNumber = d, processNumber
+		f.events <- s
 		f.loop.Wake()
 	})
-	d.running, d.serves = err == nil, false
+	d.running, d.serving = err == nil, false
 	return err
 }
 
-// accepts reports whether a program can read an operator's file: an older build may not know all of its entries.
-func accepts(program, siteFile, operatorFile string) bool {
+// acceptsFiles reports whether a program can read an operator file: an older build may not know all of its entries.
+func acceptsFiles(program, siteFile, operatorFile string) bool {
 	return exec.Command(program, "check", "--site", siteFile, "--operator", operatorFile).Run() == nil
 }
 
-// stop ends all processes that still run, and waits until nobody rings the loop any more.
+// stop kills all processes that still run, and waits until no goroutine wakes the loop any more.
 func (f *fleet) stop() {
 	for _, d := range f.drivers {
 		if d.process != nil {
@@ -355,83 +355,83 @@
 			m.process.signal(syscall.SIGKILL)
 		}
 	}
-	over := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
 		f.readers.Wait()
-		close(over)
+		close(done)
 	}()
 	for {
 		select {
-		case <-f.said: // nobody is told any more
-		case <-over:
+		case <-f.events: // events after the end of the play are discarded
+		case <-done:
 			return
 		}
 	}
 }
 
-// hear takes what drivers have logged.
-func (f *fleet) hear() {
+// handleEvents handles all events that are queued.
+func (f *fleet) handleEvents() {
 	for {
 		select {
-		case s := <-f.said:
-			f.heard(s)
+		case s := <-f.events:
+			f.handleEvent(s)
 		default:
 			return
 		}
 	}
 }
 
-func (f *fleet) heard(s said) {
+func (f *fleet) handleEvent(s processEvent) {
 	if s.machine != nil || s.publisher != "" {
-		f.heardControl(s)
+		f.handleControlEvent(s)
 		return
 	}
 	d := s.driver
 	if s.ended {
-		if s.life == d.life && d.running {
-			f.fail("driver %s ended by itself: %v", d.name, s.cause)
+		if s.processNumber == d.processNumber && d.running {
+			f.fail("driver %s ended by itself: %v", d.name, s.exitErr)
 		}
 		return
 	}
 	fmt.Fprintln(f.log, d.name, s.line)
-	if s.life != d.life {
+	if s.processNumber != d.processNumber {
 		return
 	}
-	event := field(s.line, "event")
+	event := logField(s.line, "event")
 	if strings.Contains(s.line, "level=ERROR") {
-		f.fail("driver %s: %s", d.name, s.line)
+		f.fail("driver %s logged an error: %s", d.name, s.line)
 	}
 	if event == "duplicate driver name" {
-		f.note(d, "%s %s", event, field(s.line, "driver"))
+		f.recordDriverEvent(d, "%s %s", event, logField(s.line, "driver"))
 	}
-	if (event == "lease acquired" || event == "lease lost") && f.began > 0 {
-		f.note(d, "%s %s under %s", event, field(s.line, "lease"), field(s.line, "fencing_token"))
+	if (event == "lease acquired" || event == "lease lost") && f.scriptStart > 0 {
+		f.recordDriverEvent(d, "%s %s under %s", event, logField(s.line, "lease"), logField(s.line, "fencing_token"))
 	}
-	if strings.HasPrefix(event, "learned state ") && f.began > 0 {
-		f.note(d, "%s members=%s lost=%s%s", event, field(s.line, "members"), field(s.line, "lost"), field(s.line, "cause"))
+	if strings.HasPrefix(event, "learned state ") && f.scriptStart > 0 {
+		f.recordDriverEvent(d, "%s members=%s lost=%s%s", event, logField(s.line, "members"), logField(s.line, "lost"), logField(s.line, "cause"))
 	}
-	if strings.HasPrefix(event, "configuration") && f.began > 0 {
-		f.note(d, "%s %s %s", event, field(s.line, "version"), field(s.line, "cause"))
+	if strings.HasPrefix(event, "configuration") && f.scriptStart > 0 {
+		f.recordDriverEvent(d, "%s %s %s", event, logField(s.line, "version"), logField(s.line, "cause"))
 	}
-	stageChanged := event == "recovery stage changed" || event == "comeback" // the latter of earlier versions
-	if stageChanged && f.began > 0 {
-		f.note(d, "is %s", field(s.line, "stage"))
-		f.falls.Reached(d.number, field(s.line, "stage"), f.loop.Now()-f.began)
+	stageChanged := event == "recovery stage changed" || event == "comeback" // earlier versions log comeback
+	if stageChanged && f.scriptStart > 0 {
+		f.recordDriverEvent(d, "is %s", logField(s.line, "stage"))
+		f.falls.Reached(d.number, logField(s.line, "stage"), f.loop.Now()-f.scriptStart)
 	}
 	if event != "started" {
 		return
 	}
-	d.serves = true
-	if f.began > 0 {
-		f.note(d, "serves")
-		f.falls.Back(d.number, f.loop.Now()-f.began)
-	} else if !slices.ContainsFunc(f.drivers, func(o *driver) bool { return !o.serves }) {
-		f.begin()
+	d.serving = true
+	if f.scriptStart > 0 {
+		f.recordDriverEvent(d, "serves")
+		f.falls.Back(d.number, f.loop.Now()-f.scriptStart)
+	} else if !slices.ContainsFunc(f.drivers, func(o *driver) bool { return !o.serving }) {
+		f.startScript()
 	}
 }
 
-// field returns a value of a line of the log, unquoted.
-func field(line, name string) string {
+// logField returns the unquoted value of a key in a log line.
+func logField(line, name string) string {
 	_, rest, _ := strings.Cut(" "+line, " "+name+"=")
 	if strings.HasPrefix(rest, `"`) {
 		if quoted, err := strconv.QuotedPrefix(rest); err == nil {
@@ -443,104 +443,105 @@
 	return value
 }
 
-func (f *fleet) note(d *driver, format string, args ...any) {
-	f.cluster.Course.Note(f.loop.Now()-f.began, d.name, format, args...)
+func (f *fleet) recordDriverEvent(d *driver, format string, args ...any) {
+	f.cluster.Course.Note(f.loop.Now()-f.scriptStart, d.name, format, args...)
 }
 
-// begin lets clients come, and the script's time begin.
-func (f *fleet) begin() {
-	f.began = f.loop.Now()
-	f.views, f.versions = f.watchViews(), f.watchVersions()
+// startScript starts the clients and schedules the script's faults and publications.
+func (f *fleet) startScript() {
+	f.scriptStart = f.loop.Now()
+	f.membershipPoller, f.versionPoller = f.pollMembership(), f.pollVersions()
 	for n, p := range f.script.Publications {
-		f.loop.At(f.began+p.At, func() { f.publish(n, p) })
+		f.loop.At(f.scriptStart+p.At, func() { f.publish(n, p) })
 	}
 	f.cluster.Begin()
-	var doors []netip.AddrPort
+	var clientAddresses []netip.AddrPort
 	for _, d := range f.drivers {
-		doors = append(doors, f.relays[play.Road{From: "clients", To: d.name}].at)
+		clientAddresses = append(clientAddresses, f.relays[play.Road{From: "clients", To: d.name}].listenAddress)
 	}
-	f.clients = play.NewClients(f.loop, f.script, f.record, f.cluster.Ledger(), f.seed+2, doors)
+	f.clients = play.NewClients(f.loop, f.script, f.record, f.cluster.Ledger(), f.seed+2, clientAddresses)
 	for _, t := range f.script.Troubles {
-		f.loop.At(f.began+t.At, func() { f.trouble(t) })
+		f.loop.At(f.scriptStart+t.At, func() { f.injectFault(t) })
 	}
 	for _, at := range f.script.Edges() {
-		f.loop.At(f.began+at, func() { f.bend(at) })
+		f.loop.At(f.scriptStart+at, func() { f.updateLinks(at) })
 	}
-	f.loop.At(f.began+f.script.Ends(), f.loop.Stop)
+	f.loop.At(f.scriptStart+f.script.Ends(), f.loop.Stop)
 }
 
-// bend lets links be as they are at a time of the script.
-func (f *fleet) bend(at time.Duration) {
+// updateLinks sets the conditions that all links have at a time of the script.
+func (f *fleet) updateLinks(scriptTime time.Duration) {
 	for r, relay := range f.relays {
-		if err := relay.bend(f.script.Between(at, r.From, r.To), f.script.Between(at, r.To, r.From)); err != nil {
-			f.fail("%s to %s: %w", r.From, r.To, err)
+		if err := relay.setConditions(f.script.Between(scriptTime, r.From, r.To), f.script.Between(scriptTime, r.To, r.From)); err != nil {
+			f.fail("link from %s to %s: %w", r.From, r.To, err)
 		}
-		if f.script.Resets(at, r) {
+		if f.script.Resets(scriptTime, r) {
 			relay.reset()
 		}
 	}
-	for r, p := range f.posts {
-		p.condition = f.script.Between(at, r.From, r.To)
+	for r, p := range f.datagramRelays {
+		p.condition = f.script.Between(scriptTime, r.From, r.To)
 	}
 }
 
-// trouble lets something happen.
-func (f *fleet) trouble(t play.Trouble) {
+// injectFault starts a fault of the script.
+func (f *fleet) injectFault(t play.Trouble) {
 	until := f.loop.Now() + t.Lasts
 	switch t.Kind {
 	case "driver_kill", "driver_stop", "driver_pause":
-		for place, n := range t.On {
-			f.strike(f.drivers[n], t.Kind, t.Folder, t.Back(place, until))
+		for position, n := range t.On {
+			f.injectDriverFault(f.drivers[n], t.Kind, t.Folder, t.Back(position, until))
 		}
 	case "control_kill", "control_pause":
 		for _, n := range t.On {
-			f.strikeControl(f.machines[n], t, until)
+			f.injectControlFault(f.machines[n], t, until)
 		}
 	case "voters":
-		f.elect(t, until)
+		f.changeVoters(t, until)
 	default:
 		f.cluster.Trouble(t, until)
 	}
 }
 
-// elect lets others vote, for as long as it lasts together with those before.
-func (f *fleet) elect(t play.Trouble, until time.Duration) {
-	before := f.voters.Voters
-	tell := func(by play.Electorate) {
-		f.voters = by
+// changeVoters replaces the lease voters. Until the fault ends, the former voters vote together with the new ones.
+func (f *fleet) changeVoters(t play.Trouble, until time.Duration) {
+	formerVoters := f.voters.Voters
+	apply := func(voters play.Electorate) {
+		f.voters = voters
 		for _, d := range f.drivers {
-			if _, err := f.operate(d); err != nil {
-				f.fail("driver %s: %w", d.name, err)
+			if _, err := f.writeOperatorFile(d); err != nil {
+				f.fail("operator file of driver %s cannot be written: %w", d.name, err)
 			}
-			if d.running && d.serves {
+			if d.running && d.serving {
 				d.process.signal(syscall.SIGHUP)
 			}
 		}
-		f.cluster.Course.Note(f.loop.Now()-f.began, "script", "voters %v, before %v, version %d", by.Voters, by.Former, by.Version)
+		f.cluster.Course.Note(f.loop.Now()-f.scriptStart, "script", "voters %v, before %v, version %d", voters.Voters, voters.Former, voters.Version)
 	}
-	tell(play.Electorate{Version: f.voters.Version + 1, Voters: t.On, Former: before})
-	f.loop.At(until, func() { tell(play.Electorate{Version: f.voters.Version + 1, Voters: t.On}) })
+	apply(play.Electorate{Version: f.voters.Version + 1, Voters: t.On, Former: formerVoters})
+	f.loop.At(until, func() { apply(play.Electorate{Version: f.voters.Version + 1, Voters: t.On}) })
 }
 
-// strike ends or stops a driver, which goes on then. One that is down already stays so until the later time.
-func (f *fleet) strike(d *driver, how, folder string, back time.Duration) {
+// injectDriverFault kills or stops a driver and starts it again, or pauses it until endTime. A driver that is already down is not
+// signalled again, and is allowed to be down until the later of both end times.
+func (f *fleet) injectDriverFault(d *driver, kind, folder string, endTime time.Duration) {
 	now := f.loop.Now()
-	f.record.Down(d.name, now, back+time.Second) // it has to start
-	f.falls.Gone(d.number, now-f.began)
-	f.note(d, "%s", how)
-	if how == "driver_pause" && !d.running { // it is about to end, and would never
+	f.record.Down(d.name, now, endTime+time.Second) // plus a second for its start
+	f.falls.Gone(d.number, now-f.scriptStart)
+	f.recordDriverEvent(d, "%s", kind)
+	if kind == "driver_pause" && !d.running { // a paused process would never complete its shutdown
 		return
 	}
-	if how == "driver_pause" {
+	if kind == "driver_pause" {
 		d.process.signal(syscall.SIGSTOP)
-		life := d.life
-		f.loop.At(back, func() {
-			if d.life == life { // also where it was told to end meanwhile
+		processNumber := d.processNumber
+		f.loop.At(endTime, func() {
+			if d.processNumber == processNumber { // also if it was signalled to end in the meantime
 				d.process.signal(syscall.SIGCONT)
 			}
-			if d.life == life && d.running {
-				f.falls.Back(d.number, f.loop.Now()-f.began)
-				f.note(d, "goes on")
+			if d.processNumber == processNumber && d.running {
+				f.falls.Back(d.number, f.loop.Now()-f.scriptStart)
+				f.recordDriverEvent(d, "goes on")
 			}
 		})
 		return
@@ -550,45 +551,45 @@
 	}
 	f.clients.Died(d.number)
 	d.running = false
-	if how == "driver_kill" {
+	if kind == "driver_kill" {
 		d.process.signal(syscall.SIGKILL)
-		f.once(d.process.ended, func() { f.again(d, folder, back) })
+		f.whenEnded(d.process.ended, func() { f.restartDriver(d, folder, endTime) })
 		return
 	}
 	d.process.signal(syscall.SIGTERM)
-	life, ended, lasts := d.life, d.process.ended, back-now
-	f.loop.At(now+mostEnd, func() {
-		if d.life == life && !d.running {
-			f.fail("driver %s does not end though it was told to", d.name)
+	processNumber, ended, duration := d.processNumber, d.process.ended, endTime-now
+	f.loop.At(now+maxStopTime, func() {
+		if d.processNumber == processNumber && !d.running {
+			f.fail("driver %s did not exit in time after SIGTERM", d.name)
 		}
 	})
-	f.once(ended, func() {
-		f.note(d, "ended")
-		f.again(d, folder, f.loop.Now()+lasts)
+	f.whenEnded(ended, func() {
+		f.recordDriverEvent(d, "ended")
+		f.restartDriver(d, folder, f.loop.Now()+duration)
 	})
 }
 
-// once acts when a process has ended. The loop does not wait for that: all members, clients and roads of the play are on it, and an exit that takes
-// its time would stall what has a deadline just then.
-func (f *fleet) once(ended chan struct{}, act func()) {
+// whenEnded calls action after a process has ended. It polls instead of blocking the loop, which also runs all members, clients and
+// relays of the play: a slow exit would delay requests that are close to their deadlines.
+func (f *fleet) whenEnded(ended chan struct{}, action func()) {
 	select {
 	case <-ended:
-		act()
+		action()
 	default:
-		f.loop.At(f.loop.Now()+10*time.Millisecond, func() { f.once(ended, act) })
+		f.loop.At(f.loop.Now()+10*time.Millisecond, func() { f.whenEnded(ended, action) })
 	}
 }
 
-// again starts a driver that has ended.
-func (f *fleet) again(d *driver, folder string, at time.Duration) {
-	f.loop.At(at, func() {
-		f.note(d, "starts")
+// restartDriver starts a driver that has ended, after its state folder was treated as the fault says.
+func (f *fleet) restartDriver(d *driver, folder string, startTime time.Duration) {
+	f.loop.At(startTime, func() {
+		f.recordDriverEvent(d, "starts")
 		err := error(nil)
 		if f.folders != nil {
 			err = f.folders.Treat(d.number, folder)
 		}
-		if err = errors.Join(err, f.start(d)); err != nil {
-			f.fail("driver %s: %w", d.name, err)
+		if err = errors.Join(err, f.startDriver(d)); err != nil {
+			f.fail("driver %s cannot be restarted: %w", d.name, err)
 		}
 	})
 }
--- a/internal/emu/rig/rig_test.go
+++ b/internal/emu/rig/rig_test.go
@@ -19,8 +19,8 @@
 	"passtack/internal/emu/play"
 )
 
-// program builds passtack once.
-var program = sync.OnceValues(func() (string, error) {
+// buildProgram builds passtack once for all tests.
+var buildProgram = sync.OnceValues(func() (string, error) {
 	folder, err := os.MkdirTemp("", "passtack")
 	if err != nil {
 		return "", err
@@ -33,7 +33,7 @@
 })
 
 func TestMain(m *testing.M) {
-	if file := os.Getenv("RIG_PLAYS"); file != "" { // a test has started this one, to end it in the middle
+	if file := os.Getenv("RIG_PLAYS"); file != "" { // this process is started by TestDriversEndWithTheirPlayer, which kills it during the play
 		s, err := play.ReadScript(file)
 		if err == nil {
 			_, err = Play(s, 1, Programs{Path: os.Getenv("RIG_PROGRAM")}, os.Stdout)
@@ -41,29 +41,29 @@
 		fmt.Println(err)
 		os.Exit(1)
 	}
-	flag.Set("test.parallel", "32") // plays wait most of the time; how many go on at once is bounded by each kind
+	flag.Set("test.parallel", "32") // plays mostly wait; each kind of play limits its own concurrency
 	code := m.Run()
-	if name, err := program(); err == nil {
+	if name, err := buildProgram(); err == nil {
 		os.RemoveAll(filepath.Dir(name))
 	}
 	os.Exit(code)
 }
 
-// abreast bounds how many plays go on at once: they are in real time, and other tests want cores too.
-var abreast = make(chan bool, 4)
+// playSlots limits concurrent plays: they run in real time, and other tests need CPU cores as well.
+var playSlots = make(chan bool, 4)
 
-func playAbreast(s *play.Script, seed uint64, log io.Writer) (*play.Result, error) {
-	at, err := program()
+func playLimited(s *play.Script, seed uint64, log io.Writer) (*play.Result, error) {
+	at, err := buildProgram()
 	if err != nil {
 		return nil, err
 	}
-	abreast <- true
-	defer func() { <-abreast }()
+	playSlots <- true
+	defer func() { <-playSlots }()
 	return Play(s, seed, Programs{Path: at}, log)
 }
 
-// drill plays one of deploy/drills with processes, at the part of its load that a small machine bears.
-func drill(t *testing.T, name string, change func(s *play.Script)) *play.Result {
+// playDrill plays a script of deploy/drills with processes, at a quarter of its load, which a small machine can carry.
+func playDrill(t *testing.T, name string, change func(s *play.Script)) *play.Result {
 	t.Helper()
 	s, err := play.ReadScript("../../../deploy/drills/" + name + ".hcl")
 	if err != nil {
@@ -74,24 +74,24 @@
 		change(s)
 	}
 	var log strings.Builder
-	r, err := playAbreast(s, 1, &log)
+	r, err := playLimited(s, 1, &log)
 	if err != nil {
 		t.Fatalf("%v\n%s", err, log.String())
 	}
 	return r
 }
 
-// bounds are what a return from a fall has to keep.
-type bounds struct {
-	whole    time.Duration // until service is whole after the last driver is up
-	connects float64       // in one second at one member
-	stale    float64       // writes at members that are primary no more
+// recoveryBounds are the limits for the recovery after an outage of drivers.
+type recoveryBounds struct {
+	whole    time.Duration // from the start of the last driver to full service
+	connects float64       // new connections in one second to one member
+	stale    float64       // writes sent to former primaries
 }
 
-// Fleets of processes come back: rules are kept, service is whole within bounds, no member gets more connections than it
-// should nor more than tips it, and nobody acts on what held before.
-func TestFleetComesBack(t *testing.T) {
-	for name, want := range map[string]bounds{
+// Recovery of a fleet after outages of its drivers: full service has to return in time, without more new connections or cold load than members
+// can take, without attempts at drained members, and with few writes to former primaries.
+func TestFleetRecoversWithinBounds(t *testing.T) {
+	for name, want := range map[string]recoveryBounds{
 		"most-killed":        {2 * time.Second, 45, 0},
 		"all-killed":         {2 * time.Second, 60, 0},
 		"all-killed-no-list": {2 * time.Second, 60, 0},
@@ -105,7 +105,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := drill(t, name, nil)
+			r := playDrill(t, name, nil)
 			var report strings.Builder
 			r.Print(&report)
 			r.Table(&report)
@@ -119,27 +119,27 @@
 			}
 			returns := r.Returns()
 			if len(returns) == 0 {
-				t.Fatal("nothing fell")
+				t.Fatal("the script had no outage of drivers")
 			}
 			last := returns[len(returns)-1]
-			t.Logf("whole after %v, connections %+v, cold %.2f, stale %v", last.Whole, last.Load(emu.Connects), last.Cold, last.Stale)
+			t.Logf("full service after %v, connections %+v, cold %.2f, stale %v", last.Whole, last.Load(emu.Connects), last.Cold, last.Stale)
 			if last.Up < 0 || last.Whole < 0 || last.Whole > want.whole {
-				t.Errorf("service is whole %v after the last driver was up, %v is allowed", last.Whole, want.whole)
+				t.Errorf("full service %v after the last driver was up, at most %v is allowed", last.Whole, want.whole)
 			}
 			for _, back := range returns {
 				if l := back.Load(emu.Connects); l.After > want.connects {
-					t.Errorf("%s got %.0f connections in a second, %.0f are allowed and %.0f are usual", l.Where, l.After, want.connects, l.Before)
+					t.Errorf("%s got %.0f connections in a second, at most %.0f are allowed; %.0f before the outage", l.Where, l.After, want.connects, l.Before)
 				}
 				if back.Cold >= 1 || back.Drained > 0 || back.Stale > want.stale {
-					t.Errorf("%.2f of what tips a cold member, %v attempts at drained ones, %v writes at former primaries", back.Cold, back.Drained, back.Stale)
+					t.Errorf("cold members got %.2f of the load that overloads them, %v attempts at drained members, %v writes at former primaries", back.Cold, back.Drained, back.Stale)
 				}
 			}
 		})
 	}
 }
 
-// quick is a small script for what links do.
-const quick = `lasts = "3s"
+// quickScript is a small script for tests of link faults and state folders.
+const quickScript = `lasts = "3s"
 fleet {
   drivers = 3
   members = 3
@@ -161,13 +161,13 @@
 }
 `
 
-func playQuick(t *testing.T, more string) *play.Result {
+func playQuickScript(t *testing.T, more string) *play.Result {
 	t.Helper()
-	s, err := play.ParseScript([]byte(quick+more), "quick.hcl")
+	s, err := play.ParseScript([]byte(quickScript+more), "quick.hcl")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := playAbreast(s, 2, io.Discard)
+	r, err := playLimited(s, 2, io.Discard)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -177,8 +177,8 @@
 	return r
 }
 
-// Links of processes are troubled by the words of a script, on the roads that it names and on no others.
-func TestLinksOfProcesses(t *testing.T) {
+// Each kind of link fault has to affect the links that the script names, and no others.
+func TestLinkFaults(t *testing.T) {
 	trouble := func(kind, more string) string {
 		return fmt.Sprintf("trouble %q {\n  at = \"1s\"\n  lasts = \"1500ms\"\n  %s\n}\n", kind, strings.ReplaceAll(more, ";", "\n  "))
 	}
@@ -196,30 +196,30 @@
 		"cut one way": {trouble("cut", `from = ["members"];to = ["d1"];one_way = true`), func(r *play.Result) bool {
 			return r.Answers[emu.PushedBack] > 20 && part(r, 1) < 0.95 && part(r, 0) > 0.99
 		}},
-		"refused":        {trouble("refuse", `from = ["clients"];to = ["d2"]`) + trouble("reset", `from = ["clients"];to = ["d2"]`), func(r *play.Result) bool { return r.Answers[emu.NotTaken] > 20 && part(r, 0) > 0.99 }},
-		"reset":          {trouble("reset", `from = ["drivers"];to = ["members"]`), func(r *play.Result) bool { return r.Ledger.Sum(emu.Connects, 1, 3) > 5 }},
-		"late":           {trouble("delay", `from = ["clients"];to = ["d0"];by = "300ms"`), func(r *play.Result) bool { return r.Latency(90) > 500 && r.Latency(30) < 200 }},
-		"lossy":          {trouble("loss", `on = [0, 1, 2];times = 0.5`), func(r *play.Result) bool { return r.Latency(80) > 150 && r.Latency(10) < 100 }},
-		"thin":           {trouble("thin", `from = ["clients"];to = ["d0"];rate = 400`), func(r *play.Result) bool { return r.Latency(90) > 300 && part(r, 1) > 0.99 }},
-		"a member alone": {trouble("partition", `islands = [["drivers", "m0..1"], ["m2"]]`), func(r *play.Result) bool { return r.Utility > 0.8 && r.Ledger.Sum(emu.Attempts, 2, 3) > 60 }},
-		"no list":        {trouble("cut", `from = ["drivers"];to = ["discovery"]`), func(r *play.Result) bool { return r.Utility > 0.99 }},
-		"flapping":       {trouble("cut", `on = [1];every = "100ms"`), func(r *play.Result) bool { return part(r, 1) > 0.6 && part(r, 0) > 0.99 }},
+		"refused":         {trouble("refuse", `from = ["clients"];to = ["d2"]`) + trouble("reset", `from = ["clients"];to = ["d2"]`), func(r *play.Result) bool { return r.Answers[emu.NotTaken] > 20 && part(r, 0) > 0.99 }},
+		"reset":           {trouble("reset", `from = ["drivers"];to = ["members"]`), func(r *play.Result) bool { return r.Ledger.Sum(emu.Connects, 1, 3) > 5 }},
+		"delayed":         {trouble("delay", `from = ["clients"];to = ["d0"];by = "300ms"`), func(r *play.Result) bool { return r.Latency(90) > 500 && r.Latency(30) < 200 }},
+		"lossy":           {trouble("loss", `on = [0, 1, 2];times = 0.5`), func(r *play.Result) bool { return r.Latency(80) > 150 && r.Latency(10) < 100 }},
+		"low bandwidth":   {trouble("thin", `from = ["clients"];to = ["d0"];rate = 400`), func(r *play.Result) bool { return r.Latency(90) > 300 && part(r, 1) > 0.99 }},
+		"member isolated": {trouble("partition", `islands = [["drivers", "m0..1"], ["m2"]]`), func(r *play.Result) bool { return r.Utility > 0.8 && r.Ledger.Sum(emu.Attempts, 2, 3) > 60 }},
+		"no discovery":    {trouble("cut", `from = ["drivers"];to = ["discovery"]`), func(r *play.Result) bool { return r.Utility > 0.99 }},
+		"flapping":        {trouble("cut", `on = [1];every = "100ms"`), func(r *play.Result) bool { return part(r, 1) > 0.6 && part(r, 0) > 0.99 }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			if r := playQuick(t, c.more); !c.fits(r) {
+			if r := playQuickScript(t, c.more); !c.fits(r) {
 				var report strings.Builder
 				r.Print(&report)
 				r.Table(&report)
-				t.Errorf("parts %.2f, %.2f, %.2f\n%s", part(r, 0), part(r, 1), part(r, 2), report.String())
+				t.Errorf("utility got by d0, d1, d2: %.2f, %.2f, %.2f\n%s", part(r, 0), part(r, 1), part(r, 2), report.String())
 			}
 		})
 	}
 }
 
-// A planned stop loses nothing, and the course tells of it in order.
-func TestPlannedStopsOfProcesses(t *testing.T) {
-	r := playQuick(t, "trouble \"driver_stop\" {\n  at = \"1s\"\n  lasts = \"200ms\"\n  within = \"500ms\"\n  on = [0, 2]\n}\n")
+// Planned stops of drivers must not lose requests, and the course lists their steps in order.
+func TestPlannedDriverStops(t *testing.T) {
+	r := playQuickScript(t, "trouble \"driver_stop\" {\n  at = \"1s\"\n  lasts = \"200ms\"\n  within = \"500ms\"\n  on = [0, 2]\n}\n")
 	if r.Answers[emu.Nothing] > 0 || r.Utility < 0.95 {
 		t.Errorf("answers %v, utility %v", r.Answers, r.Utility)
 	}
@@ -230,36 +230,36 @@
 		}
 	}
 	if !slices.Equal(words, []string{"driver_stop", "ended", "starts", "serves"}) {
-		t.Errorf("the course of d0: %v", words)
+		t.Errorf("events of d0 in the course: %v", words)
 	}
 	if f := r.Falls; len(f) != 1 || f[0].Up < f[0].At || len(f[0].Drivers) != 2 {
-		t.Errorf("falls: %+v", f)
+		t.Errorf("outages: %+v", f)
 	}
 }
 
-// A driver that ends by itself breaks the play, and is named.
-func TestAProcessThatEndsByItselfIsTold(t *testing.T) {
-	s, err := play.ParseScript([]byte(quick), "quick.hcl")
+// A driver that exits without being signalled fails the play, with an error that names it. So does an older program that is not given.
+func TestUnexpectedProcessExitFailsPlay(t *testing.T) {
+	s, err := play.ParseScript([]byte(quickScript), "quick.hcl")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Play(s, 1, Programs{Path: "/bin/false"}, io.Discard); err == nil || !strings.Contains(err.Error(), "ended by itself") {
-		t.Errorf("it says %v", err)
+		t.Errorf("Play returned %v", err)
 	}
 	s.Older = []int{1}
 	if _, err := Play(s, 1, Programs{Path: "/bin/false"}, io.Discard); err == nil || !strings.Contains(err.Error(), "older program for driver 1") {
-		t.Errorf("it says %v", err)
+		t.Errorf("Play returned %v", err)
 	}
 }
 
-// Whoever plays may be killed at any moment: no driver is left.
-func TestNoProcessOutlivesThePlayer(t *testing.T) {
-	at, err := program()
+// Drivers must not survive when the process that plays the script is killed.
+func TestDriversEndWithTheirPlayer(t *testing.T) {
+	at, err := buildProgram()
 	if err != nil {
 		t.Fatal(err)
 	}
 	file := filepath.Join(t.TempDir(), "quick.hcl")
-	if err := os.WriteFile(file, []byte(strings.Replace(quick, `"3s"`, `"60s"`, 1)), 0o600); err != nil {
+	if err := os.WriteFile(file, []byte(strings.Replace(quickScript, `"3s"`, `"60s"`, 1)), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	player := exec.Command(os.Args[0])
@@ -272,11 +272,11 @@
 	if err := player.Start(); err != nil {
 		t.Fatal(err)
 	}
-	said, seen := make([]byte, 1<<16), 0
-	for strings.Count(string(said[:seen]), "event=started") < 3 {
-		n, err := out.Read(said[seen:])
+	output, seen := make([]byte, 1<<16), 0
+	for strings.Count(string(output[:seen]), "event=started") < 3 {
+		n, err := out.Read(output[seen:])
 		if seen += n; err != nil {
-			t.Fatalf("%v: %s", err, said[:seen])
+			t.Fatalf("%v: %s", err, output[:seen])
 		}
 	}
 	var drivers []int
@@ -290,33 +290,33 @@
 		}
 	}
 	if len(drivers) != 3 {
-		t.Fatalf("%d drivers run", len(drivers))
+		t.Fatalf("%d drivers run, want 3", len(drivers))
 	}
 	player.Process.Kill()
 	player.Wait()
 	for deadline := time.Now().Add(10 * time.Second); len(drivers) > 0; time.Sleep(10 * time.Millisecond) {
-		drivers = slices.DeleteFunc(drivers, func(pid int) bool { // gone, or waiting for whoever inherits it
+		drivers = slices.DeleteFunc(drivers, func(pid int) bool { // ended, or a zombie that its new parent has not reaped yet
 			text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 			return err != nil || strings.Contains(string(text), ") Z ")
 		})
 		if time.Now().After(deadline) {
-			t.Fatalf("drivers %v still run", drivers)
+			t.Fatalf("drivers %v still run 10 s after the player was killed", drivers)
 		}
 	}
 }
 
-// A driver that saves all the time is killed again and again, at any point of saving. Each next start finds its folder free and whole: a newer
-// or an older state, never a torn one.
+// A driver that saves continuously is killed 25 times, at any point of saving. Each restart has to find its folder unlocked and its state complete:
+// the newest or an older one, never a partial one.
 func TestKilledWhileSaving(t *testing.T) {
 	t.Parallel()
 	const times = 25
 	kills := fmt.Sprintf("trouble \"driver_kill\" {\n  at = \"500ms\"\n  lasts = \"50ms\"\n  times = %d\n  every = \"331ms\"\n  on = [0]\n}\n", times)
-	text := strings.NewReplacer(`"3s"`, `"9s"`, "members = 3", "members = 3\n  folders = true\n  save_every = \"100ms\"").Replace(quick) + kills
+	text := strings.NewReplacer(`"3s"`, `"9s"`, "members = 3", "members = 3\n  folders = true\n  save_every = \"100ms\"").Replace(quickScript) + kills
 	s, err := play.ParseScript([]byte(text), "kills.hcl")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := playAbreast(s, 3, io.Discard)
+	r, err := playLimited(s, 3, io.Discard)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -326,32 +326,32 @@
 		case strings.HasPrefix(m.What, "learned state restored members=3"):
 			restored++
 		case strings.HasPrefix(m.What, "learned state damaged"):
-			lost++ // the end of a log, which the one before the last commit stands for
+			lost++ // the end of a log is unreadable; the state before the last commit is restored
 		case strings.HasPrefix(m.What, "learned state "):
 			t.Errorf("%v %s: %s", m.At, m.Who, m.What)
 		}
 	}
 	if restored < times-2 || lost > times/2 || len(r.Broken) > 0 {
-		t.Errorf("%d of %d starts restored their members, %d lost the end of a log; %v", restored, times, lost, r.Broken)
+		t.Errorf("%d of %d starts restored their members, %d lost the end of a log; broken rules: %v", restored, times, lost, r.Broken)
 	}
 }
 
-// saving is the small script with drivers that keep what they learn.
-func saving(text string) string {
+// withStateFolders changes a script so that its drivers save their learned state.
+func withStateFolders(text string) string {
 	return strings.Replace(text, "members = 3", "members = 3\n  folders = true\n  save_every = \"100ms\"", 1)
 }
 
-// The disk of one driver does not answer for five seconds, from its start on. Its RPCs are as quick as those of the others, it tells of the failure
-// once, and saves once the disk works again.
-func TestAStalledDiskHoldsNothingBack(t *testing.T) {
+// The disks of all three drivers stall for five seconds from a restart on. RPCs must not take longer than with working disks, and each driver has
+// to log the failure once.
+func TestStalledDiskDoesNotDelayRequests(t *testing.T) {
 	t.Parallel()
 	latency := func(folder string) (float64, *play.Result) {
-		text := saving(strings.Replace(quick, `"3s"`, `"8s"`, 1)) + fmt.Sprintf("trouble \"driver_kill\" {\n  at = \"500ms\"\n  lasts = \"100ms\"\n  on = [0, 1, 2]\n  folder = %q\n}\n", folder)
+		text := withStateFolders(strings.Replace(quickScript, `"3s"`, `"8s"`, 1)) + fmt.Sprintf("trouble \"driver_kill\" {\n  at = \"500ms\"\n  lasts = \"100ms\"\n  on = [0, 1, 2]\n  folder = %q\n}\n", folder)
 		s, err := play.ParseScript([]byte(text), "stall.hcl")
 		if err != nil {
 			t.Fatal(err)
 		}
-		r, err := playAbreast(s, 2, io.Discard)
+		r, err := playLimited(s, 2, io.Discard)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -368,18 +368,18 @@
 			failures++
 		}
 	}
-	t.Logf("95 of 100 RPCs took up to %.1f ms, %.1f ms with disks that stall; %d failures", usual, stalled, failures)
+	t.Logf("95th percentile of latency %.1f ms, with stalled disks %.1f ms; %d failures", usual, stalled, failures)
 	if stalled > usual+10 || failures != 3 || r.Utility < 0.9 {
-		t.Errorf("%.1f ms beside %.1f, %d failures, utility %.3f", stalled, usual, failures, r.Utility)
+		t.Errorf("95th percentile with stalled disks %.1f ms, without %.1f ms; %d failures, want 3; utility %.3f", stalled, usual, failures, r.Utility)
 	}
 }
 
-// While discovery is silent and drivers start again with an old list, those that kept theirs send nothing to a member that has drained since; without
-// their folders they do.
-func TestAKeptListKeepsDrains(t *testing.T) {
+// Discovery does not answer while drivers restart with an outdated initial endpoint list. With the list that they saved they must not send requests
+// to a member that has drained since; without their folders they do.
+func TestSavedEndpointListKeepsDrains(t *testing.T) {
 	t.Parallel()
 	for folder, drained := range map[string]bool{"kept": false, "emptied": true} {
-		text := strings.Replace(saving(strings.Replace(quick, `"3s"`, `"6s"`, 1)), "folders = true", "folders = true\n  known = \"first\"", 1) + fmt.Sprintf(`
+		text := strings.Replace(withStateFolders(strings.Replace(quickScript, `"3s"`, `"6s"`, 1)), "folders = true", "folders = true\n  known = \"first\"", 1) + fmt.Sprintf(`
 trouble "drain" {
   at = "500ms"
   lasts = "20s"
@@ -400,12 +400,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r, err := playAbreast(s, 2, io.Discard)
+		r, err := playLimited(s, 2, io.Discard)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if n := r.Ledger.Sum(emu.Drained, 4, 6); (n > 0) != drained {
-			t.Errorf("%s: %v attempts at a member that had drained before the start", folder, n)
+			t.Errorf("folder %s: %v attempts at a member that had drained before the restart", folder, n)
 		}
 	}
 }
