--- a/internal/soak/client_test.go
+++ b/internal/soak/client_test.go
@@ -16,58 +16,58 @@
 	"passtack/internal/pgwire"
 )
 
-// class is a kind of request, as the settings name it.
-type class struct {
+// method is a kind of request, as the driver's settings define it.
+type method struct {
 	name, effect string
 	write        bool
 }
 
-var classes = []class{{"look", "safe", false}, {"own", "safe", false}, {"order", "keyed", true}, {"once", "unsafe", true}}
+var methods = []method{{"look", "safe", false}, {"own", "safe", false}, {"order", "keyed", true}, {"once", "unsafe", true}}
 
-// habit is how a client behaves. Each keeps its connection until the driver ends it.
-type habit uint8
+// behavior is how a client acts. Unless it says otherwise a client keeps its connection until the driver closes it.
+type behavior uint8
 
 const (
-	steady   habit = iota // asks, waits for the answer and asks again
-	eager                 // the same without any pause, also when it was refused
-	pipeline              // has several requests under way at any time
-	slow                  // writes its requests in pieces
-	leaver                // closes the connection in the middle of a request, and comes again
-	canceler              // cancels requests by a connection of its own
-	halfway               // stops in the middle of a request and stays
-	silent                // connects and says nothing
-	habits
+	steady   behavior = iota // sends a request, waits for the answer and sends the next one after a pause
+	eager                    // the same without a pause, also after a rejection
+	pipeline                 // keeps several requests in flight
+	slow                     // writes its requests in pieces
+	leaver                   // closes the connection during a request, and connects again
+	canceler                 // cancels requests, over separate connections
+	halfway                  // sends part of a request and keeps the connection open
+	silent                   // connects and sends no request
+	behaviorCount
 )
 
-// crowd is all clients of one driver.
-type crowd struct {
-	record  *record
-	address string
-	limits  []time.Duration
-	stop    chan struct{}
-	done    sync.WaitGroup
-	next    atomic.Int64
-	name    string
+// clientGroup is all clients of one driver.
+type clientGroup struct {
+	record    *record
+	address   string
+	deadlines []time.Duration
+	stop      chan struct{}
+	running   sync.WaitGroup
+	lastID    atomic.Int64
+	name      string
 
-	mutex sync.Mutex
-	life  int
-	comes bool // new connections are dealt to the driver
+	mutex        sync.Mutex
+	processIndex int
+	accepting    bool // new connections are directed to the driver
 }
 
-// admits tells whether new connections go to the driver now, and which process of it that is.
-func (c *crowd) admits() (life int, comes bool) {
+// currentProcess returns the index of the driver's current process, and whether new connections are directed to it.
+func (c *clientGroup) currentProcess() (processIndex int, accepting bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.life, c.comes
+	return c.processIndex, c.accepting
 }
 
-func (c *crowd) deal(life int, comes bool) {
+func (c *clientGroup) directTo(processIndex int, accepting bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.life, c.comes = life, comes
+	c.processIndex, c.accepting = processIndex, accepting
 }
 
-func (c *crowd) stopped() bool {
+func (c *clientGroup) stopped() bool {
 	select {
 	case <-c.stop:
 		return true
@@ -76,8 +76,8 @@
 	}
 }
 
-// pause waits, and tells whether the run goes on.
-func (c *crowd) pause(span time.Duration) bool {
+// pause waits for a time and reports whether the run continues.
+func (c *clientGroup) pause(span time.Duration) bool {
 	select {
 	case <-c.stop:
 		return false
@@ -86,51 +86,51 @@
 	}
 }
 
-// add lets a client come and come again until the run ends.
-func (c *crowd) add(how habit, chance *rand.Rand) {
-	c.done.Go(func() {
+// add starts a client, which connects again and again until the run ends.
+func (c *clientGroup) add(b behavior, rng *rand.Rand) {
+	c.running.Go(func() {
 		for !c.stopped() {
-			life, comes := c.admits()
-			if !comes {
+			processIndex, accepting := c.currentProcess()
+			if !accepting {
 				c.pause(20 * time.Millisecond)
 				continue
 			}
-			l := &line{crowd: c, habit: how, chance: chance, life: life, over: make(chan struct{})}
+			l := &clientConnection{group: c, behavior: b, rng: rng, processIndex: processIndex, ended: make(chan struct{})}
 			if err := l.open(); err != nil {
 				c.pause(20 * time.Millisecond)
 				continue
 			}
-			l.use()
-			l.leave()
-			<-l.over
-			c.pause(time.Duration(chance.IntN(30)) * time.Millisecond)
+			l.issueRequests()
+			l.abandon()
+			<-l.ended
+			c.pause(time.Duration(rng.IntN(30)) * time.Millisecond)
 		}
 	})
 }
 
-// line is one connection of a client.
-type line struct {
-	crowd  *crowd
-	habit  habit
-	chance *rand.Rand
-	life   int
-	socket net.Conn
-	over   chan struct{} // closed once nothing more can be read
+// clientConnection is one connection of a client.
+type clientConnection struct {
+	group        *clientGroup
+	behavior     behavior
+	rng          *rand.Rand
+	processIndex int
+	socket       net.Conn
+	ended        chan struct{} // closed at the end of the input
 
 	process, secret uint32
 	mutex           sync.Mutex
-	waits           []*request // in their order
-	headSince       time.Time  // since when nothing is waited for before the first of them
-	came            chan *request
-	left            bool // this side has closed it
-	finished        bool // nothing more can be read
+	pending         []*request // requests without an answer, oldest first
+	headSince       time.Time  // time since which the first of them has been the oldest
+	answers         chan *request
+	closedByClient  bool // the client has closed the connection
+	readEnded       bool // the end of the input was reached
 }
 
-func (l *line) open() (err error) {
-	if l.socket, err = net.DialTimeout("tcp", l.crowd.address, time.Second); err != nil {
+func (l *clientConnection) open() (err error) {
+	if l.socket, err = net.DialTimeout("tcp", l.group.address, time.Second); err != nil {
 		return err
 	}
-	l.came = make(chan *request, 256)
+	l.answers = make(chan *request, 256)
 	if _, err = l.socket.Write(pgwire.AppendFirst(nil, "app", "shop")); err != nil {
 		l.socket.Close()
 		return err
@@ -139,9 +139,9 @@
 	return nil
 }
 
-// read takes what the driver says until the connection ends.
-func (l *line) read() {
-	defer close(l.over)
+// read reads the driver's messages until the connection ends.
+func (l *clientConnection) read() {
+	defer close(l.ended)
 	in := bufio.NewReader(l.socket)
 	answer := ""
 	for {
@@ -151,7 +151,7 @@
 			body, err = readMessage(in)
 		}
 		if err != nil {
-			l.ends(err)
+			l.handleEnd(err)
 			return
 		}
 		switch kind {
@@ -182,83 +182,84 @@
 	}
 }
 
-func (l *line) answered(answer string) {
+// answered records the answer to the oldest pending request.
+func (l *clientConnection) answered(answer string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if len(l.waits) == 0 {
+	if len(l.pending) == 0 {
 		return
 	}
-	q := l.waits[0]
-	l.waits, l.headSince = l.waits[1:], time.Now()
-	l.crowd.record.end(q, answered, answer, nil)
+	q := l.pending[0]
+	l.pending, l.headSince = l.pending[1:], time.Now()
+	l.group.record.finish(q, answered, answer, nil)
 	select {
-	case l.came <- q:
+	case l.answers <- q:
 	default:
 	}
 }
 
-func (l *line) ends(cause error) {
+func (l *clientConnection) handleEnd(cause error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	for _, q := range l.waits {
-		if l.left {
-			l.crowd.record.end(q, clientLeft, "", nil)
+	for _, q := range l.pending {
+		if l.closedByClient {
+			l.group.record.finish(q, clientLeft, "", nil)
 		} else {
-			l.crowd.record.end(q, connectionAt, "", cause)
+			l.group.record.finish(q, connectionEnded, "", cause)
 		}
 	}
-	l.waits, l.finished = nil, true
+	l.pending, l.readEnded = nil, true
 }
 
-// leave closes the connection with whatever is under way.
-func (l *line) leave() {
+// abandon closes the connection, also with requests in flight.
+func (l *clientConnection) abandon() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.left = true
-	for _, q := range l.waits {
-		l.crowd.record.end(q, clientLeft, "", nil)
+	l.closedByClient = true
+	for _, q := range l.pending {
+		l.group.record.finish(q, clientLeft, "", nil)
 	}
 	l.socket.Close()
 }
 
-// ask sends one request, in so many pieces.
-func (l *line) ask(pieces int) (*request, error) {
-	c := l.crowd
-	what := classes[l.chance.IntN(len(classes))]
-	id := fmt.Sprintf("%s-%d", c.name, c.next.Add(1))
-	q := &request{id: id, class: what, life: l.life, limit: c.limits[l.chance.IntN(len(c.limits))]}
-	text := fmt.Sprintf("/* id=%s,c=%s,d=%d,cluster=0", id, what.name, q.limit.Milliseconds())
-	if what.effect == "keyed" {
+// send sends one request, split into the given number of pieces.
+func (l *clientConnection) send(pieces int) (*request, error) {
+	c := l.group
+	method := methods[l.rng.IntN(len(methods))]
+	id := fmt.Sprintf("%s-%d", c.name, c.lastID.Add(1))
+	q := &request{id: id, method: method, processIndex: l.processIndex, deadline: c.deadlines[l.rng.IntN(len(c.deadlines))]}
+	text := fmt.Sprintf("/* id=%s,c=%s,d=%d,cluster=0", id, method.name, q.deadline.Milliseconds())
+	if method.effect == "keyed" {
 		q.token = "t" + id
 		text += ",k=" + q.token
 	}
-	key := l.chance.IntN(50)
-	if what.write {
+	key := l.rng.IntN(50)
+	if method.write {
 		text += fmt.Sprintf(" */ INSERT INTO items (id, doc) VALUES ('s%d', 'x') RETURNING doc", key)
 	} else {
 		text += fmt.Sprintf(" */ SELECT doc FROM items WHERE id = 's%d'", key)
 	}
 	message := append(append(pgwire.AppendHead(nil, 'Q', len(text)+1), text...), 0)
 	l.mutex.Lock()
-	if l.finished {
+	if l.readEnded {
 		l.mutex.Unlock()
-		return q, errOver
+		return q, errConnectionEnded
 	}
-	c.record.asked(q)
-	l.waits = append(l.waits, q)
+	c.record.add(q)
+	l.pending = append(l.pending, q)
 	l.mutex.Unlock()
 	for i := range pieces {
 		part := message[len(message)*i/pieces : len(message)*(i+1)/pieces]
-		if i == pieces-1 { // its time counts from the last byte
+		if i == pieces-1 { // the deadline counts from the last byte
 			c.record.mutex.Lock()
-			q.sent = time.Now()
+			q.sentAt = time.Now()
 			c.record.mutex.Unlock()
 		} else if i > 0 {
-			time.Sleep(time.Duration(l.chance.IntN(60)) * time.Millisecond)
+			time.Sleep(time.Duration(l.rng.IntN(60)) * time.Millisecond)
 		}
 		if _, err := l.socket.Write(part); err != nil {
 			c.record.mutex.Lock()
-			q.sent = time.Time{} // it was never whole
+			q.sentAt = time.Time{} // it was not sent completely, and is not checked
 			c.record.mutex.Unlock()
 			return q, err
 		}
@@ -266,43 +267,44 @@
 	return q, nil
 }
 
-var errOver = errors.New("the connection is over")
+var errConnectionEnded = errors.New("the connection has ended")
 
-// wait waits for the answer of the oldest request, until it is lost. The time that it waits for those before it does not count.
-func (l *line) wait(q *request) error {
+// awaitAnswer waits for the answer to the oldest request, up to the time at which the request counts as lost. That time counts from the answer to
+// the request before it, if that came after the request's own deadline.
+func (l *clientConnection) awaitAnswer(q *request) error {
 	l.mutex.Lock()
-	due := q.sent.Add(q.limit)
+	due := q.sentAt.Add(q.deadline)
 	if due.Before(l.headSince) {
 		due = l.headSince
 	}
 	l.mutex.Unlock()
-	patience := time.NewTimer(time.Until(due.Add(afterDeadline + 2*scheduling)))
-	defer patience.Stop()
+	timeout := time.NewTimer(time.Until(due.Add(answerSlack + 2*schedulingSlack)))
+	defer timeout.Stop()
 	for {
 		select {
-		case <-l.came:
+		case <-l.answers:
 			l.mutex.Lock()
-			waits := slices.Contains(l.waits, q)
+			isPending := slices.Contains(l.pending, q)
 			l.mutex.Unlock()
-			if !waits {
+			if !isPending {
 				return nil
 			}
-		case <-l.over:
-			return errOver
-		case <-patience.C:
-			l.crowd.record.end(q, outOfTime, "", nil)
-			return errOver
+		case <-l.ended:
+			return errConnectionEnded
+		case <-timeout.C:
+			l.group.record.finish(q, clientTimedOut, "", nil)
+			return errConnectionEnded
 		}
 	}
 }
 
-// use lets the client ask until the connection is over.
-func (l *line) use() {
-	c := l.crowd
-	switch l.habit {
+// issueRequests sends requests in the manner of the client's behavior until the connection ends.
+func (l *clientConnection) issueRequests() {
+	c := l.group
+	switch l.behavior {
 	case silent:
 		select {
-		case <-l.over:
+		case <-l.ended:
 		case <-c.stop:
 		}
 		return
@@ -310,69 +312,69 @@
 		text := "/* id=half,c=look,d=500,cluster=0 */ SELECT"
 		l.socket.Write(append(pgwire.AppendHead(nil, 'Q', len(text)+40), text...))
 		select {
-		case <-l.over:
+		case <-l.ended:
 		case <-c.stop:
 		}
 		return
 	case pipeline:
-		l.stream(4)
+		l.keepInFlight(4)
 		return
 	}
 	for !c.stopped() {
 		pieces := 1
-		if l.habit == slow {
+		if l.behavior == slow {
 			pieces = 4
 		}
-		q, err := l.ask(pieces)
+		q, err := l.send(pieces)
 		if err != nil {
-			<-l.over // what has been answered meanwhile still counts
+			<-l.ended // so that answers that have arrived are still read
 			return
 		}
 		switch {
-		case l.habit == leaver && l.chance.IntN(3) == 0:
-			time.Sleep(time.Duration(l.chance.IntN(30)) * time.Millisecond)
-			l.leave()
+		case l.behavior == leaver && l.rng.IntN(3) == 0:
+			time.Sleep(time.Duration(l.rng.IntN(30)) * time.Millisecond)
+			l.abandon()
 			return
-		case l.habit == canceler && l.chance.IntN(3) == 0:
-			time.Sleep(time.Duration(l.chance.IntN(50)) * time.Millisecond)
+		case l.behavior == canceler && l.rng.IntN(3) == 0:
+			time.Sleep(time.Duration(l.rng.IntN(50)) * time.Millisecond)
 			l.cancel()
 		}
-		if l.wait(q) != nil {
+		if l.awaitAnswer(q) != nil {
 			return
 		}
-		if l.habit != eager && !c.pause(time.Duration(l.chance.IntN(40))*time.Millisecond) {
+		if l.behavior != eager && !c.pause(time.Duration(l.rng.IntN(40))*time.Millisecond) {
 			return
 		}
 	}
 }
 
-// stream keeps so many requests under way. Each waits for those before it.
-func (l *line) stream(depth int) {
-	var under []*request
-	for !l.crowd.stopped() {
-		for len(under) < depth {
-			q, err := l.ask(1)
+// keepInFlight keeps the given number of requests in flight. The driver answers them in order.
+func (l *clientConnection) keepInFlight(depth int) {
+	var pending []*request
+	for !l.group.stopped() {
+		for len(pending) < depth {
+			q, err := l.send(1)
 			if err != nil {
-				<-l.over
+				<-l.ended
 				return
 			}
-			under = append(under, q)
+			pending = append(pending, q)
 		}
-		if l.wait(under[0]) != nil {
+		if l.awaitAnswer(pending[0]) != nil {
 			return
 		}
 		l.mutex.Lock()
-		under = slices.Clone(l.waits)
+		pending = slices.Clone(l.pending)
 		l.mutex.Unlock()
 	}
 }
 
-// cancel asks for the end of what is served.
-func (l *line) cancel() {
+// cancel sends a CancelRequest for the connection.
+func (l *clientConnection) cancel() {
 	l.mutex.Lock()
 	process, secret := l.process, l.secret
 	l.mutex.Unlock()
-	c, err := net.DialTimeout("tcp", l.crowd.address, time.Second)
+	c, err := net.DialTimeout("tcp", l.group.address, time.Second)
 	if err != nil {
 		return
 	}
--- a/internal/soak/driver_test.go
+++ b/internal/soak/driver_test.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// program builds passtack once.
-var program = sync.OnceValues(func() (string, error) {
+// buildProgram builds passtack once for all tests.
+var buildProgram = sync.OnceValues(func() (string, error) {
 	folder, err := os.MkdirTemp("", "passtack-soak")
 	if err != nil {
 		return "", err
@@ -29,16 +29,16 @@
 
 func TestMain(m *testing.M) {
 	code := m.Run()
-	if name, err := program(); err == nil {
+	if name, err := buildProgram(); err == nil {
 		os.RemoveAll(filepath.Dir(name))
 	}
 	os.Exit(code)
 }
 
-// process is one life of a driver.
+// process is one process of the driver.
 type process struct {
 	command *exec.Cmd
-	life    *life
+	times   *processTimes
 	ended   chan struct{}
 	mutex   sync.Mutex
 	log     []string
@@ -59,37 +59,37 @@
 }
 `
 
-// startDriver starts a process and waits until it serves.
+// startDriver starts a process of the driver and waits until it serves.
 func startDriver(t *testing.T, r *record, args ...string) *process {
 	t.Helper()
-	at, err := program()
+	path, err := buildProgram()
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &process{command: exec.Command(at, append([]string{"serve"}, args...)...), life: &life{started: time.Now()}, ended: make(chan struct{})}
+	p := &process{command: exec.Command(path, append([]string{"serve"}, args...)...), times: &processTimes{started: time.Now()}, ended: make(chan struct{})}
 	p.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	out, err := p.command.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
 	}
 	r.mutex.Lock()
-	r.lives = append(r.lives, p.life)
+	r.processes = append(r.processes, p.times)
 	r.mutex.Unlock()
 	if err := p.command.Start(); err != nil {
 		t.Fatal(err)
 	}
-	serves := make(chan struct{}, 1)
+	started := make(chan struct{}, 1)
 	go func() {
 		lines := bufio.NewScanner(out)
 		for lines.Scan() {
-			p.heard(r, lines.Text())
+			p.handleLine(r, lines.Text())
 			if strings.Contains(lines.Text(), "event=started") {
-				serves <- struct{}{}
+				started <- struct{}{}
 			}
 		}
 		p.command.Wait()
 		r.mutex.Lock()
-		p.life.ended = time.Now()
+		p.times.ended = time.Now()
 		r.mutex.Unlock()
 		close(p.ended)
 	}()
@@ -99,28 +99,28 @@
 		<-p.ended
 	})
 	select {
-	case <-serves:
+	case <-started:
 	case <-p.ended:
-		t.Fatalf("the driver ended at its start: %s", strings.Join(p.log, "\n"))
+		t.Fatalf("the driver exited at its start: %s", strings.Join(p.log, "\n"))
 	case <-time.After(20 * time.Second):
-		t.Fatalf("the driver does not serve")
+		t.Fatalf("the driver does not serve within 20 s")
 	}
 	return p
 }
 
-// heard takes a line of the log.
-func (p *process) heard(r *record, line string) {
+// handleLine stores a log line and notes a request that it says was read.
+func (p *process) handleLine(r *record, line string) {
 	if _, rest, found := strings.Cut(line, "event=request id="); found {
 		id, _, _ := strings.Cut(rest, " ")
-		r.wasRead(id)
+		r.markRead(id)
 	}
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.log = append(p.log, line)
 }
 
-// logged tells how many lines hold the text.
-func (p *process) logged(text string) (count int) {
+// countLines counts the log lines that contain a text.
+func (p *process) countLines(text string) (count int) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for _, line := range p.log {
@@ -131,22 +131,22 @@
 	return count
 }
 
-// about gives the lines that belong to one request.
-func (p *process) about(id string) string {
+// linesAbout returns the first log lines that belong to a request, to its client connection or to its RPC.
+func (p *process) linesAbout(id string) string {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	var lines, marks []string
+	var lines, markers []string
 	for _, line := range p.log {
 		if strings.Contains(line, " id="+id+" ") {
 			_, rest, _ := strings.Cut(line, " client=")
 			client, _, _ := strings.Cut(rest, " ")
-			marks = []string{" client=" + client + " "}
-		} else if len(marks) == 1 && strings.Contains(line, `event="RPC admitted"`) && strings.Contains(line, marks[0]) {
+			markers = []string{" client=" + client + " "}
+		} else if len(markers) == 1 && strings.Contains(line, `event="RPC admitted"`) && strings.Contains(line, markers[0]) {
 			_, rest, _ := strings.Cut(line, " rpc=")
 			number, _, _ := strings.Cut(rest, " ")
-			marks = append(marks, " rpc="+number+" ")
+			markers = append(markers, " rpc="+number+" ")
 		}
-		for _, mark := range marks {
+		for _, mark := range markers {
 			if strings.Contains(line, mark) {
 				lines = append(lines, line)
 				break
@@ -161,11 +161,11 @@
 
 func (p *process) signal(s syscall.Signal) { p.command.Process.Signal(s) }
 
-// hold stops the process for a while, as a machine that gives it no time.
-func (p *process) hold(span time.Duration) {
+// pause stops the process for a time, as an overloaded machine would.
+func (p *process) pause(duration time.Duration) {
 	p.pauses.Add(1)
 	p.signal(syscall.SIGSTOP)
-	time.AfterFunc(span, func() {
+	time.AfterFunc(duration, func() {
 		p.signal(syscall.SIGCONT)
 		p.pauses.Done()
 	})
--- a/internal/soak/member_test.go
+++ b/internal/soak/member_test.go
@@ -19,35 +19,35 @@
 
 // member is a stand-in for one database server.
 type member struct {
-	number   int
-	leads    bool
-	listener net.Listener
-	record   *record
-	trouble  trouble
+	number    int
+	isPrimary bool
+	listener  net.Listener
+	record    *record
+	faults    memberFaults
 
-	mutex  sync.Mutex
-	chance *rand.Rand
-	tokens map[string]bool // that have had their effect
-	began  time.Time
+	mutex          sync.Mutex
+	rng            *rand.Rand
+	executedTokens map[string]bool // idempotency tokens of writes that were executed
+	startedAt      time.Time
 }
 
-// trouble is what is wrong with one member.
-type trouble struct {
-	hangs       bool          // it takes requests and never answers, for as long as the run lasts
-	hangsFrom   time.Duration // since the member's start
-	latency     time.Duration
-	lateWelcome time.Duration // that a third of its connections take to come up
-	stops       float64       // part of the answers that stop short
-	resets      float64       // part of the requests under which the connection is reset
+// memberFaults are the faults of one member.
+type memberFaults struct {
+	hangs          bool          // it reads requests and never answers them, until the end of the run
+	hangsFrom      time.Duration // time after the member's start at which it begins to hang
+	latency        time.Duration
+	handshakeDelay time.Duration // delay of the handshake on a third of its connections
+	truncatedPart  float64       // part of the answers of which only the first half is sent
+	resetPart      float64       // part of the requests on which it resets the connection
 }
 
-func startMember(t *testing.T, number int, r *record, what trouble, chance *rand.Rand) *member {
+func startMember(t *testing.T, number int, r *record, faults memberFaults, rng *rand.Rand) *member {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := &member{number: number, leads: number == 0, listener: listener, record: r, trouble: what, chance: chance, tokens: make(map[string]bool), began: time.Now()}
+	m := &member{number: number, isPrimary: number == 0, listener: listener, record: r, faults: faults, rng: rng, executedTokens: make(map[string]bool), startedAt: time.Now()}
 	t.Cleanup(func() { listener.Close() })
 	go func() {
 		for {
@@ -61,16 +61,16 @@
 	return m
 }
 
-func (m *member) draws(part float64) bool {
+func (m *member) drawFault(probability float64) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return m.chance.Float64() < part
+	return m.rng.Float64() < probability
 }
 
-// state is what a member tells of itself before ReadyForQuery.
-func (m *member) state() []byte {
+// serverParameters returns the ParameterStatus messages with the member's role and replay position, which it sends before ReadyForQuery.
+func (m *member) serverParameters() []byte {
 	role := "follower"
-	if m.leads {
+	if m.isPrimary {
 		role = "leader"
 	}
 	out := pgwire.AppendParameter(nil, "node_role", role)
@@ -83,10 +83,10 @@
 	if _, err := readMessage(in); err != nil {
 		return
 	}
-	if m.trouble.lateWelcome > 0 && m.draws(0.33) {
-		time.Sleep(m.trouble.lateWelcome)
+	if m.faults.handshakeDelay > 0 && m.drawFault(0.33) {
+		time.Sleep(m.faults.handshakeDelay)
 	}
-	if _, err := c.Write(append(m.state(), pgwire.AppendWelcome(nil, 1, 1)...)); err != nil {
+	if _, err := c.Write(append(m.serverParameters(), pgwire.AppendWelcome(nil, 1, 1)...)); err != nil {
 		return
 	}
 	for {
@@ -114,8 +114,8 @@
 	return text, err
 }
 
-// value gives a field of a statement's comment.
-func value(statement, name string) string {
+// commentField returns the value of a field in the comment of a statement.
+func commentField(statement, name string) string {
 	for _, prefix := range []string{" ", ","} {
 		if _, rest, found := strings.Cut(statement, prefix+name+"="); found {
 			return rest[:strings.IndexAny(rest+" ", ", ")]
@@ -124,45 +124,45 @@
 	return ""
 }
 
-// answer serves one statement and tells whether the connection goes on.
+// answer serves one statement and reports whether the connection stays open.
 func (m *member) answer(c net.Conn, statement string) bool {
 	if statement == "" {
-		_, err := c.Write(pgwire.AppendReady(append(m.state(), pgwire.AppendHead(nil, 'I', 0)...)))
+		_, err := c.Write(pgwire.AppendReady(append(m.serverParameters(), pgwire.AppendHead(nil, 'I', 0)...)))
 		return err == nil
 	}
-	id, at := value(statement, "id"), time.Now()
-	millis, _ := strconv.Atoi(value(statement, "d"))
+	id, now := commentField(statement, "id"), time.Now()
+	deadlineMS, _ := strconv.Atoi(commentField(statement, "d"))
 	writes := strings.Contains(statement, "INSERT")
-	a := arrival{member: m.number, at: at, told: time.Duration(millis) * time.Millisecond, ran: !writes || m.leads}
-	if token := value(statement, "k"); token != "" && a.ran {
+	received := attempt{member: m.number, arrivedAt: now, sentDeadline: time.Duration(deadlineMS) * time.Millisecond, executed: !writes || m.isPrimary}
+	if token := commentField(statement, "k"); token != "" && received.executed {
 		m.mutex.Lock()
-		a.ran = !m.tokens[token]
-		m.tokens[token] = true
+		received.executed = !m.executedTokens[token]
+		m.executedTokens[token] = true
 		m.mutex.Unlock()
 	}
-	m.record.arrived(id, a)
-	if m.trouble.hangs && at.Sub(m.began) >= m.trouble.hangsFrom {
+	m.record.addAttempt(id, received)
+	if m.faults.hangs && now.Sub(m.startedAt) >= m.faults.hangsFrom {
 		c.SetReadDeadline(time.Now().Add(20 * time.Second))
-		c.Read(make([]byte, 1)) // until the driver gives up
+		c.Read(make([]byte, 1)) // until the driver closes the connection
 		return false
 	}
-	if m.draws(m.trouble.resets) {
+	if m.drawFault(m.faults.resetPart) {
 		c.(*net.TCPConn).SetLinger(0)
 		return false
 	}
 	m.mutex.Lock()
-	wait := time.Duration(m.chance.Float64() * float64(m.trouble.latency))
+	wait := time.Duration(m.rng.Float64() * float64(m.faults.latency))
 	m.mutex.Unlock()
 	time.Sleep(wait)
-	if writes && !m.leads {
-		_, err := c.Write(pgwire.AppendReady(append(pgwire.AppendError(nil, false, "25006", "no primary", -1), m.state()...)))
+	if writes && !m.isPrimary {
+		_, err := c.Write(pgwire.AppendReady(append(pgwire.AppendError(nil, false, "25006", "no primary", -1), m.serverParameters()...)))
 		if err == nil {
-			m.record.wasRejected(id, m.number)
+			m.record.markRejected(id, m.number)
 		}
 		return err == nil
 	}
 	out := m.row("value of " + id)
-	if m.draws(m.trouble.stops) {
+	if m.drawFault(m.faults.truncatedPart) {
 		c.Write(out[:len(out)/2])
 		c.SetReadDeadline(time.Now().Add(20 * time.Second))
 		c.Read(make([]byte, 1))
@@ -178,17 +178,17 @@
 	out = append(pgwire.AppendHead(out, 'D', 6+len(doc)), 0, 1, 0, 0, byte(len(doc)>>8), byte(len(doc)))
 	out = append(out, doc...)
 	out = append(pgwire.AppendHead(out, 'C', 9), "SELECT 1\x00"...)
-	return pgwire.AppendReady(append(out, m.state()...))
+	return pgwire.AppendReady(append(out, m.serverParameters()...))
 }
 
-// discovery is a stand-in for the agent that tells drivers of members.
+// discovery is a stand-in for the discovery agent, which gives drivers the endpoint list.
 type discovery struct {
 	record   *record
 	members  []*member
 	listener net.Listener
 	mutex    sync.Mutex
 	revision int
-	drained  map[int]int // by member: since which revision
+	drained  map[int]int // revision that began the drain, by member
 	changed  chan struct{}
 }
 
@@ -214,7 +214,7 @@
 	d.changed = make(chan struct{})
 }
 
-// list words the members that have changed since a revision, or all.
+// list returns the endpoint list with the members that have changed since a revision, or with all if it is 0.
 func (d *discovery) list(since int) string {
 	var targets []string
 	for _, m := range d.members {
@@ -253,6 +253,6 @@
 	w.Header().Set("Content-Type", "application/json")
 	io.WriteString(w, text)
 	for _, n := range drained {
-		d.record.drains(n)
+		d.record.markDrained(n)
 	}
 }
--- a/internal/soak/record_test.go
+++ b/internal/soak/record_test.go
@@ -6,218 +6,218 @@
 	"time"
 )
 
-// ending is how a request ended for its client.
-type ending uint8
+// requestOutcome is how a request ended for its client.
+type requestOutcome uint8
 
 const (
-	open         ending = iota // nothing has come yet
-	answered                   // a final answer of any kind
-	clientLeft                 // the client closed the connection or cancelled the request
-	connectionAt               // the connection ended without an answer
-	outOfTime                  // the client waited for half a second beyond its deadline in vain
+	unanswered      requestOutcome = iota // no answer yet
+	answered                              // a final answer of any kind
+	clientLeft                            // the client closed the connection or cancelled the request
+	connectionEnded                       // the connection ended without an answer
+	clientTimedOut                        // no answer came within answerSlack after the deadline
 )
 
-// request is what one client asked, and what became of it.
+// request is one request of a client, with its attempts and its outcome.
 type request struct {
-	id       string
-	class    class
-	token    string
-	life     int // of the driver
-	limit    time.Duration
-	sent     time.Time // when its last byte was written
-	ended    time.Time
-	how      ending
-	answer   string // SQLSTATE of an error, "ok" or ""
-	cause    error  // of the end of the connection
-	arrivals []arrival
+	id           string
+	method       method
+	token        string
+	processIndex int // of the driver's processes, the one that the client was connected to
+	deadline     time.Duration
+	sentAt       time.Time // when its last byte was written
+	endedAt      time.Time
+	outcome      requestOutcome
+	answer       string // SQLSTATE of an error, "ok" or ""
+	err          error  // that ended the connection
+	attempts     []attempt
 }
 
-// arrival is one attempt as a member saw it.
-type arrival struct {
-	member int
-	at     time.Time
-	told   time.Duration // the deadline that it was told
-	ran    bool
+// attempt is an attempt of the driver as a member received it.
+type attempt struct {
+	member       int
+	arrivedAt    time.Time
+	sentDeadline time.Duration // time until the deadline, as the driver sent it to the member
+	executed     bool
 
-	rejected bool // answered as a write that it cannot run, since it is no primary
+	rejected bool // the member answered that it cannot execute writes, as it is not the primary
 }
 
-// record is what clients and members saw of one run.
+// record collects what the clients and members of a run observed.
 type record struct {
-	mutex    sync.Mutex
-	requests map[string]*request
-	order    []*request
-	read     map[string]bool // by id: the driver has logged that it read the request
-	lives    []*life
-	drained  map[int]time.Time // by member: when the driver was told that it drains
-	strange  []string
+	mutex        sync.Mutex
+	requests     map[string]*request
+	order        []*request
+	readByDriver map[string]bool // by request ID: the driver has logged that it read the request
+	processes    []*processTimes
+	drainNotices map[int]time.Time // by member: when the driver was notified of its drain
+	unexpected   []string
 }
 
-// life is one process of the driver.
-type life struct {
+// processTimes are the times at which one process of the driver changed its state.
+type processTimes struct {
 	started, terminated, killed, ended time.Time
 }
 
 func newRecord() *record {
-	return &record{requests: make(map[string]*request), read: make(map[string]bool), drained: make(map[int]time.Time)}
+	return &record{requests: make(map[string]*request), readByDriver: make(map[string]bool), drainNotices: make(map[int]time.Time)}
 }
 
-func (r *record) asked(q *request) {
+func (r *record) add(q *request) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.requests[q.id] = q
 	r.order = append(r.order, q)
 }
 
-// end notes how a request ended; what comes after that is a second answer.
-func (r *record) end(q *request, how ending, answer string, cause error) {
+// finish stores the outcome of a request, unless it has one. An answer after an answer is an unexpected event.
+func (r *record) finish(q *request, outcome requestOutcome, answer string, err error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if q.how != open {
-		if how == answered && q.how == answered {
-			r.strange = append(r.strange, fmt.Sprintf("two answers to %s", q.id))
+	if q.outcome != unanswered {
+		if outcome == answered && q.outcome == answered {
+			r.unexpected = append(r.unexpected, fmt.Sprintf("two answers to %s", q.id))
 		}
 		return
 	}
-	q.how, q.answer, q.cause, q.ended = how, answer, cause, time.Now()
+	q.outcome, q.answer, q.err, q.endedAt = outcome, answer, err, time.Now()
 }
 
-func (r *record) arrived(id string, a arrival) {
+func (r *record) addAttempt(id string, a attempt) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if q := r.requests[id]; q != nil {
-		q.arrivals = append(q.arrivals, a)
+		q.attempts = append(q.attempts, a)
 	} else {
-		r.strange = append(r.strange, "a member was sent an unknown id "+id)
+		r.unexpected = append(r.unexpected, "a member received an attempt of an unknown request "+id)
 	}
 }
 
-// wasRejected notes that a member has answered its latest attempt of a request as one that it cannot run.
-func (r *record) wasRejected(id string, member int) {
+// markRejected notes that a member rejected its latest attempt of a request as a write that it cannot execute.
+func (r *record) markRejected(id string, member int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	q := r.requests[id]
 	if q == nil {
 		return
 	}
-	for i := len(q.arrivals) - 1; i >= 0; i-- {
-		if q.arrivals[i].member == member {
-			q.arrivals[i].rejected = true
+	for i := len(q.attempts) - 1; i >= 0; i-- {
+		if q.attempts[i].member == member {
+			q.attempts[i].rejected = true
 			return
 		}
 	}
 }
 
-func (r *record) wasRead(id string) {
+func (r *record) markRead(id string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.read[id] = true
+	r.readByDriver[id] = true
 }
 
-func (r *record) drains(member int) {
+func (r *record) markDrained(member int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if _, known := r.drained[member]; !known {
-		r.drained[member] = time.Now()
+	if _, known := r.drainNotices[member]; !known {
+		r.drainNotices[member] = time.Now()
 	}
 }
 
-// What the rules allow, and what the test's own scheduling may add.
+// Tolerances of the rules, and of the test itself.
 const (
-	afterDeadline = 500 * time.Millisecond // that an answer may be late and only earns nothing
-	afterLeaving  = 100 * time.Millisecond // that an attempt may begin after its client has gone
-	deadlineSlack = 150 * time.Millisecond // that the deadline told to a member may be too long
-	drainGrace    = 400 * time.Millisecond // after the driver was told of a drain
-	scheduling    = 60 * time.Millisecond  // of the test's own goroutines
+	answerSlack     = 500 * time.Millisecond // for an answer after the deadline, which has no value but is not lost
+	attemptSlack    = 100 * time.Millisecond // for an attempt that starts after the end of its request
+	deadlineSlack   = 150 * time.Millisecond // by which the deadline sent to a member may be too long
+	drainGrace      = 400 * time.Millisecond // for an attempt after the driver was notified of a drain
+	schedulingSlack = 60 * time.Millisecond  // scheduling delay of the test's own goroutines
 )
 
-// broken names each breach of the rules.
-func (r *record) broken(window time.Duration, hold time.Duration) (all []string) {
+// violations describes each violation of the rules.
+func (r *record) violations(idempotencyWindow time.Duration, pause time.Duration) (all []string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	all = append(all, r.strange...)
-	say := func(q *request, format string, args ...any) {
-		life := r.lives[q.life]
-		at := "before SIGTERM"
-		if !life.terminated.IsZero() {
-			at = fmt.Sprintf("%d ms after SIGTERM", q.sent.Sub(life.terminated).Milliseconds())
+	all = append(all, r.unexpected...)
+	report := func(q *request, format string, args ...any) {
+		times := r.processes[q.processIndex]
+		sent := "before SIGTERM"
+		if !times.terminated.IsZero() {
+			sent = fmt.Sprintf("%d ms after SIGTERM", q.sentAt.Sub(times.terminated).Milliseconds())
 		}
-		all = append(all, fmt.Sprintf("%s (%s, sent %s, %d attempts): %s", q.id, q.class.name, at, len(q.arrivals), fmt.Sprintf(format, args...)))
+		all = append(all, fmt.Sprintf("%s (%s, sent %s, %d attempts): %s", q.id, q.method.name, sent, len(q.attempts), fmt.Sprintf(format, args...)))
 	}
 	for _, q := range r.order {
-		if q.sent.IsZero() {
+		if q.sentAt.IsZero() {
 			continue
 		}
-		r.checkAnswer(q, say)
-		r.checkAttempts(q, window, hold, say)
+		r.checkAnswer(q, report)
+		r.checkAttempts(q, idempotencyWindow, pause, report)
 	}
 	return all
 }
 
-// checkAnswer checks that the request got its final answer, or was left unread.
-func (r *record) checkAnswer(q *request, say func(*request, string, ...any)) {
-	life := r.lives[q.life]
-	switch q.how {
-	case outOfTime:
-		say(q, "lost: no answer %v after its deadline", afterDeadline)
-	case connectionAt:
+// checkAnswer checks that the request got its final answer, or was never read by the driver.
+func (r *record) checkAnswer(q *request, report func(*request, string, ...any)) {
+	times := r.processes[q.processIndex]
+	switch q.outcome {
+	case clientTimedOut:
+		report(q, "lost: no answer %v after its deadline", answerSlack)
+	case connectionEnded:
 		switch {
-		case !life.killed.IsZero() && !q.ended.Before(life.killed):
-			say(q, "lost: SIGKILL found it unanswered (read: %t)", r.read[q.id])
-		case r.read[q.id] || len(q.arrivals) > 0:
-			say(q, "lost: read, and the connection ended without an answer: %v", q.cause)
+		case !times.killed.IsZero() && !q.endedAt.Before(times.killed):
+			report(q, "lost: not answered before SIGKILL (read by the driver: %t)", r.readByDriver[q.id])
+		case r.readByDriver[q.id] || len(q.attempts) > 0:
+			report(q, "lost: read by the driver, but the connection ended without an answer: %v", q.err)
 		}
-	case open:
-		say(q, "lost: still open when the run ended")
+	case unanswered:
+		report(q, "lost: not answered when the run ended")
 	}
 }
 
-// checkAttempts checks what the members saw of the request.
-func (r *record) checkAttempts(q *request, window, hold time.Duration, say func(*request, string, ...any)) {
-	runs := 0
-	var first *arrival // that may have run
-	for i, a := range q.arrivals {
-		if a.ran {
-			runs++
+// checkAttempts checks the attempts that members received of the request.
+func (r *record) checkAttempts(q *request, idempotencyWindow, pause time.Duration, report func(*request, string, ...any)) {
+	executions := 0
+	var firstExecuted *attempt // attempt that may have been executed
+	for i, a := range q.attempts {
+		if a.executed {
+			executions++
 		}
-		left := q.limit - a.at.Sub(q.sent)
-		if a.told > max(left, 0)+deadlineSlack+scheduling {
-			say(q, "deadline: attempt %d is told %v, the client has %v left", i, a.told, left)
+		remaining := q.deadline - a.arrivedAt.Sub(q.sentAt)
+		if a.sentDeadline > max(remaining, 0)+deadlineSlack+schedulingSlack {
+			report(q, "deadline: attempt %d has a deadline of %v, the client has %v left", i, a.sentDeadline, remaining)
 		}
-		if (q.how == clientLeft || q.how == answered) && a.at.Sub(q.ended) > afterLeaving+hold+scheduling {
-			say(q, "lost: attempt %d began %v after the end (%s)", i, a.at.Sub(q.ended), q.answer)
+		if (q.outcome == clientLeft || q.outcome == answered) && a.arrivedAt.Sub(q.endedAt) > attemptSlack+pause+schedulingSlack {
+			report(q, "lost: attempt %d came %v after the end of the request (%s)", i, a.arrivedAt.Sub(q.endedAt), q.answer)
 		}
-		if drained, ok := r.drained[a.member]; ok && a.at.Sub(drained) > drainGrace+hold+scheduling {
-			say(q, "drain: attempt %d at member %d came %v after the drain was told", i, a.member, a.at.Sub(drained))
+		if noticed, ok := r.drainNotices[a.member]; ok && a.arrivedAt.Sub(noticed) > drainGrace+pause+schedulingSlack {
+			report(q, "drain: attempt %d at member %d came %v after the drain notice", i, a.member, a.arrivedAt.Sub(noticed))
 		}
-		if first != nil && q.class.effect == "keyed" && a.at.Sub(first.at) > window+hold+scheduling {
-			say(q, "duplicate: attempt %d came %v after the first that may have run, the window is %v", i, a.at.Sub(first.at), window)
+		if firstExecuted != nil && q.method.effect == "keyed" && a.arrivedAt.Sub(firstExecuted.arrivedAt) > idempotencyWindow+pause+schedulingSlack {
+			report(q, "duplicate: attempt %d came %v after the first that may have been executed, the idempotency window is %v", i, a.arrivedAt.Sub(firstExecuted.arrivedAt), idempotencyWindow)
 		}
-		if first == nil && !a.rejected {
-			first = &q.arrivals[i]
+		if firstExecuted == nil && !a.rejected {
+			firstExecuted = &q.attempts[i]
 		}
 	}
-	if runs > 1 && q.class.effect == "unsafe" {
-		say(q, "duplicate: it ran %d times", runs)
+	if executions > 1 && q.method.effect == "unsafe" {
+		report(q, "duplicate: executed %d times", executions)
 	}
 }
 
-// count tells how many requests ended in each way.
-func (r *record) count() (asked, ok, refused, failed, left, unread int) {
+// countOutcomes counts the requests by outcome.
+func (r *record) countOutcomes() (sent, ok, pushedBack, failed, left, unread int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	for _, q := range r.order {
-		asked++
+		sent++
 		switch {
-		case q.how == answered && q.answer == "ok":
+		case q.outcome == answered && q.answer == "ok":
 			ok++
-		case q.how == answered && (q.answer == "53300" || q.answer == "57P03"):
-			refused++
-		case q.how == answered:
+		case q.outcome == answered && (q.answer == "53300" || q.answer == "57P03"):
+			pushedBack++
+		case q.outcome == answered:
 			failed++
-		case q.how == clientLeft:
+		case q.outcome == clientLeft:
 			left++
-		case q.how == connectionAt:
+		case q.outcome == connectionEnded:
 			unread++
 		}
 	}
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -1,5 +1,5 @@
-// Package soak plays drivers as real processes through shutdowns, with troubled members, clients that keep using their
-// connections until the kill, signals in series and processes that are held up. It holds tests only.
+// Package soak tests the shutdown of drivers as real processes, with faulty members, clients that use their connections
+// until SIGKILL, repeated signals and paused processes. It contains only tests.
 package soak
 
 import (
@@ -15,130 +15,130 @@
 )
 
 var (
-	seeds = flag.Int("soak.seeds", 10, "how many seeds are played")
-	first = flag.Uint64("soak.first", 1, "the first of them")
+	seedCount = flag.Int("soak.seeds", 10, "number of seeds to play")
+	firstSeed = flag.Uint64("soak.first", 1, "first seed to play")
 )
 
-// scenario is what is drawn from a seed.
+// scenario is a random test case, determined by its seed.
 type scenario struct {
-	seed     uint64
-	longest  time.Duration // deadline of any class
-	window   time.Duration
-	members  []trouble
-	clients  map[habit]int
-	sockets  int
-	hold     time.Duration   // that the driver is stopped for at each of the moments below
-	holds    []time.Duration // since SIGTERM, below 0: before it
-	series   []syscall.Signal
-	serves   time.Duration // that each life serves before SIGTERM
-	drainAt  time.Duration // since SIGTERM; 0: never
-	shutdown int           // how many of the lives end by SIGTERM
+	seed              uint64
+	maxDeadline       time.Duration // longest deadline of a request
+	idempotencyWindow time.Duration
+	memberFaults      []memberFaults
+	clientCounts      map[behavior]int
+	sockets           int
+	pauseDuration     time.Duration   // how long the driver is paused at each of pauseTimes
+	pauseTimes        []time.Duration // relative to SIGTERM; negative: before it
+	extraSignals      []syscall.Signal
+	servingTime       time.Duration // how long each process serves before SIGTERM
+	drainAfter        time.Duration // delay after SIGTERM at which a member drains; 0: never
+	shutdowns         int           // number of processes, each of which is shut down by SIGTERM
 }
 
-func draw(seed uint64) scenario {
-	chance := rand.New(rand.NewPCG(seed, 7))
-	pick := func(spans ...time.Duration) time.Duration { return spans[chance.IntN(len(spans))] }
+func drawScenario(seed uint64) scenario {
+	rng := rand.New(rand.NewPCG(seed, 7))
+	pick := func(spans ...time.Duration) time.Duration { return spans[rng.IntN(len(spans))] }
 	const ms = time.Millisecond
 	s := scenario{
-		seed: seed, longest: pick(400*ms, 700*ms, 1200*ms, 2300*ms, 3000*ms, 4000*ms), window: 1200 * ms, sockets: 1024, shutdown: 2,
-		clients: map[habit]int{steady: 8, eager: 4, pipeline: 2, slow: 3, leaver: 3, canceler: 2, halfway: 2, silent: 3},
+		seed: seed, maxDeadline: pick(400*ms, 700*ms, 1200*ms, 2300*ms, 3000*ms, 4000*ms), idempotencyWindow: 1200 * ms, sockets: 1024, shutdowns: 2,
+		clientCounts: map[behavior]int{steady: 8, eager: 4, pipeline: 2, slow: 3, leaver: 3, canceler: 2, halfway: 2, silent: 3},
 	}
-	hung := chance.IntN(3) // none, a third, or all but one
+	hangMode := rng.IntN(3) // 0: no member hangs; 1: about a third of them; 2: all but one
 	for i := range 4 {
-		m := trouble{latency: pick(2*ms, 10*ms, 40*ms)}
-		switch hung {
+		m := memberFaults{latency: pick(2*ms, 10*ms, 40*ms)}
+		switch hangMode {
 		case 1:
 			m.hangs = i%3 == int(seed%3)
 		case 2:
 			m.hangs = i != int(seed%4)
 		}
-		if chance.IntN(3) == 0 {
-			m.hangsFrom = time.Duration(chance.IntN(1500)) * ms
+		if rng.IntN(3) == 0 {
+			m.hangsFrom = time.Duration(rng.IntN(1500)) * ms
 		}
-		if chance.IntN(3) == 0 {
-			m.lateWelcome = time.Duration(chance.IntN(1500)) * ms
+		if rng.IntN(3) == 0 {
+			m.handshakeDelay = time.Duration(rng.IntN(1500)) * ms
 		}
-		if chance.IntN(3) == 0 {
-			m.stops, m.resets = 0.05, 0.05
+		if rng.IntN(3) == 0 {
+			m.truncatedPart, m.resetPart = 0.05, 0.05
 		}
-		s.members = append(s.members, m)
+		s.memberFaults = append(s.memberFaults, m)
 	}
-	if chance.IntN(3) == 0 { // idle clients fill the descriptors
-		s.clients[silent] = 100
+	if rng.IntN(3) == 0 { // idle clients use all descriptors
+		s.clientCounts[silent] = 100
 		s.sockets = 128
 	}
-	if chance.IntN(2) == 0 {
-		s.hold = 150 * ms
-		kill := min(s.longest, 3*time.Second) + 700*ms
-		for _, at := range []time.Duration{-time.Duration(chance.IntN(140)) * ms, kill - 400*ms, kill - time.Duration(160+chance.IntN(140))*ms} {
-			if chance.IntN(2) == 0 {
-				s.holds = append(s.holds, at)
+	if rng.IntN(2) == 0 {
+		s.pauseDuration = 150 * ms
+		kill := min(s.maxDeadline, 3*time.Second) + 700*ms
+		for _, at := range []time.Duration{-time.Duration(rng.IntN(140)) * ms, kill - 400*ms, kill - time.Duration(160+rng.IntN(140))*ms} {
+			if rng.IntN(2) == 0 {
+				s.pauseTimes = append(s.pauseTimes, at)
 			}
 		}
 	}
-	for range []int{0, 2, 5, 40}[chance.IntN(4)] {
-		s.series = append(s.series, []syscall.Signal{syscall.SIGHUP, syscall.SIGUSR1, syscall.SIGTERM}[chance.IntN(3)])
+	for range []int{0, 2, 5, 40}[rng.IntN(4)] {
+		s.extraSignals = append(s.extraSignals, []syscall.Signal{syscall.SIGHUP, syscall.SIGUSR1, syscall.SIGTERM}[rng.IntN(3)])
 	}
-	s.serves = pick(900*ms, 900*ms, 300*ms, 0)
-	if chance.IntN(3) == 0 {
-		s.drainAt = time.Duration(1+chance.IntN(800)) * ms
+	s.servingTime = pick(900*ms, 900*ms, 300*ms, 0)
+	if rng.IntN(3) == 0 {
+		s.drainAfter = time.Duration(1+rng.IntN(800)) * ms
 	}
 	return s
 }
 
-// run is one scenario under way.
+// run is a running scenario.
 type run struct {
 	scenario
-	t         *testing.T
-	record    *record
-	crowd     *crowd
-	discovery *discovery
-	processes []*process
-	site      string
-	operator  string
+	t            *testing.T
+	record       *record
+	clients      *clientGroup
+	discovery    *discovery
+	processes    []*process
+	siteFile     string
+	operatorFile string
 }
 
 func (s scenario) play(t *testing.T) *run {
 	r := &run{scenario: s, t: t, record: newRecord()}
-	chance := rand.New(rand.NewPCG(s.seed, 11))
-	next := func() *rand.Rand { return rand.New(rand.NewPCG(chance.Uint64(), 3)) }
+	rng := rand.New(rand.NewPCG(s.seed, 11))
+	newRNG := func() *rand.Rand { return rand.New(rand.NewPCG(rng.Uint64(), 3)) }
 	var members []*member
-	for i, what := range s.members {
-		members = append(members, startMember(t, i, r.record, what, next()))
+	for i, faults := range s.memberFaults {
+		members = append(members, startMember(t, i, r.record, faults, newRNG()))
 	}
 	r.discovery = startDiscovery(t, r.record, members)
 	address := freeAddress(t)
-	r.write(address)
-	r.crowd = &crowd{record: r.record, address: address, stop: make(chan struct{}), name: fmt.Sprintf("s%d", s.seed),
-		limits: []time.Duration{s.longest, s.longest * 3 / 4, s.longest / 2}}
-	for number := range s.shutdown {
-		p := startDriver(t, r.record, "--site", r.site, "--operator", r.operator)
+	r.writeFiles(address)
+	r.clients = &clientGroup{record: r.record, address: address, stop: make(chan struct{}), name: fmt.Sprintf("s%d", s.seed),
+		deadlines: []time.Duration{s.maxDeadline, s.maxDeadline * 3 / 4, s.maxDeadline / 2}}
+	for number := range s.shutdowns {
+		p := startDriver(t, r.record, "--site", r.siteFile, "--operator", r.operatorFile)
 		r.processes = append(r.processes, p)
-		r.crowd.deal(number, true)
+		r.clients.directTo(number, true)
 		if number == 0 {
-			for how := range habits {
-				for range s.clients[how] {
-					r.crowd.add(how, next())
+			for behavior := range behaviorCount {
+				for range s.clientCounts[behavior] {
+					r.clients.add(behavior, newRNG())
 				}
 			}
 		}
-		time.Sleep(s.serves)
+		time.Sleep(s.servingTime)
 		r.shutDown(p, number)
 	}
-	close(r.crowd.stop)
-	r.crowd.done.Wait()
+	close(r.clients.stop)
+	r.clients.running.Wait()
 	return r
 }
 
-// write writes the files that the driver is started with.
-func (r *run) write(address string) {
+// writeFiles writes the site file and the operator file of the driver.
+func (r *run) writeFiles(address string) {
 	dir := r.t.TempDir()
-	r.site, r.operator = filepath.Join(dir, "site.json"), filepath.Join(dir, "operator.hcl")
+	r.siteFile, r.operatorFile = filepath.Join(dir, "site.json"), filepath.Join(dir, "operator.hcl")
 	var texts []string
-	for _, c := range classes {
-		text := fmt.Sprintf(`{"name":%q,"effect":%q,"points":1,"target_us":%d,"hard_limit_us":%d`, c.name, c.effect, r.longest.Microseconds()/2, r.longest.Microseconds())
+	for _, c := range methods {
+		text := fmt.Sprintf(`{"name":%q,"effect":%q,"points":1,"target_us":%d,"hard_limit_us":%d`, c.name, c.effect, r.maxDeadline.Microseconds()/2, r.maxDeadline.Microseconds())
 		if c.effect == "keyed" {
-			text += fmt.Sprintf(`,"group":"cell","window_us":%d`, r.window.Microseconds())
+			text += fmt.Sprintf(`,"group":"cell","window_us":%d`, r.idempotencyWindow.Microseconds())
 		}
 		texts = append(texts, text+"}")
 	}
@@ -146,88 +146,89 @@
 	known := r.discovery.list(0)
 	r.discovery.mutex.Unlock()
 	site := fmt.Sprintf(siteText, address, r.discovery.listener.Addr(), r.seed, r.sockets, known, strings.Join(texts, ","))
-	if err := os.WriteFile(r.site, []byte(site), 0o600); err != nil {
+	if err := os.WriteFile(r.siteFile, []byte(site), 0o600); err != nil {
 		r.t.Fatal(err)
 	}
-	if err := os.WriteFile(r.operator, []byte(operatorText), 0o600); err != nil {
+	if err := os.WriteFile(r.operatorFile, []byte(operatorText), 0o600); err != nil {
 		r.t.Fatal(err)
 	}
 }
 
-// shutDown ends one life: SIGTERM among other signals, and SIGKILL at the earliest moment.
+// shutDown ends one process of the driver: it sends SIGTERM among other signals, and SIGKILL at the earliest time at which a platform may send it.
 func (r *run) shutDown(p *process, number int) {
-	var early, late []time.Duration
-	for _, at := range r.holds {
+	var beforeTerm, afterTerm []time.Duration
+	for _, at := range r.pauseTimes {
 		if at < 0 {
-			early = append(early, at)
+			beforeTerm = append(beforeTerm, at)
 		} else {
-			late = append(late, at)
+			afterTerm = append(afterTerm, at)
 		}
 	}
-	for _, at := range early {
-		p.hold(r.hold)
+	for _, at := range beforeTerm {
+		p.pause(r.pauseDuration)
 		time.Sleep(-at)
 	}
-	for _, s := range r.series {
+	for _, s := range r.extraSignals {
 		if s != syscall.SIGTERM {
 			p.signal(s)
 		}
 	}
 	r.record.mutex.Lock()
-	p.life.terminated = time.Now()
+	p.times.terminated = time.Now()
 	r.record.mutex.Unlock()
 	p.signal(syscall.SIGTERM)
-	kill := p.life.terminated.Add(min(r.longest, 3*time.Second) + 700*time.Millisecond)
-	for _, s := range r.series {
+	kill := p.times.terminated.Add(min(r.maxDeadline, 3*time.Second) + 700*time.Millisecond)
+	for _, s := range r.extraSignals {
 		p.signal(s)
 	}
-	for _, at := range late {
-		time.AfterFunc(time.Until(p.life.terminated.Add(at)), func() { p.hold(r.hold) })
+	for _, at := range afterTerm {
+		time.AfterFunc(time.Until(p.times.terminated.Add(at)), func() { p.pause(r.pauseDuration) })
 	}
-	if r.drainAt > 0 && number == 0 {
-		time.AfterFunc(r.drainAt, func() { r.discovery.drain(2) })
+	if r.drainAfter > 0 && number == 0 {
+		time.AfterFunc(r.drainAfter, func() { r.discovery.drain(2) })
 	}
-	time.AfterFunc(300*time.Millisecond, func() { r.crowd.deal(number, false) })
+	time.AfterFunc(300*time.Millisecond, func() { r.clients.directTo(number, false) })
 	time.Sleep(time.Until(kill))
 	r.record.mutex.Lock()
-	p.life.killed = time.Now()
+	p.times.killed = time.Now()
 	r.record.mutex.Unlock()
 	p.signal(syscall.SIGKILL)
 	<-p.ended
 }
 
-// report fails the test for each breach of the rules.
+// report fails the test for each violation of the rules.
 func (r *run) report() {
-	broken := r.record.broken(r.window, r.hold)
-	asked, ok, refused, failed, left, unread := r.record.count()
-	r.t.Logf("seed %d: longest %v, hung %s, holds %v, %d signals, serves %v: %d asked, %d ok, %d refused, %d failed, %d left, %d unread, %d broken",
-		r.seed, r.longest, hung(r.members), r.holds, len(r.series), r.serves, asked, ok, refused, failed, left, unread, len(broken))
-	for i, line := range broken {
+	violations := r.record.violations(r.idempotencyWindow, r.pauseDuration)
+	sent, ok, pushedBack, failed, left, unread := r.record.countOutcomes()
+	r.t.Logf("seed %d: longest deadline %v, hanging members %s, pauses %v, %d signals, serving for %v: %d requests, %d ok, %d pushed back, %d failed, %d left by the client, %d unread, %d violations",
+		r.seed, r.maxDeadline, hangPattern(r.memberFaults), r.pauseTimes, len(r.extraSignals), r.servingTime, sent, ok, pushedBack, failed, left, unread, len(violations))
+	for i, line := range violations {
 		if i == 8 {
-			r.t.Errorf("and %d more", len(broken)-i)
+			r.t.Errorf("and %d more violations", len(violations)-i)
 			break
 		}
 		id, _, _ := strings.Cut(line, " ")
-		about := ""
+		logLines := ""
 		for _, p := range r.processes {
-			about += p.about(id)
+			logLines += p.linesAbout(id)
 		}
-		r.t.Errorf("%s\n%s", line, about)
+		r.t.Errorf("%s\n%s", line, logLines)
 	}
 	for _, p := range r.processes {
-		if n := p.logged("level=ERROR"); n > 0 {
-			r.t.Errorf("%d lines of level ERROR", n)
+		if n := p.countLines("level=ERROR"); n > 0 {
+			r.t.Errorf("the driver logged %d lines of level ERROR", n)
 		}
-		if p.logged(`event="graceful shutdown started"`) != 1 {
-			r.t.Errorf("a driver did not hear SIGTERM once: %d times", p.logged(`event="graceful shutdown started"`))
+		if p.countLines(`event="graceful shutdown started"`) != 1 {
+			r.t.Errorf("a driver started its graceful shutdown %d times, want once", p.countLines(`event="graceful shutdown started"`))
 		}
 	}
-	if ok == 0 && r.serves > 0 && len(broken) == 0 {
-		r.t.Errorf("nothing was served")
+	if ok == 0 && r.servingTime > 0 && len(violations) == 0 {
+		r.t.Errorf("no request was answered well")
 	}
 }
 
-func hung(members []trouble) string {
+// hangPattern shows each member by a letter: - never hangs, H hangs from its start on, h from later on.
+func hangPattern(members []memberFaults) string {
 	out := ""
 	for _, m := range members {
 		switch {
@@ -242,17 +243,17 @@
 	return out
 }
 
-// TestShutdownAnswersAllBeforeTheEarliestKill plays seeded shutdowns: every request that a driver reads gets its final
-// answer before the earliest SIGKILL, and no other rule breaks meanwhile.
+// Random shutdowns by seed: every request that a driver has read has to get its final answer before the earliest SIGKILL, without a violation of
+// the rules for deadlines, drains and duplicates.
 func TestShutdownAnswersAllBeforeTheEarliestKill(t *testing.T) {
 	abreast := make(chan struct{}, 3)
-	for i := range *seeds {
-		seed := *first + uint64(i)
+	for i := range *seedCount {
+		seed := *firstSeed + uint64(i)
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			abreast <- struct{}{}
 			defer func() { <-abreast }()
-			draw(seed).play(t).report()
+			drawScenario(seed).play(t).report()
 		})
 	}
 }
