--- a/cmd/passlab/capacity.go
+++ b/cmd/passlab/capacity.go
@@ -16,22 +16,22 @@
 	"passtack/internal/lab/capacity"
 )
 
-// sweeps measures how what a fleet costs grows with its size.
-type sweeps struct {
-	Sweep   []string      `arg:"" optional:"" help:"Names of sweeps; none: all."`
-	Size    []int         `help:"Only these sizes."`
-	Seeds   string        `help:"A seed, or a range as 1..3." default:"1..3"`
-	Time    time.Duration `help:"What one sweep at one size may take before it is cut off." default:"10m"`
-	Memory  int64         `help:"MB that this process may hold before a sweep is cut off." default:"4096"`
-	Program string        `help:"What sweeps with processes start as drivers." type:"existingfile" placeholder:"FILE"`
-	Out     string        `help:"Folder for rows.csv, rows.parquet, cut.json, tables.md and charts; what it has of other sweeps, sizes and seeds stays." type:"path" default:"docs/results/capacity"`
-	Add     []string      `help:"Folders whose rows are taken in first." type:"existingdir" placeholder:"FOLDER"`
-	List    bool          `help:"Name the sweeps and what they play."`
-	Tables  bool          `help:"Play nothing; write the tables and charts of what the folder has."`
+// sweepCommand measures how the costs of a fleet grow with its size.
+type sweepCommand struct {
+	Sweep   []string      `arg:"" optional:"" help:"Names of the sweeps to run; default: all."`
+	Size    []int         `help:"Run only these sizes."`
+	Seeds   string        `help:"A seed, or a range such as 1..3." default:"1..3"`
+	Time    time.Duration `help:"Time limit for one sweep at one size." default:"10m"`
+	Memory  int64         `help:"Memory limit of this process in MB, above which a sweep is cut off." default:"4096"`
+	Program string        `help:"Program that sweeps with processes start as drivers." type:"existingfile" placeholder:"FILE"`
+	Out     string        `help:"Folder for rows.csv, rows.parquet, cut.json, tables.md and charts; its rows of other sweeps, sizes and seeds are kept." type:"path" default:"docs/results/capacity"`
+	Add     []string      `help:"Folders whose rows are merged in first." type:"existingdir" placeholder:"FOLDER"`
+	List    bool          `help:"List the sweeps and what they play."`
+	Tables  bool          `help:"Run no sweep; write the tables and charts from the rows in the folder."`
 }
 
-// Run plays the sweeps that the flags name and writes their tables and charts.
-func (c *sweeps) Run() error {
+// Run runs the sweeps that the flags name and writes their tables and charts.
+func (c *sweepCommand) Run() error {
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	if c.List {
 		w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
@@ -45,16 +45,16 @@
 		return err
 	}
 	if c.Time < time.Second {
-		return fmt.Errorf("--time %v is under a second", c.Time)
+		return fmt.Errorf("--time is %v, want at least 1s", c.Time)
 	}
 	if c.Memory < 64 {
-		return fmt.Errorf("--memory %d is under 64 MB", c.Memory)
+		return fmt.Errorf("--memory is %d MB, want at least 64", c.Memory)
 	}
-	parts, err := capacity.Pick(capacity.Sweeps(), c.Sweep, c.Size, seeds)
+	runs, err := capacity.Pick(capacity.Sweeps(), c.Sweep, c.Size, seeds)
 	if err != nil {
 		return err
 	}
-	kept, err := capacity.Read(c.Out)
+	results, err := capacity.Read(c.Out)
 	if err != nil {
 		return err
 	}
@@ -63,29 +63,29 @@
 		if err != nil {
 			return err
 		}
-		kept.Add(other.Points, other.Cuts)
+		results.Add(other.Points, other.Cuts)
 	}
 	capacity.Program = c.Program
-	stop, end := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
-	defer end()
+	ctx, stopSignals := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
+	defer stopSignals()
 	if c.Tables {
-		parts = nil
+		runs = nil
 	}
-	points, cuts, err := capacity.Play(stop, capacity.Bounds{Time: c.Time, Memory: c.Memory << 20}, parts, func(done int, p capacity.Part, took time.Duration, cut error) {
-		text := fmt.Sprintf("%d of %d: %s at %d, seed %d, took %.1f s", done, len(parts), p.Sweep.Name, p.Size, p.Seed, took.Seconds())
+	points, cuts, err := capacity.Play(ctx, capacity.Bounds{Time: c.Time, Memory: c.Memory << 20}, runs, func(done int, p capacity.Part, took time.Duration, cut error) {
+		text := fmt.Sprintf("%d of %d: %s at %d, seed %d, took %.1f s", done, len(runs), p.Sweep.Name, p.Size, p.Seed, took.Seconds())
 		if cut != nil {
 			text += ", cut off: " + cut.Error()
 		}
 		fmt.Fprintln(os.Stderr, text)
 	})
-	kept.Add(points, cuts)
-	if len(kept.Points)+len(kept.Cuts) > 0 {
-		if wrong := kept.Keep(c.Out); wrong != nil {
-			return errors.Join(err, wrong)
+	results.Add(points, cuts)
+	if len(results.Points)+len(results.Cuts) > 0 {
+		if writeErr := results.Keep(c.Out); writeErr != nil {
+			return errors.Join(err, writeErr)
 		}
 	}
-	if stop.Err() != nil {
-		return fmt.Errorf("interrupted: what was played whole is kept in %s", c.Out)
+	if ctx.Err() != nil {
+		return fmt.Errorf("interrupted: results of completed sweeps are kept in %s", c.Out)
 	}
-	return errors.Join(err, capacity.Tables(os.Stdout, kept))
+	return errors.Join(err, capacity.Tables(os.Stdout, results))
 }
--- a/cmd/passlab/main.go
+++ b/cmd/passlab/main.go
@@ -1,4 +1,4 @@
-// Command passlab plays experiments: rehearsals over scripts, arms and seeds, kept as tables and charts.
+// Command passlab runs experiments: it plays scripts with several arms and seeds, and writes the results as tables and charts.
 package main
 
 import (
@@ -17,17 +17,18 @@
 	"passtack/internal/lab"
 )
 
-type experiment struct {
-	Scripts []string `arg:"" help:"What is played (HCL)." type:"existingfile"`
-	Seeds   string   `help:"A seed, or a range as 1..20." default:"1..10"`
-	Arm     []string `help:"NAME or NAME:KEY=VALUE;..., what is compared; the first is what the others are held against." sep:"none" default:"as-it-is"`
-	Scale   int      `help:"Times the drivers, groups, sessions and RPCs of each script." default:"1"`
+// experimentCommand plays scripts with several arms and seeds.
+type experimentCommand struct {
+	Scripts []string `arg:"" help:"Scripts to play (HCL)." type:"existingfile"`
+	Seeds   string   `help:"A seed, or a range such as 1..20." default:"1..10"`
+	Arm     []string `help:"An arm of the comparison, as NAME or NAME:KEY=VALUE;...; the others are compared with the first." sep:"none" default:"as-it-is"`
+	Scale   int      `help:"Factor for the drivers, groups, sessions and RPCs of each script." default:"1"`
 	Program string   `help:"Play in real time, with this program as the drivers, one play at a time." type:"existingfile" placeholder:"FILE"`
 	Out     string   `help:"Folder for rows.csv, rows.parquet and utility.png." type:"path" default:"experiment"`
 }
 
-// Run plays each script with each variant and seed and writes the rows and the chart.
-func (c *experiment) Run() error {
+// Run plays each script with each arm and seed and writes the rows and the chart.
+func (c *experimentCommand) Run() error {
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	seeds, err := lab.Seeds(c.Seeds)
 	if err != nil {
@@ -41,40 +42,40 @@
 		}
 		arms = append(arms, arm)
 	}
-	stop, end := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
-	defer end()
-	shown := time.Now()
-	how := lab.How{Scale: c.Scale, Program: c.Program}
+	ctx, stopSignals := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
+	defer stopSignals()
+	lastProgress := time.Now()
+	options := lab.How{Scale: c.Scale, Program: c.Program}
 	if c.Program != "" {
-		how.AtOnce = 1
+		options.AtOnce = 1
 	}
-	rows, err := lab.Play(stop, how, c.Scripts, arms, seeds, func(done, all int, _ lab.Row) {
-		if time.Since(shown) > time.Second {
-			shown = time.Now()
+	rows, err := lab.Play(ctx, options, c.Scripts, arms, seeds, func(done, all int, _ lab.Row) {
+		if time.Since(lastProgress) > time.Second {
+			lastProgress = time.Now()
 			fmt.Fprintf(os.Stderr, "%d of %d played\n", done, all)
 		}
 	})
 	if len(rows) > 0 {
-		if kept := lab.Keep(c.Out, rows); kept != nil {
-			return kept
+		if writeErr := lab.Keep(c.Out, rows); writeErr != nil {
+			return writeErr
 		}
 	}
 	lab.Print(os.Stdout, lab.Summarize(rows))
 	lab.PrintReturns(os.Stdout, rows)
-	if stop.Err() != nil {
-		return fmt.Errorf("interrupted: %d rehearsals are kept", len(rows))
+	if ctx.Err() != nil {
+		return fmt.Errorf("interrupted: the rows of %d rehearsals are kept", len(rows))
 	}
 	return err
 }
 
-// compare pairs the plays of two experiments.
-type compare struct {
+// compareCommand compares the plays of two experiments in pairs.
+type compareCommand struct {
 	First  string `arg:"" help:"Folder of an experiment." type:"existingdir"`
-	Second string `arg:"" help:"Folder of another with the same scripts and seeds." type:"existingdir"`
+	Second string `arg:"" help:"Folder of another experiment with the same scripts and seeds." type:"existingdir"`
 }
 
-// Run holds the rows of two experiments against each other.
-func (c *compare) Run() error {
+// Run compares the rows that both experiments have for the same script and seed.
+func (c *compareCommand) Run() error {
 	var sets [2][]lab.Row
 	for i, folder := range []string{c.First, c.Second} {
 		var err error
@@ -82,21 +83,21 @@
 			return fmt.Errorf("%s: %w", folder, err)
 		}
 	}
-	all := lab.Compare(sets[0], sets[1])
-	if len(all) == 0 {
+	differences := lab.Compare(sets[0], sets[1])
+	if len(differences) == 0 {
 		return fmt.Errorf("%s and %s have no script and seed in common", c.First, c.Second)
 	}
-	lab.PrintDifferences(os.Stdout, all)
+	lab.PrintDifferences(os.Stdout, differences)
 	return nil
 }
 
 func main() {
 	var command struct {
-		Experiment experiment `cmd:"" help:"Play scripts with several arms and seeds, and compare them."`
-		Compare    compare    `cmd:"" help:"Compare two experiments by the plays that they have in common."`
-		Capacity   sweeps     `cmd:"" help:"Play the sweeps behind docs/CAPACITY.md, and fit how each measure grows."`
+		Experiment experimentCommand `cmd:"" help:"Play scripts with several arms and seeds, and compare them."`
+		Compare    compareCommand    `cmd:"" help:"Compare two experiments by the scripts and seeds that they have in common."`
+		Capacity   sweepCommand      `cmd:"" help:"Run the sweeps behind docs/CAPACITY.md, and fit the growth of each measure."`
 	}
-	c := kong.Parse(&command, kong.Name("passlab"), kong.Description("Experiments on rehearsals in simulated time."))
+	c := kong.Parse(&command, kong.Name("passlab"), kong.Description("Runs experiments on rehearsals, in simulated or real time."))
 	if err := c.Run(); err != nil {
 		fmt.Fprintln(os.Stderr, "passlab:", err)
 		os.Exit(1)
--- a/cmd/passtack/config.go
+++ b/cmd/passtack/config.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// configPublish is the command that makes a text the next version, and waits until drivers have it in force.
+// configPublish publishes a configuration as the next version, and waits until drivers have it in force.
 type configPublish struct {
 	controlMachines
 	File string        `arg:"" help:"The configuration (JSON)." type:"existingfile"`
-	From uint64        `help:"The version that the text was made from, where another must not have come meanwhile. 0: the one in force now."`
-	Wait time.Duration `help:"For which the drivers are waited for." default:"4s"`
+	From uint64        `help:"The version that the text is based on; publishing fails if a newer one is committed. 0: the newest version."`
+	Wait time.Duration `help:"How long to wait for the drivers." default:"4s"`
 }
 
 const statusPollInterval = 200 * time.Millisecond
--- a/cmd/passtack/config_client.go
+++ b/cmd/passtack/config_client.go
@@ -28,7 +28,7 @@
 var errNotPublished = errors.New("nothing is published, as no machine writes: a majority of them is down or cut off")
 
 // errMayBePublished is the outcome of a publication whose answer was lost.
-var errMayBePublished = errors.New("no machine said that a majority has it, yet it may be published; see config status")
+var errMayBePublished = errors.New("no control machine confirmed the publication, but it may have been committed; check with config status")
 
 var httpClient = &http.Client{Timeout: requestTimeout}
 
--- a/cmd/passtack/control.go
+++ b/cmd/passtack/control.go
@@ -21,7 +21,7 @@
 
 // controlMachine is the command that runs one of the machines that store the configuration of a fleet.
 type controlMachine struct {
-	Operator string `help:"The operator's file with a block control_machine (HCL)." type:"existingfile" required:"" placeholder:"FILE"`
+	Operator string `help:"The operator's file, with a control_machine block (HCL)." type:"existingfile" required:"" placeholder:"FILE"`
 }
 
 // Run serves until SIGTERM or SIGINT.
--- a/cmd/passtack/full_test.go
+++ b/cmd/passtack/descriptors_test.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// Idle clients hold all descriptors that they may, and the system gives the process no more than its limit: a reload
-// still reads its files, and the driver moves to another discovery and asks there.
+// Guards against a reload that fails for lack of descriptors. Idle clients use all that they may, and the system's limit allows no more: the
+// reload still has to read its files, and the driver has to query the new discovery address.
 func TestReloadReadsFilesWhileClientsUseAllDescriptors(t *testing.T) {
 	const sockets = 48
 	agent, err := net.Listen("tcp", "127.0.0.1:0")
@@ -22,14 +22,14 @@
 		t.Fatal(err)
 	}
 	defer agent.Close()
-	at, file := freeAddress(t), filepath.Join(t.TempDir(), "site.json")
+	address, file := freeAddress(t), filepath.Join(t.TempDir(), "site.json")
 	write := func(discovery string) {
-		text := strings.Replace(fmt.Sprintf(readySite, 1, at, discovery, 1, oldList), `"sockets":256`, fmt.Sprintf(`"sockets":%d`, sockets), 1)
+		text := strings.Replace(fmt.Sprintf(readySiteTemplate, 1, address, discovery, 1, outdatedList), `"sockets":256`, fmt.Sprintf(`"sockets":%d`, sockets), 1)
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	write(freeAddress(t)) // nobody is there
+	write(freeAddress(t)) // nothing listens there
 	c := exec.Command("bash", "-c", fmt.Sprintf(`ulimit -n %d; exec "$0" serve --site "$1"`, sockets), os.Args[0], file)
 	c.Env = append(os.Environ(), "PASSTACK_ITSELF=1")
 	c.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
@@ -53,22 +53,22 @@
 	}()
 	await := func(event string) {
 		t.Helper()
-		for late := time.After(15 * time.Second); ; {
+		for timeout := time.After(15 * time.Second); ; {
 			select {
 			case line, open := <-events:
 				if strings.Contains(line, "event="+event) {
 					return
 				} else if !open {
-					t.Fatal("it has ended")
+					t.Fatal("the driver has ended")
 				}
-			case <-late:
-				t.Fatalf("no %s", event)
+			case <-timeout:
+				t.Fatalf("the driver did not log event=%s within 15 s", event)
 			}
 		}
 	}
 	await("started")
-	for range 2 * sockets { // more than it may hold: the rest wait in the system's queue
-		client, err := net.Dial("tcp", at)
+	for range 2 * sockets { // more than the driver may accept: the rest wait in the system's queue
+		client, err := net.Dial("tcp", address)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -80,7 +80,7 @@
 	agent.(*net.TCPListener).SetDeadline(time.Now().Add(5 * time.Second))
 	call, err := agent.Accept()
 	if err != nil {
-		t.Fatal("the new discovery was not asked:", err)
+		t.Fatal("the new discovery address was not queried:", err)
 	}
 	call.Close()
 }
--- a/cmd/passtack/fleet.go
+++ b/cmd/passtack/fleet.go
@@ -11,7 +11,7 @@
 
 // fleetCommand shows the membership lists of running drivers.
 type fleetCommand struct {
-	Addresses []string `arg:"" name:"at" help:"Control addresses of drivers, as their operator's files name them."`
+	Addresses []string `arg:"" name:"at" help:"Control addresses of drivers, as named in their operator's files."`
 	JSON      bool     `help:"As JSON."`
 }
 
--- a/cmd/passtack/red_test.go
+++ b/cmd/passtack/known_red_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// What CI may pass over is named one by one, and a line that names nothing fails it.
-func TestTestsKnownToFailAreNamed(t *testing.T) {
+// CI may skip the tests that KNOWN-RED.txt names one by one. A line that is malformed or names no existing test has to fail the check.
+func TestKnownRedFileIsChecked(t *testing.T) {
 	const good = "internal/discovery TestCompleteListsAndChanges | it cannot be mended now | issue 1\n"
 	for _, c := range []struct {
 		text, pattern, wrong string
@@ -32,11 +32,11 @@
 		}
 		command := exec.Command("bash", ".ci/known-red", file)
 		command.Dir = "../.."
-		var told strings.Builder
-		command.Stderr = &told
+		var message strings.Builder
+		command.Stderr = &message
 		out, err := command.Output()
-		if string(out) != c.pattern || (err != nil) != (c.wrong != "") || !strings.Contains(told.String(), c.wrong) {
-			t.Errorf("%q gives %q, %v, and says %q", c.text, out, err, told.String())
+		if string(out) != c.pattern || (err != nil) != (c.wrong != "") || !strings.Contains(message.String(), c.wrong) {
+			t.Errorf("%q: output %q, error %v, message %q", c.text, out, err, message.String())
 		}
 	}
 }
--- a/cmd/passtack/leases.go
+++ b/cmd/passtack/leases.go
@@ -15,7 +15,7 @@
 
 // leasesCommand shows who holds which lease, as running drivers see it.
 type leasesCommand struct {
-	At   []string `arg:"" help:"Control addresses of drivers, as their operator's files name them."`
+	At   []string `arg:"" help:"Control addresses of drivers, as named in their operator's files."`
 	JSON bool     `help:"As JSON."`
 }
 
--- a/cmd/passtack/main_test.go
+++ b/cmd/passtack/main_test.go
@@ -12,14 +12,15 @@
 	"passtack/internal/pgwire"
 )
 
-const site = `{"name":"n0","listen":"127.0.0.1:6543","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
+// testSite is the site file of a driver, for tests that need a valid one.
+const testSite = `{"name":"n0","listen":"127.0.0.1:6543","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
 "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
 "settings":{"tick_us":5000,"classes":[{"name":"status-read","effect":"safe","target_us":1000000,"hard_limit_us":2000000},
 {"name":"own-read","effect":"safe","target_us":1000000,"hard_limit_us":2000000},
 {"name":"apply-write","effect":"keyed","window_us":1200000,"target_us":1000000,"hard_limit_us":2000000}],
 "family_info":{"class_read":["recent","own_writes","update"],"lag_allowed_us":[800000,0,0]}}}`
 
-// TestMain is the program itself where a test has started it so.
+// TestMain runs the program instead of the tests if a test has started this binary as passtack.
 func TestMain(m *testing.M) {
 	if os.Getenv("PASSTACK_ITSELF") == "1" {
 		main()
@@ -28,6 +29,7 @@
 	os.Exit(m.Run())
 }
 
+// passtack runs the program with arguments. It returns the output and whether the exit code was 0.
 func passtack(t *testing.T, args ...string) (out string, ok bool) {
 	c := exec.Command(os.Args[0], args...)
 	c.Env = append(os.Environ(), "PASSTACK_ITSELF=1")
@@ -35,28 +37,29 @@
 	return string(text), err == nil
 }
 
+// All mistakes of an operator file are reported at once, each on a line of its own.
 func TestCheck(t *testing.T) {
 	dir := t.TempDir()
-	at := filepath.Join(dir, "site.json")
-	os.WriteFile(at, []byte(site), 0o600)
-	good, err := os.ReadFile("../../deploy/passtack.hcl")
+	siteFile := filepath.Join(dir, "site.json")
+	os.WriteFile(siteFile, []byte(testSite), 0o600)
+	sample, err := os.ReadFile("../../deploy/passtack.hcl")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if out, ok := passtack(t, "check", "--site", at, "--operator", "../../deploy/passtack.hcl"); !ok || !strings.Contains(out, "front=offices protocol=odata") {
-		t.Errorf("the sample: %s", out)
+	if out, ok := passtack(t, "check", "--site", siteFile, "--operator", "../../deploy/passtack.hcl"); !ok || !strings.Contains(out, "front=offices protocol=odata") {
+		t.Errorf("check of deploy/passtack.hcl: %s", out)
 	}
-	bad := filepath.Join(dir, "bad.hcl")
-	os.WriteFile(bad, []byte(strings.NewReplacer("status-read", "lookup", "8080", "6543", "weight = 2", "wait = 2").Replace(string(good))), 0o600)
+	badFile := filepath.Join(dir, "bad.hcl")
+	os.WriteFile(badFile, []byte(strings.NewReplacer("status-read", "lookup", "8080", "6543", "weight = 2", "wait = 2").Replace(string(sample))), 0o600)
 	for _, command := range []string{"check", "serve"} {
-		out, ok := passtack(t, command, "--site", at, "--operator", bad)
-		if lines := strings.Count(out, "\n"); ok || lines != 4 || strings.Count(out, "passtack: "+bad+":") != 4 {
-			t.Errorf("%s with four mistakes says in %d lines: %s", command, lines, out)
+		out, ok := passtack(t, command, "--site", siteFile, "--operator", badFile)
+		if lines := strings.Count(out, "\n"); ok || lines != 4 || strings.Count(out, "passtack: "+badFile+":") != 4 {
+			t.Errorf("%s of a file with four mistakes prints %d lines: %s", command, lines, out)
 		}
 	}
 }
 
-const short = `lasts = "3s"
+const shortScript = `lasts = "3s"
 fleet {
   drivers = 2
   members = 3
@@ -97,33 +100,33 @@
 expect { ok = 0.8 }
 `
 
-// The same script is played in simulated time, and with real drivers as processes on loopback.
+// The same script has to pass in simulated time and with drivers as processes, and a missed expectation has to fail the command.
 func TestRehearse(t *testing.T) {
-	at := filepath.Join(t.TempDir(), "short.hcl")
-	os.WriteFile(at, []byte(short), 0o600)
-	for _, args := range [][]string{{"rehearse", at}, {"rehearse", "--sockets", at}} {
+	scriptFile := filepath.Join(t.TempDir(), "short.hcl")
+	os.WriteFile(scriptFile, []byte(shortScript), 0o600)
+	for _, args := range [][]string{{"rehearse", scriptFile}, {"rehearse", "--sockets", scriptFile}} {
 		out, ok := passtack(t, args...)
 		if !ok || !strings.Contains(out, "tries_ok=") || strings.Contains(out, "broken") {
 			t.Errorf("%v: %s", args, out)
 		}
 		t.Logf("%v: %s", args[:len(args)-1], out)
 	}
-	os.WriteFile(at, []byte(strings.Replace(short, "ok = 0.8", "ok = 1.1", 1)), 0o600)
-	if out, ok := passtack(t, "rehearse", at); ok || !strings.Contains(out, "1 of 1 rehearsals") {
-		t.Errorf("what is expected and missed: %s", out)
+	os.WriteFile(scriptFile, []byte(strings.Replace(shortScript, "ok = 0.8", "ok = 1.1", 1)), 0o600)
+	if out, ok := passtack(t, "rehearse", scriptFile); ok || !strings.Contains(out, "1 of 1 rehearsals") {
+		t.Errorf("rehearsal with a missed expectation: %s", out)
 	}
 }
 
-// A driver that is started with the file that emulate writes serves an RPC from the emulated members.
+// A driver that is started with the site file that emulate writes has to serve an RPC from the emulated members.
 func TestEmulate(t *testing.T) {
 	dir := t.TempDir()
-	script, site := filepath.Join(dir, "short.hcl"), filepath.Join(dir, "site.json")
-	os.WriteFile(script, []byte(short), 0o600)
+	script, siteFile := filepath.Join(dir, "short.hcl"), filepath.Join(dir, "site.json")
+	os.WriteFile(script, []byte(shortScript), 0o600)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	at := l.Addr().String()
+	address := l.Addr().String()
 	l.Close()
 	var children []*exec.Cmd
 	start := func(args ...string) {
@@ -140,16 +143,16 @@
 			c.Wait()
 		}
 	}()
-	start("emulate", script, "--site", site, "--listen", at)
+	start("emulate", script, "--site", siteFile, "--listen", address)
 	for range 200 {
-		if text, err := os.ReadFile(site); err == nil && len(text) > 0 {
+		if text, err := os.ReadFile(siteFile); err == nil && len(text) > 0 {
 			break
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	start("serve", "--site", site)
+	start("serve", "--site", siteFile)
 	for range 100 {
-		c, err := net.Dial("tcp", at)
+		c, err := net.Dial("tcp", address)
 		if err != nil {
 			time.Sleep(20 * time.Millisecond)
 			continue
@@ -162,12 +165,12 @@
 		for !strings.Contains(got, "value of a") {
 			n, err := c.Read(answer)
 			if err != nil {
-				t.Fatalf("the driver answers %q, then %v", got, err)
+				t.Fatalf("the driver answered %q, then %v", got, err)
 			}
 			got += string(answer[:n])
 		}
 		c.Close()
 		return
 	}
-	t.Fatal("the driver does not listen")
+	t.Fatal("the driver did not listen within 2 s")
 }
--- a/cmd/passtack/ready_test.go
+++ b/cmd/passtack/ready_test.go
@@ -16,28 +16,29 @@
 	"passtack/internal/pgwire"
 )
 
-// readySite is a driver's file, with an old list of members that are gone or with none.
-const readySite = `{"name":"n%d","listen":"%s","discovery":"%s","seed":"%x","limits":{"cores":0.2,"memory_mb":64,"sockets":256},
+// readySiteTemplate is a site file, whose initial endpoint list is outdated or missing.
+const readySiteTemplate = `{"name":"n%d","listen":"%s","discovery":"%s","seed":"%x","limits":{"cores":0.2,"memory_mb":64,"sockets":256},
 "known":%s,"settings":{"areas":["a"],"balancers":30,"tick_us":5000,"registry_mode":"automatic",
 "caps":{"connect_timeout_us":250000,"idle_close_us":15000000,"max_retry_after_us":1000000,"may_cancel":true,"most_tries":8},
 "classes":[{"name":"look","effect":"safe","group":"all","hard_limit_us":2500000,"late_worth":0.2,"points":3.0,"target_us":1000000}],
 "family_info":{"behind":"hold","class_read":["recent"],"lag_allowed_us":[800000],"write_marks":"client"}}}`
 
-const oldList = `{"rev":1,"all":true,"targets":[{"uid":"s-1","endpoint":"127.0.0.1:9","az":"a","pod_group":0,"state":"in_service","capacity_hint":1,"boot_ms":0}]}`
+// outdatedList is an endpoint list whose only member does not exist.
+const outdatedList = `{"rev":1,"all":true,"targets":[{"uid":"s-1","endpoint":"127.0.0.1:9","az":"a","pod_group":0,"state":"in_service","capacity_hint":1,"boot_ms":0}]}`
 
-// answersReady tells how long it takes until an empty query is answered at the address, as the front asks it.
-func answersReady(at string, began time.Time) time.Duration {
-	for time.Since(began) < 30*time.Second {
-		if took, ok := reportsReady(at, began); ok {
+// timeUntilReady returns the time until the driver answers an empty query, with which the platform's front checks whether it is ready.
+func timeUntilReady(address string, startedAt time.Time) time.Duration {
+	for time.Since(startedAt) < 30*time.Second {
+		if took, ok := isReady(address, startedAt); ok {
 			return took
 		}
-		time.Sleep(20 * time.Millisecond) // it is not there yet; the front comes again too
+		time.Sleep(20 * time.Millisecond) // the platform's front retries as well
 	}
 	return 30 * time.Second
 }
 
-func reportsReady(at string, began time.Time) (time.Duration, bool) {
-	c, err := net.DialTimeout("tcp", at, time.Second)
+func isReady(address string, startedAt time.Time) (time.Duration, bool) {
+	c, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
 		return 0, false
 	}
@@ -51,7 +52,7 @@
 			return 0, false
 		}
 		if head[0] == 'I' {
-			return time.Since(began), true
+			return time.Since(startedAt), true
 		}
 		if _, err := r.Discard(int(head[3])<<8 + int(head[4]) - 4); err != nil {
 			return 0, false
@@ -59,31 +60,31 @@
 	}
 }
 
-// Nine in ten of thirty drivers that start at one moment are ready within 10 s, and all within 30 s, while discovery refuses
-// or says nothing, with an old list or none; and again after all were killed.
+// Thirty drivers start at once while discovery rejects connections or does not answer, with an outdated endpoint list or none, and start once more
+// after all were killed. 90 % of them have to be ready within 10 s, and all within 30 s.
 func TestDriversAreReadyInTime(t *testing.T) {
 	const drivers = 30
-	silent, err := net.Listen("tcp", "127.0.0.1:0") // it takes connections into its queue and says nothing
+	silent, err := net.Listen("tcp", "127.0.0.1:0") // connections wait in its queue and are never answered
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer silent.Close()
 	for name, c := range map[string]struct{ discovery, known string }{
-		"silent, an old list": {silent.Addr().String(), oldList}, "silent, no list": {silent.Addr().String(), "null"},
-		"refuses, no list": {freeAddress(t), "null"},
+		"silent, outdated list": {silent.Addr().String(), outdatedList}, "silent, no list": {silent.Addr().String(), "null"},
+		"rejecting, no list": {freeAddress(t), "null"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var files, at []string
+			var files, addresses []string
 			for i := range drivers {
-				at = append(at, freeAddress(t))
+				addresses = append(addresses, freeAddress(t))
 				files = append(files, filepath.Join(t.TempDir(), "site.json"))
-				text := fmt.Sprintf(readySite, i, at[i], c.discovery, i+1, c.known)
+				text := fmt.Sprintf(readySiteTemplate, i, addresses[i], c.discovery, i+1, c.known)
 				if err := os.WriteFile(files[i], []byte(text), 0o600); err != nil {
 					t.Fatal(err)
 				}
 			}
 			for range 2 {
-				began, took := time.Now(), make(chan time.Duration, drivers)
+				startedAt, took := time.Now(), make(chan time.Duration, drivers)
 				var running []*exec.Cmd
 				for i := range drivers {
 					p := exec.Command(os.Args[0], "serve", "--site", files[i])
@@ -93,20 +94,20 @@
 						t.Fatal(err)
 					}
 					running = append(running, p)
-					go func() { took <- answersReady(at[i], began) }()
+					go func() { took <- timeUntilReady(addresses[i], startedAt) }()
 				}
-				var all []time.Duration
+				var times []time.Duration
 				for range drivers {
-					all = append(all, <-took)
+					times = append(times, <-took)
 				}
 				for _, p := range running {
 					p.Process.Kill()
 					p.Wait()
 				}
-				slices.Sort(all)
-				t.Logf("ready after %v (half), %v (nine in ten), %v (all)", all[drivers/2], all[drivers*9/10-1], all[drivers-1])
-				if all[drivers*9/10-1] > 10*time.Second || all[drivers-1] >= 30*time.Second {
-					t.Errorf("ready after %v (nine in ten), %v (all)", all[drivers*9/10-1], all[drivers-1])
+				slices.Sort(times)
+				t.Logf("ready after %v (50 %%), %v (90 %%), %v (all)", times[drivers/2], times[drivers*9/10-1], times[drivers-1])
+				if times[drivers*9/10-1] > 10*time.Second || times[drivers-1] >= 30*time.Second {
+					t.Errorf("ready after %v (90 %%), want 10 s at most; %v (all), want less than 30 s", times[drivers*9/10-1], times[drivers-1])
 				}
 			}
 		})
--- a/cmd/passtack/rehearse.go
+++ b/cmd/passtack/rehearse.go
@@ -14,15 +14,15 @@
 
 // rehearseCommand plays scripts of load and faults, in simulated time or with processes.
 type rehearseCommand struct {
-	Scripts []string `arg:"" help:"What is played (HCL), as those under deploy/rehearsals." type:"existingfile"`
-	Seed    uint64   `help:"Of all chance; the same seed gives the same course." default:"1"`
-	Times   int      `help:"How many seeds are played, from that one on." default:"1"`
-	Scale   int      `help:"Times the script's drivers, groups, sessions and RPCs." default:"1"`
+	Scripts []string `arg:"" help:"Scripts to play (HCL), such as those under deploy/rehearsals." type:"existingfile"`
+	Seed    uint64   `help:"Seed of all random numbers; the same seed gives the same course of events." default:"1"`
+	Times   int      `help:"Number of seeds to play, starting with --seed." default:"1"`
+	Scale   int      `help:"Factor for the drivers, groups, sessions and RPCs of each script." default:"1"`
 	Log     bool     `help:"Show the drivers' log lines."`
-	Sockets bool     `help:"Play in real time on loopback addresses, with drivers as processes of their own."`
+	Sockets bool     `help:"Play in real time on loopback addresses, with drivers as processes."`
 	Older   string   `help:"An older build of the program, for the drivers that a script names as older." type:"existingfile" placeholder:"FILE"`
-	Table   bool     `help:"Print what clients, members and discovery saw in each second."`
-	Course  bool     `help:"Print what happened to drivers, members and discovery, in one time line."`
+	Table   bool     `help:"Print what clients, members and discovery observed in each second."`
+	Course  bool     `help:"Print the events of drivers, members and discovery in order of time."`
 }
 
 // play plays one script with one seed.
@@ -74,17 +74,17 @@
 		}
 	}
 	if missed > 0 {
-		return fmt.Errorf("%d of %d rehearsals broke a rule or missed what was expected", missed, len(scripts)*max(c.Times, 1))
+		return fmt.Errorf("%d of %d rehearsals broke a rule or missed an expectation", missed, len(scripts)*max(c.Times, 1))
 	}
 	return nil
 }
 
 // emulateCommand serves the members and the discovery of a script, for a driver that is started by hand.
 type emulateCommand struct {
-	Script string `arg:"" help:"Whose members and troubles are served (HCL)." type:"existingfile"`
-	Seed   uint64 `help:"Of all chance." default:"1"`
-	Listen string `help:"Where the driver of the written file is to listen." default:"127.0.0.1:6543"`
-	Site   string `help:"The file to write, with which a driver can be started." default:"site.json"`
+	Script string `arg:"" help:"Script whose members and faults are emulated (HCL)." type:"existingfile"`
+	Seed   uint64 `help:"Seed of all random numbers." default:"1"`
+	Listen string `help:"Listen address of the driver in the written site file." default:"127.0.0.1:6543"`
+	Site   string `help:"Site file to write, with which a driver can be started." default:"site.json"`
 }
 
 // Run serves until it is interrupted.
@@ -95,7 +95,7 @@
 	}
 	listen, err := netip.ParseAddrPort(c.Listen)
 	if err != nil {
-		return fmt.Errorf("listen %q is no address with a port", c.Listen)
+		return fmt.Errorf("--listen is %q, want an IP address with a port", c.Listen)
 	}
 	return play.Emulate(s, c.Seed, listen, c.Site, os.Stdout)
 }
--- a/cmd/passtack/lives_test.go
+++ b/cmd/passtack/restart_test.go
@@ -26,7 +26,7 @@
 	"passtack/internal/storage"
 )
 
-// primary is a member that keeps the statements it was sent, but for those that only look.
+// primary is a stand-in for a primary. It records the statements it receives, except empty queries.
 type primary struct {
 	listener net.Listener
 	mutex    sync.Mutex
@@ -68,11 +68,11 @@
 	if _, err := read(); err != nil {
 		return
 	}
-	told := func() []byte {
+	parameters := func() []byte {
 		out := pgwire.AppendParameter(nil, "node_role", "leader")
 		return pgwire.AppendParameter(out, "replay_position", fmt.Sprint(time.Now().UnixMilli()))
 	}
-	c.Write(append(told(), pgwire.AppendWelcome(nil, 1, 1)...))
+	c.Write(append(parameters(), pgwire.AppendWelcome(nil, 1, 1)...))
 	for {
 		kind, err := in.ReadByte()
 		if err != nil || kind != 'Q' {
@@ -84,7 +84,7 @@
 		}
 		statement := strings.TrimRight(string(text), "\x00")
 		if statement == "" {
-			c.Write(pgwire.AppendReady(append(told(), pgwire.AppendHead(nil, 'I', 0)...)))
+			c.Write(pgwire.AppendReady(append(parameters(), pgwire.AppendHead(nil, 'I', 0)...)))
 			continue
 		}
 		p.mutex.Lock()
@@ -96,7 +96,7 @@
 		out = append(pgwire.AppendHead(out, 'D', 6+len(doc)), 0, 1, 0, 0, byte(len(doc)>>8), byte(len(doc)))
 		out = append(out, doc...)
 		out = append(pgwire.AppendHead(out, 'C', 9), "SELECT 1\x00"...)
-		c.Write(pgwire.AppendReady(append(out, told()...)))
+		c.Write(pgwire.AppendReady(append(out, parameters()...)))
 	}
 }
 
@@ -110,26 +110,26 @@
 	return l.Addr().String()
 }
 
-// process is a driver that a test has started.
+// process is the program, started by a test.
 type process struct {
 	command *exec.Cmd
-	log     *said
+	log     *logBuffer
 	ended   chan error
 }
 
-// said is a log that is read while it is written.
-type said struct {
+// logBuffer is a log that can be read while it is written.
+type logBuffer struct {
 	mutex sync.Mutex
 	text  strings.Builder
 }
 
-func (s *said) add(line string) {
+func (s *logBuffer) add(line string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.text.WriteString(line + "\n")
 }
 
-func (s *said) String() string {
+func (s *logBuffer) String() string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.text.String()
@@ -141,7 +141,7 @@
 	return startProcess(t, append([]string{"serve"}, args...)...)
 }
 
-// startProcess starts the program and waits until it says that it has started.
+// startProcess starts the program and waits until it logs that it is started.
 func startProcess(t *testing.T, args ...string) *process {
 	t.Helper()
 	c := exec.Command(os.Args[0], args...)
@@ -154,7 +154,7 @@
 	if err := c.Start(); err != nil {
 		t.Fatal(err)
 	}
-	p := &process{c, new(said), make(chan error, 1)}
+	p := &process{c, new(logBuffer), make(chan error, 1)}
 	serves := make(chan bool, 1)
 	go func() {
 		lines := bufio.NewScanner(out)
@@ -171,7 +171,7 @@
 	case <-serves:
 	case <-time.After(20 * time.Second):
 		p.kill()
-		t.Fatalf("it does not serve: %s", p.log)
+		t.Fatalf("the program did not start within 20 s: %s", p.log)
 	}
 	return p
 }
@@ -192,10 +192,10 @@
 "family_info":{"answers_stamped":true,"behind":"hold","class_read":["recent","own_writes","update"],"lag_allowed_us":[800000,0,0],"write_marks":"client"},
 "report":{"columns":["x0","x1"],"how":"inline"}}}`
 
-// A repeatable create whose driver is killed behind the answer is not done again by the next life: the answer is told anew. A request that the
-// folder does not know is refused once it may have run and its group has forgotten.
-func TestRepeatsSurviveAKill(t *testing.T) {
-	dir, member, front, ask := t.TempDir(), startPrimary(t), freeAddress(t), freeAddress(t)
+// A driver is killed after it has answered an idempotent create. After the restart it has to replay the answer to a repeat instead of executing it
+// again, and reject an unknown request that was first sent before the records it has, as that may have been executed.
+func TestIdempotentRequestsSurviveKill(t *testing.T) {
+	dir, member, frontAddress, controlAddress := t.TempDir(), startPrimary(t), freeAddress(t), freeAddress(t)
 	folder := filepath.Join(dir, "state")
 	os.Mkdir(folder, 0o700)
 	siteFile, operatorFile := filepath.Join(dir, "site.json"), filepath.Join(dir, "operator.hcl")
@@ -221,9 +221,9 @@
     }
   }
 }
-`, folder, ask, front), 0o600)
+`, folder, controlAddress, frontAddress), 0o600)
 	create := func(id string, firstSent time.Time) (status int, body, result string) {
-		r, _ := http.NewRequest("POST", "http://"+front+"/odata/Applications", strings.NewReader(`{"Id":"a1","Status":"new"}`))
+		r, _ := http.NewRequest("POST", "http://"+frontAddress+"/odata/Applications", strings.NewReader(`{"Id":"a1","Status":"new"}`))
 		r.Header.Set("Content-Type", "application/json")
 		r.Header.Set("Repeatability-Request-ID", id)
 		r.Header.Set("Repeatability-First-Sent", firstSent.UTC().Format(http.TimeFormat))
@@ -239,41 +239,41 @@
 	sent := time.Now()
 	status, body, result := create("5d9f0e2a", sent)
 	if status != 201 || result != "accepted" {
-		t.Fatalf("the create: %d %s %s\n%s", status, body, result, first.log)
+		t.Fatalf("first create: %d %s %s\n%s", status, body, result, first.log)
 	}
 	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(20 * time.Millisecond) {
 		if f, err := readSavedState(folder); err == nil && len(f.Requests["offices"]) == 1 {
 			break
 		}
 		if time.Now().After(deadline) {
-			t.Fatalf("the answer is not kept: %s", first.log)
+			t.Fatalf("the answer was not saved within 10 s: %s", first.log)
 		}
 	}
 	first.kill()
 	second := serveProcess(t, "--site", siteFile, "--operator", operatorFile)
 	if !strings.Contains(second.log.String(), `event="idempotent requests restored" front=offices requests=1`) {
-		t.Errorf("nothing is restored: %s", second.log)
+		t.Errorf("no idempotent request was restored: %s", second.log)
 	}
 	if again, told, result := create("5d9f0e2a", sent); again != status || told != body || result != "accepted" {
-		t.Errorf("the repeat: %d %s %s, the first was %d %s", again, told, result, status, body)
+		t.Errorf("repeat: %d %s %s, the first answer was %d %s", again, told, result, status, body)
 	}
 	if status, told, _ := create("of-before", sent.Add(-time.Minute)); status != 412 {
-		t.Errorf("what may have run long ago: %d %s", status, told)
+		t.Errorf("request that may have been executed long ago: %d %s, want 412", status, told)
 	}
 	member.mutex.Lock()
 	defer member.mutex.Unlock()
 	if len(member.writes) != 1 {
-		t.Errorf("the member was sent %q", member.writes)
+		t.Errorf("the member received %q, want one statement", member.writes)
 	}
-	if out, ok := passtack(t, "status", ask); !ok || !strings.Contains(out, "save") || !strings.Contains(out, "repeats_replayed") {
+	if out, ok := passtack(t, "status", controlAddress); !ok || !strings.Contains(out, "save") || !strings.Contains(out, "repeats_replayed") {
 		t.Errorf("status: %s", out)
 	}
 }
 
-// A driver bounded to 32 MB takes back what it knew of 10,000 members and 100,000 sessions, and keeps it.
-func TestALargeStateFitsASmallDriver(t *testing.T) {
+// A driver with a memory limit of 32 MB has to restore the state of 10,000 members and 100,000 sessions, and save it again within the limit.
+func TestLargeStateFitsSmallDriver(t *testing.T) {
 	const members, sessions = 10_000, 100_000
-	dir, ask := t.TempDir(), freeAddress(t)
+	dir, controlAddress := t.TempDir(), freeAddress(t)
 	folder := filepath.Join(dir, "state")
 	os.Mkdir(folder, 0o700)
 	store, _, err := persist.Open(folder, "n0", 32<<20)
@@ -307,26 +307,26 @@
 	known, _ := json.Marshal(map[string]any{"rev": 1, "all": true, "targets": targets})
 	siteFile, operatorFile := filepath.Join(dir, "site.json"), filepath.Join(dir, "operator.hcl")
 	os.WriteFile(siteFile, fmt.Appendf(nil, siteTemplate, freeAddress(t), 32, known), 0o600)
-	os.WriteFile(operatorFile, fmt.Appendf(nil, "state {\n folder = %q\n every = \"100ms\"\n}\ncontrol { listen = %q }\n", folder, ask), 0o600)
+	os.WriteFile(operatorFile, fmt.Appendf(nil, "state {\n folder = %q\n every = \"100ms\"\n}\ncontrol { listen = %q }\n", folder, controlAddress), 0o600)
 	p := serveProcess(t, "--site", siteFile, "--operator", operatorFile)
 	if !strings.Contains(p.log.String(), "members=10000 sessions=100000") {
 		t.Errorf("restored: %s", p.log.String()[:min(2000, len(p.log.String()))])
 	}
-	most := 0
-	for range 60 { // it saves meanwhile
-		most = max(most, memory(t, p.command.Process.Pid))
+	maxMemory := 0
+	for range 60 { // the driver saves in the meantime
+		maxMemory = max(maxMemory, anonymousMemory(t, p.command.Process.Pid))
 		time.Sleep(50 * time.Millisecond)
 	}
 	var s node.Status
-	for range 300 { // and has saved once: on a busy machine its background work waits longer
-		if err := control.Query(ask, "status", &s); err != nil {
+	for range 300 { // until it has saved once: on a busy machine its background jobs are delayed
+		if err := control.Query(controlAddress, "status", &s); err != nil {
 			t.Fatal(err)
 		}
 		if s.Counters["state_saves"] > 0 {
 			break
 		}
 		time.Sleep(50 * time.Millisecond)
-		most = max(most, memory(t, p.command.Process.Pid))
+		maxMemory = max(maxMemory, anonymousMemory(t, p.command.Process.Pid))
 	}
 	longest := 0.0
 	for _, c := range s.Jobs {
@@ -335,28 +335,28 @@
 			t.Logf("save: %+v", c)
 		}
 	}
-	t.Logf("%d MB at most, %d saves, the longest slice %.1f ms", most>>10, s.Counters["state_saves"], longest)
-	if most > 32<<10 || s.Counters["state_saves"] == 0 || s.Counters["state_failures"] > 0 {
-		t.Errorf("%d kB, %v", most, s.Counters)
+	t.Logf("at most %d MB resident, %d saves, the longest slice %.1f ms", maxMemory>>10, s.Counters["state_saves"], longest)
+	if maxMemory > 32<<10 || s.Counters["state_saves"] == 0 || s.Counters["state_failures"] > 0 {
+		t.Errorf("at most %d kB resident, counters %v", maxMemory, s.Counters)
 	}
 }
 
-// memory gives the resident kB of a process that are its own, not pages of its program.
-func memory(t *testing.T, pid int) (own int) {
+// anonymousMemory returns the resident memory of a process in kB, without pages of its program file.
+func anonymousMemory(t *testing.T, pid int) (size int) {
 	t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for line := range strings.Lines(string(text)) {
-		fmt.Sscanf(line, "RssAnon: %d kB", &own)
+		fmt.Sscanf(line, "RssAnon: %d kB", &size)
 	}
-	return own
+	return size
 }
 
-// A voter whose folder belongs to another driver starts all the same, and goes on without it.
+// A voter whose lease folder belongs to another driver has to start without it, and log that its lease storage is unusable.
 func TestUnusableLeaseStorageIsReported(t *testing.T) {
-	dir, talks, ask := t.TempDir(), freeAddress(t), freeAddress(t)
+	dir, peerAddress, controlAddress := t.TempDir(), freeAddress(t), freeAddress(t)
 	folder := filepath.Join(dir, "votes")
 	os.Mkdir(folder, 0o700)
 	store, _, err := persist.Open(folder, "another", 1<<20)
@@ -368,7 +368,7 @@
 	}
 	store.Close()
 	siteFile, operatorFile := filepath.Join(dir, "site.json"), filepath.Join(dir, "operator.hcl")
-	text := strings.Replace(fmt.Sprintf(siteTemplate, freeAddress(t), 64, `{"rev":1,"all":true,"targets":[]}`), `"limits"`, fmt.Sprintf(`"peer_listen":%q,"peers_all":"127.0.0.1:1","peers":[%q],"limits"`, talks, talks), 1)
+	text := strings.Replace(fmt.Sprintf(siteTemplate, freeAddress(t), 64, `{"rev":1,"all":true,"targets":[]}`), `"limits"`, fmt.Sprintf(`"peer_listen":%q,"peers_all":"127.0.0.1:1","peers":[%q],"limits"`, peerAddress, peerAddress), 1)
 	os.WriteFile(siteFile, []byte(text), 0o600)
 	os.WriteFile(operatorFile, fmt.Appendf(nil, `control { listen = %q }
 leases {
@@ -379,18 +379,18 @@
   task "watch-discovery" {}
 }
 view { fleet = "f" }
-`, ask, folder), 0o600)
+`, controlAddress, folder), 0o600)
 	p := serveProcess(t, "--site", siteFile, "--operator", operatorFile)
 	if !strings.Contains(p.log.String(), `event="lease storage unusable"`) {
-		t.Errorf("it does not tell: %s", p.log)
+		t.Errorf("the driver did not log that its lease storage is unusable: %s", p.log)
 	}
-	if out, ok := passtack(t, "leases", ask); !ok || !strings.Contains(out, "n1: never heard") || !strings.Contains(out, "watch-discovery") {
+	if out, ok := passtack(t, "leases", controlAddress); !ok || !strings.Contains(out, "n1: never heard") || !strings.Contains(out, "watch-discovery") {
 		t.Errorf("leases: %s", out)
 	}
-	if out, ok := passtack(t, "fleet", ask); !ok || !strings.Contains(out, "1 of 1 membership lists agree") {
+	if out, ok := passtack(t, "fleet", controlAddress); !ok || !strings.Contains(out, "1 of 1 membership lists agree") {
 		t.Errorf("fleet: %s", out)
 	}
 	if out, ok := passtack(t, "fleet", "127.0.0.1:1"); ok || !strings.Contains(out, "127.0.0.1:1: ") {
-		t.Errorf("nobody: %s", out)
+		t.Errorf("fleet of an address where nothing listens: %s", out)
 	}
 }
--- a/cmd/passtack/serve.go
+++ b/cmd/passtack/serve.go
@@ -12,17 +12,17 @@
 
 // siteFiles are the files that a driver reads at its start.
 type siteFiles struct {
-	Site     string `help:"What a driver is told at its start, as JSON." env:"BALANCER_CONFIG" type:"existingfile" required:""`
-	Operator string `help:"The operator's own file (HCL): fronts beside the platform's, their limits, the log." type:"existingfile" placeholder:"FILE"`
+	Site     string `help:"The driver's site file (JSON)." env:"BALANCER_CONFIG" type:"existingfile" required:""`
+	Operator string `help:"The operator's file (HCL): additional fronts, their limits, the log." type:"existingfile" placeholder:"FILE"`
 }
 
-// read returns both files, checked.
-func (p *siteFiles) read() (*node.Site, *config.File, error) {
-	site, err := node.ReadSite(p.Site, os.Getenv)
+// read reads and checks both files.
+func (f *siteFiles) read() (*node.Site, *config.File, error) {
+	site, err := node.ReadSite(f.Site, os.Getenv)
 	if err != nil {
 		return nil, nil, err
 	}
-	site.ConfigFile = p.Operator
+	site.ConfigFile = f.Operator
 	config, err := site.ReadConfig()
 	return site, config, err
 }
@@ -30,7 +30,7 @@
 // serveCommand runs a driver.
 type serveCommand struct{ siteFiles }
 
-// Run serves clients until a signal has stopped the driver.
+// Run serves clients until a signal shuts the driver down.
 func (c *serveCommand) Run() error {
 	signal.Ignore(syscall.SIGHUP) // there is nothing to reload until the driver serves
 	site, config, err := c.read()
@@ -44,10 +44,10 @@
 	return n.Run()
 }
 
-// checkCommand checks what a driver would be told, without serving.
+// checkCommand checks the files of a driver without serving.
 type checkCommand struct {
 	siteFiles
-	Configuration string `help:"What is to be published for the fleet (JSON): whether this driver could take it." type:"existingfile" placeholder:"FILE"`
+	Configuration string `help:"Also check whether this driver could apply a configuration that is to be published (JSON)." type:"existingfile" placeholder:"FILE"`
 }
 
 // Run reads the files, and the configuration to be published if one is named, and prints what a driver would serve.
--- a/cmd/passtack/state.go
+++ b/cmd/passtack/state.go
@@ -58,7 +58,7 @@
 
 // stateShow implements "passtack state show".
 type stateShow struct {
-	Folder string `arg:"" help:"The directory, as the operator's file names it." type:"existingdir"`
+	Folder string `arg:"" help:"The state directory, as named in the operator's file." type:"existingdir"`
 	JSON   bool   `help:"As JSON."`
 }
 
@@ -117,7 +117,7 @@
 
 // stateVerify implements "passtack state verify". It fails if a file is damaged.
 type stateVerify struct {
-	Folder string `arg:"" help:"The directory, as the operator's file names it." type:"existingdir"`
+	Folder string `arg:"" help:"The state directory, as named in the operator's file." type:"existingdir"`
 }
 
 // Run fails where a file of the directory cannot be read.
@@ -136,8 +136,8 @@
 
 // stateExport implements "passtack state export".
 type stateExport struct {
-	Folder string `arg:"" help:"The directory, as the operator's file names it." type:"existingdir"`
-	Of     string `help:"What is written: members or sessions." enum:"members,sessions" default:"members"`
+	Folder string `arg:"" help:"The state directory, as named in the operator's file." type:"existingdir"`
+	Of     string `help:"What to export: members or sessions." enum:"members,sessions" default:"members"`
 }
 
 // Run writes the members or sessions as CSV to standard output.
@@ -184,8 +184,8 @@
 
 // statePrune implements "passtack state prune".
 type statePrune struct {
-	Folder string        `arg:"" help:"The directory, as the operator's file names it." type:"existingdir"`
-	Older  time.Duration `help:"Members and sessions that have not changed for longer are deleted." default:"24h"`
+	Folder string        `arg:"" help:"The state directory, as named in the operator's file." type:"existingdir"`
+	Older  time.Duration `help:"Delete members and sessions that have not changed for longer." default:"24h"`
 }
 
 // maxPrunedSize is the size in bytes up to which any directory can be pruned: no driver's limit is larger.
--- a/cmd/passtack/state_test.go
+++ b/cmd/passtack/state_test.go
@@ -12,7 +12,7 @@
 	"passtack/internal/storage"
 )
 
-// A state directory is shown while its driver uses it, and damaged files are named.
+// The commands read a state directory while its driver uses it, and verify names the damaged file.
 func TestStateIsShownAndVerified(t *testing.T) {
 	path := t.TempDir()
 	s, _, err := persist.Open(path, "n0", 1<<20)
@@ -62,7 +62,7 @@
 	}
 }
 
-// What the commands print of a directory that an earlier version wrote is read by scripts and stays as it was.
+// Scripts read the output of the state commands: for a directory that an earlier version wrote it has to stay byte for byte the same.
 func TestOutputOfStateCommandsIsUnchanged(t *testing.T) {
 	const directory = "../../internal/persist/testdata/folder"
 	for _, c := range []struct {
--- a/cmd/passtack/status.go
+++ b/cmd/passtack/status.go
@@ -16,7 +16,7 @@
 
 // statusCommand shows the state of a running driver.
 type statusCommand struct {
-	At   string `arg:"" help:"Its control address, as the operator's file names it."`
+	At   string `arg:"" help:"Control address of the driver, as named in its operator's file."`
 	JSON bool   `help:"As JSON."`
 }
 
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,4 +1,4 @@
-// Command simhost puts the decision module on the simulator's wire.
+// Command simhost serves the decision module to the simulator, over its wire protocol on standard input and output.
 package main
 
 import (
