--- a/internal/front/odata/connection.go
+++ b/internal/front/odata/connection.go
@@ -110,7 +110,7 @@
 // serve starts a request. It may be answered during the call.
 func (c *connection) serve(r *httpwire.Request) {
 	f := c.front
-	e := &exchange{connection: c, omitBody: string(r.Verb) == "HEAD", closeAfter: r.Last, version: "4.01", starting: true}
+	e := &exchange{connection: c, omitBody: string(r.Verb) == "HEAD", closeAfter: r.CloseAfter, version: "4.01", starting: true}
 	c.BeginRequest()
 	c.exchange = e
 	httpReq := &httpRequest{verb: string(r.Verb), target: string(r.Target), fields: r.Fields, body: r.Body, receivedAt: c.Stream.ArrivedAt(r.Size)}
@@ -125,7 +125,7 @@
 		f.serveBatch(e, httpReq)
 	default:
 		req.exchange, e.request = e, req
-		f.send(req, f.deadline(httpReq, req.operation.Most), 0, req.operation.Method)
+		f.send(req, f.deadline(httpReq, req.operation.MaxDeadline), 0, req.operation.Method)
 	}
 	e.starting = false
 }
--- a/internal/front/odata/request.go
+++ b/internal/front/odata/request.go
@@ -34,7 +34,7 @@
 // operationRequest holds the operation that a request asks for, from its target, header fields and body.
 type operationRequest struct {
 	resource  odata.Resource
-	act       odata.Act
+	act       odata.OperationKind
 	operation *odata.Operation
 	group     driver.Group
 	form      driver.Form // protocol of the group's members
--- a/internal/lab/capacity/driver_state.go
+++ b/internal/lab/capacity/driver_state.go
@@ -439,7 +439,7 @@
 
 // connect adds clients until the given number is connected.
 func (r *rawPeers) connect(clients int) error {
-	first := pgwire.AppendFirst(nil, "app", "shop")
+	first := pgwire.AppendStartup(nil, "app", "shop")
 	from := len(r.clients)
 	for len(r.clients) < clients {
 		fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
@@ -473,7 +473,7 @@
 
 // sendStatements sends one statement from each client and waits until all have reached a member.
 func (r *rawPeers) sendStatements() error {
-	welcome := pgwire.AppendWelcome(nil, 1, 1)
+	welcome := pgwire.AppendAuthenticationOK(nil, 1, 1)
 	for n, fd := range r.clients {
 		text := fmt.Sprintf("/* id=r%d,c=look,d=60000,cluster=%d */ SELECT doc FROM items WHERE id = 's%d'", n, n, n)
 		if _, err := unix.Write(fd, append(append(pgwire.AppendHead(nil, 'Q', len(text)+1), text...), 0)); err != nil {
--- a/internal/lab/capacity/driver_testbed.go
+++ b/internal/lab/capacity/driver_testbed.go
@@ -107,7 +107,7 @@
 	for n := range members {
 		member := &fakeMember{testbed: g, address: address(n), group: n / membersPerGroup, index: n % membersPerGroup, reportedAt: -1}
 		g.members = append(g.members, member)
-		if _, err := l.Listen(member.address, pgwire.Most+1, loop.AcceptLimiter{}, func(open func(loop.Handler) *loop.Stream) {
+		if _, err := l.Listen(member.address, pgwire.MaxMessageLength+1, loop.AcceptLimiter{}, func(open func(loop.Handler) *loop.Stream) {
 			conn := &memberConn{member: member}
 			if conn.stream = open(conn); conn.stream == nil {
 				return
@@ -196,7 +196,7 @@
 			c.Closed(err)
 		} else if size > 0 {
 			c.startupDone = true
-			c.stream.Send(pgwire.AppendWelcome(nil, 1, 1))
+			c.stream.Send(pgwire.AppendAuthenticationOK(nil, 1, 1))
 		}
 		return size
 	}
@@ -444,7 +444,7 @@
 func (k *loadClient) connect() {
 	c, err := k.load, error(nil)
 	k.reconnected = true
-	if k.stream, err = c.loop.Dial(c.target, k, pgwire.Most+1); err != nil {
+	if k.stream, err = c.loop.Dial(c.target, k, pgwire.MaxMessageLength+1); err != nil {
 		k.stream, k.awaiting = nil, false
 		c.failed++
 		return
@@ -452,7 +452,7 @@
 	if c.openConnections++; c.inWindow() {
 		c.connects++
 	}
-	k.stream.Send(pgwire.AppendFirst(nil, "app", "shop"), k.query)
+	k.stream.Send(pgwire.AppendStartup(nil, "app", "shop"), k.query)
 }
 
 // forgetStream drops the closed connection.
--- a/internal/member/pool_test.go
+++ b/internal/member/pool_test.go
@@ -62,7 +62,7 @@
 		m.freeAt = max(m.freeAt, m.loop.Now()) + m.connectDelay
 		m.loop.At(m.freeAt, func() {
 			m.connecting--
-			c.stream.Send(pgwire.AppendWelcome(nil, 1, 1))
+			c.stream.Send(pgwire.AppendAuthenticationOK(nil, 1, 1))
 		})
 		return size
 	}
--- a/internal/node/attempts_test.go
+++ b/internal/node/attempts_test.go
@@ -47,7 +47,7 @@
 		return waitForClose(c)
 	}},
 	{name: "answers without a row", want: codeAborted, outcome: "broken", respond: func(c net.Conn, q *receivedQuery) bool {
-		c.Write(pgwire.AppendDone(nil, "SELECT 0"))
+		c.Write(pgwire.AppendCommandComplete(nil, "SELECT 0"))
 		return true
 	}},
 	{name: "does not answer", want: codeAborted, outcome: "timed_out", respond: func(c net.Conn, q *receivedQuery) bool { return waitForClose(c) }},
@@ -82,7 +82,7 @@
 		"error with an invalid code":               pgwire.AppendReady(pgwire.AppendError(nil, false, "5330\x01", "no", -1)),
 		"parameter without a value":                append(append(pgwire.AppendHead(nil, 'S', 2), "x\x00"...), valid...),
 		"rejection followed by an invalid message": append(pgwire.AppendError(nil, false, "53300", "no", -1), 'Z', 0, 0, 0, 5, 'x'),
-		"startup response instead of an answer":    pgwire.AppendWelcome(nil, 1, 1),
+		"startup response instead of an answer":    pgwire.AppendAuthenticationOK(nil, 1, 1),
 	}
 }
 
--- a/internal/node/pipeline_test.go
+++ b/internal/node/pipeline_test.go
@@ -27,7 +27,7 @@
 	for _, m := range s.members {
 		key := ""
 		m.onQuery = func(text string) {
-			key = string(pgwire.Quoted([]byte(text)))
+			key = string(pgwire.FirstLiteral([]byte(text)))
 			left[key], _ = strconv.Atoi(field(text, "d"))
 		}
 		m.respond = func(_ *scriptedMemberConn, _ string, answer func()) {
--- a/internal/soak/client_test.go
+++ b/internal/soak/client_test.go
@@ -131,7 +131,7 @@
 		return err
 	}
 	l.answers = make(chan *request, 256)
-	if _, err = l.socket.Write(pgwire.AppendFirst(nil, "app", "shop")); err != nil {
+	if _, err = l.socket.Write(pgwire.AppendStartup(nil, "app", "shop")); err != nil {
 		l.socket.Close()
 		return err
 	}
--- a/internal/soak/member_test.go
+++ b/internal/soak/member_test.go
@@ -86,7 +86,7 @@
 	if m.faults.handshakeDelay > 0 && m.drawFault(0.33) {
 		time.Sleep(m.faults.handshakeDelay)
 	}
-	if _, err := c.Write(append(m.serverParameters(), pgwire.AppendWelcome(nil, 1, 1)...)); err != nil {
+	if _, err := c.Write(append(m.serverParameters(), pgwire.AppendAuthenticationOK(nil, 1, 1)...)); err != nil {
 		return
 	}
 	for {
