--- a/cmd/passtack/control.go
+++ b/cmd/passtack/control.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"passtack/internal/config"
-	"passtack/internal/loop"
+	"passtack/internal/eventloop"
 	"passtack/internal/rollout/server"
 )
 
@@ -33,7 +33,7 @@
 	if err != nil {
 		return err
 	}
-	l, err := loop.New(controlMachineSockets, controlMachineBuffers)
+	l, err := eventloop.New(controlMachineSockets, controlMachineBuffers)
 	if err != nil {
 		return err
 	}
--- a/internal/background/scheduler_test.go
+++ b/internal/background/scheduler_test.go
@@ -8,7 +8,7 @@
 
 	"pgregory.net/rapid"
 
-	"passtack/internal/seeded"
+	"passtack/internal/proptest"
 )
 
 const ms = time.Millisecond
@@ -169,7 +169,7 @@
 // For any order of calls: no more jobs may be on workers than there are workers, no cancelled job may run, and the scheduler must wake
 // no later than a job may run.
 func TestSchedulerInvariantsInAnyOrderOfCalls(t *testing.T) {
-	seeded.Check(t, func(t *rapid.T) {
+	proptest.Check(t, func(t *rapid.T) {
 		workers := rapid.IntRange(1, 3).Draw(t, "workers")
 		s, now := New(workers), time.Duration(0)
 		onWorkers, wasCancelled := []JobID(nil), make(map[JobID]bool)
--- a/internal/batch/batch_test.go
+++ b/internal/batch/batch_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"passtack/driver"
-	"passtack/internal/seeded"
+	"passtack/internal/proptest"
 	"pgregory.net/rapid"
 )
 
@@ -131,7 +131,7 @@
 // For any batch and any outcomes: each item must get exactly one outcome, none may be sent before its dependencies have succeeded or
 // before an earlier write to its group has ended, and no more may be in flight than allowed.
 func TestEveryBatchCompletes(t *testing.T) {
-	seeded.Check(t, func(t *rapid.T) {
+	proptest.Check(t, func(t *rapid.T) {
 		var items []Item
 		for i := range rapid.IntRange(1, 12).Draw(t, "items") {
 			item := Item{Write: rapid.Bool().Draw(t, "write"), Group: driver.Group(rapid.IntRange(0, 2).Draw(t, "group")), Expected: 100 * ms}
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"passtack/internal/loop"
+	"passtack/internal/eventloop"
 )
 
 const (
@@ -24,16 +24,16 @@
 
 // connection is a connection of a client, which may send one query.
 type connection struct {
-	loop     *loop.Loop
+	loop     *eventloop.Loop
 	handlers Handlers
-	stream   *loop.Stream
-	timer    loop.Timer // closes the connection after receiveTimeout
+	stream   *eventloop.Stream
+	timer    eventloop.Timer // closes the connection after receiveTimeout
 }
 
 // Listen answers queries at the address until the listener is closed.
-func Listen(l *loop.Loop, address netip.AddrPort, handlers Handlers) (*loop.Listener, error) {
-	limiter := loop.AcceptLimiter{Descriptors: func(int) int { return maxConnections }}
-	return l.Listen(address, maxQueryBytes, limiter, func(open func(loop.Handler) *loop.Stream) {
+func Listen(l *eventloop.Loop, address netip.AddrPort, handlers Handlers) (*eventloop.Listener, error) {
+	limiter := eventloop.AcceptLimiter{Descriptors: func(int) int { return maxConnections }}
+	return l.Listen(address, maxQueryBytes, limiter, func(open func(eventloop.Handler) *eventloop.Stream) {
 		c := &connection{loop: l, handlers: handlers}
 		c.stream = open(c)
 		if c.stream != nil {
@@ -42,13 +42,13 @@
 	}, func(bool) {})
 }
 
-// Opened implements loop.Handler.
+// Opened implements eventloop.Handler.
 func (c *connection) Opened() {}
 
-// Panicked implements loop.Handler.
+// Panicked implements eventloop.Handler.
 func (c *connection) Panicked(error) { c.close() }
 
-// Closed implements loop.Handler.
+// Closed implements eventloop.Handler.
 func (c *connection) Closed(error) { c.stopTimer() }
 
 func (c *connection) stopTimer() { c.loop.Cancel(c.timer) }
@@ -58,7 +58,7 @@
 	c.stream.Close()
 }
 
-// Input implements loop.Handler.
+// Input implements eventloop.Handler.
 func (c *connection) Input(in []byte) int {
 	line, _, complete := bytes.Cut(in, []byte("\n"))
 	if !complete {
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"passtack/internal/loop"
+	"passtack/internal/eventloop"
 )
 
 // serve answers queries at a free address until the test ends, and returns the address.
@@ -21,7 +21,7 @@
 	}
 	address := free.Addr().String()
 	free.Close()
-	l, err := loop.New(200, 1<<20)
+	l, err := eventloop.New(200, 1<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -12,8 +12,8 @@
 	"time"
 
 	"passtack/driver"
+	"passtack/internal/eventloop"
 	"passtack/internal/httpwire"
-	"passtack/internal/loop"
 )
 
 // Host receives endpoint lists.
@@ -54,22 +54,22 @@
 	return fmt.Sprintf("response with status %d, expected 200", int(s))
 }
 
-// Client is the connection to discovery. One request is outstanding at a time. It implements loop.Handler.
+// Client is the connection to discovery. One request is outstanding at a time. It implements eventloop.Handler.
 type Client struct {
-	loop        *loop.Loop
+	loop        *eventloop.Loop
 	host        Host
 	address     netip.AddrPort
-	stream      *loop.Stream  // nil: not connected
-	revision    int64         // revision of the latest list
-	requests    uint64        // number of requests sent so far
-	outstanding uint64        // number of the request without a response, 0: none
-	timeout     loop.Timer    // timeout of that request
-	fetching    bool          // the outstanding or latest request is for the complete list
-	fetchNext   bool          // the next request is for the complete list
-	pollNext    bool          // the next request does not wait for a change: the latest one failed, or Poll was called
-	watching    bool          // the next watch is sent after each response
-	paused      bool          // the watch is paused
-	respondedAt time.Duration // time of the latest valid list
+	stream      *eventloop.Stream // nil: not connected
+	revision    int64             // revision of the latest list
+	requests    uint64            // number of requests sent so far
+	outstanding uint64            // number of the request without a response, 0: none
+	timeout     eventloop.Timer   // timeout of that request
+	fetching    bool              // the outstanding or latest request is for the complete list
+	fetchNext   bool              // the next request is for the complete list
+	pollNext    bool              // the next request does not wait for a change: the latest one failed, or Poll was called
+	watching    bool              // the next watch is sent after each response
+	paused      bool              // the watch is paused
+	respondedAt time.Duration     // time of the latest valid list
 
 	// OnList receives every list before the host does, for storage. It may be nil. The entries are keyed by uid, and nil for
 	// removed members.
@@ -77,7 +77,7 @@
 }
 
 // New creates a client that has sent no request.
-func New(l *loop.Loop, host Host, address netip.AddrPort) *Client {
+func New(l *eventloop.Loop, host Host, address netip.AddrPort) *Client {
 	return &Client{loop: l, host: host, address: address}
 }
 
@@ -176,10 +176,10 @@
 	}
 }
 
-// Opened implements loop.Handler.
+// Opened implements eventloop.Handler.
 func (c *Client) Opened() {}
 
-// Input implements loop.Handler: it reads a response once it is complete.
+// Input implements eventloop.Handler: it reads a response once it is complete.
 func (c *Client) Input(in []byte) int {
 	if c.outstanding == 0 {
 		return len(in)
@@ -214,7 +214,7 @@
 	c.send()
 }
 
-// Closed implements loop.Handler. The orderly end of the connection completes a response without a length.
+// Closed implements eventloop.Handler. The orderly end of the connection completes a response without a length.
 func (c *Client) Closed(cause error) {
 	in := c.stream.Unread()
 	c.stream = nil
@@ -228,7 +228,7 @@
 	c.fail(cause)
 }
 
-// Panicked implements loop.Handler.
+// Panicked implements eventloop.Handler.
 func (c *Client) Panicked(cause error) { c.fail(cause) }
 
 // fail reports to the host that a request returned no list. The latest list remains valid. The watch stops until the host starts
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"passtack/driver"
-	"passtack/internal/loop"
+	"passtack/internal/eventloop"
 	"passtack/internal/pcg"
 )
 
@@ -28,7 +28,7 @@
 	fmt.Fprintf(&r.text, "%s %s %s %d %d %v %d %t;", uid, address, zone, group, state, size, started, primary)
 }
 
-var idleLoop = sync.OnceValues(func() (*loop.Loop, error) { return loop.New(1000, 0) })
+var idleLoop = sync.OnceValues(func() (*eventloop.Loop, error) { return eventloop.New(1000, 0) })
 
 func newClient(t testing.TB) (*Client, *recorder) {
 	l, err := idleLoop()
@@ -114,7 +114,7 @@
 			c.Close()
 		}
 	}()
-	l, err := loop.New(1000, 0)
+	l, err := eventloop.New(1000, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/discovery/delay_test.go
+++ b/internal/discovery/delay_test.go
@@ -9,8 +9,8 @@
 
 	"passtack/driver"
 	"passtack/internal/discovery"
-	"passtack/internal/loop"
-	"passtack/internal/loop/sim"
+	"passtack/internal/eventloop"
+	"passtack/internal/eventloop/sim"
 	"passtack/rules"
 )
 
@@ -19,7 +19,7 @@
 
 // watcher is the host of a client. After a failure it resumes the watch after the longest time that the decision module may take.
 type watcher struct {
-	loop       *loop.Loop
+	loop       *eventloop.Loop
 	client     *discovery.Client
 	reportedAt map[string]time.Duration // when a member was first reported
 }
@@ -39,7 +39,7 @@
 
 // agent is a discovery agent. It applies to each request the fault that faultOf returns for the request's number.
 type agent struct {
-	loop      *loop.Loop
+	loop      *eventloop.Loop
 	revision  int64
 	changedAt map[int64]time.Duration // when each revision began
 	requests  int
@@ -67,7 +67,7 @@
 
 type agentConnection struct {
 	agent        *agent
-	stream       *loop.Stream
+	stream       *eventloop.Stream
 	fromRevision int64
 	fault        fault
 	closed       bool
@@ -178,9 +178,9 @@
 	return world, host, discoveryAgent
 }
 
-func newLoop(t *testing.T, world *sim.World, name string) *loop.Loop {
+func newLoop(t *testing.T, world *sim.World, name string) *eventloop.Loop {
 	host := world.AddHost(name)
-	ownLoop, err := loop.NewWithSystem(host, 1000, 16<<20)
+	ownLoop, err := eventloop.NewWithSystem(host, 1000, 16<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -188,8 +188,8 @@
 	return ownLoop
 }
 
-func (a *agent) listen(t *testing.T, address netip.AddrPort) *loop.Listener {
-	listener, err := a.loop.Listen(address, 1<<20, loop.AcceptLimiter{}, func(open func(loop.Handler) *loop.Stream) {
+func (a *agent) listen(t *testing.T, address netip.AddrPort) *eventloop.Listener {
+	listener, err := a.loop.Listen(address, 1<<20, eventloop.AcceptLimiter{}, func(open func(eventloop.Handler) *eventloop.Stream) {
 		c := &agentConnection{agent: a}
 		c.stream = open(c)
 	}, func(bool) {})
--- a/internal/emu/emu_test.go
+++ b/internal/emu/emu_test.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"passtack/driver"
-	"passtack/internal/due"
 	"passtack/internal/pcg"
+	"passtack/internal/timerqueue"
 )
 
 const ms = time.Millisecond
@@ -16,7 +16,7 @@
 // clock is time by hand.
 type clock struct {
 	now  time.Duration
-	dues due.Queue[func()]
+	dues timerqueue.Queue[func()]
 }
 
 func (c *clock) Now() time.Duration              { return c.now }
--- a/internal/emu/member.go
+++ b/internal/emu/member.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"passtack/driver"
-	"passtack/internal/chain"
+	"passtack/internal/linkedlist"
 	"passtack/internal/pcg"
 )
 
@@ -49,7 +49,7 @@
 	Done    func(Result)  // called once, unless the member dies; never at once
 
 	came  time.Duration
-	place chain.Element[*Job]
+	place linkedlist.Element[*Job]
 	began bool
 	gone  bool
 }
@@ -81,7 +81,7 @@
 	tipped  bool
 	paused  time.Duration // until when it stands still
 	busy    int
-	waiting chain.List[*Job]
+	waiting linkedlist.List[*Job]
 	applied time.Duration // position, while it is a replica
 	thread  time.Duration // when the thread that applies is free
 	sent    float64       // seconds of work of the last Tips, fading
@@ -278,7 +278,7 @@
 
 // Die ends the process; whatever it held is gone.
 func (m *Member) Die() {
-	m.up, m.busy, m.waiting = false, 0, chain.List[*Job]{}
+	m.up, m.busy, m.waiting = false, 0, linkedlist.List[*Job]{}
 	m.life++
 	m.yield(m.timer.Now())
 	m.Group.lost(m)
--- a/internal/emu/play/clients.go
+++ b/internal/emu/play/clients.go
@@ -7,14 +7,14 @@
 	"time"
 
 	"passtack/internal/emu"
-	"passtack/internal/loop"
+	"passtack/internal/eventloop"
 	"passtack/internal/pcg"
 	"passtack/internal/pgwire"
 )
 
 // Clients are all clients, on one loop. RPCs come at the script's rate, whether or not earlier ones are answered.
 type Clients struct {
-	loop     *loop.Loop
+	loop     *eventloop.Loop
 	script   *Script
 	record   *emu.Record
 	chance   *pcg.Source
@@ -62,10 +62,10 @@
 type line struct {
 	clients *Clients
 	to      int
-	stream  *loop.Stream
+	stream  *eventloop.Stream
 	wish    *wish
 	id      string
-	due     loop.Timer
+	due     eventloop.Timer
 	until   time.Duration
 	heard   string
 	back    time.Duration
@@ -84,7 +84,7 @@
 )
 
 // NewClients lets clients ask from now on.
-func NewClients(l *loop.Loop, s *Script, r *emu.Record, ledger *emu.Ledger, seed uint64, drivers []netip.AddrPort) *Clients {
+func NewClients(l *eventloop.Loop, s *Script, r *emu.Record, ledger *emu.Ledger, seed uint64, drivers []netip.AddrPort) *Clients {
 	c := &Clients{loop: l, script: s, record: r, chance: pcg.New(seed), drivers: drivers, idle: make([][]*line, len(drivers)),
 		sessions: make([]time.Duration, s.Sessions), from: l.Now(), due: l.Now(), ledger: ledger, Flow: newFlow(len(drivers)),
 		home: make([]int, s.Sessions), up: make([]bool, len(drivers))}
@@ -186,24 +186,24 @@
 type knock struct {
 	clients *Clients
 	driver  int
-	stream  *loop.Stream
-	due     loop.Timer
+	stream  *eventloop.Stream
+	due     eventloop.Timer
 }
 
-// Opened implements loop.Handler.
+// Opened implements eventloop.Handler.
 func (k *knock) Opened() {}
 
-// Panicked implements loop.Handler.
+// Panicked implements eventloop.Handler.
 func (k *knock) Panicked(cause error) { k.stream.Close() }
 
-// Closed implements loop.Handler.
+// Closed implements eventloop.Handler.
 func (k *knock) Closed(error) {
 	c := k.clients
 	c.loop.Cancel(k.due)
 	c.loop.At(c.loop.Now()+knocking, func() { c.knock(k.driver) })
 }
 
-// Input implements loop.Handler.
+// Input implements eventloop.Handler.
 func (k *knock) Input(in []byte) int {
 	kind, _, size, err := pgwire.Next(in)
 	if err != nil || kind == 'I' && size > 0 {
@@ -358,13 +358,13 @@
 	})
 }
 
-// Opened implements loop.Handler.
+// Opened implements eventloop.Handler.
 func (l *line) Opened() {}
 
-// Panicked implements loop.Handler.
+// Panicked implements eventloop.Handler.
 func (l *line) Panicked(cause error) { l.stream.Close() }
 
-// Closed implements loop.Handler.
+// Closed implements eventloop.Handler.
 func (l *line) Closed(error) {
 	l.closed = true
 	if l.onceMore() {
@@ -382,7 +382,7 @@
 	}
 }
 
-// Input implements loop.Handler.
+// Input implements eventloop.Handler.
 func (l *line) Input(in []byte) int {
 	kind, body, size, err := pgwire.Next(in)
 	if err != nil {
--- a/internal/emu/play/clients_test.go
+++ b/internal/emu/play/clients_test.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"passtack/internal/emu"
-	"passtack/internal/loop"
-	"passtack/internal/loop/sim"
+	"passtack/internal/eventloop"
+	"passtack/internal/eventloop/sim"
 	"passtack/internal/pgwire"
 )
 
@@ -19,7 +19,7 @@
 // answered on that. For a while it lets nobody in. Later tries it sends on as late as their client allows.
 type dying struct {
 	t      *testing.T
-	loop   *loop.Loop
+	loop   *eventloop.Loop
 	record *emu.Record
 	window time.Duration
 	rests  time.Duration            // it is down after each death; 0: it dies at the second RPC of a connection
@@ -31,7 +31,7 @@
 // guest is a client's connection to it.
 type guest struct {
 	*dying
-	stream *loop.Stream
+	stream *eventloop.Stream
 	let    bool
 	served bool // an RPC has been answered on it
 }
@@ -117,7 +117,7 @@
 		}
 		record := emu.NewRecord(emu.Allowed{})
 		d := &dying{t: t, loop: l, record: record, window: s.Methods[0].Window, rests: rests, ran: make(map[string]time.Duration)}
-		if _, err := l.Listen(at, 1<<16, loop.AcceptLimiter{Descriptors: func(most int) int { return most }}, func(open func(loop.Handler) *loop.Stream) {
+		if _, err := l.Listen(at, 1<<16, eventloop.AcceptLimiter{Descriptors: func(most int) int { return most }}, func(open func(eventloop.Handler) *eventloop.Stream) {
 			g := &guest{dying: d}
 			g.stream = open(g)
 		}, func(bool) {}); err != nil {
--- a/internal/emu/play/cluster.go
+++ b/internal/emu/play/cluster.go
@@ -10,16 +10,16 @@
 	"time"
 
 	"passtack/driver"
-	"passtack/internal/chain"
 	"passtack/internal/emu"
+	"passtack/internal/eventloop"
 	"passtack/internal/httpwire"
-	"passtack/internal/loop"
+	"passtack/internal/linkedlist"
 	"passtack/internal/pcg"
 	"passtack/internal/pgwire"
 )
 
 // timer gives the models their time from a loop.
-type timer struct{ loop *loop.Loop }
+type timer struct{ loop *eventloop.Loop }
 
 // Now implements emu.Timer by the loop's clock.
 func (t timer) Now() time.Duration { return t.loop.Now() }
@@ -29,7 +29,7 @@
 
 // Cluster is all members and discovery, on one loop: simulated or real.
 type Cluster struct {
-	loop    *loop.Loop
+	loop    *eventloop.Loop
 	script  *Script
 	record  *emu.Record
 	chance  *pcg.Source
@@ -55,8 +55,8 @@
 	model    *emu.Member
 	group    int
 	at       netip.AddrPort
-	listener *loop.Listener
-	conns    chain.List[*conn]
+	listener *eventloop.Listener
+	conns    linkedlist.List[*conn]
 	state    string
 	bootedAt time.Duration
 	listed   int             // rev of its latest change
@@ -65,7 +65,7 @@
 }
 
 // NewCluster listens for all members of the script's groups, and for discovery at the agents' addresses.
-func NewCluster(l *loop.Loop, s *Script, r *emu.Record, seed uint64, place func(n int) netip.AddrPort, agents []netip.AddrPort) (*Cluster, error) {
+func NewCluster(l *eventloop.Loop, s *Script, r *emu.Record, seed uint64, place func(n int) netip.AddrPort, agents []netip.AddrPort) (*Cluster, error) {
 	c := &Cluster{loop: l, script: s, record: r, chance: pcg.New(seed), rev: 1, ledger: emu.NewLedger(l.Now()), began: l.Now()}
 	for g := range s.Groups {
 		var models []*emu.Member
@@ -91,7 +91,7 @@
 	}
 	for i, at := range agents {
 		a := &agent{cluster: c, number: i, driver: Driver(i)}
-		if _, err := l.Listen(at, 1<<16, loop.AcceptLimiter{}, func(open func(loop.Handler) *loop.Stream) {
+		if _, err := l.Listen(at, 1<<16, eventloop.AcceptLimiter{}, func(open func(eventloop.Handler) *eventloop.Stream) {
 			w := &watcher{agent: a}
 			w.stream = open(w)
 		}, func(bool) {}); err != nil {
@@ -103,7 +103,7 @@
 }
 
 func (m *served) listen() (err error) {
-	m.listener, err = m.cluster.loop.Listen(m.at, pgwire.Most+1, loop.AcceptLimiter{}, func(open func(loop.Handler) *loop.Stream) {
+	m.listener, err = m.cluster.loop.Listen(m.at, pgwire.Most+1, eventloop.AcceptLimiter{}, func(open func(eventloop.Handler) *eventloop.Stream) {
 		k := &conn{member: m}
 		if k.stream = open(k); k.stream == nil {
 			return
@@ -198,16 +198,16 @@
 // conn is one connection to a member.
 type conn struct {
 	member  *served
-	stream  *loop.Stream
+	stream  *eventloop.Stream
 	welcome bool
 	job     *emu.Job
-	place   chain.Element[*conn]
+	place   linkedlist.Element[*conn]
 }
 
-// Opened implements loop.Handler.
+// Opened implements eventloop.Handler.
 func (k *conn) Opened() {}
 
-// Closed implements loop.Handler.
+// Closed implements eventloop.Handler.
 func (k *conn) Closed(error) {
 	k.place.Remove()
 	if k.job != nil {
@@ -215,10 +215,10 @@
 	}
 }
 
-// Panicked implements loop.Handler.
+// Panicked implements eventloop.Handler.
 func (k *conn) Panicked(cause error) { k.stream.Close() }
 
-// Input implements loop.Handler.
+// Input implements eventloop.Handler.
 func (k *conn) Input(in []byte) int {
 	m := k.member
 	if m.model.Paused() { // it reads when it goes on
@@ -388,18 +388,18 @@
 
 type watcher struct {
 	agent  *agent
-	stream *loop.Stream
+	stream *eventloop.Stream
 	from   int
-	due    loop.Timer
+	due    eventloop.Timer
 }
 
-// Opened implements loop.Handler.
+// Opened implements eventloop.Handler.
 func (w *watcher) Opened() {}
 
-// Panicked implements loop.Handler.
+// Panicked implements eventloop.Handler.
 func (w *watcher) Panicked(cause error) { w.stream.Close() }
 
-// Closed implements loop.Handler.
+// Closed implements eventloop.Handler.
 func (w *watcher) Closed(error) { w.leave() }
 
 func (w *watcher) leave() {
@@ -412,7 +412,7 @@
 	}
 }
 
-// Input implements loop.Handler.
+// Input implements eventloop.Handler.
 func (w *watcher) Input(in []byte) int {
 	c := w.agent.cluster
 	r, fault := httpwire.Next(in, httpwire.Limits{Target: 1000, Head: 4000, Fields: 50, Body: 1000})
--- a/internal/emu/play/emulate.go
+++ b/internal/emu/play/emulate.go
@@ -9,13 +9,13 @@
 	"syscall"
 
 	"passtack/internal/emu"
-	"passtack/internal/loop"
+	"passtack/internal/eventloop"
 )
 
 // Emulate serves the script's members and discovery on loopback addresses until it is interrupted, and plays its troubles
 // on them from the start. It writes the file with which a driver may be started to site, and tells the addresses.
 func Emulate(s *Script, seed uint64, listen netip.AddrPort, site string, out io.Writer) error {
-	l, err := loop.New(1<<15, 256<<20)
+	l, err := eventloop.New(1<<15, 256<<20)
 	if err != nil {
 		return err
 	}
--- a/internal/emu/play/rehearse.go
+++ b/internal/emu/play/rehearse.go
@@ -13,8 +13,8 @@
 
 	"passtack/internal/config"
 	"passtack/internal/emu"
-	"passtack/internal/loop"
-	"passtack/internal/loop/sim"
+	"passtack/internal/eventloop"
+	"passtack/internal/eventloop/sim"
 	"passtack/internal/node"
 	"passtack/internal/recovery"
 )
@@ -126,8 +126,8 @@
 }
 
 // on makes a loop for all members, or all clients: it may hold a connection for each driver and member, and some that are about to end.
-func (s *Script) on(h *sim.Host) (*loop.Loop, error) {
-	l, err := loop.NewWithSystem(h, 1<<15+2*s.Drivers*s.Groups*s.Members, 64<<20)
+func (s *Script) on(h *sim.Host) (*eventloop.Loop, error) {
+	l, err := eventloop.NewWithSystem(h, 1<<15+2*s.Drivers*s.Groups*s.Members, 64<<20)
 	if err == nil {
 		h.Serve(l, func() {})
 	}
@@ -138,7 +138,7 @@
 func (st *stage) drive(i int) error {
 	h := st.hosts[i]
 	h.Start()
-	l, err := loop.NewWithSystem(h, 1024, 48<<20)
+	l, err := eventloop.NewWithSystem(h, 1024, 48<<20)
 	if err != nil {
 		return err
 	}
@@ -194,7 +194,7 @@
 var witnessPlace = netip.MustParseAddrPort("10.4.0.1:9000")
 
 // follow notes the stages in which a driver that has started again says to be.
-func (st *stage) follow(i int, l *loop.Loop, n *node.Node, last recovery.Stage) {
+func (st *stage) follow(i int, l *eventloop.Loop, n *node.Node, last recovery.Stage) {
 	l.At(l.Now()+looking, func() {
 		now := n.RecoveryStage()
 		if now != last {
--- a/internal/emu/play/witness.go
+++ b/internal/emu/play/witness.go
@@ -9,14 +9,14 @@
 	"strconv"
 	"time"
 
+	"passtack/internal/eventloop"
 	"passtack/internal/httpwire"
-	"passtack/internal/loop"
 	"passtack/internal/node"
 )
 
 // Witness is where the holders of a lease act: it stands outside of all drivers, keeps the highest number that it saw and refuses lower ones.
 type Witness struct {
-	loop    *loop.Loop
+	loop    *eventloop.Loop
 	Acts    []Act
 	highest uint64
 	Refused int // acts under a lower number than one that came before
@@ -33,9 +33,9 @@
 }
 
 // NewWitness listens at the address.
-func NewWitness(l *loop.Loop, at netip.AddrPort) (*Witness, error) {
+func NewWitness(l *eventloop.Loop, at netip.AddrPort) (*Witness, error) {
 	w := &Witness{loop: l}
-	_, err := l.Listen(at, 64<<10, loop.AcceptLimiter{}, func(open func(loop.Handler) *loop.Stream) {
+	_, err := l.Listen(at, 64<<10, eventloop.AcceptLimiter{}, func(open func(eventloop.Handler) *eventloop.Stream) {
 		c := &caller{witness: w}
 		c.stream = open(c)
 	}, func(bool) {})
@@ -44,19 +44,19 @@
 
 type caller struct {
 	witness *Witness
-	stream  *loop.Stream
+	stream  *eventloop.Stream
 }
 
-// Opened implements loop.Handler.
+// Opened implements eventloop.Handler.
 func (c *caller) Opened() {}
 
-// Closed implements loop.Handler.
+// Closed implements eventloop.Handler.
 func (c *caller) Closed(error) {}
 
-// Panicked implements loop.Handler.
+// Panicked implements eventloop.Handler.
 func (c *caller) Panicked(cause error) { c.stream.Close() }
 
-// Input implements loop.Handler.
+// Input implements eventloop.Handler.
 func (c *caller) Input(in []byte) int {
 	r, fault := httpwire.Next(in, httpwire.Limits{Target: 1000, Head: 4000, Fields: 50, Body: 16 << 10})
 	if fault != nil {
--- a/internal/emu/rig/relay.go
+++ b/internal/emu/rig/relay.go
@@ -9,9 +9,9 @@
 
 	"golang.org/x/sys/unix"
 
-	"passtack/internal/chain"
 	"passtack/internal/emu/play"
-	"passtack/internal/loop"
+	"passtack/internal/eventloop"
+	"passtack/internal/linkedlist"
 	"passtack/internal/pcg"
 )
 
@@ -22,21 +22,21 @@
 
 // relay stands on one road of streams: it listens where the caller calls, and calls the place itself.
 type relay struct {
-	loop        *loop.Loop
+	loop        *eventloop.Loop
 	chance      *pcg.Source
 	at, to      netip.AddrPort
 	there, back play.Condition
-	listener    *loop.Listener
-	pairs       chain.List[*pair]
+	listener    *eventloop.Listener
+	pairs       linkedlist.List[*pair]
 }
 
-func newRelay(l *loop.Loop, chance *pcg.Source, at, to netip.AddrPort) (*relay, error) {
+func newRelay(l *eventloop.Loop, chance *pcg.Source, at, to netip.AddrPort) (*relay, error) {
 	r := &relay{loop: l, chance: chance, at: at, to: to}
 	return r, r.listen()
 }
 
 func (r *relay) listen() (err error) {
-	r.listener, err = r.loop.Listen(r.at, mostHeld, loop.AcceptLimiter{Descriptors: func(most int) int { return most }}, func(open func(loop.Handler) *loop.Stream) {
+	r.listener, err = r.loop.Listen(r.at, mostHeld, eventloop.AcceptLimiter{Descriptors: func(most int) int { return most }}, func(open func(eventloop.Handler) *eventloop.Stream) {
 		p := &pair{relay: r}
 		p.caller, p.place = &end{pair: p}, &end{pair: p, back: true}
 		p.caller.other, p.place.other = p.place, p.caller
@@ -85,7 +85,7 @@
 	relay         *relay
 	caller, place *end
 	called        bool
-	link          chain.Element[*pair]
+	link          linkedlist.Element[*pair]
 }
 
 // call opens the way to the place, once something can go there.
@@ -125,12 +125,12 @@
 type end struct {
 	pair   *pair
 	other  *end
-	stream *loop.Stream
+	stream *eventloop.Stream
 	back   bool // it reads what goes back to the caller
 	pieces []shipment
 	held   int
 	last   time.Duration // when the latest shipment arrives: order is kept
-	due    loop.Timer
+	due    eventloop.Timer
 	rests  bool // it was not read on for want of room
 	gone   bool // its stream is closed
 	over   bool // nothing more is to go out from it
@@ -143,13 +143,13 @@
 	return &e.pair.relay.there
 }
 
-// Opened implements loop.Handler.
+// Opened implements eventloop.Handler.
 func (e *end) Opened() {}
 
-// Panicked implements loop.Handler.
+// Panicked implements eventloop.Handler.
 func (e *end) Panicked(cause error) { e.pair.reset() }
 
-// Input implements loop.Handler.
+// Input implements eventloop.Handler.
 func (e *end) Input(in []byte) int {
 	if e.held >= mostHeld {
 		e.rests = true
@@ -159,7 +159,7 @@
 	return len(in)
 }
 
-// Closed implements loop.Handler.
+// Closed implements eventloop.Handler.
 func (e *end) Closed(cause error) {
 	e.gone = true
 	if rest := e.stream.Unread(); len(rest) > 0 {
@@ -231,9 +231,9 @@
 
 // post stands where one driver addresses another: what comes here goes on to that one, from where it addresses the first.
 type post struct {
-	loop      *loop.Loop
+	loop      *eventloop.Loop
 	chance    *pcg.Source
-	socket    *loop.DatagramSocket
+	socket    *eventloop.DatagramSocket
 	from      *post // where the other addresses this one's user
 	to        netip.AddrPort
 	condition play.Condition
--- a/internal/emu/rig/rig.go
+++ b/internal/emu/rig/rig.go
@@ -17,7 +17,7 @@
 
 	"passtack/internal/emu"
 	"passtack/internal/emu/play"
-	"passtack/internal/loop"
+	"passtack/internal/eventloop"
 	"passtack/internal/pcg"
 )
 
@@ -57,7 +57,7 @@
 	seed     uint64
 	log      io.Writer
 	folder   string
-	loop     *loop.Loop
+	loop     *eventloop.Loop
 	chance   *pcg.Source
 	record   *emu.Record
 	cluster  *play.Cluster
@@ -65,7 +65,7 @@
 	drivers  []*driver
 	relays   map[play.Road]*relay
 	posts    map[play.Road]*post
-	everyone []*loop.DatagramSocket // where each driver addresses all others at once
+	everyone []*eventloop.DatagramSocket // where each driver addresses all others at once
 	falls    play.Falls
 	said     chan said
 	readers  sync.WaitGroup // of the drivers' logs
@@ -108,7 +108,7 @@
 		return nil, err
 	}
 	defer lots.claim.Close() // once nobody listens in its block
-	if f.loop, err = loop.New(1<<16, 1<<30); err != nil {
+	if f.loop, err = eventloop.New(1<<16, 1<<30); err != nil {
 		return nil, err
 	}
 	defer f.loop.Close()
--- a/internal/loop/admission.go
+++ b/internal/eventloop/admission.go
@@ -1,4 +1,4 @@
-package loop
+package eventloop
 
 // AcceptLimiter limits the resources that the connections of one listener hold. Each function gets the part of the loop's
 // limit that all listeners share and returns how much of it this listener may use now. A nil function allows all of it. The
--- a/internal/loop/datagrams.go
+++ b/internal/eventloop/datagrams.go
@@ -1,16 +1,16 @@
-package loop
+package eventloop
 
 import (
 	"net/netip"
 
-	"passtack/internal/slots"
+	"passtack/internal/slotmap"
 )
 
 // DatagramSocket is a UDP socket.
 type DatagramSocket struct {
 	loop       *Loop
 	fd         int
-	handle     slots.Handle
+	handle     slotmap.Handle
 	onDatagram func(from netip.AddrPort, payload []byte)
 	buffer     [maxDatagramSize]byte
 }
--- a/internal/loop/descriptors.go
+++ b/internal/eventloop/descriptors.go
@@ -1,10 +1,10 @@
-package loop
+package eventloop
 
 import (
 	"log/slog"
 	"time"
 
-	"passtack/internal/slots"
+	"passtack/internal/slotmap"
 )
 
 // descriptorLimits limits the number of descriptors that the loop has open.
@@ -44,7 +44,7 @@
 }
 
 // register adds a descriptor to the loop and starts to watch it for the given events.
-func (l *Loop) register(fd int, s source, events uint32) (slots.Handle, error) {
+func (l *Loop) register(fd int, s source, events uint32) (slotmap.Handle, error) {
 	h := l.sources.Insert(s)
 	l.descriptors.peak = max(l.descriptors.peak, l.sources.Len())
 	if err := l.system.Watch(fd, h, events, true); err != nil {
@@ -56,7 +56,7 @@
 
 // modify changes the events that a descriptor is watched for. It retries after a failure, which is caused by a lack of kernel
 // memory: without a retry the descriptor would never be served again.
-func (l *Loop) modify(fd int, h slots.Handle, events uint32) {
+func (l *Loop) modify(fd int, h slotmap.Handle, events uint32) {
 	err := l.system.Watch(fd, h, events, false)
 	if err == nil {
 		return
@@ -70,7 +70,7 @@
 }
 
 // unregister closes a descriptor with closeFD and resumes the listeners that wait for a free descriptor.
-func (l *Loop) unregister(fd int, h slots.Handle, closeFD func(fd int)) {
+func (l *Loop) unregister(fd int, h slotmap.Handle, closeFD func(fd int)) {
 	l.sources.Remove(h)
 	closeFD(fd)
 	waiting := l.descriptors.onFreed
--- a/internal/loop/loop.go
+++ b/internal/eventloop/eventloop.go
@@ -1,14 +1,14 @@
-// Package loop implements an event loop over sockets and timers. Each iteration waits for ready sockets, serves each of them
+// Package eventloop implements an event loop over sockets and timers. Each iteration waits for ready sockets, serves each of them
 // once, and then runs the timers that have expired. All handlers and callbacks run on the loop's goroutine and must not
 // block.
-package loop
+package eventloop
 
 import (
 	"fmt"
 	"time"
 
-	"passtack/internal/due"
-	"passtack/internal/slots"
+	"passtack/internal/slotmap"
+	"passtack/internal/timerqueue"
 )
 
 // source is an open descriptor that the loop watches.
@@ -22,8 +22,8 @@
 // Loop owns the descriptors, the timers and the buffers of its streams. Only Wake may be called from another goroutine.
 type Loop struct {
 	system           System
-	sources          slots.Map[source]
-	timers           due.Queue[func()]
+	sources          slotmap.Map[source]
+	timers           timerqueue.Queue[func()]
 	now, previousNow time.Duration // start of the current iteration, and of the previous one
 	events           []Event       // one per possible descriptor, so that an iteration sees all connections that have closed
 	stopped          bool
@@ -79,7 +79,7 @@
 
 // Close closes all descriptors. It is called after Run has returned. The handlers are not notified.
 func (l *Loop) Close() {
-	l.sources.ForEach(func(_ slots.Handle, s source) { s.Close() })
+	l.sources.ForEach(func(_ slotmap.Handle, s source) { s.Close() })
 	l.system.Release()
 }
 
--- a/internal/loop/handler.go
+++ b/internal/eventloop/handler.go
@@ -1,4 +1,4 @@
-package loop
+package eventloop
 
 // Handler handles the events of one stream. The loop calls its methods on its own goroutine.
 type Handler interface {
--- a/internal/loop/kernel.go
+++ b/internal/eventloop/kernel.go
@@ -1,4 +1,4 @@
-package loop
+package eventloop
 
 import (
 	"os"
@@ -6,7 +6,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"passtack/internal/slots"
+	"passtack/internal/slotmap"
 )
 
 // kernel implements System with the system calls of Linux, among them epoll.
@@ -57,7 +57,7 @@
 		err = nil
 	}
 	for i, e := range k.events[:max(n, 0)] {
-		if events[i] = (Event{slots.Handle(e.Fd), e.Events}); e.Fd == 0 {
+		if events[i] = (Event{slotmap.Handle(e.Fd), e.Events}); e.Fd == 0 {
 			var count [8]byte
 			unix.Read(k.wakeFD, count[:])
 		}
@@ -72,7 +72,7 @@
 }
 
 // Watch implements System with epoll_ctl.
-func (k *kernel) Watch(fd int, handle slots.Handle, events uint32, isNew bool) error {
+func (k *kernel) Watch(fd int, handle slotmap.Handle, events uint32, isNew bool) error {
 	event, operation := unix.EpollEvent{Events: events, Fd: int32(handle)}, unix.EPOLL_CTL_MOD
 	if isNew {
 		operation = unix.EPOLL_CTL_ADD
--- a/internal/loop/listener.go
+++ b/internal/eventloop/listener.go
@@ -1,4 +1,4 @@
-package loop
+package eventloop
 
 import (
 	"net/netip"
@@ -6,7 +6,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"passtack/internal/slots"
+	"passtack/internal/slotmap"
 )
 
 // Listener accepts TCP connections.
@@ -14,7 +14,7 @@
 	AcceptLimiter
 	loop        *Loop
 	fd          int
-	handle      slots.Handle
+	handle      slotmap.Handle
 	maxInput    int
 	accept      func(open func(Handler) *Stream)
 	evict       func(urgent bool)
--- a/internal/loop/memory.go
+++ b/internal/eventloop/memory.go
@@ -1,4 +1,4 @@
-package loop
+package eventloop
 
 // spareBufferDivisor is the divisor that gives the part of maxExtraBytes that unused buffers may hold.
 const spareBufferDivisor = 4
--- a/internal/loop/read.go
+++ b/internal/eventloop/read.go
@@ -1,4 +1,4 @@
-package loop
+package eventloop
 
 import (
 	"io"
--- a/internal/loop/sim/arrivals_test.go
+++ b/internal/eventloop/sim/arrivals_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"passtack/internal/loop"
+	"passtack/internal/eventloop"
 	"passtack/internal/pcg"
 )
 
@@ -36,10 +36,10 @@
 			for seed := range uint64(20) {
 				random := pcg.New(seed)
 				w := New(seed, start)
-				var loops [2]*loop.Loop
+				var loops [2]*eventloop.Loop
 				for i, host := range []string{"client", "driver"} {
 					h := w.AddHost(host)
-					l, err := loop.NewWithSystem(h, 100, 8<<20)
+					l, err := eventloop.NewWithSystem(h, 100, 8<<20)
 					if err != nil {
 						t.Fatal(err)
 					}
@@ -47,10 +47,10 @@
 					loops[i] = l
 				}
 				handler := &limitedHandler{endpoint: endpoint{loop: loops[1]}}
-				if _, err := loops[1].Listen(serverAddress, c.maxInput, loop.AcceptLimiter{}, func(open func(loop.Handler) *loop.Stream) { handler.stream = open(handler) }, func(bool) {}); err != nil {
+				if _, err := loops[1].Listen(serverAddress, c.maxInput, eventloop.AcceptLimiter{}, func(open func(eventloop.Handler) *eventloop.Stream) { handler.stream = open(handler) }, func(bool) {}); err != nil {
 					t.Fatal(err)
 				}
-				var sender *loop.Stream
+				var sender *eventloop.Stream
 				var err error
 				if sender, err = loops[0].Dial(serverAddress, &endpoint{loop: loops[0]}, 1<<20); err != nil {
 					t.Fatal(err)
--- a/internal/loop/sim/connect.go
+++ b/internal/eventloop/sim/connect.go
@@ -6,7 +6,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Dial implements loop.System. As with a real kernel, the other host answers the connect even while its program is paused.
+// Dial implements eventloop.System. As with a real kernel, the other host answers the connect even while its program is paused.
 func (h *Host) Dial(address netip.AddrPort) (int, error) {
 	w := h.world
 	s := &socket{
@@ -63,7 +63,7 @@
 	}
 }
 
-// Accept implements loop.System.
+// Accept implements eventloop.System.
 func (h *Host) Accept(fd int) (int, error) {
 	s := h.sockets[fd]
 	if s == nil || len(s.pending) == 0 {
--- a/internal/loop/sim/datagrams.go
+++ b/internal/eventloop/sim/datagrams.go
@@ -12,7 +12,7 @@
 	payload []byte
 }
 
-// ReceiveFrom implements loop.System.
+// ReceiveFrom implements eventloop.System.
 func (h *Host) ReceiveFrom(fd int, buffer []byte) (int, netip.AddrPort, error) {
 	s := h.sockets[fd]
 	if s == nil || len(s.datagrams) == 0 {
@@ -23,7 +23,7 @@
 	return copy(buffer, d.payload), d.from, nil
 }
 
-// SendTo implements loop.System.
+// SendTo implements eventloop.System.
 func (h *Host) SendTo(fd int, address netip.AddrPort, payload []byte) {
 	if h.world.OnDatagram != nil {
 		h.world.OnDatagram(h, address, payload)
--- a/internal/loop/sim/drain_test.go
+++ b/internal/eventloop/sim/drain_test.go
@@ -7,7 +7,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"passtack/internal/loop"
+	"passtack/internal/eventloop"
 	"passtack/internal/pcg"
 )
 
@@ -21,7 +21,7 @@
 
 // failingAccept is a System whose Accept fails with cause while cause is set.
 type failingAccept struct {
-	loop.System
+	eventloop.System
 	cause error
 }
 
@@ -42,7 +42,7 @@
 		t.Run(name, func(t *testing.T) {
 			w := New(1, start)
 			system := &failingAccept{w.AddHost("driver"), cause}
-			l, err := loop.NewWithSystem(system, 100, 1<<20)
+			l, err := eventloop.NewWithSystem(system, 100, 1<<20)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -51,15 +51,15 @@
 			if cause != nil {
 				allowed = 50
 			}
-			limiter := loop.AcceptLimiter{Descriptors: func(int) int { return allowed }}
-			listener, err := l.Listen(address, 1<<10, limiter, func(open func(loop.Handler) *loop.Stream) {
+			limiter := eventloop.AcceptLimiter{Descriptors: func(int) int { return allowed }}
+			listener, err := l.Listen(address, 1<<10, limiter, func(open func(eventloop.Handler) *eventloop.Stream) {
 				open(discardHandler{})
 				accepted++
 			}, func(bool) {})
 			if err != nil {
 				t.Fatal(err)
 			}
-			clients, err := loop.NewWithSystem(w.AddHost("clients"), 100, 1<<20)
+			clients, err := eventloop.NewWithSystem(w.AddHost("clients"), 100, 1<<20)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/loop/sim/faults.go
+++ b/internal/eventloop/sim/faults.go
@@ -5,15 +5,15 @@
 
 	"golang.org/x/sys/unix"
 
-	"passtack/internal/loop"
+	"passtack/internal/eventloop"
 	"passtack/internal/pcg"
-	"passtack/internal/slots"
+	"passtack/internal/slotmap"
 )
 
 // Faults is a System whose calls fail at random with the errors that Linux documents for them. Dialed streams may also get
 // fatal errors; accepted streams get only transient ones.
 type Faults struct {
-	loop.System
+	eventloop.System
 	Random *pcg.Source
 	Rate   float64        // probability that a call fails
 	Counts map[string]int // number of injected failures by call and error name
@@ -26,7 +26,7 @@
 )
 
 // NewFaults wraps a system so that its calls fail with the given probability.
-func NewFaults(system loop.System, seed uint64, rate float64) *Faults {
+func NewFaults(system eventloop.System, seed uint64, rate float64) *Faults {
 	return &Faults{System: system, Random: pcg.New(seed), Rate: rate, Counts: make(map[string]int), dialed: make(map[int]bool)}
 }
 
@@ -40,15 +40,15 @@
 	return err
 }
 
-// Watch implements loop.System. Changing the events of a watched descriptor may fail for lack of memory.
-func (f *Faults) Watch(fd int, handle slots.Handle, events uint32, isNew bool) error {
+// Watch implements eventloop.System. Changing the events of a watched descriptor may fail for lack of memory.
+func (f *Faults) Watch(fd int, handle slotmap.Handle, events uint32, isNew bool) error {
 	if err := f.inject("epoll_ctl", unix.ENOMEM); err != nil && !isNew {
 		return err
 	}
 	return f.System.Watch(fd, handle, events, isNew)
 }
 
-// Accept implements loop.System. It may fail for lack of resources, or because the connection no longer exists.
+// Accept implements eventloop.System. It may fail for lack of resources, or because the connection no longer exists.
 func (f *Faults) Accept(fd int) (int, error) {
 	if err := f.inject("accept", unix.ECONNABORTED, unix.ENFILE, unix.EMFILE, unix.ENOBUFS, unix.ENOMEM, unix.EINTR,
 		unix.EPROTO, unix.ENETUNREACH); err != nil {
@@ -57,7 +57,7 @@
 	return f.System.Accept(fd)
 }
 
-// Dial implements loop.System. It may fail because no port, route, descriptor or buffer is available.
+// Dial implements eventloop.System. It may fail because no port, route, descriptor or buffer is available.
 func (f *Faults) Dial(address netip.AddrPort) (int, error) {
 	if err := f.inject("connect", unix.EADDRNOTAVAIL, unix.ENETUNREACH, unix.ENFILE, unix.ENOBUFS, unix.EAGAIN); err != nil {
 		return 0, err
@@ -67,7 +67,7 @@
 	return fd, err
 }
 
-// ConnectError implements loop.System. It may report that the connect failed.
+// ConnectError implements eventloop.System. It may report that the connect failed.
 func (f *Faults) ConnectError(fd int) error {
 	if err := f.inject("connect", unix.ETIMEDOUT, unix.EHOSTUNREACH, unix.ECONNREFUSED); err != nil {
 		return err
@@ -75,7 +75,7 @@
 	return f.System.ConnectError(fd)
 }
 
-// Read implements loop.System. It may be interrupted, return fewer bytes than are available, or fail on a dialed stream with
+// Read implements eventloop.System. It may be interrupted, return fewer bytes than are available, or fail on a dialed stream with
 // a fatal error.
 func (f *Faults) Read(fd int, buffer []byte) (int, error) {
 	if f.dialed[fd] && f.Random.Float() < fatalShare {
@@ -92,7 +92,7 @@
 	return f.System.Read(fd, buffer)
 }
 
-// Write implements loop.System. It may be interrupted, accept fewer bytes than given, or fail on a dialed stream with a fatal
+// Write implements eventloop.System. It may be interrupted, accept fewer bytes than given, or fail on a dialed stream with a fatal
 // error.
 func (f *Faults) Write(fd int, parts [][]byte) (int, error) {
 	if f.dialed[fd] && f.Random.Float() < fatalShare {
@@ -110,13 +110,13 @@
 	return f.System.Write(fd, parts)
 }
 
-// Close implements loop.System.
+// Close implements eventloop.System.
 func (f *Faults) Close(fd int) {
 	delete(f.dialed, fd)
 	f.System.Close(fd)
 }
 
-// Abort implements loop.System.
+// Abort implements eventloop.System.
 func (f *Faults) Abort(fd int) {
 	delete(f.dialed, fd)
 	f.System.Abort(fd)
--- a/internal/loop/sim/host.go
+++ b/internal/eventloop/sim/host.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"passtack/internal/due"
-	"passtack/internal/loop"
+	"passtack/internal/eventloop"
+	"passtack/internal/timerqueue"
 )
 
 // firstFD is the number of the first descriptor that a program opens. A new process starts with three open descriptors.
@@ -30,7 +30,7 @@
 	return h
 }
 
-// Host is a simulated machine that runs one program on a loop. It implements loop.System.
+// Host is a simulated machine that runs one program on a loop. It implements eventloop.System.
 type Host struct {
 	Name          string
 	IterationTime time.Duration // duration of each iteration of the loop, during which the host does nothing else
@@ -39,9 +39,9 @@
 
 	world       *World
 	number      int
-	wakeup      *due.Item[*Host] // item in World.wakeups; nil while the host is idle or runs
-	stale       bool             // the host is in World.stale
-	loop        *loop.Loop       // nil while no program runs
+	wakeup      *timerqueue.Item[*Host] // item in World.wakeups; nil while the host is idle or runs
+	stale       bool                    // the host is in World.stale
+	loop        *eventloop.Loop         // nil while no program runs
 	onWake      func()
 	wakePending bool // Wake was called
 	sockets     map[int]*socket
@@ -53,7 +53,7 @@
 }
 
 // Serve makes the simulation run the iterations of a loop that was created on this host. onWake is called after each Wake.
-func (h *Host) Serve(l *loop.Loop, onWake func()) {
+func (h *Host) Serve(l *eventloop.Loop, onWake func()) {
 	h.loop, h.onWake = l, onWake
 	h.touch()
 }
--- a/internal/loop/sim/sim_test.go
+++ b/internal/eventloop/sim/sim_test.go
@@ -7,20 +7,20 @@
 	"testing"
 	"time"
 
-	"passtack/internal/loop"
+	"passtack/internal/eventloop"
 )
 
 const start = 1000 * time.Second
 
 // endpoint is the handler of one end of a stream. It records the input and how the stream ended.
 type endpoint struct {
-	stream      *loop.Stream
+	stream      *eventloop.Stream
 	received    bytes.Buffer
 	cause       error
 	opened      bool
 	closed      bool
 	lastEventAt time.Duration // time of the last Input or Closed
-	loop        *loop.Loop
+	loop        *eventloop.Loop
 }
 
 func (e *endpoint) Opened() { e.opened = true }
@@ -36,7 +36,7 @@
 type pair struct {
 	world  *World
 	hosts  [2]*Host
-	loops  [2]*loop.Loop
+	loops  [2]*eventloop.Loop
 	client *endpoint
 	server *endpoint
 }
@@ -47,14 +47,14 @@
 	p := &pair{world: New(seed, start)}
 	for i := range p.hosts {
 		p.hosts[i] = p.world.AddHost(fmt.Sprint(i))
-		l, err := loop.NewWithSystem(p.hosts[i], 100, 8<<20)
+		l, err := eventloop.NewWithSystem(p.hosts[i], 100, 8<<20)
 		if err != nil {
 			t.Fatal(err)
 		}
 		p.hosts[i].Serve(l, func() {})
 		p.loops[i] = l
 	}
-	if _, err := p.loops[1].Listen(serverAddress, 1<<20, loop.AcceptLimiter{}, func(open func(loop.Handler) *loop.Stream) {
+	if _, err := p.loops[1].Listen(serverAddress, 1<<20, eventloop.AcceptLimiter{}, func(open func(eventloop.Handler) *eventloop.Stream) {
 		p.server = &endpoint{loop: p.loops[1]}
 		p.server.stream = open(p.server)
 	}, func(bool) {}); err != nil {
@@ -187,13 +187,13 @@
 // Datagrams are lost at the rate of the link, and those that arrive carry the sender's address and payload.
 func TestDatagramsMayBeLost(t *testing.T) {
 	w := New(3, start)
-	var loops [2]*loop.Loop
-	var sockets [2]*loop.DatagramSocket
+	var loops [2]*eventloop.Loop
+	var sockets [2]*eventloop.DatagramSocket
 	var hosts [2]*Host
 	received := 0
 	for i := range 2 {
 		hosts[i] = w.AddHost(fmt.Sprint(i))
-		loops[i], _ = loop.NewWithSystem(hosts[i], 100, 1<<20)
+		loops[i], _ = eventloop.NewWithSystem(hosts[i], 100, 1<<20)
 		hosts[i].Serve(loops[i], func() {})
 		sockets[i], _ = loops[i].ListenUDP(netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 7), func(from netip.AddrPort, text []byte) {
 			if string(text) != "hello" || from.Addr() != netip.AddrFrom4([4]byte{10, 0, 0, 0}) {
@@ -218,7 +218,7 @@
 	p := newPair(t, 3)
 	otherAddress := netip.MustParseAddrPort("10.0.0.1:2")
 	var otherServer *endpoint
-	if _, err := p.loops[1].Listen(otherAddress, 1<<20, loop.AcceptLimiter{}, func(open func(loop.Handler) *loop.Stream) {
+	if _, err := p.loops[1].Listen(otherAddress, 1<<20, eventloop.AcceptLimiter{}, func(open func(eventloop.Handler) *eventloop.Stream) {
 		otherServer = &endpoint{loop: p.loops[1]}
 		otherServer.stream = open(otherServer)
 	}, func(bool) {}); err != nil {
--- a/internal/loop/sim/sockets.go
+++ b/internal/eventloop/sim/sockets.go
@@ -6,7 +6,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"passtack/internal/slots"
+	"passtack/internal/slotmap"
 )
 
 const (
@@ -29,7 +29,7 @@
 	fd       int
 	kind     socketKind
 	address  netip.AddrPort
-	handle   slots.Handle
+	handle   slotmap.Handle
 	interest uint32 // events passed to Watch
 	active   bool   // the socket is in Host.active
 	closed   bool
--- a/internal/loop/sim/streams.go
+++ b/internal/eventloop/sim/streams.go
@@ -6,7 +6,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Read implements loop.System.
+// Read implements eventloop.System.
 func (h *Host) Read(fd int, buffer []byte) (int, error) {
 	s := h.sockets[fd]
 	switch {
@@ -30,7 +30,7 @@
 	return 0, unix.EAGAIN
 }
 
-// Write implements loop.System.
+// Write implements eventloop.System.
 func (h *Host) Write(fd int, parts [][]byte) (int, error) {
 	s := h.sockets[fd]
 	switch {
@@ -88,7 +88,7 @@
 	}
 }
 
-// ConnectError implements loop.System.
+// ConnectError implements eventloop.System.
 func (h *Host) ConnectError(fd int) error {
 	if s := h.sockets[fd]; s != nil {
 		return s.failure
@@ -96,19 +96,19 @@
 	return unix.EBADF
 }
 
-// Idle implements loop.System.
+// Idle implements eventloop.System.
 func (h *Host) Idle(fd int) bool {
 	s := h.sockets[fd]
 	return s != nil && len(s.received) == 0 && !s.peerEnded && s.failure == nil
 }
 
-// Pending implements loop.System.
+// Pending implements eventloop.System.
 func (h *Host) Pending(fd int) bool {
 	s := h.sockets[fd]
 	return s != nil && len(s.received) > 0
 }
 
-// LastReceiveAge implements loop.System.
+// LastReceiveAge implements eventloop.System.
 func (h *Host) LastReceiveAge(fd int) (age time.Duration, ok bool) {
 	if s := h.sockets[fd]; s != nil && s.receivedAt != 0 {
 		return (h.world.now - s.receivedAt).Truncate(time.Millisecond), true
@@ -116,7 +116,7 @@
 	return 0, true
 }
 
-// ShutdownWrite implements loop.System.
+// ShutdownWrite implements eventloop.System.
 func (h *Host) ShutdownWrite(fd int) {
 	if s := h.sockets[fd]; s != nil && !s.writeEnded {
 		s.writeEnded = true
@@ -127,7 +127,7 @@
 	}
 }
 
-// Abort implements loop.System. The peer receives a reset.
+// Abort implements eventloop.System. The peer receives a reset.
 func (h *Host) Abort(fd int) {
 	if s := h.sockets[fd]; s != nil {
 		s.resetPeers()
--- a/internal/loop/sim/system.go
+++ b/internal/eventloop/sim/system.go
@@ -6,27 +6,27 @@
 
 	"golang.org/x/sys/unix"
 
-	"passtack/internal/loop"
-	"passtack/internal/slots"
+	"passtack/internal/eventloop"
+	"passtack/internal/slotmap"
 )
 
-// Clock implements loop.System. It returns the simulated time plus the host's offset.
+// Clock implements eventloop.System. It returns the simulated time plus the host's offset.
 func (h *Host) Clock() time.Duration { return h.world.now + h.ClockOffset }
 
-// OpenDescriptors implements loop.System. A new program has the descriptors below firstFD open.
+// OpenDescriptors implements eventloop.System. A new program has the descriptors below firstFD open.
 func (h *Host) OpenDescriptors() (int, error) { return firstFD, nil }
 
-// Wake implements loop.System.
+// Wake implements eventloop.System.
 func (h *Host) Wake() {
 	h.wakePending = true
 	h.touch()
 }
 
-// Wait implements loop.System without waiting: simulated time passes only between iterations.
-func (h *Host) Wait(events []loop.Event, maxWait time.Duration) (n int, err error) {
+// Wait implements eventloop.System without waiting: simulated time passes only between iterations.
+func (h *Host) Wait(events []eventloop.Event, maxWait time.Duration) (n int, err error) {
 	if h.wakePending {
 		h.wakePending = false
-		events[n] = loop.Event{}
+		events[n] = eventloop.Event{}
 		n++
 	}
 	active := h.active[:0]
@@ -38,7 +38,7 @@
 		}
 		active = append(active, s)
 		if n < len(events) {
-			events[n] = loop.Event{Handle: s.handle, Ready: ready}
+			events[n] = eventloop.Event{Handle: s.handle, Ready: ready}
 			n++
 		}
 	}
@@ -46,8 +46,8 @@
 	return n, nil
 }
 
-// Watch implements loop.System.
-func (h *Host) Watch(fd int, handle slots.Handle, events uint32, isNew bool) error {
+// Watch implements eventloop.System.
+func (h *Host) Watch(fd int, handle slotmap.Handle, events uint32, isNew bool) error {
 	s := h.sockets[fd]
 	if s == nil {
 		return unix.EBADF
@@ -57,10 +57,10 @@
 	return nil
 }
 
-// Listen implements loop.System.
+// Listen implements eventloop.System.
 func (h *Host) Listen(address netip.AddrPort) (int, error) { return h.bind(address, listenerSocket) }
 
-// ListenUDP implements loop.System.
+// ListenUDP implements eventloop.System.
 func (h *Host) ListenUDP(address netip.AddrPort) (int, error) { return h.bind(address, datagramSocket) }
 
 // bind opens a listener or datagram socket at an address.
@@ -73,10 +73,10 @@
 	return h.open(s), nil
 }
 
-// Release implements loop.System.
+// Release implements eventloop.System.
 func (h *Host) Release() {}
 
-// Close implements loop.System. A stream with unread bytes answers them with a reset, as the kernel does.
+// Close implements eventloop.System. A stream with unread bytes answers them with a reset, as the kernel does.
 func (h *Host) Close(fd int) {
 	s := h.sockets[fd]
 	if s == nil {
--- a/internal/loop/sim/world.go
+++ b/internal/eventloop/sim/world.go
@@ -1,4 +1,4 @@
-// Package sim simulates a network of hosts. Each host implements loop.System in simulated time, so that programs written for
+// Package sim simulates a network of hosts. Each host implements eventloop.System in simulated time, so that programs written for
 // a loop run on it unchanged, several of them in one process. The seed determines the whole run: nothing uses the real clock,
 // and simultaneous events have a fixed order.
 package sim
@@ -7,21 +7,21 @@
 	"net/netip"
 	"time"
 
-	"passtack/internal/due"
 	"passtack/internal/pcg"
+	"passtack/internal/timerqueue"
 )
 
 // World holds the simulated time, the hosts and the network between them.
 type World struct {
 	now       time.Duration // since the Unix epoch
 	random    *pcg.Source
-	callbacks due.Queue[func()]
+	callbacks timerqueue.Queue[func()]
 	hosts     []*Host // index: Host.number
 
-	wakeups  due.Queue[*Host] // hosts by the time of their next iteration
-	touched  []*Host          // hosts touched since the last collectTouched; their wakeups may be outdated
-	stale    []*Host          // hosts collected from touched, each once, until the next updateWakeups
-	runnable []*Host          // hosts that run at the present time, in order of their number
+	wakeups  timerqueue.Queue[*Host] // hosts by the time of their next iteration
+	touched  []*Host                 // hosts touched since the last collectTouched; their wakeups may be outdated
+	stale    []*Host                 // hosts collected from touched, each once, until the next updateWakeups
+	runnable []*Host                 // hosts that run at the present time, in order of their number
 
 	bound     map[netip.AddrPort]*socket // listeners and datagram sockets
 	links     map[[2]*Host]Link
--- a/internal/loop/stream.go
+++ b/internal/eventloop/stream.go
@@ -1,9 +1,9 @@
-package loop
+package eventloop
 
 import (
 	"errors"
 
-	"passtack/internal/slots"
+	"passtack/internal/slotmap"
 )
 
 // ErrNoDescriptors is returned by Dial when all descriptors are in use.
@@ -16,7 +16,7 @@
 type Stream struct {
 	loop       *Loop
 	fd         int
-	handle     slots.Handle
+	handle     slotmap.Handle
 	handler    Handler
 	listener   *Listener // listener that accepted the connection; nil for a dialed connection
 	connecting bool
--- a/internal/loop/system.go
+++ b/internal/eventloop/system.go
@@ -1,4 +1,4 @@
-package loop
+package eventloop
 
 import (
 	"net/netip"
@@ -6,7 +6,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"passtack/internal/slots"
+	"passtack/internal/slotmap"
 )
 
 // Event masks of System.Watch and Event.Ready, with the values of epoll.
@@ -19,8 +19,8 @@
 
 // Event is a descriptor that is ready, with the events that occurred.
 type Event struct {
-	Handle slots.Handle // handle passed to Watch; 0 for a call of Wake
-	Ready  uint32       // epoll event mask
+	Handle slotmap.Handle // handle passed to Watch; 0 for a call of Wake
+	Ready  uint32         // epoll event mask
 }
 
 // System provides the clock and the socket calls that a loop uses. No call except Wait may block. Errors are those of the
@@ -37,7 +37,7 @@
 	// Wake makes Wait return. It may be called from any goroutine.
 	Wake()
 	// Watch sets the events that a descriptor is watched for. isNew is true if it was not watched before.
-	Watch(fd int, handle slots.Handle, events uint32, isNew bool) error
+	Watch(fd int, handle slotmap.Handle, events uint32, isNew bool) error
 
 	// Dial starts a TCP connect. The descriptor becomes writable once ConnectError knows the result.
 	Dial(address netip.AddrPort) (fd int, err error)
--- a/internal/loop/timers.go
+++ b/internal/eventloop/timers.go
@@ -1,13 +1,13 @@
-package loop
+package eventloop
 
 import (
 	"time"
 
-	"passtack/internal/due"
+	"passtack/internal/timerqueue"
 )
 
 // Timer is a scheduled callback.
-type Timer = *due.Item[func()]
+type Timer = *timerqueue.Item[func()]
 
 // At schedules callback for the given time on the loop's clock. If that time has passed, callback runs at the end of the
 // current iteration, never before At returns.
--- a/internal/loop/write.go
+++ b/internal/eventloop/write.go
@@ -1,4 +1,4 @@
-package loop
+package eventloop
 
 // outputQueue holds the output of a stream that the kernel has not accepted.
 type outputQueue struct {
--- a/internal/front/connection.go
+++ b/internal/front/connection.go
@@ -4,15 +4,15 @@
 	"log/slog"
 	"time"
 
-	"passtack/internal/chain"
-	"passtack/internal/loop"
-	"passtack/internal/slots"
+	"passtack/internal/eventloop"
+	"passtack/internal/linkedlist"
+	"passtack/internal/slotmap"
 )
 
 // Connection is one client's connection.
 type Connection struct {
-	Stream *loop.Stream
-	Handle slots.Handle
+	Stream *eventloop.Stream
+	Handle slotmap.Handle
 	Ended  bool // nothing more is read or sent
 
 	connections  *Connections
@@ -21,11 +21,11 @@
 	hasRequested bool          // the client has sent a request
 	idleSince    time.Duration // start of the idle time, or of the wait for the rest of a message
 	unsent       int           // bytes that the client had not read at the latest check
-	link         chain.Element[*Connection]
+	link         linkedlist.Element[*Connection]
 }
 
 // idleChain returns the list that holds the connection while it is idle.
-func (c *Connection) idleList() *chain.List[*Connection] {
+func (c *Connection) idleList() *linkedlist.List[*Connection] {
 	if c.hasRequested {
 		return &c.connections.recentlyIdle
 	}
--- a/internal/front/connections.go
+++ b/internal/front/connections.go
@@ -9,9 +9,9 @@
 	"time"
 
 	"passtack/driver"
-	"passtack/internal/chain"
-	"passtack/internal/loop"
-	"passtack/internal/slots"
+	"passtack/internal/eventloop"
+	"passtack/internal/linkedlist"
+	"passtack/internal/slotmap"
 )
 
 // DeliveryMargin is the time reserved for delivering a response to a client. It includes the rounding of the kernel's timers.
@@ -29,7 +29,7 @@
 
 // Handler is the protocol on one connection.
 type Handler interface {
-	loop.Handler
+	eventloop.Handler
 	// Busy reports whether a request of the connection is in service.
 	Busy() bool
 	// RejectIncomplete answers a request that was not completely received in time, and closes the connection.
@@ -41,24 +41,24 @@
 
 // Connections holds the connections of one listener.
 type Connections struct {
-	loop       *loop.Loop
+	loop       *eventloop.Loop
 	count      func(name string)
 	newHandler func(connection *Connection) Handler
-	listener   *loop.Listener
-	table      slots.Map[*Connection]
+	listener   *eventloop.Listener
+	table      slotmap.Map[*Connection]
 	busy       int  // connections with a request in service
 	draining   bool // each connection is closed after its request
 	toClose    int  // number of connections to close after their request, as another listener needs descriptors
 
 	// Connections without a request in service. Each list starts with the one that has been idle for longest.
-	newConnections chain.List[*Connection] // no request received so far
-	recentlyIdle   chain.List[*Connection] // idle for less than clientTimeout
-	longIdle       chain.List[*Connection] // idle for longer
-	checkScheduled bool                    // a check of newConnections and recentlyIdle is scheduled
+	newConnections linkedlist.List[*Connection] // no request received so far
+	recentlyIdle   linkedlist.List[*Connection] // idle for less than clientTimeout
+	longIdle       linkedlist.List[*Connection] // idle for longer
+	checkScheduled bool                         // a check of newConnections and recentlyIdle is scheduled
 }
 
 // Listen accepts connections. maxUnread bounds the bytes of each one that were received and not consumed.
-func Listen(l *loop.Loop, address netip.AddrPort, maxUnread int, limits loop.AcceptLimiter, count func(name string),
+func Listen(l *eventloop.Loop, address netip.AddrPort, maxUnread int, limits eventloop.AcceptLimiter, count func(name string),
 	newHandler func(*Connection) Handler) (*Connections, error) {
 	cs := &Connections{loop: l, count: count, newHandler: newHandler}
 	var err error
@@ -66,7 +66,7 @@
 	return cs, err
 }
 
-func (cs *Connections) accept(open func(loop.Handler) *loop.Stream) {
+func (cs *Connections) accept(open func(eventloop.Handler) *eventloop.Stream) {
 	c := &Connection{connections: cs}
 	c.link.Value = c
 	c.handler = cs.newHandler(c)
@@ -91,7 +91,7 @@
 func (cs *Connections) Count() int { return cs.table.Len() }
 
 // Handler returns the handler of a connection, nil if the handle is stale.
-func (cs *Connections) Handler(h slots.Handle) Handler {
+func (cs *Connections) Handler(h slotmap.Handle) Handler {
 	if c := cs.table.Get(h); c != nil {
 		return c.handler
 	}
@@ -107,7 +107,7 @@
 // CloseIdle closes connections that have been idle for the given time, as part of a shutdown. It returns the number of open
 // connections, plus one while the kernel's accept queue may still hold some.
 func (cs *Connections) CloseIdle(idle time.Duration) int {
-	cs.table.ForEach(func(_ slots.Handle, c *Connection) {
+	cs.table.ForEach(func(_ slotmap.Handle, c *Connection) {
 		if c.evictable() && cs.loop.Now()-c.idleSince >= idle {
 			c.Close(ClosedShutdown)
 		}
@@ -123,7 +123,7 @@
 // client that it may be sent to another driver.
 func (cs *Connections) CloseAll() {
 	cs.listener.Close()
-	cs.table.ForEach(func(_ slots.Handle, c *Connection) {
+	cs.table.ForEach(func(_ slotmap.Handle, c *Connection) {
 		switch {
 		case c.Ended || c.handler.Busy():
 		case len(c.Stream.Unread()) > 0:
--- a/internal/front/idle.go
+++ b/internal/front/idle.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"passtack/internal/chain"
+	"passtack/internal/linkedlist"
 )
 
 const (
@@ -26,7 +26,7 @@
 	cs.checkList(&cs.recentlyIdle)
 }
 
-func (cs *Connections) checkList(idle *chain.List[*Connection]) {
+func (cs *Connections) checkList(idle *linkedlist.List[*Connection]) {
 	for link := idle.Front(); link != nil; link = idle.Front() {
 		c := link.Value
 		if c.idleSince+clientTimeout > cs.loop.Now() {
@@ -101,7 +101,7 @@
 
 // closeLongestIdle closes the connection of a list that has been idle for longest, if for at least minIdle. It reports whether
 // it closed one.
-func (cs *Connections) closeLongestIdle(idle *chain.List[*Connection], minIdle time.Duration) bool {
+func (cs *Connections) closeLongestIdle(idle *linkedlist.List[*Connection], minIdle time.Duration) bool {
 	for link := idle.Front(); link != nil; link = link.Next() {
 		c := link.Value
 		if cs.loop.Now()-c.idleSince < minIdle {
--- a/internal/front/odata/batch.go
+++ b/internal/front/odata/batch.go
@@ -4,9 +4,9 @@
 	"time"
 
 	"passtack/internal/batch"
+	"passtack/internal/eventloop"
 	"passtack/internal/httpwire"
 	"passtack/internal/idempotency"
-	"passtack/internal/loop"
 	"passtack/internal/odata"
 )
 
@@ -19,7 +19,7 @@
 	requests  []*request // nil for those answered without an RPC
 	responses []*response
 	sending   bool
-	timeout   loop.Timer
+	timeout   eventloop.Timer
 }
 
 // maxBatchDefault bounds the duration of a batch whose client sets no deadline.
--- a/internal/front/odata/connection.go
+++ b/internal/front/odata/connection.go
@@ -28,7 +28,7 @@
 // Busy implements front.Handler.
 func (c *connection) Busy() bool { return c.exchange != nil }
 
-// Opened implements loop.Handler.
+// Opened implements eventloop.Handler.
 func (c *connection) Opened() {}
 
 // RejectIncomplete implements front.Handler.
@@ -42,7 +42,7 @@
 	c.Close(front.ClosedShutdown)
 }
 
-// Closed implements loop.Handler.
+// Closed implements eventloop.Handler.
 func (c *connection) Closed(cause error) {
 	c.Connection.Release(cause)
 	c.abandon()
@@ -64,7 +64,7 @@
 	}
 }
 
-// Panicked implements loop.Handler. The client gets an error, as the request in service may have run.
+// Panicked implements eventloop.Handler. The client gets an error, as the request in service may have run.
 func (c *connection) Panicked(cause error) {
 	if !c.Ended {
 		c.Stream.Send(c.front.encodeMessage(abortResponse(), "4.01", false, true))
@@ -81,7 +81,7 @@
 	c.Close(front.ClosedUnreadable)
 }
 
-// Input implements loop.Handler. It takes one request at a time.
+// Input implements eventloop.Handler. It takes one request at a time.
 func (c *connection) Input(in []byte) int {
 	if c.Ended {
 		return len(in)
--- a/internal/front/odata/front.go
+++ b/internal/front/odata/front.go
@@ -7,22 +7,22 @@
 
 	"passtack/driver"
 	"passtack/internal/config"
+	"passtack/internal/eventloop"
 	"passtack/internal/front"
 	"passtack/internal/idempotency"
-	"passtack/internal/loop"
 	"passtack/internal/pcg"
-	"passtack/internal/slots"
+	"passtack/internal/slotmap"
 )
 
 // Front is one listener. It implements driver.Front.
 type Front struct {
-	loop        *loop.Loop
+	loop        *eventloop.Loop
 	handler     driver.RPCHandler
 	connections *front.Connections
 	config      *config.OData
 	methods     []string // names in statements, by method number
 	memberRoot  string   // root of the paths at members
-	requests    slots.Map[*request]
+	requests    slotmap.Map[*request]
 	activeIDs   front.ActiveIDs
 	registry    *idempotency.Registry
 	random      *pcg.Source
@@ -32,7 +32,7 @@
 
 // Listen accepts clients. methods has the names of the methods by number. Members that speak OData serve paths below memberRoot.
 // The seed is for the random ids of requests.
-func Listen(l *loop.Loop, handler driver.RPCHandler, address netip.AddrPort, limits loop.AcceptLimiter, activeIDs front.ActiveIDs, settings *config.OData,
+func Listen(l *eventloop.Loop, handler driver.RPCHandler, address netip.AddrPort, limits eventloop.AcceptLimiter, activeIDs front.ActiveIDs, settings *config.OData,
 	methods []string, memberRoot string, seed uint64) (*Front, error) {
 	f := &Front{
 		loop: l, handler: handler, activeIDs: activeIDs, methods: methods, memberRoot: memberRoot, registry: idempotency.New(l.Now()), random: pcg.New(seed),
@@ -70,7 +70,7 @@
 
 // MemberRequest implements driver.Front.
 func (f *Front) MemberRequest(from driver.Client) *driver.MemberRequest {
-	if req := f.requests.Get(slots.Handle(from)); req != nil {
+	if req := f.requests.Get(slotmap.Handle(from)); req != nil {
 		return &req.memberRequest
 	}
 	return nil
@@ -78,21 +78,21 @@
 
 // Answer implements driver.Front.
 func (f *Front) Answer(to driver.Client, a *driver.Answer) {
-	if req := f.requests.Get(slots.Handle(to)); req != nil {
+	if req := f.requests.Get(slotmap.Handle(to)); req != nil {
 		req.finish(idempotency.Completed, f.render(req, a), a.Position)
 	}
 }
 
 // PushBack implements driver.Front.
 func (f *Front) PushBack(to driver.Client, retryAfter time.Duration) {
-	if req := f.requests.Get(slots.Handle(to)); req != nil {
+	if req := f.requests.Get(slotmap.Handle(to)); req != nil {
 		req.finish(idempotency.NotRun, pushBackResponse(retryAfter), 0)
 	}
 }
 
 // Abort implements driver.Front.
 func (f *Front) Abort(to driver.Client) {
-	if req := f.requests.Get(slots.Handle(to)); req != nil {
+	if req := f.requests.Get(slotmap.Handle(to)); req != nil {
 		req.finish(idempotency.Uncertain, abortResponse(), 0)
 	}
 }
--- a/internal/front/odata/request.go
+++ b/internal/front/odata/request.go
@@ -7,13 +7,13 @@
 	"time"
 
 	"passtack/driver"
+	"passtack/internal/eventloop"
 	"passtack/internal/front"
 	"passtack/internal/httpwire"
 	"passtack/internal/idempotency"
-	"passtack/internal/loop"
 	"passtack/internal/member"
 	"passtack/internal/odata"
-	"passtack/internal/slots"
+	"passtack/internal/slotmap"
 )
 
 // request is one RPC in service, or one that waits for the response to another.
@@ -22,7 +22,7 @@
 	http          *httpRequest
 	exchange      *exchange // nil once its client has disconnected
 	batchIndex    int       // index in the batch of the exchange
-	handle        slots.Handle
+	handle        slotmap.Handle
 	rpc           driver.RPC
 	id            string
 	memberRequest driver.MemberRequest
@@ -57,7 +57,7 @@
 	firstSent       time.Duration
 	entry           *idempotency.Entry // of this request, if it is repeatable
 	joinedEntry     *idempotency.Entry // of the request whose response it waits for
-	joinTimeout     loop.Timer
+	joinTimeout     eventloop.Timer
 }
 
 // send hands the request to the driver, unless it can be answered here. A read must see all writes committed up to minPosition.
@@ -140,7 +140,7 @@
 	if req.entry != nil {
 		r.fields = httpwire.AppendField(r.fields, "Repeatability-Result", "accepted")
 		for _, h := range f.registry.Finish(req.entry, outcome, encodeResponse(r, f.config.Idempotency.MaxBytes/8), f.loop.Now()) {
-			if waiter := f.requests.Get(slots.Handle(h)); waiter != nil {
+			if waiter := f.requests.Get(slotmap.Handle(h)); waiter != nil {
 				waiter.joinedEntry = nil
 				waiter.finish(outcome, r, position)
 			}
@@ -173,7 +173,7 @@
 	delete(f.activeIDs, req.id)
 	if req.joinedEntry != nil {
 		req.joinedEntry.RemoveWaiter(uint32(req.handle))
-		if runner := f.requests.Get(slots.Handle(req.joinedEntry.Runner)); runner != nil {
+		if runner := f.requests.Get(slotmap.Handle(req.joinedEntry.Runner)); runner != nil {
 			runner.stopRetries()
 		}
 		return
--- a/internal/front/pg/client.go
+++ b/internal/front/pg/client.go
@@ -56,16 +56,16 @@
 	c.Close(front.ClosedShutdown)
 }
 
-// Opened implements loop.Handler.
+// Opened implements eventloop.Handler.
 func (c *client) Opened() {}
 
-// Closed implements loop.Handler.
+// Closed implements eventloop.Handler.
 func (c *client) Closed(cause error) {
 	c.Connection.Release(cause)
 	c.abandon()
 }
 
-// Panicked implements loop.Handler. The client gets an error, as the RPC in service may have run.
+// Panicked implements eventloop.Handler. The client gets an error, as the RPC in service may have run.
 func (c *client) Panicked(cause error) {
 	if !c.Ended {
 		c.Stream.Send(pgwire.AppendError(nil, true, codeSystemError, "aborted", -1))
@@ -74,7 +74,7 @@
 	c.Close(front.ClosedPanic)
 }
 
-// HalfClosed implements loop.HalfCloser. It returns a parameter status message, which a client that still reads ignores.
+// HalfClosed implements eventloop.HalfCloser. It returns a parameter status message, which a client that still reads ignores.
 func (c *client) HalfClosed(pending bool) []byte {
 	if !c.started || c.Ended || !c.busy && !pending && len(c.Stream.Unread()) == 0 {
 		return nil
@@ -85,7 +85,7 @@
 	return pgwire.AppendParameter(nil, "client_encoding", "UTF8")
 }
 
-// Input implements loop.Handler. It takes one message at a time.
+// Input implements eventloop.Handler. It takes one message at a time.
 func (c *client) Input(in []byte) int {
 	if c.Ended {
 		return len(in)
--- a/internal/front/pg/front.go
+++ b/internal/front/pg/front.go
@@ -6,16 +6,16 @@
 	"time"
 
 	"passtack/driver"
+	"passtack/internal/eventloop"
 	"passtack/internal/front"
-	"passtack/internal/loop"
 	"passtack/internal/pcg"
 	"passtack/internal/pgwire"
-	"passtack/internal/slots"
+	"passtack/internal/slotmap"
 )
 
 // Front is one listener. It implements driver.Front.
 type Front struct {
-	loop        *loop.Loop
+	loop        *eventloop.Loop
 	handler     driver.RPCHandler
 	methods     map[string]driver.Method
 	sessions    map[driver.Method]bool // methods whose quoted key names the session
@@ -27,7 +27,7 @@
 
 // Listen accepts clients. The slices are indexed by method: its name, whether its key names the session, and whether it needs
 // an idempotency key. The seed is for the random cancel keys.
-func Listen(l *loop.Loop, handler driver.RPCHandler, address netip.AddrPort, limits loop.AcceptLimiter, activeIDs front.ActiveIDs, methods []string,
+func Listen(l *eventloop.Loop, handler driver.RPCHandler, address netip.AddrPort, limits eventloop.AcceptLimiter, activeIDs front.ActiveIDs, methods []string,
 	sessions, keyed []bool, seed uint64) (*Front, error) {
 	f := &Front{cancelKeys: pcg.New(seed), loop: l, handler: handler, activeIDs: activeIDs}
 	f.SetMethods(methods, sessions, keyed)
@@ -50,7 +50,7 @@
 
 // busyClient returns the client whose RPC is in service, nil if there is none.
 func (f *Front) busyClient(id driver.Client) *client {
-	if c, ok := f.connections.Handler(slots.Handle(id)).(*client); ok && c.busy {
+	if c, ok := f.connections.Handler(slotmap.Handle(id)).(*client); ok && c.busy {
 		return c
 	}
 	return nil
--- a/internal/idempotency/entry.go
+++ b/internal/idempotency/entry.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"passtack/internal/chain"
+	"passtack/internal/linkedlist"
 )
 
 // Entry is one request with an idempotency key.
@@ -19,7 +19,7 @@
 	state      state
 	mayHaveRun bool
 	finishedAt time.Duration
-	link       chain.Element[*Entry] // in Registry.finished
+	link       linkedlist.Element[*Entry] // in Registry.finished
 }
 
 // state is the state of an entry. The numeric values are stored.
--- a/internal/idempotency/registry.go
+++ b/internal/idempotency/registry.go
@@ -14,7 +14,7 @@
 	"slices"
 	"time"
 
-	"passtack/internal/chain"
+	"passtack/internal/linkedlist"
 )
 
 // Verdict is the decision on a request.
@@ -70,7 +70,7 @@
 
 	knownSince time.Duration // requests first sent at or before this time may have been forgotten
 	entries    map[string]*Entry
-	finished   chain.List[*Entry] // the oldest first
+	finished   linkedlist.List[*Entry] // the oldest first
 	bytes      int
 	inProgress int
 }
--- a/internal/idempotency/registry_test.go
+++ b/internal/idempotency/registry_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"passtack/internal/seeded"
+	"passtack/internal/proptest"
 	"pgregory.net/rapid"
 )
 
@@ -112,7 +112,7 @@
 // A group drops duplicates within a window after the first run. Two drivers get the same requests and are killed at random. Neither
 // may let a request run a second time after the window.
 func TestNoRequestTakesEffectTwice(t *testing.T) {
-	seeded.Check(t, func(t *rapid.T) {
+	proptest.Check(t, func(t *rapid.T) {
 		now := second
 		type requestState struct {
 			firstSent, ranAt time.Duration // ranAt: when the group first ran it; 0: not yet
--- a/internal/lab/capacity/configuration.go
+++ b/internal/lab/capacity/configuration.go
@@ -11,9 +11,9 @@
 	"strings"
 	"time"
 
+	"passtack/internal/eventloop"
+	"passtack/internal/eventloop/sim"
 	"passtack/internal/httpwire"
-	"passtack/internal/loop"
-	"passtack/internal/loop/sim"
 	"passtack/internal/node"
 	"passtack/internal/pcg"
 	"passtack/internal/rollout"
@@ -58,7 +58,7 @@
 	*simulatedFleet
 	machines       []*controlMachine
 	publisher      *sim.Host
-	publisherLoop  *loop.Loop
+	publisherLoop  *eventloop.Loop
 	random         *pcg.Source
 	partitioned    bool
 	cutLinks       map[[2]*sim.Host]bool // from and to; the opposite direction is separate
@@ -98,7 +98,7 @@
 		r.region[h] = i % 2
 	}
 	r.publisher = f.world.AddHost("publisher")
-	if r.publisherLoop, err = loop.NewWithSystem(r.publisher, 1000, 64<<20); err != nil {
+	if r.publisherLoop, err = eventloop.NewWithSystem(r.publisher, 1000, 64<<20); err != nil {
 		return nil, err
 	}
 	r.publisher.Serve(r.publisherLoop, func() {})
@@ -134,7 +134,7 @@
 func (c *controlMachine) start() error {
 	r := c.fleet
 	c.host.Start()
-	l, err := loop.NewWithSystem(c.host, 4096, 64<<20)
+	l, err := eventloop.NewWithSystem(c.host, 4096, 64<<20)
 	if err != nil {
 		return err
 	}
@@ -266,8 +266,8 @@
 	invalid  bool
 	machine  int
 	deadline time.Duration
-	stream   *loop.Stream
-	timer    loop.Timer
+	stream   *eventloop.Stream
+	timer    eventloop.Timer
 }
 
 func (r *rolloutFleet) publish(invalid bool) {
@@ -301,13 +301,13 @@
 	p.fleet.publisherLoop.At(p.fleet.publisherLoop.Now()+200*time.Millisecond, p.try)
 }
 
-// Opened implements loop.Handler.
+// Opened implements eventloop.Handler.
 func (p *publication) Opened() {}
 
-// Panicked implements loop.Handler.
+// Panicked implements eventloop.Handler.
 func (p *publication) Panicked(error) { p.Closed(nil) }
 
-// Closed implements loop.Handler.
+// Closed implements eventloop.Handler.
 func (p *publication) Closed(error) {
 	p.fleet.publisherLoop.Cancel(p.timer)
 	if p.stream != nil {
@@ -317,7 +317,7 @@
 	}
 }
 
-// Input implements loop.Handler.
+// Input implements eventloop.Handler.
 func (p *publication) Input(in []byte) int {
 	status, body, size, _, err := httpwire.Answer(in, false)
 	if size == 0 && err == nil {
--- a/internal/lab/capacity/driver_loopback.go
+++ b/internal/lab/capacity/driver_loopback.go
@@ -15,7 +15,7 @@
 	"syscall"
 	"time"
 
-	"passtack/internal/loop"
+	"passtack/internal/eventloop"
 )
 
 // errNoProgram is returned when no driver program is set to measure.
@@ -171,12 +171,12 @@
 	if err != nil {
 		return nil, err
 	}
-	memberLoop, err := loop.New(maxLoopSockets, 1<<28)
+	memberLoop, err := eventloop.New(maxLoopSockets, 1<<28)
 	if err != nil {
 		return nil, err
 	}
 	defer memberLoop.Close()
-	clientLoop, err := loop.New(maxLoopSockets, 1<<28)
+	clientLoop, err := eventloop.New(maxLoopSockets, 1<<28)
 	if err != nil {
 		return nil, err
 	}
@@ -194,7 +194,7 @@
 		return nil, err
 	}
 	loopErrors, stopLoops := make(chan error, 2), make(chan struct{})
-	runLoop := func(l *loop.Loop) {
+	runLoop := func(l *eventloop.Loop) {
 		loopErrors <- l.Run(func() {
 			select {
 			case <-stopLoops:
--- a/internal/lab/capacity/driver_simulated.go
+++ b/internal/lab/capacity/driver_simulated.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"passtack/internal/config"
-	"passtack/internal/loop"
-	"passtack/internal/loop/sim"
+	"passtack/internal/eventloop"
+	"passtack/internal/eventloop/sim"
 	"passtack/internal/node"
 )
 
@@ -34,9 +34,9 @@
 	world := sim.New(seed, simulationStart)
 	memberHost, clientHost, driverHost := world.AddHost("members"), world.AddHost("clients"), world.AddHost("d0")
 	memberHost.IterationTime, clientHost.IterationTime = 0, 0
-	loops := make([]*loop.Loop, 3)
+	loops := make([]*eventloop.Loop, 3)
 	for i, h := range []*sim.Host{memberHost, clientHost, driverHost} {
-		l, err := loop.NewWithSystem(h, 1<<16, 1<<28)
+		l, err := eventloop.NewWithSystem(h, 1<<16, 1<<28)
 		if err != nil {
 			return err
 		}
--- a/internal/lab/capacity/driver_state.go
+++ b/internal/lab/capacity/driver_state.go
@@ -12,8 +12,8 @@
 	"passtack/driver"
 	"passtack/internal/config"
 	"passtack/internal/discovery"
-	"passtack/internal/loop"
-	"passtack/internal/loop/sim"
+	"passtack/internal/eventloop"
+	"passtack/internal/eventloop/sim"
 	"passtack/internal/member"
 	pgmember "passtack/internal/member/pg"
 	"passtack/internal/node"
@@ -194,7 +194,7 @@
 }
 
 // newDriver makes a complete driver on a loop with an endpoint list; with withView, it keeps a view of its fleet.
-func newDriver(l *loop.Loop, listen netip.AddrPort, list []byte, withView bool) (*node.Node, error) {
+func newDriver(l *eventloop.Loop, listen netip.AddrPort, list []byte, withView bool) (*node.Node, error) {
 	site := &node.Site{
 		Name: "d0", Listen: listen, Discovery: netip.MustParseAddrPort("10.2.0.1:8500"), Seed: 1, Descriptors: 1 << 15, Memory: driverMemoryMB << 20,
 		InitialList: list, Settings: flatDriverSettings(designDrivers, false, longSoftDeadline),
@@ -245,7 +245,7 @@
 
 // memberPool makes a member pool in which no member is connected.
 func memberPool(members int) (any, error) {
-	l, err := loop.NewWithSystem(sim.New(1, simulationStart).AddHost("d0"), 1<<15, 1<<20)
+	l, err := eventloop.NewWithSystem(sim.New(1, simulationStart).AddHost("d0"), 1<<15, 1<<20)
 	if err != nil {
 		return nil, err
 	}
@@ -260,7 +260,7 @@
 // driverBuilder returns a function that makes a complete driver with an endpoint list; the driver has served no clients.
 func driverBuilder(withView bool) func(members int) (any, error) {
 	return func(members int) (any, error) {
-		l, err := loop.NewWithSystem(sim.New(1, simulationStart).AddHost("d0"), 1<<15, 1<<20)
+		l, err := eventloop.NewWithSystem(sim.New(1, simulationStart).AddHost("d0"), 1<<15, 1<<20)
 		if err != nil {
 			return nil, err
 		}
@@ -311,7 +311,7 @@
 func listCost(members int, point func(measure, unit string, value float64)) error {
 	const repetitions = 20
 	q := newRouterHost(0, membersPerGroup, false)
-	l, err := loop.NewWithSystem(sim.New(1, simulationStart).AddHost("d0"), 1<<10, 1<<20)
+	l, err := eventloop.NewWithSystem(sim.New(1, simulationStart).AddHost("d0"), 1<<10, 1<<20)
 	if err != nil {
 		return err
 	}
@@ -370,7 +370,7 @@
 
 // rawPeers are clients and members as bare descriptors, so that the heap holds only the driver's own state.
 type rawPeers struct {
-	loop          *loop.Loop
+	loop          *eventloop.Loop
 	driver        *node.Node
 	driverAddress unix.SockaddrInet4
 	listeners     []int
@@ -398,7 +398,7 @@
 			return nil, fmt.Errorf("member %d: %w", n, err)
 		}
 	}
-	if r.loop, err = loop.New(1<<15, driverMemoryMB<<18); err != nil {
+	if r.loop, err = eventloop.New(1<<15, driverMemoryMB<<18); err != nil {
 		r.close()
 		return nil, err
 	}
--- a/internal/lab/capacity/driver_testbed.go
+++ b/internal/lab/capacity/driver_testbed.go
@@ -10,8 +10,8 @@
 	"strings"
 	"time"
 
+	"passtack/internal/eventloop"
 	"passtack/internal/httpwire"
-	"passtack/internal/loop"
 	"passtack/internal/pcg"
 	"passtack/internal/pgwire"
 	"passtack/internal/settings"
@@ -64,7 +64,7 @@
 	serviceTime            time.Duration // of a member per statement; 0: answers at once
 	windowStart, windowEnd time.Duration // measurement window, by the loops' clocks
 
-	loop            *loop.Loop // of members and discovery
+	loop            *eventloop.Loop // of members and discovery
 	members         []*fakeMember
 	pendingWrites   [][]pendingWrite // by group: writes not yet confirmed by every replica
 	handshakes      int              // connections that members accepted
@@ -96,18 +96,18 @@
 // memberConn is one connection to a member, on the member's side.
 type memberConn struct {
 	member      *fakeMember
-	stream      *loop.Stream
+	stream      *eventloop.Stream
 	startupDone bool
 }
 
 // listen creates the members and opens the listeners of members and discovery.
-func (g *testbed) listen(l *loop.Loop, members int, address func(n int) netip.AddrPort, discovery netip.AddrPort) error {
+func (g *testbed) listen(l *eventloop.Loop, members int, address func(n int) netip.AddrPort, discovery netip.AddrPort) error {
 	g.loop = l
 	g.pendingWrites = make([][]pendingWrite, (members+membersPerGroup-1)/membersPerGroup)
 	for n := range members {
 		member := &fakeMember{testbed: g, address: address(n), group: n / membersPerGroup, index: n % membersPerGroup, reportedAt: -1}
 		g.members = append(g.members, member)
-		if _, err := l.Listen(member.address, pgwire.Most+1, loop.AcceptLimiter{}, func(open func(loop.Handler) *loop.Stream) {
+		if _, err := l.Listen(member.address, pgwire.Most+1, eventloop.AcceptLimiter{}, func(open func(eventloop.Handler) *eventloop.Stream) {
 			conn := &memberConn{member: member}
 			if conn.stream = open(conn); conn.stream == nil {
 				return
@@ -121,7 +121,7 @@
 			return fmt.Errorf("member %d: %w", n, err)
 		}
 	}
-	_, err := l.Listen(discovery, 1<<16, loop.AcceptLimiter{}, func(open func(loop.Handler) *loop.Stream) {
+	_, err := l.Listen(discovery, 1<<16, eventloop.AcceptLimiter{}, func(open func(eventloop.Handler) *eventloop.Stream) {
 		conn := &discoveryConn{testbed: g}
 		conn.stream = open(conn)
 	}, func(bool) {})
@@ -177,16 +177,16 @@
 	return append(out, "]}"...)
 }
 
-// Opened implements loop.Handler.
+// Opened implements eventloop.Handler.
 func (c *memberConn) Opened() {}
 
-// Panicked implements loop.Handler.
+// Panicked implements eventloop.Handler.
 func (c *memberConn) Panicked(cause error) { c.stream.Close() }
 
-// Closed implements loop.Handler.
+// Closed implements eventloop.Handler.
 func (c *memberConn) Closed(error) { c.member.conns-- }
 
-// Input implements loop.Handler.
+// Input implements eventloop.Handler.
 func (c *memberConn) Input(in []byte) int {
 	m := c.member
 	if !c.startupDone {
@@ -285,19 +285,19 @@
 // discoveryConn is one connection to discovery; the list never changes.
 type discoveryConn struct {
 	testbed *testbed
-	stream  *loop.Stream
+	stream  *eventloop.Stream
 }
 
-// Opened implements loop.Handler.
+// Opened implements eventloop.Handler.
 func (a *discoveryConn) Opened() {}
 
-// Panicked implements loop.Handler.
+// Panicked implements eventloop.Handler.
 func (a *discoveryConn) Panicked(cause error) { a.stream.Close() }
 
-// Closed implements loop.Handler.
+// Closed implements eventloop.Handler.
 func (a *discoveryConn) Closed(error) {}
 
-// Input implements loop.Handler.
+// Input implements eventloop.Handler.
 func (a *discoveryConn) Input(in []byte) int {
 	r, fault := httpwire.Next(in, httpwire.Limits{Target: 1000, Head: 4000, Fields: 50, Body: 1000})
 	if fault != nil {
@@ -326,7 +326,7 @@
 // randomly drawn client that awaits no answer. The driver closes client connections that have been idle for two seconds; such a
 // client connects again for its next statement.
 type clientLoad struct {
-	loop                   *loop.Loop
+	loop                   *eventloop.Loop
 	target                 netip.AddrPort
 	random                 *pcg.Source
 	rate                   float64
@@ -364,8 +364,8 @@
 type loadClient struct {
 	load        *clientLoad
 	number      int
-	stream      *loop.Stream // nil: not connected
-	reconnected bool         // the connection was opened for the current statement
+	stream      *eventloop.Stream // nil: not connected
+	reconnected bool              // the connection was opened for the current statement
 	awaiting    bool
 	isWrite     bool
 	gotRow      bool
@@ -375,7 +375,7 @@
 }
 
 // start sends statements from now on, on the given loop.
-func (c *clientLoad) start(l *loop.Loop) {
+func (c *clientLoad) start(l *eventloop.Loop) {
 	if c.loop = l; c.rate > 0 {
 		c.nextArrival = l.Now()
 		l.At(c.nextArrival, c.nextStatement)
@@ -463,10 +463,10 @@
 	}
 }
 
-// Opened implements loop.Handler.
+// Opened implements eventloop.Handler.
 func (k *loadClient) Opened() {}
 
-// Panicked implements loop.Handler.
+// Panicked implements eventloop.Handler.
 func (k *loadClient) Panicked(cause error) { k.stream.Close() }
 
 // Closed sends the current statement once more on a new connection if the driver closed an idle connection while the statement was
@@ -481,7 +481,7 @@
 	}
 }
 
-// Input implements loop.Handler.
+// Input implements eventloop.Handler.
 func (k *loadClient) Input(in []byte) int {
 	c := k.load
 	kind, body, size, err := pgwire.Next(in)
--- a/internal/lab/capacity/growth_test.go
+++ b/internal/lab/capacity/growth_test.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"passtack/internal/discovery"
-	"passtack/internal/loop"
-	"passtack/internal/loop/sim"
+	"passtack/internal/eventloop"
+	"passtack/internal/eventloop/sim"
 	"passtack/internal/peers"
 )
 
@@ -162,7 +162,7 @@
 
 // Restoring a list repeatedly does not grow the heap: the memory of the previous list is released.
 func TestRestoringListsLeavesNoMemory(t *testing.T) {
-	l, err := loop.NewWithSystem(sim.New(1, epoch).AddHost("one"), 16, 1<<20)
+	l, err := eventloop.NewWithSystem(sim.New(1, epoch).AddHost("one"), 16, 1<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/capacity/lists.go
+++ b/internal/lab/capacity/lists.go
@@ -10,8 +10,8 @@
 	"passtack/driver"
 	"passtack/internal/discovery"
 	"passtack/internal/draingossip"
-	"passtack/internal/loop"
-	"passtack/internal/loop/sim"
+	"passtack/internal/eventloop"
+	"passtack/internal/eventloop/sim"
 )
 
 func listSweeps() []Sweep {
@@ -65,9 +65,9 @@
 		point(p)
 	}
 	world := sim.New(seed, epoch)
-	newLoop := func(name string, descriptors int) (*loop.Loop, error) {
+	newLoop := func(name string, descriptors int) (*eventloop.Loop, error) {
 		h := world.AddHost(name)
-		l, err := loop.NewWithSystem(h, descriptors, 8<<20)
+		l, err := eventloop.NewWithSystem(h, descriptors, 8<<20)
 		if err == nil {
 			h.Serve(l, func() {})
 		}
@@ -177,7 +177,7 @@
 	}
 	whole := d.list(true)
 	emit("whole", "B of a whole list, as JSON", float64(len(whole)))
-	l, err := loop.NewWithSystem(sim.New(1, epoch).AddHost("one"), 16, 1<<20)
+	l, err := eventloop.NewWithSystem(sim.New(1, epoch).AddHost("one"), 16, 1<<20)
 	if err != nil {
 		return err
 	}
--- a/internal/lab/capacity/processes.go
+++ b/internal/lab/capacity/processes.go
@@ -16,7 +16,7 @@
 
 	"passtack/internal/control"
 	"passtack/internal/emu/play"
-	"passtack/internal/loop"
+	"passtack/internal/eventloop"
 	"passtack/internal/node"
 )
 
@@ -122,7 +122,7 @@
 		return err
 	}
 	defer os.RemoveAll(folder)
-	l, err := loop.New(4*size+100, 1<<20)
+	l, err := eventloop.New(4*size+100, 1<<20)
 	if err != nil {
 		return err
 	}
--- a/internal/lab/capacity/simulated_fleet.go
+++ b/internal/lab/capacity/simulated_fleet.go
@@ -12,9 +12,9 @@
 	"time"
 
 	"passtack/internal/emu/play"
+	"passtack/internal/eventloop"
+	"passtack/internal/eventloop/sim"
 	"passtack/internal/httpwire"
-	"passtack/internal/loop"
-	"passtack/internal/loop/sim"
 	"passtack/internal/membership"
 	"passtack/internal/node"
 	"passtack/internal/peers"
@@ -109,7 +109,7 @@
 	f.world.OnDatagram = f.countDatagram
 	discoveryHost := f.world.AddHost("discovery")
 	discoveryHost.IterationTime = 0
-	l, err := loop.NewWithSystem(discoveryHost, 2*drivers+100, 64<<20)
+	l, err := eventloop.NewWithSystem(discoveryHost, 2*drivers+100, 64<<20)
 	if err != nil {
 		return nil, err
 	}
@@ -164,7 +164,7 @@
 func (f *simulatedFleet) start(i int) error {
 	h := f.hosts[i]
 	h.Start()
-	l, err := loop.NewWithSystem(h, 64, 1<<20)
+	l, err := eventloop.NewWithSystem(h, 64, 1<<20)
 	if err != nil {
 		return err
 	}
@@ -276,17 +276,17 @@
 // agent is the discovery agent of one driver, with counts of its calls and bytes.
 type agent struct {
 	discovery                       *discoveryService
-	loop                            *loop.Loop
+	loop                            *eventloop.Loop
 	address                         netip.AddrPort
 	pending                         *agentConnection
 	calls, bytesSent, bytesReceived int
 }
 
 // agent adds an agent, which serves the endpoint list at an address.
-func (d *discoveryService) agent(l *loop.Loop, address netip.AddrPort) (*agent, error) {
+func (d *discoveryService) agent(l *eventloop.Loop, address netip.AddrPort) (*agent, error) {
 	a := &agent{discovery: d, loop: l, address: address}
 	d.agents = append(d.agents, a)
-	_, err := l.Listen(address, 1<<16, loop.AcceptLimiter{}, func(open func(loop.Handler) *loop.Stream) {
+	_, err := l.Listen(address, 1<<16, eventloop.AcceptLimiter{}, func(open func(eventloop.Handler) *eventloop.Stream) {
 		k := &agentConnection{agent: a}
 		k.stream = open(k)
 	}, func(bool) {})
@@ -332,18 +332,18 @@
 // agentConnection is a driver's connection to its agent.
 type agentConnection struct {
 	agent        *agent
-	stream       *loop.Stream
+	stream       *eventloop.Stream
 	fromRevision int
-	timer        loop.Timer
+	timer        eventloop.Timer
 }
 
-// Opened implements loop.Handler.
+// Opened implements eventloop.Handler.
 func (k *agentConnection) Opened() {}
 
-// Panicked implements loop.Handler.
+// Panicked implements eventloop.Handler.
 func (k *agentConnection) Panicked(cause error) { k.stream.Close() }
 
-// Closed implements loop.Handler.
+// Closed implements eventloop.Handler.
 func (k *agentConnection) Closed(error) {
 	k.agent.loop.Cancel(k.timer)
 	if k.agent.pending == k {
@@ -351,7 +351,7 @@
 	}
 }
 
-// Input implements loop.Handler.
+// Input implements eventloop.Handler.
 func (k *agentConnection) Input(in []byte) int {
 	a := k.agent
 	r, fault := httpwire.Next(in, httpwire.Limits{Target: 1000, Head: 4000, Fields: 50, Body: 1000})
--- a/internal/lab/capacity/views.go
+++ b/internal/lab/capacity/views.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"time"
 
-	"passtack/internal/loop/sim"
+	"passtack/internal/eventloop/sim"
 	"passtack/internal/membership"
 	"passtack/internal/peers"
 )
--- a/internal/lease/message_test.go
+++ b/internal/lease/message_test.go
@@ -7,12 +7,12 @@
 
 	"pgregory.net/rapid"
 
-	"passtack/internal/seeded"
+	"passtack/internal/proptest"
 )
 
 // TestMessageRoundTrip checks that decoding an encoded message returns an equal message, and that truncated messages are rejected.
 func TestMessageRoundTrip(t *testing.T) {
-	seeded.Check(t, func(t *rapid.T) {
+	proptest.Check(t, func(t *rapid.T) {
 		m := Message{Op: Op(rapid.IntRange(1, int(lastOp)).Draw(t, "op")), Reason: Reason(rapid.IntRange(0, int(lastReason)).Draw(t, "why")),
 			Lease: rapid.StringMatching(`[a-z0-9/]{1,32}`).Draw(t, "lease"), VoterSetVersion: rapid.Uint32().Draw(t, "version"), Round: rapid.Uint64().Draw(t, "round"),
 			FencingToken: rapid.Uint64().Draw(t, "number"), TTL: time.Duration(rapid.Int64Range(0, int64(time.Hour)).Draw(t, "lasts")),
--- a/internal/lease/simulation_test.go
+++ b/internal/lease/simulation_test.go
@@ -6,8 +6,8 @@
 	"strings"
 	"time"
 
-	"passtack/internal/due"
 	"passtack/internal/pcg"
+	"passtack/internal/timerqueue"
 )
 
 const ms = time.Millisecond
@@ -16,7 +16,7 @@
 type simulation struct {
 	random          *pcg.Source
 	now             time.Duration // true time, which drivers cannot read
-	queue           due.Queue[func()]
+	queue           timerqueue.Queue[func()]
 	drivers         []*simulatedDriver
 	loss            float64
 	duplication     float64
@@ -46,7 +46,7 @@
 	candidate      *Candidate
 	storage        map[string]Promise // nil if the driver stores nothing
 	olderStorage   map[string]Promise // copy from an earlier stop
-	wakeItem       *due.Item[func()]
+	wakeItem       *timerqueue.Item[func()]
 	heldSince      time.Duration
 	voters         VoterSet
 }
--- a/internal/chain/chain.go
+++ b/internal/linkedlist/linkedlist.go
@@ -1,6 +1,6 @@
-// Package chain implements an intrusive doubly linked list. The list element is a field of the value that it links, so adding
+// Package linkedlist implements an intrusive doubly linked list. The list element is a field of the value that it links, so adding
 // and removing elements allocates no memory and takes constant time. It is not safe for concurrent use.
-package chain
+package linkedlist
 
 // Element is an element of a list. Its zero value belongs to no list.
 type Element[T any] struct {
--- a/internal/chain/chain_test.go
+++ b/internal/linkedlist/linkedlist_test.go
@@ -1,16 +1,16 @@
-package chain
+package linkedlist
 
 import (
 	"slices"
 	"testing"
 
-	"passtack/internal/seeded"
+	"passtack/internal/proptest"
 	"pgregory.net/rapid"
 )
 
 // Random PushBack and Remove calls on two lists are compared with slices after every step.
 func TestListAgainstSlice(t *testing.T) {
-	seeded.Check(t, func(t *rapid.T) {
+	proptest.Check(t, func(t *rapid.T) {
 		lists, want := [2]List[int]{}, [2][]int{}
 		elements := make([]Element[int], 8)
 		for i := range elements {
--- a/internal/member/attempt.go
+++ b/internal/member/attempt.go
@@ -6,9 +6,9 @@
 	"time"
 
 	"passtack/driver"
-	"passtack/internal/chain"
-	"passtack/internal/loop"
-	"passtack/internal/slots"
+	"passtack/internal/eventloop"
+	"passtack/internal/linkedlist"
+	"passtack/internal/slotmap"
 )
 
 // failureLogInterval is the minimum time between log lines about failures at one member. Counters include every failure.
@@ -16,7 +16,7 @@
 
 // attempt is one attempt of an RPC at a member, or a health check.
 type attempt struct {
-	handle        slots.Handle
+	handle        slotmap.Handle
 	rpc           driver.RPC
 	number        int  // index among the RPC's attempts
 	probe         bool // it is a health check and has no RPC
@@ -26,8 +26,8 @@
 	deadline      time.Duration // time by which its response is due
 	connection    *connection
 	request       *driver.MemberRequest // a copy, kept until it is written
-	timer         loop.Timer
-	queued        chain.Element[*attempt] // element of the member's queue
+	timer         eventloop.Timer
+	queued        linkedlist.Element[*attempt] // element of the member's queue
 }
 
 // Attempt sends a request to a member with the time that is left until the deadline. A request that is not fully written by
@@ -88,7 +88,7 @@
 
 // Cancel ends an attempt later in this iteration of the loop. Nothing of its request is written after the call.
 func (p *Pool) Cancel(handle uint32) {
-	if a := p.attempts.Get(slots.Handle(handle)); a != nil {
+	if a := p.attempts.Get(slotmap.Handle(handle)); a != nil {
 		outcome := driver.Cancelled
 		if a.progress() < FullyWritten {
 			outcome = driver.Moot
@@ -100,7 +100,7 @@
 
 // Withdraw cancels an attempt that is not fully written. It does not count against the member.
 func (p *Pool) Withdraw(handle uint32) {
-	if a := p.attempts.Get(slots.Handle(handle)); a != nil && a.progress() < FullyWritten {
+	if a := p.attempts.Get(slotmap.Handle(handle)); a != nil && a.progress() < FullyWritten {
 		p.Cancel(handle)
 	}
 }
@@ -119,7 +119,7 @@
 }
 
 // expire ends an attempt that missed a deadline. One that was fully written in time has until its response is due.
-func (p *Pool) expire(handle slots.Handle) {
+func (p *Pool) expire(handle slotmap.Handle) {
 	a := p.attempts.Get(handle)
 	if a == nil {
 		return
--- a/internal/member/attempt_test.go
+++ b/internal/member/attempt_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"passtack/driver"
-	"passtack/internal/loop"
+	"passtack/internal/eventloop"
 	"passtack/internal/member"
 	"passtack/internal/member/odata"
 	"passtack/internal/recovery"
@@ -108,8 +108,8 @@
 
 // unsizedResponder answers a request with a response without a length, and then resets the connection or closes it in order.
 type unsizedResponder struct {
-	stream *loop.Stream
-	end    func(*loop.Stream)
+	stream *eventloop.Stream
+	end    func(*eventloop.Stream)
 }
 
 func (c *unsizedResponder) Opened()        {}
@@ -128,20 +128,20 @@
 // its connection, not with a reset.
 func TestAResetDoesNotEndAResponse(t *testing.T) {
 	for name, c := range map[string]struct {
-		endWith func(*loop.Stream)
+		endWith func(*eventloop.Stream)
 		want    driver.Outcome
 	}{
-		"ends in order":  {(*loop.Stream).CloseWhenSent, driver.OK},
-		"resets at once": {(*loop.Stream).Reset, driver.Broken},
+		"ends in order":  {(*eventloop.Stream).CloseWhenSent, driver.OK},
+		"resets at once": {(*eventloop.Stream).Reset, driver.Broken},
 		"resets later":   {nil, driver.Broken},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t, 0, false)
 			if c.endWith == nil {
-				c.endWith = func(responder *loop.Stream) { f.member.loop.At(f.member.loop.Now()+50*ms, responder.Reset) }
+				c.endWith = func(responder *eventloop.Stream) { f.member.loop.At(f.member.loop.Now()+50*ms, responder.Reset) }
 			}
 			address := netip.MustParseAddrPort("10.0.0.1:5432")
-			if _, err := f.member.loop.Listen(address, 1<<12, loop.AcceptLimiter{}, func(open func(loop.Handler) *loop.Stream) {
+			if _, err := f.member.loop.Listen(address, 1<<12, eventloop.AcceptLimiter{}, func(open func(eventloop.Handler) *eventloop.Stream) {
 				responder := &unsizedResponder{end: c.endWith}
 				responder.stream = open(responder)
 			}, func(bool) {}); err != nil {
--- a/internal/member/connection.go
+++ b/internal/member/connection.go
@@ -7,28 +7,28 @@
 	"time"
 
 	"passtack/driver"
-	"passtack/internal/loop"
-	"passtack/internal/slots"
+	"passtack/internal/eventloop"
+	"passtack/internal/slotmap"
 )
 
 // maxResponsePause bounds a pause within a response. It is longer than the retransmission of a lost packet takes; members send a
 // whole response without pauses.
 const maxResponsePause = 250 * time.Millisecond
 
-// connection is one connection to a member. It implements loop.Handler.
+// connection is one connection to a member. It implements eventloop.Handler.
 type connection struct {
 	pool            *Pool
-	handle          slots.Handle
+	handle          slotmap.Handle
 	member          *member
 	address         netip.AddrPort // where it was opened to; the member's address may have changed since
-	stream          *loop.Stream
+	stream          *eventloop.Stream
 	openedAt        time.Duration
 	established     bool // the member has accepted the greeting
 	released        bool
 	attempt         *attempt
 	written         bool // the attempt's request was handed to the stream
 	idleSince       time.Duration
-	timer           loop.Timer // connect timeout; once established, timeout of a pause within a response
+	timer           eventloop.Timer // connect timeout; once established, timeout of a pause within a response
 	responseStarted bool
 	errorReceived   bool
 	outcome         driver.Outcome // of the error that was received
@@ -42,7 +42,7 @@
 		c.stream = stream
 		if c.handle = p.connections.Insert(c); c.handle == 0 {
 			stream.Close()
-			err = loop.ErrNoDescriptors
+			err = eventloop.ErrNoDescriptors
 		}
 	}
 	if err != nil {
@@ -63,7 +63,7 @@
 	})
 }
 
-// Opened implements loop.Handler.
+// Opened implements eventloop.Handler.
 func (c *connection) Opened() {
 	if c.pool.protocol.Greeting() == nil {
 		c.becomeEstablished()
@@ -111,7 +111,7 @@
 	c.stream.Send(c.pool.protocol.EncodeProbe())
 }
 
-// Input implements loop.Handler. It consumes complete responses only, and uses no part of a malformed one.
+// Input implements eventloop.Handler. It consumes complete responses only, and uses no part of a malformed one.
 func (c *connection) Input(in []byte) int {
 	p := c.pool
 	if c.established && c.attempt == nil {
@@ -197,7 +197,7 @@
 	return FullyWritten
 }
 
-// Closed implements loop.Handler: it ends the attempt that the connection carried.
+// Closed implements eventloop.Handler: it ends the attempt that the connection carried.
 func (c *connection) Closed(cause error) {
 	c.release()
 	a := c.attempt
@@ -220,7 +220,7 @@
 	c.pool.fail(a, Failure{c.progress(), false, cause})
 }
 
-// Panicked implements loop.Handler.
+// Panicked implements eventloop.Handler.
 func (c *connection) Panicked(cause error) { c.abort(cause) }
 
 // abort closes the connection and ends the attempt that it carries.
--- a/internal/member/pool.go
+++ b/internal/member/pool.go
@@ -8,10 +8,10 @@
 	"time"
 
 	"passtack/driver"
-	"passtack/internal/chain"
-	"passtack/internal/loop"
+	"passtack/internal/eventloop"
+	"passtack/internal/linkedlist"
 	"passtack/internal/recovery"
-	"passtack/internal/slots"
+	"passtack/internal/slotmap"
 )
 
 // MaxResponseBytes bounds the bytes of a response, which is buffered until it is complete.
@@ -19,35 +19,35 @@
 
 // Pool holds the connections to all members of one protocol. It implements driver.MemberPool.
 type Pool struct {
-	loop           *loop.Loop
+	loop           *eventloop.Loop
 	ledger         driver.OutcomeHandler
 	protocol       Protocol
 	members        map[driver.Member]*member
-	connections    slots.Map[*connection]
-	attempts       slots.Map[*attempt]
+	connections    slotmap.Map[*connection]
+	attempts       slotmap.Map[*attempt]
 	connectTimeout time.Duration
 	idleTimeout    time.Duration // after which an idle connection is not used again
 	response       Response      // reused for every response
 	clockOffset    time.Duration // by which the members' clock is ahead of the loop's
 	connectLimiter *recovery.ConnectLimiter
-	congested      chain.List[*member] // members with attempts that wait for a connection
+	congested      linkedlist.List[*member] // members with attempts that wait for a connection
 }
 
 // member is a database process and the pool's connections to it.
 type member struct {
 	id              driver.Member
 	address         netip.AddrPort
-	idle            []*connection // in the order in which they became idle
-	idleTimer       loop.Timer    // closes the connections that have been idle for too long
-	failureLogAfter time.Duration // time before which no further failure is logged
+	idle            []*connection   // in the order in which they became idle
+	idleTimer       eventloop.Timer // closes the connections that have been idle for too long
+	failureLogAfter time.Duration   // time before which no further failure is logged
 	connections     recovery.MemberConnections
-	waiting         chain.List[*attempt]
-	congested       chain.Element[*member]
+	waiting         linkedlist.List[*attempt]
+	congested       linkedlist.Element[*member]
 }
 
 // New creates a pool. Connections must be established within connectTimeout and are not used after having been idle for
 // idleTimeout. All pools of a driver share connectLimiter.
-func New(l *loop.Loop, ledger driver.OutcomeHandler, protocol Protocol, connectLimiter *recovery.ConnectLimiter,
+func New(l *eventloop.Loop, ledger driver.OutcomeHandler, protocol Protocol, connectLimiter *recovery.ConnectLimiter,
 	connectTimeout, idleTimeout time.Duration) *Pool {
 	p := &Pool{
 		loop: l, ledger: ledger, protocol: protocol, members: make(map[driver.Member]*member), connectLimiter: connectLimiter,
--- a/internal/member/pool_test.go
+++ b/internal/member/pool_test.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"passtack/driver"
-	"passtack/internal/loop"
-	"passtack/internal/loop/sim"
+	"passtack/internal/eventloop"
+	"passtack/internal/eventloop/sim"
 	"passtack/internal/member"
 	"passtack/internal/member/pg"
 	"passtack/internal/pgwire"
@@ -18,7 +18,7 @@
 
 // recordingLedger records the outcomes of attempts and the counters.
 type recordingLedger struct {
-	loop        *loop.Loop
+	loop        *eventloop.Loop
 	outcomes    map[driver.RPC]driver.Outcome
 	lastEndedAt time.Duration
 	counts      map[string]int
@@ -32,7 +32,7 @@
 
 // fakeMember accepts one greeting at a time and answers every query with an error.
 type fakeMember struct {
-	loop                      *loop.Loop
+	loop                      *eventloop.Loop
 	connectDelay              time.Duration // time to accept one greeting
 	freeAt                    time.Duration // time at which all greetings received so far are accepted
 	opened                    int
@@ -43,7 +43,7 @@
 
 type memberConnection struct {
 	member  *fakeMember
-	stream  *loop.Stream
+	stream  *eventloop.Stream
 	greeted bool
 }
 
@@ -81,7 +81,7 @@
 type fixture struct {
 	world  *sim.World
 	host   *sim.Host
-	loop   *loop.Loop
+	loop   *eventloop.Loop
 	pool   *member.Pool
 	ledger *recordingLedger
 	member *fakeMember
@@ -90,9 +90,9 @@
 func newFixture(t *testing.T, connectDelay time.Duration, listens bool) *fixture {
 	t.Helper()
 	world := sim.New(1, time.Hour)
-	addHost := func(name string) (*sim.Host, *loop.Loop) {
+	addHost := func(name string) (*sim.Host, *eventloop.Loop) {
 		h := world.AddHost(name)
-		l, err := loop.NewWithSystem(h, 1000, 1<<20)
+		l, err := eventloop.NewWithSystem(h, 1000, 1<<20)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -103,7 +103,7 @@
 	m := &fakeMember{connectDelay: connectDelay}
 	_, m.loop = addHost("member")
 	if listens {
-		if _, err := m.loop.Listen(address, 1<<12, loop.AcceptLimiter{}, func(open func(loop.Handler) *loop.Stream) {
+		if _, err := m.loop.Listen(address, 1<<12, eventloop.AcceptLimiter{}, func(open func(eventloop.Handler) *eventloop.Stream) {
 			c := &memberConnection{member: m}
 			c.stream = open(c)
 			m.opened++
--- a/internal/membership/codec_test.go
+++ b/internal/membership/codec_test.go
@@ -6,13 +6,13 @@
 
 	"pgregory.net/rapid"
 
-	"passtack/internal/seeded"
+	"passtack/internal/proptest"
 )
 
 // TestMalformedMessagesAreRejected checks that decoding arbitrary bytes neither panics nor returns more entries than a datagram can hold, that a
 // valid message is decoded, and that each truncation of it is rejected.
 func TestMalformedMessagesAreRejected(t *testing.T) {
-	seeded.Check(t, func(t *rapid.T) {
+	proptest.Check(t, func(t *rapid.T) {
 		in := rapid.SliceOfN(rapid.Byte(), 0, MaxDatagramSize+10).Draw(t, "datagram")
 		if m, ok := decodeMessage(in); ok && len(m.entries) > 10 {
 			t.Fatalf("decoded message has more entries than a datagram can hold: %+v", m)
--- a/internal/membership/simulation_test.go
+++ b/internal/membership/simulation_test.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"passtack/driver"
-	"passtack/internal/due"
 	"passtack/internal/pcg"
+	"passtack/internal/timerqueue"
 )
 
 const (
@@ -20,7 +20,7 @@
 type simulation struct {
 	random          *pcg.Source
 	now             time.Duration
-	queue           due.Queue[func()]
+	queue           timerqueue.Queue[func()]
 	hosts           []*simHost
 	lossRate        float64
 	duplicationRate float64
@@ -42,7 +42,7 @@
 	up          bool
 	pausedUntil time.Duration
 	maxDelay    time.Duration // of each call into the list; the delay is random
-	timer       *due.Item[func()]
+	timer       *timerqueue.Item[func()]
 	diedAt      time.Duration
 
 	sentCount, sentBytes int
--- a/internal/node/background.go
+++ b/internal/node/background.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"passtack/internal/background"
-	"passtack/internal/loop"
+	"passtack/internal/eventloop"
 )
 
 const (
@@ -17,15 +17,15 @@
 
 // backgroundJobs runs the background jobs of a driver on its event loop, at the times that their scheduler sets.
 type backgroundJobs struct {
-	loop      *loop.Loop
+	loop      *eventloop.Loop
 	simulated bool // the clock does not advance within an iteration of the loop
 	scheduler *background.Scheduler
-	slices    []jobSlice    // by background.JobID
-	timer     loop.Timer    // of the next slice; nil: not set
-	wakeAt    time.Duration // when timer expires
+	slices    []jobSlice      // by background.JobID
+	timer     eventloop.Timer // of the next slice; nil: not set
+	wakeAt    time.Duration   // when timer expires
 }
 
-func newBackgroundJobs(l *loop.Loop, simulated bool) *backgroundJobs {
+func newBackgroundJobs(l *eventloop.Loop, simulated bool) *backgroundJobs {
 	return &backgroundJobs{loop: l, simulated: simulated, scheduler: background.New(workerCount)}
 }
 
--- a/internal/node/client_disconnect_test.go
+++ b/internal/node/client_disconnect_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"passtack/internal/loop/sim"
+	"passtack/internal/eventloop/sim"
 	"passtack/internal/pgwire"
 )
 
--- a/internal/node/configuration_test.go
+++ b/internal/node/configuration_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"passtack/internal/config"
-	"passtack/internal/loop/sim"
+	"passtack/internal/eventloop/sim"
 	"passtack/internal/pcg"
 	"passtack/internal/persist"
 	"passtack/internal/pgwire"
--- a/internal/node/discovery_watcher.go
+++ b/internal/node/discovery_watcher.go
@@ -6,8 +6,8 @@
 
 	"passtack/driver"
 	"passtack/internal/discovery"
+	"passtack/internal/eventloop"
 	"passtack/internal/lease"
-	"passtack/internal/loop"
 	"passtack/internal/peers"
 )
 
@@ -25,11 +25,11 @@
 type discoveryWatcher struct {
 	leases            *leaseService
 	candidate         *lease.Candidate
-	holding           bool          // whether this driver holds the lease
-	announcedRevision int64         // as announced last by this driver
-	timer             loop.Timer    // the next check if this driver is the holder, otherwise the end of the pause
-	paused            bool          // whether this driver's own watch is paused
-	lastActive        time.Duration // when the holder last sent an announcement, or another driver last polled discovery or paused its watch
+	holding           bool            // whether this driver holds the lease
+	announcedRevision int64           // as announced last by this driver
+	timer             eventloop.Timer // the next check if this driver is the holder, otherwise the end of the pause
+	paused            bool            // whether this driver's own watch is paused
+	lastActive        time.Duration   // when the holder last sent an announcement, or another driver last polled discovery or paused its watch
 }
 
 // DiscoveryWatcherStatus is the status of the discovery watcher task on one driver.
--- a/internal/node/eviction_test.go
+++ b/internal/node/eviction_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"passtack/internal/loop"
+	"passtack/internal/eventloop"
 	"passtack/internal/pgwire"
 )
 
@@ -103,7 +103,7 @@
 // and serve RPCs.
 func TestIdleClientsDoNotStarveDiscovery(t *testing.T) {
 	s := newScenario(t, nil, 48)
-	clientLoop, err := loop.NewWithSystem(s.world.AddHost("clients"), 1000, 1<<20)
+	clientLoop, err := eventloop.NewWithSystem(s.world.AddHost("clients"), 1000, 1<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -115,12 +115,12 @@
 	}
 	fetchedAt := time.Duration(0)
 	s.at(5*time.Second, func() {
-		l, err := loop.NewWithSystem(s.world.AddHost("agent"), 100, 1<<20)
+		l, err := eventloop.NewWithSystem(s.world.AddHost("agent"), 100, 1<<20)
 		if err != nil {
 			t.Fatal(err)
 		}
 		s.world.Hosts()[len(s.world.Hosts())-1].Serve(l, func() {})
-		if _, err := l.Listen(s.node.site.Discovery, 1<<12, loop.AcceptLimiter{}, func(open func(loop.Handler) *loop.Stream) {
+		if _, err := l.Listen(s.node.site.Discovery, 1<<12, eventloop.AcceptLimiter{}, func(open func(eventloop.Handler) *eventloop.Stream) {
 			open(&requestTimer{firstInputAt: &fetchedAt, loop: l})
 		}, func(bool) {}); err != nil {
 			t.Fatal(err)
@@ -143,7 +143,7 @@
 // requestTimer records the time of the first input on its connection.
 type requestTimer struct {
 	firstInputAt *time.Duration
-	loop         *loop.Loop
+	loop         *eventloop.Loop
 }
 
 func (r *requestTimer) Opened() {}
--- a/internal/node/fleet_membership.go
+++ b/internal/node/fleet_membership.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"passtack/driver"
-	"passtack/internal/loop"
+	"passtack/internal/eventloop"
 	"passtack/internal/membership"
 	"passtack/internal/peers"
 )
@@ -16,7 +16,7 @@
 	node        *Node
 	messenger   *messenger
 	list        *membership.List
-	wakeTimer   loop.Timer
+	wakeTimer   eventloop.Timer
 	statusLog   driverStatusLog
 	requestRate requestRate
 	shard       connectionShard
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -16,8 +16,8 @@
 
 	"passtack/driver"
 	"passtack/internal/config"
-	"passtack/internal/loop"
-	"passtack/internal/loop/sim"
+	"passtack/internal/eventloop"
+	"passtack/internal/eventloop/sim"
 	"passtack/internal/odata"
 	"passtack/internal/quota"
 	"passtack/internal/settings"
@@ -138,7 +138,7 @@
 	site := everyKeySite(t)
 	world := sim.New(1, epoch)
 	host := world.AddHost("n0")
-	l, err := loop.NewWithSystem(host, site.Descriptors, 16<<20)
+	l, err := eventloop.NewWithSystem(host, site.Descriptors, 16<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/idle_driver_test.go
+++ b/internal/node/idle_driver_test.go
@@ -10,15 +10,15 @@
 	"time"
 
 	"passtack/internal/config"
-	"passtack/internal/loop"
-	"passtack/internal/loop/sim"
+	"passtack/internal/eventloop"
+	"passtack/internal/eventloop/sim"
 	"passtack/internal/settings"
 )
 
 // idleDiscovery is a connection to a discovery whose list never changes. It answers each call after the hold_ms of the request.
 type idleDiscovery struct {
-	loop   *loop.Loop
-	stream *loop.Stream
+	loop   *eventloop.Loop
+	stream *eventloop.Stream
 	calls  *int
 }
 
@@ -43,8 +43,8 @@
 func idleDriver(t *testing.T, members int) (w *sim.World, n *Node, driver *sim.Host, calls *int) {
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	w, calls = sim.New(3, epoch), new(int)
-	on := func(h *sim.Host) *loop.Loop {
-		l, err := loop.NewWithSystem(h, 4000, 16<<20)
+	on := func(h *sim.Host) *eventloop.Loop {
+		l, err := eventloop.NewWithSystem(h, 4000, 16<<20)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -61,7 +61,7 @@
 		Descriptors: 4000, Memory: 64 << 20, InitialList: []byte(endpointList(1, true, targets...)), Settings: settings.Flatten(simSettings(t)),
 	}
 	agent := on(w.AddHost("agent"))
-	if _, err := agent.Listen(site.Discovery, 1<<12, loop.AcceptLimiter{}, func(open func(loop.Handler) *loop.Stream) {
+	if _, err := agent.Listen(site.Discovery, 1<<12, eventloop.AcceptLimiter{}, func(open func(eventloop.Handler) *eventloop.Stream) {
 		h := &idleDiscovery{loop: agent, calls: calls}
 		h.stream = open(h)
 	}, func(bool) {}); err != nil {
--- a/internal/node/lease_golden_test.go
+++ b/internal/node/lease_golden_test.go
@@ -12,9 +12,9 @@
 	"time"
 
 	"passtack/internal/discovery"
+	"passtack/internal/eventloop"
+	"passtack/internal/eventloop/sim"
 	"passtack/internal/lease"
-	"passtack/internal/loop"
-	"passtack/internal/loop/sim"
 	"passtack/internal/peers"
 	"passtack/internal/persist"
 	"passtack/internal/storage"
@@ -64,7 +64,7 @@
 
 // TestGoldenLeaseJSON checks the JSON of the status for operators and of the summary that the holder uploads.
 func TestGoldenLeaseJSON(t *testing.T) {
-	l, err := loop.NewWithSystem(sim.New(1, epoch).AddHost("n0"), 100, 0)
+	l, err := eventloop.NewWithSystem(sim.New(1, epoch).AddHost("n0"), 100, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/lease_service.go
+++ b/internal/node/lease_service.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"passtack/internal/config"
+	"passtack/internal/eventloop"
 	"passtack/internal/lease"
-	"passtack/internal/loop"
 	"passtack/internal/peers"
 )
 
@@ -20,7 +20,7 @@
 	holder      lease.Holder // this process
 	voter       *lease.Voter
 	candidacies []candidacy
-	wakeTimer   loop.Timer      // of the candidates
+	wakeTimer   eventloop.Timer // of the candidates
 	promises    *promiseStorage // nil: promises are not stored
 
 	helloInterval time.Duration
--- a/internal/node/listeners.go
+++ b/internal/node/listeners.go
@@ -8,10 +8,10 @@
 
 	"passtack/driver"
 	"passtack/internal/config"
+	"passtack/internal/eventloop"
 	"passtack/internal/front"
 	odatafront "passtack/internal/front/odata"
 	pgfront "passtack/internal/front/pg"
-	"passtack/internal/loop"
 	"passtack/internal/quota"
 	"passtack/internal/shutdown"
 )
@@ -107,11 +107,11 @@
 }
 
 // limits returns limits that keep the descriptors and buffers of the listener's connections within its quota.
-func (l *listener) limits() loop.AcceptLimiter {
+func (l *listener) limits() eventloop.AcceptLimiter {
 	capacity := func(resource quota.Resource) func(int) int {
 		return func(total int) int { return l.capacity(resource, total) }
 	}
-	return loop.AcceptLimiter{Descriptors: capacity(quota.Connections), Bytes: capacity(quota.Bytes)}
+	return eventloop.AcceptLimiter{Descriptors: capacity(quota.Connections), Bytes: capacity(quota.Bytes)}
 }
 
 // capacity returns how much of a total the listener may use at present. If all its connections are in use, a shortage is reported to
--- a/internal/node/member_clock_test.go
+++ b/internal/node/member_clock_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"passtack/internal/loop"
-	"passtack/internal/loop/sim"
+	"passtack/internal/eventloop"
+	"passtack/internal/eventloop/sim"
 	"passtack/internal/pgwire"
 )
 
@@ -17,7 +17,7 @@
 func TestWrongWallClockIsCorrectedFromMemberPositions(t *testing.T) {
 	for _, clockError := range []time.Duration{-time.Hour, -5 * time.Second, 0, 5 * time.Second, time.Hour} {
 		t.Run(clockError.String(), func(t *testing.T) {
-			s := newScenarioOn(t, nil, 256, "", func(h *sim.Host) loop.System {
+			s := newScenarioOn(t, nil, 256, "", func(h *sim.Host) eventloop.System {
 				h.ClockOffset = clockError
 				return h
 			})
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -29,8 +29,8 @@
 	"passtack/internal/config"
 	"passtack/internal/control"
 	"passtack/internal/discovery"
+	"passtack/internal/eventloop"
 	"passtack/internal/logs"
-	"passtack/internal/loop"
 	"passtack/internal/memberclock"
 	"passtack/internal/peers"
 	"passtack/internal/recovery"
@@ -47,7 +47,7 @@
 	config    *config.File // the operator's file, as currently applied
 	simulated bool         // whether an event loop of the caller is used: time may stand still within an iteration, and there are no workers
 
-	loop      *loop.Loop
+	loop      *eventloop.Loop
 	module    *rules.Router
 	discovery *discovery.Client
 	peers     *peers.Peers // nil if the site has no address for messages between drivers
@@ -80,9 +80,9 @@
 // New creates a driver with an event loop of its own, opens all its sockets and registers for signals. Call Run to serve.
 func New(site *Site, cfg *config.File) (*Node, error) {
 	debug.SetMemoryLimit(runtimeMemory(site))
-	var l *loop.Loop
+	var l *eventloop.Loop
 	err := retryOnResourceShortage(func() (err error) {
-		l, err = loop.New(site.Descriptors, int(site.Memory/bufferFraction))
+		l, err = eventloop.New(site.Descriptors, int(site.Memory/bufferFraction))
 		return err
 	})
 	if err != nil {
@@ -98,7 +98,7 @@
 }
 
 // On creates a driver on an event loop, real or simulated, that the caller provides and runs.
-func On(l *loop.Loop, site *Site, cfg *config.File) (*Node, error) {
+func On(l *eventloop.Loop, site *Site, cfg *config.File) (*Node, error) {
 	return assemble(l, site, cfg, true)
 }
 
@@ -107,7 +107,7 @@
 func runtimeMemory(site *Site) int64 { return site.Memory * 3 / 4 }
 
 // assemble creates all components of a driver and opens its sockets.
-func assemble(l *loop.Loop, site *Site, cfg *config.File, simulated bool) (*Node, error) {
+func assemble(l *eventloop.Loop, site *Site, cfg *config.File, simulated bool) (*Node, error) {
 	n := newNode(l, site, cfg, simulated)
 	n.restoreConfiguration()
 	n.rpcs.tick = settings.New(site.Settings).Duration("tick")
@@ -136,7 +136,7 @@
 }
 
 // newNode creates the components that need no socket, file or setting.
-func newNode(l *loop.Loop, site *Site, cfg *config.File, simulated bool) *Node {
+func newNode(l *eventloop.Loop, site *Site, cfg *config.File, simulated bool) *Node {
 	n := &Node{site: site, config: cfg, simulated: simulated, loop: l, telemetry: newTelemetry()}
 	n.background = newBackgroundJobs(l, simulated)
 	n.workers.loop = l
--- a/internal/node/pipeline_test.go
+++ b/internal/node/pipeline_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"passtack/internal/loop"
+	"passtack/internal/eventloop"
 	"passtack/internal/pgwire"
 )
 
@@ -89,7 +89,7 @@
 	}
 }
 
-// However many fragments follow a waiting RPC, none of their RPCs may get more time than it has left. Package loop/sim tests the case
+// However many fragments follow a waiting RPC, none of their RPCs may get more time than it has left. Package eventloop/sim tests the case
 // in which reading is suspended.
 func TestDeadlinesOfFragmentedMessages(t *testing.T) {
 	s := newScenario(t, nil, 256)
@@ -192,7 +192,7 @@
 
 // httpSimClient is an HTTP client in simulated time.
 type httpSimClient struct {
-	stream   *loop.Stream
+	stream   *eventloop.Stream
 	received string
 }
 
--- a/internal/node/rpcs.go
+++ b/internal/node/rpcs.go
@@ -5,9 +5,9 @@
 	"time"
 
 	"passtack/driver"
-	"passtack/internal/loop"
+	"passtack/internal/eventloop"
 	"passtack/internal/settings"
-	"passtack/internal/slots"
+	"passtack/internal/slotmap"
 	"passtack/rules"
 )
 
@@ -23,7 +23,7 @@
 	answered     bool
 	answerForced bool           // whether the module was told to answer it before its deadline
 	lastOutcome  driver.Outcome // outcome of the attempt that ended last
-	overdueTimer loop.Timer
+	overdueTimer eventloop.Timer
 }
 
 // conclusion is the kind of final answer that an RPC received.
@@ -48,7 +48,7 @@
 // attempts to it (driver.OutcomeHandler), and moduleHost calls it on behalf of the module.
 type rpcTable struct {
 	node        *Node
-	table       slots.Map[*rpc]
+	table       slotmap.Map[*rpc]
 	maxAttempts int           // limit for one RPC
 	tick        time.Duration // between two ticks of the module, on which it answers RPCs that have reached their deadline
 }
@@ -110,7 +110,7 @@
 	return 0
 }
 
-func (t *rpcTable) get(id driver.RPC) *rpc { return t.table.Get(slots.Handle(id)) }
+func (t *rpcTable) get(id driver.RPC) *rpc { return t.table.Get(slotmap.Handle(id)) }
 
 // answerOverdue aborts an RPC that has no answer although its deadline has passed, as after a panic in the module. The RPC may have
 // run.
@@ -152,7 +152,7 @@
 
 func (t *rpcTable) removeIfDone(id driver.RPC, q *rpc) {
 	if q.answered && q.inFlight == 0 {
-		t.table.Remove(slots.Handle(id))
+		t.table.Remove(slotmap.Handle(id))
 	}
 }
 
@@ -192,7 +192,7 @@
 // forceAnswers has all unanswered RPCs answered before their deadlines, because the driver stops. Each RPC is handled in a separate
 // call of the event loop, so that a panic of the module on one RPC does not affect the others.
 func (t *rpcTable) forceAnswers() {
-	t.table.ForEach(func(handle slots.Handle, q *rpc) {
+	t.table.ForEach(func(handle slotmap.Handle, q *rpc) {
 		if !q.answered {
 			t.node.loop.Defer(func() { t.forceAnswer(driver.RPC(handle)) })
 		}
--- a/internal/node/scenario_test.go
+++ b/internal/node/scenario_test.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"passtack/internal/config"
-	"passtack/internal/loop"
-	"passtack/internal/loop/sim"
+	"passtack/internal/eventloop"
+	"passtack/internal/eventloop/sim"
 	"passtack/internal/pgwire"
 	"passtack/internal/settings"
 )
@@ -32,7 +32,7 @@
 // scriptedMember is a member whose behaviour a test sets.
 type scriptedMember struct {
 	scenario       *scenario
-	loop           *loop.Loop
+	loop           *eventloop.Loop
 	address        netip.AddrPort
 	connectDelay   time.Duration                                         // from the startup message of a connection to the response
 	respond        func(c *scriptedMemberConn, id string, answer func()) // is called for each query; answer sends a row
@@ -44,7 +44,7 @@
 // scriptedMemberConn is a connection of the driver to a scriptedMember.
 type scriptedMemberConn struct {
 	member  *scriptedMember
-	stream  *loop.Stream
+	stream  *eventloop.Stream
 	started bool // whether the startup message was received
 }
 
@@ -82,8 +82,8 @@
 
 // scriptedClient is a client whose bytes a test writes.
 type scriptedClient struct {
-	loop      *loop.Loop
-	stream    *loop.Stream
+	loop      *eventloop.Loop
+	stream    *eventloop.Stream
 	received  []string      // codes of errors and values of rows, in order
 	closedAt  time.Duration // 0 while the connection is open
 	secret    [8]byte       // identifies the connection in a CancelRequest
@@ -127,15 +127,15 @@
 
 // newScenarioWithConfig also gives the driver an operator's file, unless its text is empty.
 func newScenarioWithConfig(t *testing.T, changeSettings func(map[string]string), descriptors int, operatorFile string) *scenario {
-	return newScenarioOn(t, changeSettings, descriptors, operatorFile, func(h *sim.Host) loop.System { return h })
+	return newScenarioOn(t, changeSettings, descriptors, operatorFile, func(h *sim.Host) eventloop.System { return h })
 }
 
-// newScenarioOn runs the driver on the loop.System that system returns for its host.
-func newScenarioOn(t *testing.T, changeSettings func(map[string]string), descriptors int, operatorFile string, system func(*sim.Host) loop.System) *scenario {
+// newScenarioOn runs the driver on the eventloop.System that system returns for its host.
+func newScenarioOn(t *testing.T, changeSettings func(map[string]string), descriptors int, operatorFile string, system func(*sim.Host) eventloop.System) *scenario {
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	s := &scenario{t: t, world: sim.New(1, epoch), receivedAt: make(map[string][]time.Duration)}
-	newLoop := func(h *sim.Host) *loop.Loop {
-		l, err := loop.NewWithSystem(h, 1000, 16<<20)
+	newLoop := func(h *sim.Host) *eventloop.Loop {
+		l, err := eventloop.NewWithSystem(h, 1000, 16<<20)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -148,7 +148,7 @@
 		m.loop = newLoop(s.world.AddHost(fmt.Sprint("m", i)))
 		m.respond = func(_ *scriptedMemberConn, _ string, answer func()) { answer() }
 		m.onQuery = func(string) {}
-		if _, err := m.loop.Listen(m.address, 1<<20, loop.AcceptLimiter{}, func(open func(loop.Handler) *loop.Stream) {
+		if _, err := m.loop.Listen(m.address, 1<<20, eventloop.AcceptLimiter{}, func(open func(eventloop.Handler) *eventloop.Stream) {
 			c := &scriptedMemberConn{member: m}
 			c.stream = open(c)
 		}, func(bool) {}); err != nil {
@@ -165,7 +165,7 @@
 		changeSettings(site.Settings)
 	}
 	s.driver = s.world.AddHost("d")
-	l, err := loop.NewWithSystem(system(s.driver), descriptors, 16<<20)
+	l, err := eventloop.NewWithSystem(system(s.driver), descriptors, 16<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -186,7 +186,7 @@
 }
 
 // dial connects a client to the driver.
-func (s *scenario) dial(l *loop.Loop) *scriptedClient {
+func (s *scenario) dial(l *eventloop.Loop) *scriptedClient {
 	c := &scriptedClient{loop: l}
 	l.Defer(func() {
 		var err error
--- a/internal/node/signals.go
+++ b/internal/node/signals.go
@@ -7,13 +7,13 @@
 	"sync/atomic"
 	"syscall"
 
-	"passtack/internal/loop"
+	"passtack/internal/eventloop"
 )
 
 // signals receives the process's signals. Each kind has a channel of its own, so that signals of one kind do not displace those
 // of another. Several signals of one kind in a row count as one, as in the operating system.
 type signals struct {
-	loop             *loop.Loop
+	loop             *eventloop.Loop
 	terminate        chan os.Signal
 	reload           chan os.Signal
 	counters         chan os.Signal
@@ -26,7 +26,7 @@
 
 // watchSignals starts receiving signals. It must be called before the first socket listens: a signal's default action would
 // end the driver, and requests that clients have already sent would be lost.
-func watchSignals(l *loop.Loop) *signals {
+func watchSignals(l *eventloop.Loop) *signals {
 	s := &signals{
 		loop: l, terminate: make(chan os.Signal, 1), reload: make(chan os.Signal, 1), counters: make(chan os.Signal, 1),
 		reloadRequests: make(chan Site, 1),
--- a/internal/node/simulated_fleet_test.go
+++ b/internal/node/simulated_fleet_test.go
@@ -12,8 +12,8 @@
 	"time"
 
 	"passtack/internal/config"
-	"passtack/internal/loop"
-	"passtack/internal/loop/sim"
+	"passtack/internal/eventloop"
+	"passtack/internal/eventloop/sim"
 	"passtack/internal/pcg"
 	"passtack/internal/pgwire"
 	"passtack/internal/settings"
@@ -42,7 +42,7 @@
 	host          *sim.Host
 	address       netip.AddrPort
 	role          string
-	loop          *loop.Loop
+	loop          *eventloop.Loop
 	responseDelay time.Duration // to which up to 10 ms are added at random
 }
 
@@ -57,8 +57,8 @@
 	fmt.Fprintf(&p.timeline, "%v %s\n", p.world.Now()-epoch, fmt.Sprintf(format, args...))
 }
 
-func (p *simulatedFleet) loopOn(h *sim.Host) *loop.Loop {
-	l, err := loop.NewWithSystem(h, 1000, 16<<20)
+func (p *simulatedFleet) loopOn(h *sim.Host) *eventloop.Loop {
+	l, err := eventloop.NewWithSystem(h, 1000, 16<<20)
 	if err != nil {
 		p.t.Fatal(err)
 	}
@@ -75,7 +75,7 @@
 
 func (m *simMember) start() {
 	m.loop = m.fleet.loopOn(m.host)
-	if _, err := m.loop.Listen(m.address, 1<<20, loop.AcceptLimiter{}, func(open func(loop.Handler) *loop.Stream) {
+	if _, err := m.loop.Listen(m.address, 1<<20, eventloop.AcceptLimiter{}, func(open func(eventloop.Handler) *eventloop.Stream) {
 		c := &simMemberConn{member: m}
 		c.stream = open(c)
 	}, func(bool) {}); err != nil {
@@ -86,7 +86,7 @@
 // simMemberConn is a driver's connection to a member.
 type simMemberConn struct {
 	member *simMember
-	stream *loop.Stream
+	stream *eventloop.Stream
 	began  bool // the startup message was received
 }
 
@@ -158,10 +158,10 @@
 // simClient sends one RPC after the other, on one connection as long as it stays open.
 type simClient struct {
 	fleet    *simulatedFleet
-	loop     *loop.Loop
+	loop     *eventloop.Loop
 	to       netip.AddrPort
 	name     string
-	stream   *loop.Stream
+	stream   *eventloop.Stream
 	requests int
 	id       string        // of the current RPC
 	until    time.Duration // after this time no RPC is sent
--- a/internal/node/summary_task.go
+++ b/internal/node/summary_task.go
@@ -8,8 +8,8 @@
 
 	"passtack/driver"
 	"passtack/internal/config"
+	"passtack/internal/eventloop"
 	"passtack/internal/lease"
-	"passtack/internal/loop"
 	"passtack/internal/peers"
 )
 
@@ -26,7 +26,7 @@
 	interval  time.Duration
 	holding   bool                  // the lease
 	digests   map[lease.Node]digest // since the last summary
-	timer     loop.Timer            // of the next collection
+	timer     eventloop.Timer       // of the next collection
 	upload    *summaryUpload
 }
 
--- a/internal/node/summary_upload.go
+++ b/internal/node/summary_upload.go
@@ -7,8 +7,8 @@
 	"strconv"
 	"time"
 
+	"passtack/internal/eventloop"
 	"passtack/internal/httpwire"
-	"passtack/internal/loop"
 )
 
 const (
@@ -21,7 +21,7 @@
 // errUploadTimeout is the cause of failure of an upload that was not answered within the timeout.
 var errUploadTimeout = errors.New("the server did not answer the upload in time")
 
-// summaryUpload uploads summaries to one address by HTTP, one at a time over a connection that stays open. It implements loop.Handler. A
+// summaryUpload uploads summaries to one address by HTTP, one at a time over a connection that stays open. It implements eventloop.Handler. A
 // failed upload is not retried, because the next summary is newer.
 type summaryUpload struct {
 	node    *Node
@@ -29,9 +29,9 @@
 	path    string
 	timeout time.Duration
 
-	stream   *loop.Stream // nil: not connected
+	stream   *eventloop.Stream // nil: not connected
 	inFlight bool
-	timer    loop.Timer // of the timeout
+	timer    eventloop.Timer // of the timeout
 
 	accepted, rejected, failed int           // uploads
 	latest                     time.Duration // when an upload was last accepted
@@ -66,13 +66,13 @@
 	u.timer = l.At(l.Now()+u.timeout, func() { u.fail(errUploadTimeout) })
 }
 
-// Opened implements loop.Handler.
+// Opened implements eventloop.Handler.
 func (u *summaryUpload) Opened() {}
 
-// Panicked implements loop.Handler.
+// Panicked implements eventloop.Handler.
 func (u *summaryUpload) Panicked(cause error) { u.fail(cause) }
 
-// Input implements loop.Handler: it processes an answer and returns its length, 0 while the answer is incomplete.
+// Input implements eventloop.Handler: it processes an answer and returns its length, 0 while the answer is incomplete.
 func (u *summaryUpload) Input(in []byte) int {
 	status, _, size, last, err := httpwire.Answer(in, false)
 	if err != nil {
@@ -103,7 +103,7 @@
 	return size
 }
 
-// Closed implements loop.Handler.
+// Closed implements eventloop.Handler.
 func (u *summaryUpload) Closed(cause error) {
 	u.stream = nil
 	if u.inFlight {
--- a/internal/node/system_call_faults_test.go
+++ b/internal/node/system_call_faults_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"passtack/internal/loop"
-	"passtack/internal/loop/sim"
+	"passtack/internal/eventloop"
+	"passtack/internal/eventloop/sim"
 )
 
 // For the first 4 s system calls of the driver fail in all the ways that Linux documents. Each RPC that is read gets one final
@@ -18,7 +18,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			faultRate := []float64{0.02, 0.1, 0.3}[seed%3]
 			var faults *sim.Faults
-			s := newScenarioOn(t, nil, 256, "", func(h *sim.Host) loop.System {
+			s := newScenarioOn(t, nil, 256, "", func(h *sim.Host) eventloop.System {
 				faults = sim.NewFaults(h, seed, faultRate)
 				return faults
 			})
--- a/internal/node/timer.go
+++ b/internal/node/timer.go
@@ -3,14 +3,14 @@
 import (
 	"time"
 
-	"passtack/internal/loop"
+	"passtack/internal/eventloop"
 )
 
 // moduleTimer wakes the decision module. It is the driver's only periodic timer: other periodic work is done on its ticks.
 // Ticks on which the module would have nothing to do are skipped.
 type moduleTimer struct {
 	node        *Node
-	timer       loop.Timer
+	timer       eventloop.Timer
 	requestedAt time.Duration // when the module last requested a tick
 	nextTick    time.Duration // when it will be woken
 	interval    time.Duration // between two ticks while none are skipped
--- a/internal/node/workers.go
+++ b/internal/node/workers.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"passtack/internal/loop"
+	"passtack/internal/eventloop"
 )
 
 const (
@@ -15,7 +15,7 @@
 
 // workerPool runs work that would block the event loop on goroutines of its own. The results are processed on the loop.
 type workerPool struct {
-	loop    *loop.Loop
+	loop    *eventloop.Loop
 	tasks   chan workerTask // nil: there are no workers, and tasks run on the loop
 	results chan func()
 }
--- a/internal/peers/message_test.go
+++ b/internal/peers/message_test.go
@@ -7,13 +7,13 @@
 
 	"pgregory.net/rapid"
 
-	"passtack/internal/seeded"
+	"passtack/internal/proptest"
 )
 
 // TestMessageRoundTrip checks that decoding an encoded message returns an equal message, and that messages of other fleets and versions and corrupted
 // and truncated messages are rejected.
 func TestMessageRoundTrip(t *testing.T) {
-	seeded.Check(t, func(t *rapid.T) {
+	proptest.Check(t, func(t *rapid.T) {
 		message := Message{Kind: Kind(rapid.IntRange(1, int(lastKind)).Draw(t, "kind")), From: rapid.Uint64().Draw(t, "from"), Incarnation: rapid.Uint64().Draw(t, "life"),
 			Body: rapid.SliceOfN(rapid.Byte(), 0, MaxBodyLength).Draw(t, "body")}
 		encoded := message.Encode(7)
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -6,7 +6,7 @@
 	"net/netip"
 
 	"passtack/driver"
-	"passtack/internal/loop"
+	"passtack/internal/eventloop"
 )
 
 // MaxDatagramLength is the maximum length of a datagram, in bytes.
@@ -14,14 +14,14 @@
 
 // Peers is a UDP socket for datagrams to and from known addresses.
 type Peers struct {
-	socket        *loop.DatagramSocket
+	socket        *eventloop.DatagramSocket
 	broadcast     netip.AddrPort
 	addresses     []netip.AddrPort
 	peerByAddress map[netip.AddrPort]driver.Peer
 }
 
 // Listen opens the socket. It passes each datagram from a known address to receive; the datagram is valid only during that call.
-func Listen(l *loop.Loop, listenOn, broadcast netip.AddrPort, addresses []netip.AddrPort,
+func Listen(l *eventloop.Loop, listenOn, broadcast netip.AddrPort, addresses []netip.AddrPort,
 	receive func(driver.Peer, []byte)) (*Peers, error) {
 	p := new(Peers)
 	p.SetAddresses(broadcast, addresses)
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -8,12 +8,12 @@
 	"time"
 
 	"passtack/driver"
-	"passtack/internal/loop"
+	"passtack/internal/eventloop"
 )
 
 // TestOnlyPeersAreReceived checks that datagrams from unknown senders, to unknown receivers and of excessive length are dropped.
 func TestOnlyPeersAreReceived(t *testing.T) {
-	l, err := loop.New(1000, 0)
+	l, err := eventloop.New(1000, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/persist/persist_test.go
+++ b/internal/persist/persist_test.go
@@ -13,7 +13,7 @@
 	"pgregory.net/rapid"
 
 	"passtack/driver"
-	"passtack/internal/seeded"
+	"passtack/internal/proptest"
 	"passtack/internal/storage"
 )
 
@@ -51,7 +51,7 @@
 // Values are set and deleted in random order, also during commits, and some commits fail. The state as of the last successful commit
 // must be restored, including the changes of failed commits before it.
 func TestSavedStateIsRestored(t *testing.T) {
-	seeded.Check(t, func(rt *rapid.T) {
+	proptest.Check(t, func(rt *rapid.T) {
 		path := t.TempDir()
 		s := openStore(t, path)
 		v := NewSaver(s, 32<<20)
--- a/internal/seeded/seeded.go
+++ b/internal/proptest/proptest.go
@@ -1,5 +1,5 @@
-// Package seeded runs property-based tests with a fixed seed, so that they give the same result on each run.
-package seeded
+// Package proptest runs property-based tests with a fixed seed, so that they give the same result on each run.
+package proptest
 
 import (
 	"flag"
--- a/internal/quota/allocator_test.go
+++ b/internal/quota/allocator_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"passtack/internal/seeded"
+	"passtack/internal/proptest"
 	"pgregory.net/rapid"
 )
 
@@ -26,7 +26,7 @@
 // Whatever the listeners request in whatever order, together they use no more than the total. A listener that becomes busy during a flood
 // gets half of its share at once, and all of it once the borrowers have released their excess.
 func TestFloodsLeaveTheOthersTheirShare(t *testing.T) {
-	seeded.Check(t, func(t *rapid.T) {
+	proptest.Check(t, func(t *rapid.T) {
 		total := rapid.IntRange(20, 2000).Draw(t, "total")
 		weights := rapid.SliceOfN(rapid.Float64Range(0.5, 8), 2, 5).Draw(t, "weights")
 		a, used := newAllocator(weights...), make([]int, len(weights))
--- a/internal/recovery/connect_limiter_test.go
+++ b/internal/recovery/connect_limiter_test.go
@@ -6,7 +6,7 @@
 
 	"pgregory.net/rapid"
 
-	"passtack/internal/seeded"
+	"passtack/internal/proptest"
 )
 
 const ms = time.Millisecond
@@ -76,7 +76,7 @@
 // After any sequence of events, once every connection was established or has failed, none may count as pending and another may be
 // opened.
 func TestOneConnectionMayAlwaysBeOpened(t *testing.T) {
-	seeded.Check(t, func(t *rapid.T) {
+	proptest.Check(t, func(t *rapid.T) {
 		limiter, member, now, pending := NewConnectLimiter(250*ms), MemberConnections{}, time.Duration(0), 0
 		for range rapid.IntRange(0, 300).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 100).Draw(t, "ms")) * ms
--- a/internal/rollout/client/client.go
+++ b/internal/rollout/client/client.go
@@ -13,8 +13,8 @@
 	"strconv"
 	"time"
 
+	"passtack/internal/eventloop"
 	"passtack/internal/httpwire"
-	"passtack/internal/loop"
 	"passtack/internal/rollout"
 	"passtack/internal/rollout/server"
 )
@@ -48,15 +48,15 @@
 
 // Client polls control machines on behalf of one driver. Its methods must be called on its loop.
 type Client struct {
-	loop         *loop.Loop
+	loop         *eventloop.Loop
 	host         Host
 	fleet        string
 	machines     []netip.AddrPort
 	selector     *rollout.MachineSelector
-	stream       *loop.Stream // nil: not connected
-	connectedTo  int          // index of the machine that the stream is connected to
-	inFlight     bool         // a poll has been sent and not answered yet
-	timer        loop.Timer   // timeout of the current poll, or start of the next one
+	stream       *eventloop.Stream // nil: not connected
+	connectedTo  int               // index of the machine that the stream is connected to
+	inFlight     bool              // a poll has been sent and not answered yet
+	timer        eventloop.Timer   // timeout of the current poll, or start of the next one
 	lastAnswerAt time.Duration
 	unreachable  unreachableLog
 }
@@ -68,7 +68,7 @@
 }
 
 // New returns a client that starts to poll immediately.
-func New(l *loop.Loop, host Host, fleet, driver string, machines []netip.AddrPort, seed uint64) *Client {
+func New(l *eventloop.Loop, host Host, fleet, driver string, machines []netip.AddrPort, seed uint64) *Client {
 	var names []string
 	for _, address := range machines {
 		names = append(names, address.String())
@@ -148,13 +148,13 @@
 	return err
 }
 
-// Opened implements loop.Handler.
+// Opened implements eventloop.Handler.
 func (c *Client) Opened() {}
 
-// Panicked implements loop.Handler.
+// Panicked implements eventloop.Handler.
 func (c *Client) Panicked(cause error) { c.fail(cause) }
 
-// Closed implements loop.Handler.
+// Closed implements eventloop.Handler.
 func (c *Client) Closed(cause error) {
 	c.stream = nil
 	if !c.inFlight {
@@ -166,7 +166,7 @@
 	c.fail(cause)
 }
 
-// Input implements loop.Handler.
+// Input implements eventloop.Handler.
 func (c *Client) Input(in []byte) int {
 	r, fault := httpwire.NextReply(in, false, false, limits)
 	if fault != nil {
--- a/internal/rollout/client/golden_test.go
+++ b/internal/rollout/client/golden_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"passtack/internal/loop"
-	"passtack/internal/loop/sim"
+	"passtack/internal/eventloop"
+	"passtack/internal/eventloop/sim"
 	"passtack/internal/rollout"
 )
 
@@ -39,7 +39,7 @@
 
 // machine is a control machine that sends prepared answers and records the requests.
 type machine struct {
-	stream   *loop.Stream
+	stream   *eventloop.Stream
 	requests bytes.Buffer
 	answers  []string
 }
@@ -59,9 +59,9 @@
 // Control machines depend on the exact requests of a client, which must not change. They report applied and rejected versions.
 func TestGoldenRequests(t *testing.T) {
 	world := sim.New(3, 1767225600*time.Second)
-	newLoop := func(name string) *loop.Loop {
+	newLoop := func(name string) *eventloop.Loop {
 		h := world.AddHost(name)
-		l, err := loop.NewWithSystem(h, 100, 16<<20)
+		l, err := eventloop.NewWithSystem(h, 100, 16<<20)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -71,7 +71,7 @@
 	address := netip.MustParseAddrPort("10.0.0.1:7400")
 	m := &machine{answers: []string{"HTTP/1.1 204 No Content\r\n\r\n", "HTTP/1.1 200 OK\r\nVersion: 2\r\nContent-Length: 2\r\n\r\n{}",
 		"HTTP/1.1 200 OK\r\nVersion: 3\r\nContent-Length: 15\r\n\r\n{\"settings\":{}}", "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"}}
-	if _, err := newLoop("c0").Listen(address, 1<<20, loop.AcceptLimiter{}, func(open func(loop.Handler) *loop.Stream) { m.stream = open(m) }, func(bool) {}); err != nil {
+	if _, err := newLoop("c0").Listen(address, 1<<20, eventloop.AcceptLimiter{}, func(open func(eventloop.Handler) *eventloop.Stream) { m.stream = open(m) }, func(bool) {}); err != nil {
 		t.Fatal(err)
 	}
 	d := &driver{report: rollout.DriverReport{Driver: "d0"}, counts: make(map[string]int)}
--- a/internal/rollout/server/election.go
+++ b/internal/rollout/server/election.go
@@ -4,8 +4,8 @@
 	"log/slog"
 	"time"
 
+	"passtack/internal/eventloop"
 	"passtack/internal/lease"
-	"passtack/internal/loop"
 )
 
 const (
@@ -19,7 +19,7 @@
 	server    *Server
 	voter     *lease.Voter // nil until the machine has joined
 	candidate *lease.Candidate
-	timer     loop.Timer // for the candidate's next step; nil: none
+	timer     eventloop.Timer // for the candidate's next step; nil: none
 }
 
 func (e *election) init(s *Server, seed uint64) {
--- a/internal/rollout/server/golden_test.go
+++ b/internal/rollout/server/golden_test.go
@@ -12,9 +12,9 @@
 	"testing"
 	"time"
 
+	"passtack/internal/eventloop"
+	"passtack/internal/eventloop/sim"
 	"passtack/internal/lease"
-	"passtack/internal/loop"
-	"passtack/internal/loop/sim"
 	"passtack/internal/rollout"
 )
 
@@ -164,10 +164,10 @@
 // The bytes of a request between machines, with its header, must stay as they are.
 func TestGoldenMachineRequest(t *testing.T) {
 	world := sim.New(3, epoch)
-	var loops []*loop.Loop
+	var loops []*eventloop.Loop
 	for n := range 2 {
 		h := world.AddHost(fmt.Sprint("c", n))
-		l, err := loop.NewWithSystem(h, 1000, 16<<20)
+		l, err := eventloop.NewWithSystem(h, 1000, 16<<20)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -175,7 +175,7 @@
 		loops = append(loops, l)
 	}
 	received := &testConnection{}
-	if _, err := loops[1].Listen(addressOf(1), 1<<20, loop.AcceptLimiter{}, func(open func(loop.Handler) *loop.Stream) { received.stream = open(received) }, func(bool) {}); err != nil {
+	if _, err := loops[1].Listen(addressOf(1), 1<<20, eventloop.AcceptLimiter{}, func(open func(eventloop.Handler) *eventloop.Stream) { received.stream = open(received) }, func(bool) {}); err != nil {
 		t.Fatal(err)
 	}
 	config := MachineConfig{Fleet: "test", Name: "c0", Listen: addressOf(0), Peers: []Peer{{"c1", addressOf(1)}}}
--- a/internal/rollout/server/peer.go
+++ b/internal/rollout/server/peer.go
@@ -6,9 +6,9 @@
 	"net/netip"
 	"time"
 
+	"passtack/internal/eventloop"
 	"passtack/internal/httpwire"
 	"passtack/internal/lease"
-	"passtack/internal/loop"
 	"passtack/internal/rollout"
 )
 
@@ -71,8 +71,8 @@
 	server   *Server
 	name     string
 	address  netip.AddrPort
-	stream   *loop.Stream    // nil: not connected
-	sentAt   []time.Duration // send times of the unacknowledged messages, oldest first
+	stream   *eventloop.Stream // nil: not connected
+	sentAt   []time.Duration   // send times of the unacknowledged messages, oldest first
 	dialedAt time.Duration
 }
 
@@ -121,16 +121,16 @@
 	p.stream, p.sentAt = nil, nil
 }
 
-// Opened implements loop.Handler.
+// Opened implements eventloop.Handler.
 func (p *peerLink) Opened() {}
 
-// Panicked implements loop.Handler.
+// Panicked implements eventloop.Handler.
 func (p *peerLink) Panicked(error) { p.close() }
 
-// Closed implements loop.Handler.
+// Closed implements eventloop.Handler.
 func (p *peerLink) Closed(error) { p.stream, p.sentAt = nil, nil }
 
-// Input implements loop.Handler. Each answer acknowledges the oldest unacknowledged message.
+// Input implements eventloop.Handler. Each answer acknowledges the oldest unacknowledged message.
 func (p *peerLink) Input(in []byte) (consumed int) {
 	for {
 		_, _, size, last, err := httpwire.Answer(in[consumed:], false)
--- a/internal/rollout/server/server.go
+++ b/internal/rollout/server/server.go
@@ -7,10 +7,10 @@
 	"log/slog"
 	"time"
 
-	"passtack/internal/chain"
+	"passtack/internal/eventloop"
 	"passtack/internal/httpwire"
 	"passtack/internal/lease"
-	"passtack/internal/loop"
+	"passtack/internal/linkedlist"
 	"passtack/internal/rollout"
 )
 
@@ -52,7 +52,7 @@
 
 // Server is one control machine. Its methods must be called on its loop.
 type Server struct {
-	loop        *loop.Loop
+	loop        *eventloop.Loop
 	config      MachineConfig
 	incarnation uint64 // wall-clock time of the start in milliseconds, so that it rises with each start
 	storage     Storage
@@ -61,9 +61,9 @@
 	election    election
 	peers       map[lease.Node]*peerLink
 	roster      *rollout.Roster
-	watchers    chain.List[*session] // sessions that wait for a newer version
+	watchers    linkedlist.List[*session] // sessions that wait for a newer version
 	publishers  publishers
-	listener    *loop.Listener
+	listener    *eventloop.Listener
 	counters    map[string]int
 	stopped     bool
 
@@ -72,7 +72,7 @@
 }
 
 // New starts a control machine with the state found in its storage, and listens on its address.
-func New(l *loop.Loop, config MachineConfig, storage Storage, persisted PersistedState, seed uint64) (*Server, error) {
+func New(l *eventloop.Loop, config MachineConfig, storage Storage, persisted PersistedState, seed uint64) (*Server, error) {
 	s := &Server{
 		loop:        l,
 		config:      config,
@@ -97,7 +97,7 @@
 	s.machine = rollout.New(s, s.node(), peers, persisted.State)
 	s.election.init(s, seed)
 	var err error
-	s.listener, err = l.Listen(config.Listen, limits.Head+limits.Body, loop.AcceptLimiter{}, s.accept, func(bool) {})
+	s.listener, err = l.Listen(config.Listen, limits.Head+limits.Body, eventloop.AcceptLimiter{}, s.accept, func(bool) {})
 	if err != nil {
 		return nil, fmt.Errorf("listen %s: %w", config.Listen, err)
 	}
@@ -108,7 +108,7 @@
 // node returns the lease node ID of this machine, which is derived from its name.
 func (s *Server) node() lease.Node { return lease.NodeOf(s.config.Name) }
 
-func (s *Server) accept(open func(loop.Handler) *loop.Stream) {
+func (s *Server) accept(open func(eventloop.Handler) *eventloop.Stream) {
 	c := &session{server: s}
 	c.stream = open(c)
 	if c.stream != nil {
--- a/internal/rollout/server/server_test.go
+++ b/internal/rollout/server/server_test.go
@@ -8,9 +8,9 @@
 	"testing"
 	"time"
 
+	"passtack/internal/eventloop"
+	"passtack/internal/eventloop/sim"
 	"passtack/internal/httpwire"
-	"passtack/internal/loop"
-	"passtack/internal/loop/sim"
 	"passtack/internal/rollout"
 )
 
@@ -23,7 +23,7 @@
 	machines   []*Server
 	hosts      []*sim.Host
 	clientHost *sim.Host
-	clientLoop *loop.Loop
+	clientLoop *eventloop.Loop
 }
 
 func addressOf(n int) netip.AddrPort {
@@ -56,7 +56,7 @@
 	f := &testFleet{t: t, world: sim.New(3, epoch)}
 	for n := range 3 {
 		h := f.world.AddHost(fmt.Sprint("c", n))
-		l, err := loop.NewWithSystem(h, 1000, 16<<20)
+		l, err := eventloop.NewWithSystem(h, 1000, 16<<20)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -75,7 +75,7 @@
 	}
 	f.clientHost = f.world.AddHost("caller")
 	var err error
-	if f.clientLoop, err = loop.NewWithSystem(f.clientHost, 1000, 64<<20); err != nil {
+	if f.clientLoop, err = eventloop.NewWithSystem(f.clientHost, 1000, 64<<20); err != nil {
 		t.Fatal(err)
 	}
 	f.clientHost.Serve(f.clientLoop, func() {})
@@ -99,7 +99,7 @@
 
 // testConnection is a connection of the client host, with the bytes it has received.
 type testConnection struct {
-	stream   *loop.Stream
+	stream   *eventloop.Stream
 	received []byte
 	closed   bool
 }
--- a/internal/rollout/server/session.go
+++ b/internal/rollout/server/session.go
@@ -4,9 +4,9 @@
 	"encoding/json"
 	"strconv"
 
-	"passtack/internal/chain"
+	"passtack/internal/eventloop"
 	"passtack/internal/httpwire"
-	"passtack/internal/loop"
+	"passtack/internal/linkedlist"
 )
 
 // Header fields of requests and answers.
@@ -18,22 +18,22 @@
 // session is a connection of a driver, a publisher or another machine. Its requests are handled one at a time.
 type session struct {
 	server *Server
-	stream *loop.Stream
-	timer  loop.Timer // idle timeout, or the end of a long poll; nil: none
+	stream *eventloop.Stream
+	timer  eventloop.Timer // idle timeout, or the end of a long poll; nil: none
 
-	waiting      bool                    // a request waits for a newer version or for the outcome of a publication
-	knownVersion uint64                  // newest version that the driver has in force or has rejected
-	watcherLink  chain.Element[*session] // element of Server.watchers
-	requestID    uint64                  // key in Server.publishers; 0: none yet
+	waiting      bool                         // a request waits for a newer version or for the outcome of a publication
+	knownVersion uint64                       // newest version that the driver has in force or has rejected
+	watcherLink  linkedlist.Element[*session] // element of Server.watchers
+	requestID    uint64                       // key in Server.publishers; 0: none yet
 }
 
-// Opened implements loop.Handler.
+// Opened implements eventloop.Handler.
 func (c *session) Opened() {}
 
-// Panicked implements loop.Handler.
+// Panicked implements eventloop.Handler.
 func (c *session) Panicked(error) { c.close() }
 
-// Closed implements loop.Handler.
+// Closed implements eventloop.Handler.
 func (c *session) Closed(error) { c.detach() }
 
 // startIdleTimer restarts the timer that closes the connection if no complete request arrives within idleTimeout.
@@ -55,7 +55,7 @@
 	c.stream.Close()
 }
 
-// Input implements loop.Handler. While a request waits, the following ones stay in the buffer.
+// Input implements eventloop.Handler. While a request waits, the following ones stay in the buffer.
 func (c *session) Input(in []byte) (consumed int) {
 	for !c.waiting {
 		r, fault := httpwire.Next(in[consumed:], limits)
--- a/internal/rollout/simulation_test.go
+++ b/internal/rollout/simulation_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	"passtack/internal/due"
 	"passtack/internal/lease"
 	"passtack/internal/pcg"
+	"passtack/internal/timerqueue"
 )
 
 var simulationRuns = flag.Int("runs", 0, "number of seeds to simulate; 0: the default of CI")
@@ -20,7 +20,7 @@
 type simulation struct {
 	now              time.Duration
 	random           *pcg.Source
-	queue            due.Queue[func()]
+	queue            timerqueue.Queue[func()]
 	replicas         []*replica
 	drivers          []uint64 // version in force of each driver
 	lastNumber       uint64
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"passtack/internal/due"
 	"passtack/internal/pcg"
+	"passtack/internal/timerqueue"
 )
 
 type frame struct{ bytes.Buffer }
@@ -145,7 +145,7 @@
 	}
 	f.Fuzz(func(t *testing.T, seed uint64) {
 		chance := pcg.New(seed)
-		var q due.Queue[int]
+		var q timerqueue.Queue[int]
 		for i := range 200 {
 			at := chance.Below(20)
 			q.Push(time.Duration(at), 1000*at+i)
--- a/internal/slots/slots.go
+++ b/internal/slotmap/slotmap.go
@@ -1,6 +1,6 @@
-// Package slots implements a map of values that are identified by generation-checked handles. Its slots are reused, but a
+// Package slotmap implements a map of values that are identified by generation-checked handles. Its slots are reused, but a
 // handle whose value was removed does not identify the next value in the same slot. It is not safe for concurrent use.
-package slots
+package slotmap
 
 // Handle identifies a value in a map: it holds the index of the slot in the lower 16 bits and the slot's generation in the
 // upper 16. The zero handle identifies no value.
--- a/internal/slots/slots_test.go
+++ b/internal/slotmap/slotmap_test.go
@@ -1,4 +1,4 @@
-package slots
+package slotmap
 
 import (
 	"testing"
--- a/internal/storage/store_test.go
+++ b/internal/storage/store_test.go
@@ -13,7 +13,7 @@
 	"pgregory.net/rapid"
 
 	"passtack/internal/pcg"
-	"passtack/internal/seeded"
+	"passtack/internal/proptest"
 )
 
 const testOwner, testMaxSize = 7, 64 << 20
@@ -165,7 +165,7 @@
 
 // A bit of a file is flipped, or the file is truncated. The recovered state must be one that was committed, or the empty state.
 func TestCorruptedFilesAreDetected(t *testing.T) {
-	seeded.Check(t, func(t *rapid.T) {
+	proptest.Check(t, func(t *rapid.T) {
 		disk := newFakeDisk(rapid.Uint64().Draw(t, "seed"))
 		s, _, err := Open(disk, testOwner, testMaxSize)
 		if err != nil {
--- a/internal/due/due.go
+++ b/internal/timerqueue/timerqueue.go
@@ -1,6 +1,6 @@
-// Package due implements a timer queue: a priority queue of values ordered by the time at which they are due. Values with
+// Package timerqueue implements a timer queue: a priority queue of values ordered by the time at which they are due. Values with
 // the same due time leave the queue in the order in which they were added. It is not safe for concurrent use.
-package due
+package timerqueue
 
 import "time"
 
--- a/internal/due/due_test.go
+++ b/internal/timerqueue/timerqueue_test.go
@@ -1,4 +1,4 @@
-package due
+package timerqueue
 
 import (
 	"slices"
--- a/rules/endpoints.go
+++ b/rules/endpoints.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"passtack/driver"
-	"passtack/internal/chain"
 	"passtack/internal/decay"
+	"passtack/internal/linkedlist"
 )
 
 // MaxListRetryWait is the longest wait between a failed call to discovery and the next one; internal/discovery relies on it.
@@ -28,9 +28,9 @@
 	replication replicationState
 	health      health
 	latency     latencyEstimate
-	load        decay.Sum        // work sent to it during slow start, else work that it answered; in seconds of typical latency
-	servedLoad  decay.Sum        // work that it answered during slow start
-	inFlight    chain.List[*rpc] // in the order of sending
+	load        decay.Sum             // work sent to it during slow start, else work that it answered; in seconds of typical latency
+	servedLoad  decay.Sum             // work that it answered during slow start
+	inFlight    linkedlist.List[*rpc] // in the order of sending
 }
 
 // group is a primary and its replicas.
--- a/rules/retries.go
+++ b/rules/retries.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"passtack/driver"
-	"passtack/internal/chain"
+	"passtack/internal/linkedlist"
 	"passtack/internal/settings"
 )
 
@@ -25,7 +25,7 @@
 	firstRunZone         driver.Zone
 	mayHaveRun           bool // an attempt may have run at a member
 	queued, answered     bool
-	inFlightLink         chain.Element[*rpc] // in member.inFlight
+	inFlightLink         linkedlist.Element[*rpc] // in member.inFlight
 }
 
 // attempt is one transmission of an RPC to a member.
--- a/rules/router.go
+++ b/rules/router.go
@@ -9,9 +9,9 @@
 	"time"
 
 	"passtack/driver"
-	"passtack/internal/due"
 	"passtack/internal/pcg"
 	"passtack/internal/settings"
+	"passtack/internal/timerqueue"
 )
 
 const unknownTime = driver.LongAgo // earlier than all other times
@@ -40,7 +40,7 @@
 	rpcs                                     map[driver.RPC]*rpc
 	queue                                    []*rpc                           // RPCs that wait for a member
 	sessionCommits                           map[driver.Session]time.Duration // position of each session's latest write
-	timers                                   due.Queue[func()]
+	timers                                   timerqueue.Queue[func()]
 	ticks                                    ticks
 	clockOffset, clockUncertainty            time.Duration // how far the members' clock is ahead of the host's; how far it may be behind that
 	pace                                     paceEstimate
