--- a/cmd/passtack/lives_test.go
+++ b/cmd/passtack/lives_test.go
@@ -294,7 +294,7 @@
 	var targets []target
 	for n := range members {
 		uid := fmt.Sprint("s-", n)
-		v.SaveMember(uid, driver.Known{Position: now - time.Second, Replica: now - time.Second, Timed: now - time.Second, Ratio: 1})
+		v.SaveMember(uid, driver.MemberSnapshot{Position: now - time.Second, Replica: now - time.Second, Timed: now - time.Second, Ratio: 1})
 		targets = append(targets, target{uid, fmt.Sprintf("127.0.%d.%d:7000", n/250+1, n%250+1), "a", n / 5, "in_service", 1})
 	}
 	for n := range sessions {
--- a/cmd/passtack/state.go
+++ b/cmd/passtack/state.go
@@ -78,7 +78,7 @@
 type savedStateJSON struct {
 	List     json.RawMessage                  `json:"list"`
 	Lost     []string                         `json:"lost"`
-	Members  map[string]driver.Known          `json:"members"`
+	Members  map[string]driver.MemberSnapshot `json:"members"`
 	Repeats  map[string]int                   `json:"repeats"`
 	Saved    time.Duration                    `json:"saved"`
 	Sessions map[driver.Session]time.Duration `json:"sessions"`
--- a/cmd/passtack/state_test.go
+++ b/cmd/passtack/state_test.go
@@ -24,7 +24,7 @@
 	v.SetEndpoint("s-9", []byte(`{"uid":"s-9"}`))
 	v.SetListVersion(persist.ListVersion{Revision: 4})
 	v.BeginRound()
-	v.SaveMember("s-1", driver.Known{Position: time.Hour, Replica: driver.LongAgo, Timed: time.Hour, Ratio: 1.25})
+	v.SaveMember("s-1", driver.MemberSnapshot{Position: time.Hour, Replica: driver.LongAgo, Timed: time.Hour, Ratio: 1.25})
 	changes := v.FinishRound(time.Hour)
 	if err := s.Commit(changes); err != nil {
 		t.Fatal(err)
--- a/driver/driver.go
+++ b/driver/driver.go
@@ -41,8 +41,8 @@
 	NoConnection         // it never reached the member
 	Broken               // the connection broke while it was in flight; it may have run
 	Cancelled            // the driver cancelled it; it may have run
-	Moot                 // the driver did not send it
-	Miss                 // the member rejected it as not the primary or too stale; it did not run
+	NotSent              // the driver did not send it
+	Misdirected          // the member rejected it, as it is not the primary or too stale; it did not run
 )
 
 // Role is the role that a member reports of itself.
@@ -57,31 +57,31 @@
 	Replica
 )
 
-// Standing is the state of a member in the endpoint list.
-type Standing uint8
+// MemberState is the state of a member in the endpoint list.
+type MemberState uint8
 
 const (
 	// Draining members finish the requests that they have and take no new ones.
-	Draining Standing = iota
+	Draining MemberState = iota
 	// Ready members take requests.
 	Ready
 	// Gone members were removed from the list.
 	Gone
 )
 
-// Listing is the kind of an update of the endpoint list.
-type Listing uint8
+// ListKind is the kind of an update of the endpoint list.
+type ListKind uint8
 
 const (
-	Changes Listing = iota // only the entries that changed
-	// Whole lists every member.
-	Whole
+	Changes ListKind = iota // only the entries that changed
+	// Complete lists every member.
+	Complete
 	Cached // lists every member, but may be out of date
 	NoList // a list call failed or the watch broke; there are no entries
 )
 
-// Known is the learned state of a member that may be saved and restored after a restart. Times are by Host.Now.
-type Known struct {
+// MemberSnapshot is the learned state of a member that may be saved and restored after a restart. Times are by Host.Now.
+type MemberSnapshot struct {
 	Position time.Duration // of the member's log, as last reported
 	Replica  time.Duration // latest proof that the member is a replica
 	Timed    time.Duration // when its latency was last measured
@@ -100,8 +100,8 @@
 	Abort(rpc RPC)                              // the final answer
 	Probe(m Member)                             // sends a health check
 	CloseIdle(m Member)                         // closes the idle connections to the member
-	// Remembered reports the position of a session's latest write, which may be saved and restored after a restart.
-	Remembered(session Session, commit time.Duration)
+	// SessionWrote reports the position of a session's latest write, which may be saved and restored after a restart.
+	SessionWrote(session Session, commit time.Duration)
 	Forget(m Member) // the module sends nothing more to it; if it is listed again, it gets another number
 	Watch(on bool)   // starts or stops watching the endpoint list
 	FetchList()
--- a/driver/interfaces.go
+++ b/driver/interfaces.go
@@ -11,7 +11,7 @@
 const (
 	Statements Form = iota // one SQL statement for each RPC
 	Requests               // one HTTP request for each RPC, with a method, a path, header fields and a body
-	Forms                  // number of forms
+	FormCount              // number of forms
 )
 
 // MemberRequest is the request that an RPC sends to a member, in the form of the member's group. It is valid while the RPC is served.
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -20,12 +20,12 @@
 type Host interface {
 	// ListBegins starts a list. The calls of Listed and ListEnds follow at once. A failure is reported as an empty list of the
 	// kind driver.NoList.
-	ListBegins(kind driver.Listing)
+	ListBegins(kind driver.ListKind)
 	// Listed reports one entry. The address is invalid if a removed member is listed without one.
-	Listed(uid string, address netip.AddrPort, zone string, group driver.Group, state driver.Standing,
+	Listed(uid string, address netip.AddrPort, zone string, group driver.Group, state driver.MemberState,
 		size float64, started time.Duration, primary bool)
 	// ListEnds completes the list.
-	ListEnds(kind driver.Listing)
+	ListEnds(kind driver.ListKind)
 	// Count adds one to a counter.
 	Count(name string)
 }
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -20,10 +20,10 @@
 	openLists int
 }
 
-func (r *recorder) ListBegins(kind driver.Listing) { r.openLists++; fmt.Fprintf(&r.text, "%d[", kind) }
-func (r *recorder) ListEnds(kind driver.Listing)   { r.openLists--; fmt.Fprintf(&r.text, "]%d ", kind) }
-func (r *recorder) Count(string)                   {}
-func (r *recorder) Listed(uid string, address netip.AddrPort, zone string, group driver.Group, state driver.Standing,
+func (r *recorder) ListBegins(kind driver.ListKind) { r.openLists++; fmt.Fprintf(&r.text, "%d[", kind) }
+func (r *recorder) ListEnds(kind driver.ListKind)   { r.openLists--; fmt.Fprintf(&r.text, "]%d ", kind) }
+func (r *recorder) Count(string)                    {}
+func (r *recorder) Listed(uid string, address netip.AddrPort, zone string, group driver.Group, state driver.MemberState,
 	size float64, started time.Duration, primary bool) {
 	fmt.Fprintf(&r.text, "%s %s %s %d %d %v %d %t;", uid, address, zone, group, state, size, started, primary)
 }
--- a/internal/discovery/delay_test.go
+++ b/internal/discovery/delay_test.go
@@ -24,14 +24,14 @@
 	reportedAt map[string]time.Duration // when a member was first reported
 }
 
-func (w *watcher) ListBegins(driver.Listing) {}
-func (w *watcher) ListEnds(kind driver.Listing) {
+func (w *watcher) ListBegins(driver.ListKind) {}
+func (w *watcher) ListEnds(kind driver.ListKind) {
 	if kind == driver.NoList {
 		w.loop.At(w.loop.Now()+rules.MaxListRetryWait, func() { w.client.SetWatching(true) })
 	}
 }
 func (w *watcher) Count(string) {}
-func (w *watcher) Listed(uid string, _ netip.AddrPort, _ string, _ driver.Group, _ driver.Standing, _ float64, _ time.Duration, _ bool) {
+func (w *watcher) Listed(uid string, _ netip.AddrPort, _ string, _ driver.Group, _ driver.MemberState, _ float64, _ time.Duration, _ bool) {
 	if w.reportedAt[uid] == 0 {
 		w.reportedAt[uid] = w.loop.Now()
 	}
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -16,7 +16,7 @@
 // removedState is the state of a member that was removed.
 const removedState = "terminated"
 
-var states = map[string]driver.Standing{
+var states = map[string]driver.MemberState{
 	"in_service": driver.Ready, "terminating": driver.Draining, removedState: driver.Gone,
 }
 
@@ -69,7 +69,7 @@
 	if cached {
 		kind = driver.Cached
 	} else if list.Complete {
-		kind = driver.Whole
+		kind = driver.Complete
 	}
 	c.revision = *list.Revision
 	if c.OnList != nil {
--- a/internal/draingossip/draingossip.go
+++ b/internal/draingossip/draingossip.go
@@ -24,7 +24,7 @@
 type Member struct {
 	Group     driver.Group
 	StartedAt time.Duration
-	Standing  driver.Standing
+	State     driver.MemberState
 }
 
 // Decision is what to do with a notice.
@@ -47,13 +47,13 @@
 // UpdateFromList updates a member from an endpoint list. It reports whether other drivers are to be notified, which is never the case for a list that
 // may be outdated (current is false).
 func (t *Tracker) UpdateFromList(id MemberID, m Member, current bool) (notify bool) {
-	if m.Standing == driver.Gone {
+	if m.State == driver.Gone {
 		delete(t.members, id)
 		delete(t.forwarded, id)
 		return false
 	}
 	t.members[id] = m
-	return m.Standing == driver.Draining && current && t.markForwarded(id, m.StartedAt)
+	return m.State == driver.Draining && current && t.markForwarded(id, m.StartedAt)
 }
 
 // markForwarded marks a notice as forwarded and reports whether it was not marked before.
@@ -72,11 +72,11 @@
 	if !known || m.StartedAt != n.StartedAt {
 		return d
 	}
-	if m.Standing == driver.Ready {
+	if m.State == driver.Ready {
 		if !t.otherReady(n.Member, m.Group) {
 			return d
 		}
-		m.Standing = driver.Draining
+		m.State = driver.Draining
 		t.members[n.Member] = m
 		d.StopRequests = true
 	}
@@ -87,7 +87,7 @@
 // otherReady reports whether a group has a ready member other than this one.
 func (t *Tracker) otherReady(id MemberID, group driver.Group) bool {
 	for other, m := range t.members {
-		if other != id && m.Group == group && m.Standing == driver.Ready {
+		if other != id && m.Group == group && m.State == driver.Ready {
 			return true
 		}
 	}
--- a/internal/draingossip/draingossip_test.go
+++ b/internal/draingossip/draingossip_test.go
@@ -25,7 +25,7 @@
 		}
 	}
 	ready := func(startedAt time.Duration) Member {
-		return Member{Group: 1, StartedAt: startedAt, Standing: driver.Ready}
+		return Member{Group: 1, StartedAt: startedAt, State: driver.Ready}
 	}
 	for id := range MemberID(3) {
 		if tracker.UpdateFromList(id, ready(time.Hour), true) {
@@ -39,7 +39,7 @@
 	receive("of a second member", Notice{1, time.Hour}, Decision{StopRequests: true, Forward: true})
 	receive("of the last ready member of the group", Notice{2, time.Hour}, Decision{})
 	draining := ready(time.Hour)
-	draining.Standing = driver.Draining
+	draining.State = driver.Draining
 	if tracker.UpdateFromList(2, draining, false) || !tracker.UpdateFromList(2, draining, true) || tracker.UpdateFromList(2, draining, true) {
 		t.Error("other drivers are not notified exactly once, by a current list")
 	}
@@ -48,7 +48,7 @@
 	receive("again after the list said ready", Notice{0, time.Hour}, Decision{StopRequests: true})
 	tracker.UpdateFromList(0, ready(3*time.Hour), true)
 	receive("of the next incarnation", Notice{0, 3 * time.Hour}, Decision{StopRequests: true, Forward: true})
-	tracker.UpdateFromList(0, Member{Standing: driver.Gone}, true)
+	tracker.UpdateFromList(0, Member{State: driver.Gone}, true)
 	receive("of a member that is gone", Notice{0, 3 * time.Hour}, Decision{})
 }
 
--- a/internal/emu/emu_test.go
+++ b/internal/emu/emu_test.go
@@ -170,7 +170,7 @@
 		t.Error("a repeat beyond the window is dropped")
 	}
 	if r := ask(g.Members[1], &Job{Write: true}); true {
-		if c.run(time.Second); r.How != driver.Miss {
+		if c.run(time.Second); r.How != driver.Misdirected {
 			t.Errorf("a write at a replica: %v", r.How)
 		}
 	}
@@ -180,7 +180,7 @@
 		c.run(2 * ms)
 	}
 	ahead := ask(g.Members[1], &Job{After: c.now, Work: ms})
-	if c.run(60 * ms); ahead.How != driver.Miss || ahead.Position >= c.now {
+	if c.run(60 * ms); ahead.How != driver.Misdirected || ahead.Position >= c.now {
 		t.Errorf("a read ahead of a replica that lags: %+v", ahead)
 	}
 	quick := ask(g.Members[2], &Job{After: c.now, Work: ms})
--- a/internal/emu/member.go
+++ b/internal/emu/member.go
@@ -143,7 +143,7 @@
 	case m.busy >= m.Build.Cores && m.waiting.Len() >= m.Build.Queue, m.drains && m.role == driver.Unknown:
 		m.say(j, driver.Full, false)
 	case j.Write && m.role != driver.Primary:
-		m.say(j, driver.Miss, false)
+		m.say(j, driver.Misdirected, false)
 	case !j.Write && !j.Hello && !m.Build.Blind && j.After > m.Position():
 		m.wait(j, m.timer.Now()+m.Build.Patience)
 	default:
@@ -186,7 +186,7 @@
 		case j.After <= m.Position():
 			m.queue(j)
 		case m.timer.Now() >= until:
-			m.say(j, driver.Miss, false)
+			m.say(j, driver.Misdirected, false)
 		default:
 			m.wait(j, until)
 		}
@@ -231,7 +231,7 @@
 	effect := false
 	if j.Write {
 		if m.role != driver.Primary { // it has lost the role meanwhile
-			m.say(j, driver.Miss, false)
+			m.say(j, driver.Misdirected, false)
 			return
 		}
 		effect = m.Group.commit(m, j)
--- a/internal/emu/play/cluster.go
+++ b/internal/emu/play/cluster.go
@@ -349,10 +349,10 @@
 		k.member.denied[c.record.DriverOf(id)] = true
 	}
 	var out []byte
-	if code := map[driver.Outcome]string{driver.Miss: "72000", driver.Full: "53300", driver.Failed: "XX000"}[r.How]; code != "" {
-		if job.Write && r.How == driver.Miss {
+	if code := map[driver.Outcome]string{driver.Misdirected: "72000", driver.Full: "53300", driver.Failed: "XX000"}[r.How]; code != "" {
+		if job.Write && r.How == driver.Misdirected {
 			code = "25006"
-		} else if r.How == driver.Miss {
+		} else if r.How == driver.Misdirected {
 			k.member.count(emu.Behind, 1)
 		} else if r.How == driver.Full {
 			k.member.count(emu.Fulls, 1)
--- a/internal/lab/capacity/driver_state.go
+++ b/internal/lab/capacity/driver_state.go
@@ -88,8 +88,8 @@
 // CloseIdle implements driver.Host; it does nothing.
 func (q *noopHost) CloseIdle(driver.Member) {}
 
-// Remembered implements driver.Host; it does nothing.
-func (q *noopHost) Remembered(driver.Session, time.Duration) {}
+// SessionWrote implements driver.Host; it does nothing.
+func (q *noopHost) SessionWrote(driver.Session, time.Duration) {}
 
 // Forget implements driver.Host; it does nothing.
 func (q *noopHost) Forget(driver.Member) {}
@@ -123,13 +123,13 @@
 }
 
 // ListBegins implements discovery.Host by passing the event on.
-func (q *noopHost) ListBegins(how driver.Listing) { q.router.ListBegins(how) }
+func (q *noopHost) ListBegins(how driver.ListKind) { q.router.ListBegins(how) }
 
 // ListEnds implements discovery.Host by passing the event on.
-func (q *noopHost) ListEnds(how driver.Listing) { q.router.ListEnds(how) }
+func (q *noopHost) ListEnds(how driver.ListKind) { q.router.ListEnds(how) }
 
 // Listed implements discovery.Host by passing the entry on.
-func (q *noopHost) Listed(uid string, _ netip.AddrPort, _ string, group driver.Group, state driver.Standing, size float64, started time.Duration, primary bool) {
+func (q *noopHost) Listed(uid string, _ netip.AddrPort, _ string, group driver.Group, state driver.MemberState, size float64, started time.Duration, primary bool) {
 	m, known := q.members[uid]
 	if !known {
 		m = driver.Member(len(q.members) + 1)
@@ -150,11 +150,11 @@
 		flat["family_info.token"] = "remembered"
 	}
 	host.router = rules.New(host, 1, flat)
-	host.router.ListBegins(driver.Whole)
+	host.router.ListBegins(driver.Complete)
 	for n := range members {
 		host.router.EndpointListed(driver.Member(n+1), 0, driver.Group(n/groupSize), driver.Ready, 1, driver.LongAgo, n%groupSize == 0)
 	}
-	host.router.ListEnds(driver.Whole)
+	host.router.ListEnds(driver.Complete)
 	return host
 }
 
--- a/internal/lab/capacity/lists.go
+++ b/internal/lab/capacity/lists.go
@@ -37,20 +37,20 @@
 }
 
 // ListBegins implements discovery.Host; it does nothing.
-func (r *listRecorder) ListBegins(driver.Listing) {}
+func (r *listRecorder) ListBegins(driver.ListKind) {}
 
 // Count implements discovery.Host; it does nothing.
 func (r *listRecorder) Count(string) {}
 
 // Listed implements discovery.Host by counting the entry.
-func (r *listRecorder) Listed(string, netip.AddrPort, string, driver.Group, driver.Standing, float64, time.Duration, bool) {
+func (r *listRecorder) Listed(string, netip.AddrPort, string, driver.Group, driver.MemberState, float64, time.Duration, bool) {
 	r.entries++
 }
 
 // ListEnds implements discovery.Host by recording the time.
-func (r *listRecorder) ListEnds(how driver.Listing) {
+func (r *listRecorder) ListEnds(how driver.ListKind) {
 	switch {
-	case how == driver.Whole && r.fullListAt == 0:
+	case how == driver.Complete && r.fullListAt == 0:
 		r.fullListAt = r.now()
 	case how == driver.Changes && r.entries > 0 && r.fullListAt > 0 && r.firstChangeAt == 0:
 		r.firstChangeAt = r.now()
@@ -157,16 +157,16 @@
 type discardHost struct{}
 
 // ListBegins implements discovery.Host; it does nothing.
-func (discardHost) ListBegins(driver.Listing) {}
+func (discardHost) ListBegins(driver.ListKind) {}
 
 // ListEnds implements discovery.Host; it does nothing.
-func (discardHost) ListEnds(driver.Listing) {}
+func (discardHost) ListEnds(driver.ListKind) {}
 
 // Count implements discovery.Host; it does nothing.
 func (discardHost) Count(string) {}
 
 // Listed implements discovery.Host; it does nothing.
-func (discardHost) Listed(string, netip.AddrPort, string, driver.Group, driver.Standing, float64, time.Duration, bool) {
+func (discardHost) Listed(string, netip.AddrPort, string, driver.Group, driver.MemberState, float64, time.Duration, bool) {
 }
 
 // measureListCosts measures, in real time and on the real heap, the cost of reading a whole list and of storing the drain state of its members.
@@ -208,7 +208,7 @@
 	before := heapInUse()
 	tracker := draingossip.NewTracker()
 	for m := range members {
-		tracker.UpdateFromList(draingossip.MemberID(m)*0x9e3779b97f4a7c15, draingossip.Member{Group: driver.Group(m / 2), StartedAt: epoch, Standing: driver.Ready}, true)
+		tracker.UpdateFromList(draingossip.MemberID(m)*0x9e3779b97f4a7c15, draingossip.Member{Group: driver.Group(m / 2), StartedAt: epoch, State: driver.Ready}, true)
 	}
 	after := heapInUse()
 	runtime.KeepAlive(tracker)
--- a/internal/member/attempt.go
+++ b/internal/member/attempt.go
@@ -41,7 +41,7 @@
 	}
 	a.handle = p.attempts.Insert(a)
 	if a.handle == 0 || m == nil || a.writeDeadline <= p.loop.Clock() {
-		p.loop.Defer(func() { p.finish(a, driver.Moot, nil) })
+		p.loop.Defer(func() { p.finish(a, driver.NotSent, nil) })
 		return uint32(a.handle)
 	}
 	p.expireAt(a, a.writeDeadline)
@@ -70,7 +70,7 @@
 	a := &attempt{probe: true, target: target, startedAt: now, writeDeadline: deadline, deadline: deadline}
 	a.handle = p.attempts.Insert(a)
 	if a.handle == 0 {
-		p.loop.Defer(func() { p.finish(a, driver.Moot, nil) })
+		p.loop.Defer(func() { p.finish(a, driver.NotSent, nil) })
 		return
 	}
 	p.expireAt(a, a.deadline)
@@ -80,7 +80,7 @@
 		return
 	}
 	if p.connectLimiter.AtMemberLimit(&m.connections) {
-		p.loop.Defer(func() { p.finish(a, driver.Moot, nil) })
+		p.loop.Defer(func() { p.finish(a, driver.NotSent, nil) })
 		return
 	}
 	p.connect(a, m)
@@ -91,7 +91,7 @@
 	if a := p.attempts.Get(slotmap.Handle(handle)); a != nil {
 		outcome := driver.Cancelled
 		if a.progress() < FullyWritten {
-			outcome = driver.Moot
+			outcome = driver.NotSent
 		}
 		p.detach(a)
 		p.loop.Defer(func() { p.finish(a, outcome, nil) })
@@ -125,7 +125,7 @@
 		return
 	}
 	if a.queued.Value != nil && a.connection == nil {
-		p.ledger.Count("connects_wait_expired")
+		p.outcomes.Count("connects_wait_expired")
 	}
 	progress, errorReceived, outcome := a.progress(), false, driver.Failed
 	if progress >= FullyWritten && p.loop.Now() < a.deadline {
@@ -165,7 +165,7 @@
 	p.finish(a, failure.Outcome(), nil)
 }
 
-// finish reports the outcome of an attempt to the ledger, once. The response is nil if none was received.
+// finish reports the outcome of an attempt to the outcome handler, once. The response is nil if none was received.
 func (p *Pool) finish(a *attempt, outcome driver.Outcome, response *Response) {
 	if a.handle != 0 && p.attempts.Get(a.handle) != a {
 		return
@@ -178,9 +178,9 @@
 	}
 	took := p.loop.Now() - a.startedAt
 	if a.probe {
-		p.ledger.Probed(a.target, outcome == driver.OK, took, response.LoadReport)
+		p.outcomes.Probed(a.target, outcome == driver.OK, took, response.LoadReport)
 		return
 	}
-	p.ledger.AttemptEnded(a.rpc, a.number, a.target, outcome, took, response.Answer.Position, response.Role, response.LoadReport,
+	p.outcomes.AttemptEnded(a.rpc, a.number, a.target, outcome, took, response.Answer.Position, response.Role, response.LoadReport,
 		&response.Answer)
 }
--- a/internal/member/attempt_test.go
+++ b/internal/member/attempt_test.go
@@ -16,8 +16,8 @@
 // send sends one attempt in the next iteration of the pool's loop, which then sets the handle.
 func (f *fixture) send(rpc driver.RPC, writeDeadline, deadline time.Duration, size int) (handle *uint32) {
 	handle = new(uint32)
-	ask := &driver.MemberRequest{Before: []byte("/* id=x,c=look,d="), After: append([]byte(" */ SELECT 1"), make([]byte, size)...)}
-	f.loop.Defer(func() { *handle = f.pool.Attempt(rpc, 0, 1, writeDeadline, deadline, ask) })
+	request := &driver.MemberRequest{Before: []byte("/* id=x,c=look,d="), After: append([]byte(" */ SELECT 1"), make([]byte, size)...)}
+	f.loop.Defer(func() { *handle = f.pool.Attempt(rpc, 0, 1, writeDeadline, deadline, request) })
 	return handle
 }
 
@@ -25,7 +25,7 @@
 func (f *fixture) check(t *testing.T, rpc driver.RPC, want driver.Outcome, queries int) {
 	t.Helper()
 	f.world.Run(time.Hour + 10*time.Second)
-	if got, ok := f.ledger.outcomes[rpc]; !ok || got != want || f.member.queries != queries || f.pool.InFlight() != 0 || f.pool.Waiting() != 0 {
+	if got, ok := f.recorder.outcomes[rpc]; !ok || got != want || f.member.queries != queries || f.pool.InFlight() != 0 || f.pool.Waiting() != 0 {
 		t.Errorf("ended %t, outcome %d, want %d; %d queries, want %d; %d in flight", ok, got, want, f.member.queries, queries, f.pool.InFlight())
 	}
 }
@@ -50,7 +50,7 @@
 func TestAResponseIsAwaitedBeyondTheWriteDeadline(t *testing.T) {
 	f := newFixture(t, 0, true)
 	f.send(1, time.Hour+3*ms, time.Hour+time.Second, 0)
-	f.check(t, 1, driver.Miss, 1)
+	f.check(t, 1, driver.Misdirected, 1)
 }
 
 // Guards against a request that runs although it was only partly written at the write deadline: its connection must be closed.
@@ -80,7 +80,7 @@
 			if size > 0 && f.member.closed != 1 {
 				t.Error("the connection is open")
 			}
-			f.check(t, 1, driver.Moot, 0)
+			f.check(t, 1, driver.NotSent, 0)
 		})
 	}
 	t.Run("in the queue", func(t *testing.T) {
@@ -96,13 +96,13 @@
 				}
 			})
 		})
-		f.check(t, 30, driver.Moot, 0)
+		f.check(t, 30, driver.NotSent, 0)
 	})
 	t.Run("a fully written one goes on", func(t *testing.T) {
 		f := newFixture(t, 0, true)
 		handle := f.send(1, time.Hour+time.Second, time.Hour+time.Second, 0)
 		f.world.At(time.Hour+4*ms, func() { f.host.Post(func() { f.pool.Withdraw(*handle) }) })
-		f.check(t, 1, driver.Miss, 1)
+		f.check(t, 1, driver.Misdirected, 1)
 	})
 }
 
@@ -148,12 +148,12 @@
 				t.Fatal(err)
 			}
 			limiter := recovery.NewConnectLimiter(250 * ms)
-			pool := member.New(f.loop, f.ledger, &odata.Protocol{Host: "m"}, &limiter, 250*ms, 15*time.Second)
+			pool := member.New(f.loop, f.recorder, &odata.Protocol{Host: "m"}, &limiter, 250*ms, 15*time.Second)
 			pool.SetAddress(1, address)
-			ask := &driver.MemberRequest{Form: driver.Requests, Verb: "GET", Path: "/Applications('1')"}
-			f.loop.Defer(func() { pool.Attempt(1, 0, 1, time.Hour+time.Second, time.Hour+time.Second, ask) })
+			request := &driver.MemberRequest{Form: driver.Requests, Verb: "GET", Path: "/Applications('1')"}
+			f.loop.Defer(func() { pool.Attempt(1, 0, 1, time.Hour+time.Second, time.Hour+time.Second, request) })
 			f.world.Run(time.Hour + 2*time.Second)
-			if got, ok := f.ledger.outcomes[1]; !ok || got != c.want {
+			if got, ok := f.recorder.outcomes[1]; !ok || got != c.want {
 				t.Errorf("ended %t, outcome %d, want %d", ok, got, c.want)
 			}
 		})
--- a/internal/member/connection.go
+++ b/internal/member/connection.go
@@ -46,13 +46,13 @@
 		}
 	}
 	if err != nil {
-		p.ledger.Count("connects_failed")
+		p.outcomes.Count("connects_failed")
 		p.loop.Defer(func() { p.fail(a, Failure{NotConnected, false, err}) })
 		return
 	}
 	a.connection = c
 	p.connectLimiter.Started(&m.connections)
-	p.ledger.Count("connects")
+	p.outcomes.Count("connects")
 	if greeting := p.protocol.Greeting(); greeting != nil {
 		c.stream.Send(greeting)
 	}
--- a/internal/member/idle.go
+++ b/internal/member/idle.go
@@ -96,7 +96,7 @@
 	if oldest == nil {
 		return false
 	}
-	p.ledger.Count("members_closed_idle")
+	p.outcomes.Count("members_closed_idle")
 	oldest.close()
 	return true
 }
--- a/internal/member/odata/odata.go
+++ b/internal/member/odata/odata.go
@@ -28,17 +28,17 @@
 func (*Protocol) Greeting() []byte { return nil }
 
 // EncodeRequest implements member.Protocol. It returns a request with the time that is left in a header field.
-func (p *Protocol) EncodeRequest(ask *driver.MemberRequest, left time.Duration) [][]byte {
-	p.header = httpwire.AppendRequest(p.header[:0], ask.Verb, ask.Path)
+func (p *Protocol) EncodeRequest(request *driver.MemberRequest, left time.Duration) [][]byte {
+	p.header = httpwire.AppendRequest(p.header[:0], request.Verb, request.Path)
 	p.header = httpwire.AppendField(p.header, "Host", p.Host)
 	p.trailer = strconv.AppendInt(append(p.trailer[:0], "Deadline-Ms: "...), int64(left/time.Millisecond), 10)
 	p.trailer = append(p.trailer, "\r\n"...)
-	if len(ask.Body) > 0 || ask.Verb != "GET" && ask.Verb != "HEAD" && ask.Verb != "DELETE" {
-		p.trailer = httpwire.AppendLength(p.trailer, len(ask.Body))
+	if len(request.Body) > 0 || request.Verb != "GET" && request.Verb != "HEAD" && request.Verb != "DELETE" {
+		p.trailer = httpwire.AppendLength(p.trailer, len(request.Body))
 	} else {
 		p.trailer = append(p.trailer, "\r\n"...)
 	}
-	p.parts = [4][]byte{p.header, ask.Fields, p.trailer, ask.Body}
+	p.parts = [4][]byte{p.header, request.Fields, p.trailer, request.Body}
 	return p.parts[:]
 }
 
@@ -93,7 +93,7 @@
 func outcomeOf(status int) driver.Outcome {
 	switch {
 	case status == 421 || status == 425:
-		return driver.Miss
+		return driver.Misdirected
 	case status == 429 || status == 503:
 		return driver.Full
 	case status < 500 && status != 408:
--- a/internal/member/pg/pg.go
+++ b/internal/member/pg/pg.go
@@ -147,7 +147,7 @@
 func outcomeOf(code string) driver.Outcome {
 	switch code {
 	case codeReadOnlyTransaction, codeSnapshotTooOld:
-		return driver.Miss
+		return driver.Misdirected
 	case codeTooManyConnections:
 		return driver.Full
 	}
--- a/internal/member/pool.go
+++ b/internal/member/pool.go
@@ -20,7 +20,7 @@
 // Pool holds the connections to all members of one protocol. It implements driver.MemberPool.
 type Pool struct {
 	loop           *eventloop.Loop
-	ledger         driver.OutcomeHandler
+	outcomes       driver.OutcomeHandler
 	protocol       Protocol
 	members        map[driver.Member]*member
 	connections    slotmap.Map[*connection]
@@ -47,10 +47,10 @@
 
 // New creates a pool. Connections must be established within connectTimeout and are not used after having been idle for
 // idleTimeout. All pools of a driver share connectLimiter.
-func New(l *eventloop.Loop, ledger driver.OutcomeHandler, protocol Protocol, connectLimiter *recovery.ConnectLimiter,
+func New(l *eventloop.Loop, outcomes driver.OutcomeHandler, protocol Protocol, connectLimiter *recovery.ConnectLimiter,
 	connectTimeout, idleTimeout time.Duration) *Pool {
 	p := &Pool{
-		loop: l, ledger: ledger, protocol: protocol, members: make(map[driver.Member]*member), connectLimiter: connectLimiter,
+		loop: l, outcomes: outcomes, protocol: protocol, members: make(map[driver.Member]*member), connectLimiter: connectLimiter,
 	}
 	p.SetTimeouts(connectTimeout, idleTimeout)
 	return p
--- a/internal/member/pool_test.go
+++ b/internal/member/pool_test.go
@@ -16,19 +16,19 @@
 
 const ms = time.Millisecond
 
-// recordingLedger records the outcomes of attempts and the counters.
-type recordingLedger struct {
+// outcomeRecorder records the outcomes of attempts and the counters.
+type outcomeRecorder struct {
 	loop        *eventloop.Loop
 	outcomes    map[driver.RPC]driver.Outcome
 	lastEndedAt time.Duration
 	counts      map[string]int
 }
 
-func (l *recordingLedger) AttemptEnded(rpc driver.RPC, _ int, _ driver.Member, outcome driver.Outcome, _, _ time.Duration, _ driver.Role, _ []float64, _ *driver.Answer) {
-	l.outcomes[rpc], l.lastEndedAt = outcome, l.loop.Now()
+func (r *outcomeRecorder) AttemptEnded(rpc driver.RPC, _ int, _ driver.Member, outcome driver.Outcome, _, _ time.Duration, _ driver.Role, _ []float64, _ *driver.Answer) {
+	r.outcomes[rpc], r.lastEndedAt = outcome, r.loop.Now()
 }
-func (l *recordingLedger) Probed(driver.Member, bool, time.Duration, []float64) {}
-func (l *recordingLedger) Count(name string)                                    { l.counts[name]++ }
+func (r *outcomeRecorder) Probed(driver.Member, bool, time.Duration, []float64) {}
+func (r *outcomeRecorder) Count(name string)                                    { r.counts[name]++ }
 
 // fakeMember accepts one greeting at a time and answers every query with an error.
 type fakeMember struct {
@@ -79,12 +79,12 @@
 
 // fixture is a simulated network with a driver's pool, which has no connection yet, and a member.
 type fixture struct {
-	world  *sim.World
-	host   *sim.Host
-	loop   *eventloop.Loop
-	pool   *member.Pool
-	ledger *recordingLedger
-	member *fakeMember
+	world    *sim.World
+	host     *sim.Host
+	loop     *eventloop.Loop
+	pool     *member.Pool
+	recorder *outcomeRecorder
+	member   *fakeMember
 }
 
 func newFixture(t *testing.T, connectDelay time.Duration, listens bool) *fixture {
@@ -114,38 +114,38 @@
 		}
 	}
 	h, l := addHost("driver")
-	ledger := &recordingLedger{loop: l, outcomes: make(map[driver.RPC]driver.Outcome), counts: make(map[string]int)}
+	recorder := &outcomeRecorder{loop: l, outcomes: make(map[driver.RPC]driver.Outcome), counts: make(map[string]int)}
 	limiter := recovery.NewConnectLimiter(250 * ms)
-	pool := member.New(l, ledger, new(pg.Protocol), &limiter, 250*ms, 15*time.Second)
+	pool := member.New(l, recorder, new(pg.Protocol), &limiter, 250*ms, 15*time.Second)
 	pool.SetAddress(1, address)
-	return &fixture{world, h, l, pool, ledger, m}
+	return &fixture{world, h, l, pool, recorder, m}
 }
 
 // sendTogether sends n attempts at once.
-func sendTogether(t *testing.T, n int, connectDelay time.Duration, listens bool, timeout time.Duration) (*recordingLedger, *fakeMember) {
+func sendTogether(t *testing.T, n int, connectDelay time.Duration, listens bool, timeout time.Duration) (*outcomeRecorder, *fakeMember) {
 	t.Helper()
 	f := newFixture(t, connectDelay, listens)
-	world, l, ledger, m, pool := f.world, f.loop, f.ledger, f.member, f.pool
-	ask := &driver.MemberRequest{Before: []byte("/* id=x,c=look,d="), After: []byte(" */ SELECT 1")}
+	world, l, recorder, m, pool := f.world, f.loop, f.recorder, f.member, f.pool
+	request := &driver.MemberRequest{Before: []byte("/* id=x,c=look,d="), After: []byte(" */ SELECT 1")}
 	l.Defer(func() {
 		for i := range n {
-			pool.Attempt(driver.RPC(i+1), 0, 1, l.Now()+timeout, l.Now()+timeout, ask)
+			pool.Attempt(driver.RPC(i+1), 0, 1, l.Now()+timeout, l.Now()+timeout, request)
 		}
 	})
 	world.Run(time.Hour + timeout + time.Second)
-	if len(ledger.outcomes) != n || pool.InFlight() != 0 || pool.Waiting() != 0 {
-		t.Errorf("%d of %d attempts have ended, %d in flight, %d waiting", len(ledger.outcomes), n, pool.InFlight(), pool.Waiting())
+	if len(recorder.outcomes) != n || pool.InFlight() != 0 || pool.Waiting() != 0 {
+		t.Errorf("%d of %d attempts have ended, %d in flight, %d waiting", len(recorder.outcomes), n, pool.InFlight(), pool.Waiting())
 	}
-	return ledger, m
+	return recorder, m
 }
 
 // Guards against opening a connection for each of many simultaneous attempts instead of reusing a few, and against establishing
 // too many at the same time.
 func TestManyAttemptsShareFewConnections(t *testing.T) {
-	ledger, m := sendTogether(t, 100, 5*ms, true, 2*time.Second)
+	recorder, m := sendTogether(t, 100, 5*ms, true, 2*time.Second)
 	served := 0
-	for _, outcome := range ledger.outcomes {
-		if outcome == driver.Miss {
+	for _, outcome := range recorder.outcomes {
+		if outcome == driver.Misdirected {
 			served++
 		}
 	}
@@ -156,21 +156,21 @@
 
 // Guards against attempts that end late, or as possibly run, if the member accepts no connection within the connect timeout.
 func TestAttemptsThatGetNoConnectionHaveNotRun(t *testing.T) {
-	ledger, m := sendTogether(t, 30, time.Minute, true, 2*time.Second)
-	for rpc, outcome := range ledger.outcomes {
+	recorder, m := sendTogether(t, 30, time.Minute, true, 2*time.Second)
+	for rpc, outcome := range recorder.outcomes {
 		if outcome != driver.NoConnection {
 			t.Errorf("attempt %d ended as %d", rpc, outcome)
 		}
 	}
-	if took := ledger.lastEndedAt - time.Hour; took > 600*ms || m.opened > 4 {
+	if took := recorder.lastEndedAt - time.Hour; took > 600*ms || m.opened > 4 {
 		t.Errorf("the last one ended after %v, over %d connections", took, m.opened)
 	}
 }
 
 // Guards against attempts that wait for a connection until their timeout although the member has refused one.
 func TestARefusedConnectionFailsAllWaitingAttempts(t *testing.T) {
-	ledger, _ := sendTogether(t, 30, 0, false, 2*time.Second)
-	if took := ledger.lastEndedAt - time.Hour; took > 20*ms || ledger.counts["connects"] > 2 {
-		t.Errorf("the last one ended after %v, over %d connections", took, ledger.counts["connects"])
+	recorder, _ := sendTogether(t, 30, 0, false, 2*time.Second)
+	if took := recorder.lastEndedAt - time.Hour; took > 20*ms || recorder.counts["connects"] > 2 {
+		t.Errorf("the last one ended after %v, over %d connections", took, recorder.counts["connects"])
 	}
 }
--- a/internal/member/queue.go
+++ b/internal/member/queue.go
@@ -2,7 +2,7 @@
 
 // enqueue makes an attempt wait for a connection, at most as long as one may take to be established.
 func (p *Pool) enqueue(a *attempt, m *member) {
-	p.ledger.Count("connects_waited")
+	p.outcomes.Count("connects_waited")
 	a.queued.Value, m.congested.Value = a, m
 	m.waiting.PushBack(&a.queued)
 	if !m.congested.InList(&p.congested) {
--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -11,12 +11,12 @@
 	outcomeNames = [...]string{
 		driver.OK: "ok", driver.Failed: "failed", driver.Full: "full", driver.TimedOut: "timed_out",
 		driver.NoConnection: "no_connection", driver.Broken: "broken", driver.Cancelled: "cancelled",
-		driver.Moot: "moot", driver.Miss: "miss",
+		driver.NotSent: "moot", driver.Misdirected: "miss",
 	}
 	outcomeCounters = [...]string{
 		driver.OK: "attempts_ok", driver.Failed: "attempts_failed", driver.Full: "attempts_full", driver.TimedOut: "attempts_timed_out",
 		driver.NoConnection: "attempts_no_connection", driver.Broken: "attempts_broken", driver.Cancelled: "attempts_cancelled",
-		driver.Moot: "attempts_moot", driver.Miss: "attempts_miss",
+		driver.NotSent: "attempts_moot", driver.Misdirected: "attempts_miss",
 	}
 )
 
--- a/internal/node/drain_gossip.go
+++ b/internal/node/drain_gossip.go
@@ -41,14 +41,14 @@
 }
 
 // memberListed records the entry of a member on the endpoint list. If current is false, the entry may be outdated.
-func (d *drainGossip) memberListed(uid string, m listedMember, standing driver.Standing, startedAt time.Duration, current bool) {
+func (d *drainGossip) memberListed(uid string, m listedMember, state driver.MemberState, startedAt time.Duration, current bool) {
 	id := draingossip.MemberID(xxh3.HashString(uid))
-	if standing == driver.Gone {
+	if state == driver.Gone {
 		delete(d.members, id)
 	} else {
 		d.members[id] = m
 	}
-	if d.tracker.UpdateFromList(id, draingossip.Member{Group: m.group, StartedAt: startedAt, Standing: standing}, current) {
+	if d.tracker.UpdateFromList(id, draingossip.Member{Group: m.group, StartedAt: startedAt, State: state}, current) {
 		d.pending = append(d.pending, draingossip.Notice{Member: id, StartedAt: startedAt})
 	}
 }
--- a/internal/node/host.go
+++ b/internal/node/host.go
@@ -40,8 +40,8 @@
 // CloseIdle closes the idle connections to a member.
 func (h *moduleHost) CloseIdle(m driver.Member) { h.node.members.closeIdle(m) }
 
-// Remembered persists the position of the latest write of a session.
-func (h *moduleHost) Remembered(session driver.Session, commit time.Duration) {
+// SessionWrote persists the position of the latest write of a session.
+func (h *moduleHost) SessionWrote(session driver.Session, commit time.Duration) {
 	h.node.learned.sessionWrote(session, commit)
 }
 
--- a/internal/node/learned_save.go
+++ b/internal/node/learned_save.go
@@ -84,8 +84,8 @@
 		r.begun = true
 		l.saver.BeginRound()
 	}
-	r.next = n.module.LearnedMembers(r.next, membersPerSlice, func(m driver.Member, known driver.Known) {
-		l.saver.SaveMember(n.members.uids[m], known)
+	r.next = n.module.LearnedMembers(r.next, membersPerSlice, func(m driver.Member, snapshot driver.MemberSnapshot) {
+		l.saver.SaveMember(n.members.uids[m], snapshot)
 	})
 	if r.next > 0 {
 		return false
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -26,13 +26,13 @@
 // it receives the endpoint list from the discovery client and passes it to the module.
 type memberRegistry struct {
 	node           *Node
-	pools          [driver.Forms]*member.Pool // indexed by the protocol of the members
+	pools          [driver.FormCount]*member.Pool // indexed by the protocol of the members
 	connectLimiter recovery.ConnectLimiter
 	ids            map[string]driver.Member // keyed by uid
 	uids           map[driver.Member]string
-	lastID         driver.Member  // number assigned last
-	zones          []string       // indexed by zone number
-	listKind       driver.Listing // kind of the list that is being received
+	lastID         driver.Member   // number assigned last
+	zones          []string        // indexed by zone number
+	listKind       driver.ListKind // kind of the list that is being received
 }
 
 func newMemberRegistry(n *Node) memberRegistry {
@@ -82,14 +82,14 @@
 func (r *memberRegistry) Count(name string) { r.node.Count(name) }
 
 // ListBegins marks the start of an endpoint list, or of a set of changes to it.
-func (r *memberRegistry) ListBegins(kind driver.Listing) {
+func (r *memberRegistry) ListBegins(kind driver.ListKind) {
 	r.listKind = kind
 	r.node.module.ListBegins(kind)
 }
 
 // Listed handles one entry of the endpoint list. A member keeps its number until it is forgotten, even if its address changes.
 // Numbers are never reused.
-func (r *memberRegistry) Listed(uid string, address netip.AddrPort, zone string, group driver.Group, state driver.Standing,
+func (r *memberRegistry) Listed(uid string, address netip.AddrPort, zone string, group driver.Group, state driver.MemberState,
 	size float64, started time.Duration, primary bool) {
 	n := r.node
 	id, known := r.ids[uid]
@@ -111,7 +111,7 @@
 }
 
 // ListEnds marks the end of an endpoint list. With driver.NoList, discovery has returned no list.
-func (r *memberRegistry) ListEnds(kind driver.Listing) {
+func (r *memberRegistry) ListEnds(kind driver.ListKind) {
 	n := r.node
 	if kind != driver.Cached && kind != driver.NoList {
 		n.recovery.ListReceived()
--- a/internal/persist/golden_test.go
+++ b/internal/persist/golden_test.go
@@ -24,7 +24,7 @@
 
 var (
 	goldenDiscovery = netip.MustParseAddrPort("127.0.0.1:7001")
-	goldenMembers   = map[string]driver.Known{
+	goldenMembers   = map[string]driver.MemberSnapshot{
 		"s-1": {Position: time.Hour, Replica: time.Hour - time.Second, Timed: time.Hour - time.Minute, Ratio: 1.25},
 		"s-2": {Position: time.Hour + time.Second, Replica: driver.LongAgo, Timed: 59 * time.Minute, Ratio: 0.5},
 		"s-3": {Position: time.Hour + 9*time.Second, Replica: time.Hour, Timed: time.Hour, Ratio: 2},
@@ -133,7 +133,7 @@
 	r.Requests = nil
 	want := &LearnedState{
 		SavedAt:        time.Hour + 2*time.Second,
-		Members:        map[string]driver.Known{"s-2": goldenMembers["s-2"], "s-3": goldenMembers["s-3"]},
+		Members:        map[string]driver.MemberSnapshot{"s-2": goldenMembers["s-2"], "s-3": goldenMembers["s-3"]},
 		SessionWrites:  3,
 		UsualLatencies: []time.Duration{3 * ms, 40 * ms},
 		ListVersion:    ListVersion{Revision: 5, Discovery: goldenDiscovery},
--- a/internal/persist/members.go
+++ b/internal/persist/members.go
@@ -22,7 +22,7 @@
 	return time.Duration(binary.LittleEndian.Uint64(in[numberSize*i:]))
 }
 
-func encodeMember(k driver.Known) []byte {
+func encodeMember(k driver.MemberSnapshot) []byte {
 	out := make([]byte, 0, memberSize)
 	out = appendDuration(out, k.Position)
 	out = appendDuration(out, k.Replica)
@@ -31,11 +31,11 @@
 }
 
 // decodeMember decodes the value of a member; ok is false if encodeMember cannot have written it.
-func decodeMember(in []byte) (k driver.Known, ok bool) {
+func decodeMember(in []byte) (k driver.MemberSnapshot, ok bool) {
 	if len(in) != memberSize {
 		return k, false
 	}
-	k = driver.Known{
+	k = driver.MemberSnapshot{
 		Position: durationAt(in, 0),
 		Replica:  durationAt(in, 1),
 		Timed:    durationAt(in, 2),
@@ -47,7 +47,7 @@
 // minProgress is the least advance of a position or time of a member that is saved.
 const minProgress = 500 * time.Millisecond
 
-func progressed(old, current driver.Known) bool {
+func progressed(old, current driver.MemberSnapshot) bool {
 	return current.Position-old.Position > minProgress ||
 		current.Replica-old.Replica > minProgress ||
 		current.Timed-old.Timed > minProgress
--- a/internal/persist/persist_test.go
+++ b/internal/persist/persist_test.go
@@ -29,7 +29,7 @@
 
 // testState is the learned state that a test expects.
 type testState struct {
-	members   map[string]driver.Known
+	members   map[string]driver.MemberSnapshot
 	sessions  map[driver.Session]time.Duration
 	endpoints map[string]string
 	requests  map[uint64]string
@@ -55,14 +55,14 @@
 		path := t.TempDir()
 		s := openStore(t, path)
 		v := NewSaver(s, 32<<20)
-		current := testState{make(map[string]driver.Known), make(map[driver.Session]time.Duration), make(map[string]string), make(map[uint64]string)}
+		current := testState{make(map[string]driver.MemberSnapshot), make(map[driver.Session]time.Duration), make(map[string]string), make(map[uint64]string)}
 		saved, rev := current.copy(), int64(0)
 		now, savedAt := time.Hour, time.Duration(0)
 		change := func() {
 			uid, session := fmt.Sprint("s-", rapid.IntRange(0, 5).Draw(rt, "member")), driver.Session(rapid.IntRange(1, 5).Draw(rt, "session"))
 			switch rapid.IntRange(0, 4).Draw(rt, "kind of change") {
 			case 0:
-				current.members[uid] = driver.Known{Position: now, Replica: now - time.Second, Timed: now - 10*ms, Ratio: 1.5}
+				current.members[uid] = driver.MemberSnapshot{Position: now, Replica: now - time.Second, Timed: now - 10*ms, Ratio: 1.5}
 			case 1:
 				delete(current.members, uid)
 			case 2:
@@ -187,7 +187,7 @@
 func TestLegacySessionsAreMigrated(t *testing.T) {
 	path := t.TempDir()
 	s := openStore(t, path)
-	k := driver.Known{Position: time.Hour, Replica: time.Hour, Timed: time.Hour, Ratio: 1}
+	k := driver.MemberSnapshot{Position: time.Hour, Replica: time.Hour, Timed: time.Hour, Ratio: 1}
 	if err := s.Commit([]storage.Change{{Name: "session/a", Value: appendDuration(nil, time.Hour)}, {Name: "member/s-1", Value: encodeMember(k)},
 		{Name: "saved", Value: appendDuration(nil, time.Hour)}}); err != nil {
 		t.Fatal(err)
@@ -215,8 +215,8 @@
 	now := 100 * time.Hour
 	v.SessionWrote(1, now)
 	v.BeginRound()
-	v.SaveMember("old", driver.Known{Position: now - 30*time.Hour, Replica: driver.LongAgo, Timed: now - 30*time.Hour, Ratio: 1})
-	v.SaveMember("new", driver.Known{Position: now, Replica: driver.LongAgo, Timed: now - 30*time.Hour, Ratio: 1})
+	v.SaveMember("old", driver.MemberSnapshot{Position: now - 30*time.Hour, Replica: driver.LongAgo, Timed: now - 30*time.Hour, Ratio: 1})
+	v.SaveMember("new", driver.MemberSnapshot{Position: now, Replica: driver.LongAgo, Timed: now - 30*time.Hour, Ratio: 1})
 	v.Committed(s.Commit(v.FinishRound(now)))
 	if _, err := Prune(path, Owner("n0"), 24*time.Hour, now, 1<<20); !errors.Is(err, storage.ErrLocked) {
 		t.Errorf("a directory that a driver has locked: %v", err)
--- a/internal/persist/restore.go
+++ b/internal/persist/restore.go
@@ -14,10 +14,10 @@
 
 // LearnedState is the state that an earlier process of a driver saved. Times are those of the driver's clock.
 type LearnedState struct {
-	SavedAt        time.Duration           // time of the last commit; 0: there was none
-	Members        map[string]driver.Known // by uid
-	SessionWrites  int                     // number of stored writes, several of which may belong to one session
-	UsualLatencies []time.Duration         // by method
+	SavedAt        time.Duration                    // time of the last commit; 0: there was none
+	Members        map[string]driver.MemberSnapshot // by uid
+	SessionWrites  int                              // number of stored writes, several of which may belong to one session
+	UsualLatencies []time.Duration                  // by method
 	ListVersion    ListVersion
 	Endpoints      [][]byte            // entries of the endpoint list, as JSON
 	Requests       map[string][][]byte // encoded idempotent requests, by front
@@ -27,7 +27,7 @@
 // of the program wrote them.
 func Restore(s *storage.Store) *LearnedState {
 	l := &LearnedState{
-		Members:  make(map[string]driver.Known),
+		Members:  make(map[string]driver.MemberSnapshot),
 		Requests: make(map[string][][]byte),
 	}
 	ForEachSessionWrite(s, func(driver.Session, time.Duration) { l.SessionWrites++ })
--- a/internal/persist/saver.go
+++ b/internal/persist/saver.go
@@ -139,7 +139,7 @@
 func (v *Saver) BeginRound() { v.round = saveRound{number: v.round.number + 1} }
 
 // SaveMember compares a member with its stored value and adds it to the round if it has changed enough.
-func (v *Saver) SaveMember(uid string, k driver.Known) {
+func (v *Saver) SaveMember(uid string, k driver.MemberSnapshot) {
 	name := memberPrefix + uid
 	if stored, found := v.stored[name]; found {
 		stored.round = v.round.number
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -77,7 +77,7 @@
 
 var outcomes = map[uint8]driver.Outcome{
 	0: driver.OK, 13: driver.Failed, 8: driver.Full, 4: driver.TimedOut, 14: driver.NoConnection,
-	10: driver.Broken, 1: driver.Cancelled, 9: driver.Moot, 5: driver.Miss,
+	10: driver.Broken, 1: driver.Cancelled, 9: driver.NotSent, 5: driver.Misdirected,
 }
 
 // instance is the host of one module.
@@ -206,7 +206,7 @@
 		if how > 3 || how < 3 && page >= pages {
 			return fmt.Errorf("list kind %d, number %d", how, page)
 		}
-		i.list(driver.Listing(how), page)
+		i.list(driver.ListKind(how), page)
 	case evIncoming:
 		rpc, _ := driver.RPC(r.u32()), r.u32()
 		tenant, method, group := driver.Tenant(r.u16()), driver.Method(r.u16()), driver.Group(r.f32())
@@ -259,12 +259,12 @@
 	return nil
 }
 
-func (i *instance) list(how driver.Listing, page uint16) {
+func (i *instance) list(how driver.ListKind, page uint16) {
 	i.module.ListBegins(how)
 	if how != driver.NoList {
 		for r := (reader{rest: i.table.pool[page]}); len(r.rest) > 0; {
 			m, zone, _, group := r.member(), driver.Zone(r.u16()), r.u8(), driver.Group(r.u16())
-			standing, size, since := driver.Standing(r.u8()), r.f32(), r.u64()
+			standing, size, since := driver.MemberState(r.u8()), r.f32(), r.u64()
 			started := driver.LongAgo
 			if since != 0 {
 				started = i.since(since)
@@ -362,8 +362,8 @@
 // Forget implements driver.Host; it does nothing, as a member's address is its name here.
 func (i *instance) Forget(driver.Member) {} // its address is its name
 
-// Remembered has nothing to do: nothing outlasts an instance.
-func (i *instance) Remembered(driver.Session, time.Duration) {}
+// SessionWrote has nothing to do: nothing outlasts an instance.
+func (i *instance) SessionWrote(driver.Session, time.Duration) {}
 
 // Watch implements driver.Host.
 func (i *instance) Watch(on bool) {
--- a/rules/cluster_test.go
+++ b/rules/cluster_test.go
@@ -37,7 +37,7 @@
 	position, lag             time.Duration
 	reportedPosition          time.Duration // the latest position that was reported to the router
 	wasPrimary, deniedPrimary bool          // it has been primary; its latest answer reported that it is not
-	state                     driver.Standing
+	state                     driver.MemberState
 	leavingSince, startedAt   time.Duration // when the router was told that it drains or is gone, -1: not told; its start
 	attemptTimes              []time.Duration
 	attemptLoads              []float64
@@ -147,7 +147,7 @@
 }
 
 // announce sends an update of the endpoint list to the router, with the changed members or with all.
-func (c *cluster) announce(kind driver.Listing, changed ...driver.Member) {
+func (c *cluster) announce(kind driver.ListKind, changed ...driver.Member) {
 	if kind != driver.Changes {
 		changed = c.ids
 	}
@@ -222,9 +222,9 @@
 	role, pos := driver.Unknown, time.Duration(0)
 	isPrimary := c.primaries[q.group] == q.member
 	if m := testMethods[q.method]; outcome == driver.OK && m.need == "write" && !isPrimary {
-		outcome = driver.Miss
+		outcome = driver.Misdirected
 	}
-	if outcome == driver.OK || outcome == driver.Miss || outcome == driver.Full || outcome == driver.Failed {
+	if outcome == driver.OK || outcome == driver.Misdirected || outcome == driver.Full || outcome == driver.Failed {
 		role, pos = driver.Replica, n.position
 		n.deniedPrimary = !isPrimary
 		if isPrimary {
@@ -256,7 +256,7 @@
 
 func (c *cluster) Forget(m driver.Member) { c.forgotten = append(c.forgotten, m) }
 
-func (c *cluster) Remembered(session driver.Session, commit time.Duration) {
+func (c *cluster) SessionWrote(session driver.Session, commit time.Duration) {
 	if c.sessionCommits == nil {
 		c.sessionCommits = make(map[driver.Session]time.Duration)
 	}
--- a/rules/endpoints.go
+++ b/rules/endpoints.go
@@ -52,15 +52,15 @@
 }
 
 // ListBegins starts an update of the endpoint list; EndpointListed follows for each entry, then ListEnds.
-func (r *Router) ListBegins(kind driver.Listing) {
+func (r *Router) ListBegins(kind driver.ListKind) {
 	r.runSkippedScans(r.host.Now())
 	for _, m := range r.memberList {
-		m.listed = m.listed && kind != driver.Whole && kind != driver.Cached
+		m.listed = m.listed && kind != driver.Complete && kind != driver.Cached
 	}
 }
 
 // EndpointListed takes one entry of the endpoint list.
-func (r *Router) EndpointListed(id driver.Member, zone driver.Zone, groupID driver.Group, state driver.Standing,
+func (r *Router) EndpointListed(id driver.Member, zone driver.Zone, groupID driver.Group, state driver.MemberState,
 	weight float64, startedAt time.Duration, primary bool) {
 	m, g := r.members[id], r.groupOf(groupID)
 	if m == nil {
@@ -85,7 +85,7 @@
 
 // ListEnds decides which members may get RPCs. Under rules.only_draining_binds a member that is not listed gets one RPC at a time until it
 // answers, so that a wrong list does not stop the service.
-func (r *Router) ListEnds(kind driver.Listing) {
+func (r *Router) ListEnds(kind driver.ListKind) {
 	for _, m := range r.memberList {
 		if m.listed {
 			m.delistedAt = unknownTime
@@ -122,18 +122,18 @@
 func (m *member) presumedGone() bool { return m.delistedAt > m.replication.reportedAt }
 
 // LearnedMembers visits at most limit members from an index on, with their learned state to be saved. It returns the next index, 0 at the end.
-func (r *Router) LearnedMembers(from, limit int, visit func(driver.Member, driver.Known)) (next int) {
+func (r *Router) LearnedMembers(from, limit int, visit func(driver.Member, driver.MemberSnapshot)) (next int) {
 	end := min(from+limit, len(r.memberList))
 	for _, m := range r.memberList[min(from, end):end] {
 		s, l := &m.replication, &m.latency
-		visit(m.id, driver.Known{Position: s.position, Replica: s.replicaProvenAt, Timed: l.sampledAt, Ratio: l.ratio})
+		visit(m.id, driver.MemberSnapshot{Position: s.position, Replica: s.replicaProvenAt, Timed: l.sampledAt, Ratio: l.ratio})
 	}
 	return end % max(len(r.memberList), 1)
 }
 
 // RestoreMember restores what a previous process learned about a member, unless the member has started since it was saved or the clock went
 // back. It proves no role: a former replica is the last candidate for primary, a former primary the first, with one exploratory write.
-func (r *Router) RestoreMember(id driver.Member, k driver.Known, savedAt time.Duration) {
+func (r *Router) RestoreMember(id driver.Member, k driver.MemberSnapshot, savedAt time.Duration) {
 	m, now := r.members[id], r.host.Now()
 	if m == nil || m.startedAt >= savedAt || max(savedAt, k.Position, k.Replica, k.Timed) > now {
 		return
--- a/rules/endpoints_test.go
+++ b/rules/endpoints_test.go
@@ -13,8 +13,8 @@
 	c := newSettledCluster(t, "none", "rules.only_draining_binds=true")
 	c.members[104].state = driver.Draining
 	c.announce(driver.Changes, 104)
-	c.router.ListBegins(driver.Whole)
-	c.router.ListEnds(driver.Whole)
+	c.router.ListBegins(driver.Complete)
+	c.router.ListEnds(driver.Complete)
 	c.members[104].state = driver.Ready
 	c.announce(driver.Changes, 104)
 	c.advance(drainGrace)
--- a/rules/invariants_test.go
+++ b/rules/invariants_test.go
@@ -15,7 +15,7 @@
 		c := newCluster(t, seed, []string{"none", "wait", "refuse"}[seed%3],
 			"rules.only_draining_binds="+[]string{"false", "true"}[seed%2], "mixed="+[]string{"true", "false"}[seed/2%2])
 		c.minDeadlineMillis = 20
-		bad := []driver.Outcome{driver.Miss, driver.Full, driver.Failed, driver.NoConnection, driver.Broken, driver.TimedOut}
+		bad := []driver.Outcome{driver.Misdirected, driver.Full, driver.Failed, driver.NoConnection, driver.Broken, driver.TimedOut}
 		for range 4000 {
 			switch draw := c.random.Below(100); {
 			case draw < 40:
@@ -30,7 +30,7 @@
 				c.endAttempt(c.openRPCs[c.random.Below(len(c.openRPCs))], bad[c.random.Below(len(bad))])
 			case draw < 81:
 				m := c.ids[c.random.Below(len(c.ids))]
-				c.members[m].state = driver.Standing(c.random.Below(3))
+				c.members[m].state = driver.MemberState(c.random.Below(3))
 				c.announce(driver.Changes, m)
 			case draw < 82:
 				m := c.ids[c.random.Below(len(c.ids))]
--- a/rules/outlier.go
+++ b/rules/outlier.go
@@ -70,7 +70,7 @@
 			load = &m.servedLoad
 		}
 		load.Add(q.method.typical.value.Seconds(), now, r.loadWindow())
-	case driver.Miss, driver.Full:
+	case driver.Misdirected, driver.Full:
 		m.health.lastReplyAt = now
 	case driver.Failed, driver.Broken, driver.NoConnection:
 		// A failure counts less if the RPC failed before, since the RPC itself may be the cause.
--- a/rules/recording_test.go
+++ b/rules/recording_test.go
@@ -38,9 +38,9 @@
 	r.actionLog.Cancel(id, n)
 }
 
-func (r *recordingHost) Remembered(session driver.Session, commit time.Duration) {
+func (r *recordingHost) SessionWrote(session driver.Session, commit time.Duration) {
 	r.record("remembered %d at %v", session, commit)
-	r.actionLog.Remembered(session, commit)
+	r.actionLog.SessionWrote(session, commit)
 }
 
 func (r *recordingHost) Forget(m driver.Member) {
@@ -76,7 +76,7 @@
 	r := &recordingHost{actionLog{cluster: c}}
 	c.router.host = r
 	random := pcg.New(seed + 1000)
-	bad := []driver.Outcome{driver.Miss, driver.Full, driver.Failed, driver.NoConnection, driver.Broken, driver.TimedOut, driver.Moot}
+	bad := []driver.Outcome{driver.Misdirected, driver.Full, driver.Failed, driver.NoConnection, driver.Broken, driver.TimedOut, driver.NotSent}
 	anyOpen := func() driver.RPC { return c.openRPCs[random.Below(len(c.openRPCs))] }
 	anyMember := func() driver.Member { return c.ids[random.Below(len(c.ids))] }
 	for range 2500 {
@@ -93,7 +93,7 @@
 			c.endAttempt(anyOpen(), bad[random.Below(len(bad))])
 		case draw < 790:
 			m := anyMember()
-			c.members[m].state = driver.Standing(random.Below(3))
+			c.members[m].state = driver.MemberState(random.Below(3))
 			c.announce(driver.Changes, m)
 		case draw < 800:
 			m := anyMember()
@@ -101,7 +101,7 @@
 			n.startedAt, n.state, n.attemptTimes, n.attemptLoads, n.leavingSince = c.now, driver.Ready, nil, nil, -1
 			c.announce(driver.Changes, m)
 		case draw < 803:
-			c.announce([]driver.Listing{driver.Whole, driver.Cached, driver.NoList}[random.Below(3)])
+			c.announce([]driver.ListKind{driver.Complete, driver.Cached, driver.NoList}[random.Below(3)])
 		case draw < 812:
 			m := anyMember()
 			c.primaries[m%2], c.members[m].wasPrimary = m, true
@@ -135,11 +135,11 @@
 		case draw < 874 && c.membersCheckFreshness && !c.onlyDrainingBinds: // the starts that the cluster lists are not corrected
 			c.router.CorrectClock(time.Duration(random.Below(200)-100) * ms)
 		case draw < 878 && c.membersCheckFreshness: // the restored positions were never reported
-			c.router.RestoreMember(anyMember(), driver.Known{Position: c.now - 5*time.Second, Replica: c.now - 6*time.Second, Timed: c.now - time.Second, Ratio: 1 + random.Float()}, c.now-ms)
+			c.router.RestoreMember(anyMember(), driver.MemberSnapshot{Position: c.now - 5*time.Second, Replica: c.now - 6*time.Second, Timed: c.now - time.Second, Ratio: 1 + random.Float()}, c.now-ms)
 		case draw < 880 && c.membersCheckFreshness: // a restored commit takes precedence over the one that a request carries
 			c.router.RestoreSessionCommit(7, c.now-time.Duration(random.Below(3000))*ms)
 		case draw < 882:
-			c.router.LearnedMembers(0, 100, func(m driver.Member, k driver.Known) { r.record("learned %d %+v", m, k) })
+			c.router.LearnedMembers(0, 100, func(m driver.Member, k driver.MemberSnapshot) { r.record("learned %d %+v", m, k) })
 			r.record("usual %v", c.router.TypicalLatencies())
 		default:
 			c.advance(time.Duration(5+random.Below(40)) * ms)
--- a/rules/replication.go
+++ b/rules/replication.go
@@ -63,7 +63,7 @@
 
 func (r *Router) rememberCommit(session driver.Session, commit time.Duration) {
 	r.sessionCommits[session] = max(commit, r.sessionCommits[session])
-	r.host.Remembered(session, r.sessionCommits[session])
+	r.host.SessionWrote(session, r.sessionCommits[session])
 }
 
 // RestoreSessionCommit restores the position of a session's write for the rest of its retention.
--- a/rules/replication_test.go
+++ b/rules/replication_test.go
@@ -56,9 +56,9 @@
 // taken over meanwhile. It must be ignored for members that have started since, and if the clock went back.
 func TestRestoredStateIsNoProofOfRoles(t *testing.T) {
 	old := newSettledCluster(t, "none")
-	learned := make(map[driver.Member]driver.Known)
+	learned := make(map[driver.Member]driver.MemberSnapshot)
 	for from := 0; ; { // in batches, as hosts do it
-		if from = old.router.LearnedMembers(from, 1, func(m driver.Member, k driver.Known) { learned[m] = k }); from == 0 {
+		if from = old.router.LearnedMembers(from, 1, func(m driver.Member, k driver.MemberSnapshot) { learned[m] = k }); from == 0 {
 			break
 		}
 	}
@@ -101,7 +101,7 @@
 		c.traffic(100, 5*ms)
 	}
 	c := newCluster(t, 3, "none")
-	c.router.RestoreMember(102, driver.Known{Position: c.now - ms, Replica: c.now - ms, Timed: c.now, Ratio: 2}, c.now+time.Hour)
+	c.router.RestoreMember(102, driver.MemberSnapshot{Position: c.now - ms, Replica: c.now - ms, Timed: c.now, Ratio: 2}, c.now+time.Hour)
 	if c.router.members[102].replication.position != unknownTime {
 		t.Error("state that was saved in the future was restored")
 	}
--- a/rules/retries.go
+++ b/rules/retries.go
@@ -66,7 +66,7 @@
 	switch {
 	case outcome == driver.TimedOut, outcome == driver.Cancelled:
 		r.giveUp(q, r.settings.Duration("caps.longest_wait"), NoAnswer)
-	case outcome != driver.Moot && len(q.attempts) < int(r.settings.Number("caps.attempts", 1)) && (!q.mayHaveRun || repeatable):
+	case outcome != driver.NotSent && len(q.attempts) < int(r.settings.Number("caps.attempts", 1)) && (!q.mayHaveRun || repeatable):
 		if q.mayHaveRun && q.method.Effect == settings.Keyed {
 			q.sendBy = min(q.sendBy, q.firstRunAt+q.method.RetryWindow-deliveryTime)
 		}
@@ -77,7 +77,7 @@
 }
 
 func surelyNotRun(o driver.Outcome) bool {
-	return o == driver.Full || o == driver.NoConnection || o == driver.Moot || o == driver.Miss
+	return o == driver.Full || o == driver.NoConnection || o == driver.NotSent || o == driver.Misdirected
 }
 
 // cancelAttempts marks an RPC as answered and cancels its attempts in flight where the host can.
