--- a/internal/lab/capacity/processes.go
+++ b/internal/lab/capacity/processes.go
@@ -29,7 +29,7 @@
 func processSweeps() []Sweep {
 	return []Sweep{{
 		Name: "processes", Axis: Drivers, Sizes: []int{10, 30}, Play: playProcesses,
-		About: "Check of hollow drivers against processes: driver processes on loopback, with a view that sends one probe a second and an empty endpoint list, and then as many hollow drivers. " +
+		About: "Check of simulated drivers against processes: driver processes on loopback, with a view that sends one probe a second and an empty endpoint list, and then as many simulated drivers. " +
 			"Messages and bytes are those of the drivers' own view counters, without the 28 bytes of IP and UDP headers, over 30 s from 15 s after all drivers know each other; then one is killed. " +
 			"Views are queried every 100 ms.",
 	}}
@@ -107,7 +107,7 @@
 	return views, nil
 }
 
-// playProcesses measures driver processes in steady state and after the crash of one, and then as many hollow drivers.
+// playProcesses measures driver processes in steady state and after the crash of one, and then as many simulated drivers.
 func playProcesses(stop context.Context, size int, seed uint64, point func(Point)) error {
 	if Program == "" {
 		return ErrProgram
@@ -248,11 +248,11 @@
 	}
 	record("loopback", "crash_known_p50", "s", quantile(known, 0.5))
 	record("loopback", "crash_known_worst", "s", worst(known))
-	return playHollow(stop, size, seed, record)
+	return playSimulated(stop, size, seed, record)
 }
 
-// playHollow measures as many hollow drivers as there were processes.
-func playHollow(stop context.Context, size int, seed uint64, record func(how, measure, unit string, value float64)) error {
+// playSimulated measures as many simulated drivers as there were processes.
+func playSimulated(stop context.Context, size int, seed uint64, record func(how, measure, unit string, value float64)) error {
 	f, err := newSimulatedFleet(stop, size, seed, viewConfig)
 	if err != nil {
 		return err
@@ -283,7 +283,7 @@
 	f.kill(size / 3)
 	known, never, err := f.until(time.Minute, 20*time.Millisecond, func(i int) bool { return f.nodes[i].Membership().ActiveCount() == size-1 })
 	if err == nil && never > 0 {
-		err = fmt.Errorf("%d hollow drivers did not detect the crash within a minute", never)
+		err = fmt.Errorf("%d simulated drivers did not detect the crash within a minute", never)
 	}
 	if err != nil {
 		return err
--- a/internal/lab/capacity/simulated_fleet.go
+++ b/internal/lab/capacity/simulated_fleet.go
@@ -80,7 +80,9 @@
 	return messages, bytes
 }
 
-// simulatedFleet is a fleet of simulated drivers with a discovery service.
+// simulatedFleet is a fleet of simulated drivers with a discovery service. A simulated driver runs internal/node unchanged on a simulated loop, but has no
+// clients, and the members in its endpoint list refuse all connections. So it serves no RPCs: it only exchanges messages with the other drivers, for
+// membership, leases and drain notices, and with discovery and control machines.
 type simulatedFleet struct {
 	ctx            context.Context
 	world          *sim.World
