--- a/internal/emu/member.go
+++ b/internal/emu/member.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"passtack/driver"
-	"passtack/internal/chain"
+	"passtack/internal/linkedlist"
 	"passtack/internal/pcg"
 )
 
@@ -49,7 +49,7 @@
 	Done    func(Result)  // called once, unless the member dies; never at once
 
 	came  time.Duration
-	place chain.Element[*Job]
+	place linkedlist.Element[*Job]
 	began bool
 	gone  bool
 }
@@ -81,7 +81,7 @@
 	tipped  bool
 	paused  time.Duration // until when it stands still
 	busy    int
-	waiting chain.List[*Job]
+	waiting linkedlist.List[*Job]
 	applied time.Duration // position, while it is a replica
 	thread  time.Duration // when the thread that applies is free
 	sent    float64       // seconds of work of the last Tips, fading
@@ -143,7 +143,7 @@
 	case m.busy >= m.Build.Cores && m.waiting.Len() >= m.Build.Queue, m.drains && m.role == driver.Unknown:
 		m.say(j, driver.Full, false)
 	case j.Write && m.role != driver.Primary:
-		m.say(j, driver.Miss, false)
+		m.say(j, driver.Misdirected, false)
 	case !j.Write && !j.Hello && !m.Build.Blind && j.After > m.Position():
 		m.wait(j, m.timer.Now()+m.Build.Patience)
 	default:
@@ -186,7 +186,7 @@
 		case j.After <= m.Position():
 			m.queue(j)
 		case m.timer.Now() >= until:
-			m.say(j, driver.Miss, false)
+			m.say(j, driver.Misdirected, false)
 		default:
 			m.wait(j, until)
 		}
@@ -231,7 +231,7 @@
 	effect := false
 	if j.Write {
 		if m.role != driver.Primary { // it has lost the role meanwhile
-			m.say(j, driver.Miss, false)
+			m.say(j, driver.Misdirected, false)
 			return
 		}
 		effect = m.Group.commit(m, j)
@@ -278,7 +278,7 @@
 
 // Die ends the process; whatever it held is gone.
 func (m *Member) Die() {
-	m.up, m.busy, m.waiting = false, 0, chain.List[*Job]{}
+	m.up, m.busy, m.waiting = false, 0, linkedlist.List[*Job]{}
 	m.life++
 	m.yield(m.timer.Now())
 	m.Group.lost(m)
--- a/internal/emu/rig/relay.go
+++ b/internal/emu/rig/relay.go
@@ -9,9 +9,9 @@
 
 	"golang.org/x/sys/unix"
 
-	"passtack/internal/chain"
 	"passtack/internal/emu/play"
-	"passtack/internal/loop"
+	"passtack/internal/eventloop"
+	"passtack/internal/linkedlist"
 	"passtack/internal/pcg"
 )
 
@@ -22,21 +22,21 @@
 
 // relay is a proxy on one link: it listens on the address that callers use, and opens a connection to the target for each of theirs.
 type relay struct {
-	loop                  *loop.Loop
+	loop                  *eventloop.Loop
 	rng                   *pcg.Source
 	listenAddress, target netip.AddrPort
 	forward, backward     play.Condition
-	listener              *loop.Listener
-	connections           chain.List[*relayedConnection]
+	listener              *eventloop.Listener
+	connections           linkedlist.List[*relayedConnection]
 }
 
-func newRelay(l *loop.Loop, rng *pcg.Source, listenAddress, target netip.AddrPort) (*relay, error) {
+func newRelay(l *eventloop.Loop, rng *pcg.Source, listenAddress, target netip.AddrPort) (*relay, error) {
 	r := &relay{loop: l, rng: rng, listenAddress: listenAddress, target: target}
 	return r, r.listen()
 }
 
 func (r *relay) listen() (err error) {
-	r.listener, err = r.loop.Listen(r.listenAddress, maxBufferedBytes, loop.AcceptLimiter{Descriptors: func(limit int) int { return limit }}, func(open func(loop.Handler) *loop.Stream) {
+	r.listener, err = r.loop.Listen(r.listenAddress, maxBufferedBytes, eventloop.AcceptLimiter{Descriptors: func(limit int) int { return limit }}, func(open func(eventloop.Handler) *eventloop.Stream) {
 		p := &relayedConnection{relay: r}
 		p.callerSide, p.targetSide = &connectionSide{connection: p}, &connectionSide{connection: p, backward: true}
 		p.callerSide.other, p.targetSide.other = p.targetSide, p.callerSide
@@ -85,7 +85,7 @@
 	relay                  *relay
 	callerSide, targetSide *connectionSide
 	dialed                 bool
-	element                chain.Element[*relayedConnection]
+	element                linkedlist.Element[*relayedConnection]
 }
 
 // dial connects to the target, unless the link is cut.
@@ -125,12 +125,12 @@
 type connectionSide struct {
 	connection   *relayedConnection
 	other        *connectionSide
-	stream       *loop.Stream
+	stream       *eventloop.Stream
 	backward     bool // this side reads what the target sends to the caller
 	queue        []segment
 	queuedBytes  int
 	lastArrival  time.Duration // arrival of the newest segment: later ones never overtake it
-	timer        loop.Timer
+	timer        eventloop.Timer
 	readPaused   bool // input was left unread, as the queue was full
 	streamClosed bool // the stream of this side is closed
 	outputClosed bool // segments of this side are no longer forwarded
@@ -143,13 +143,13 @@
 	return &e.connection.relay.forward
 }
 
-// Opened implements loop.Handler.
+// Opened implements eventloop.Handler.
 func (e *connectionSide) Opened() {}
 
-// Panicked implements loop.Handler.
+// Panicked implements eventloop.Handler.
 func (e *connectionSide) Panicked(cause error) { e.connection.reset() }
 
-// Input implements loop.Handler.
+// Input implements eventloop.Handler.
 func (e *connectionSide) Input(in []byte) int {
 	if e.queuedBytes >= maxBufferedBytes {
 		e.readPaused = true
@@ -159,7 +159,7 @@
 	return len(in)
 }
 
-// Closed implements loop.Handler.
+// Closed implements eventloop.Handler.
 func (e *connectionSide) Closed(cause error) {
 	e.streamClosed = true
 	if rest := e.stream.Unread(); len(rest) > 0 {
@@ -232,9 +232,9 @@
 // datagramRelay listens on the address under which one driver knows another. It forwards datagrams to the other driver, with the address
 // under which that one knows the first as their source.
 type datagramRelay struct {
-	loop      *loop.Loop
+	loop      *eventloop.Loop
 	rng       *pcg.Source
-	socket    *loop.DatagramSocket
+	socket    *eventloop.DatagramSocket
 	reverse   *datagramRelay // relay of the opposite direction, whose socket sends the datagrams
 	target    netip.AddrPort
 	condition play.Condition
--- a/internal/emu/rig/rig.go
+++ b/internal/emu/rig/rig.go
@@ -17,7 +17,7 @@
 
 	"passtack/internal/emu"
 	"passtack/internal/emu/play"
-	"passtack/internal/loop"
+	"passtack/internal/eventloop"
 	"passtack/internal/pcg"
 )
 
@@ -57,7 +57,7 @@
 	seed             uint64
 	log              io.Writer
 	folder           string
-	loop             *loop.Loop
+	loop             *eventloop.Loop
 	rng              *pcg.Source
 	record           *emu.Record
 	cluster          *play.Cluster
@@ -65,7 +65,7 @@
 	drivers          []*driver
 	relays           map[play.Road]*relay
 	datagramRelays   map[play.Road]*datagramRelay
-	broadcastSockets []*loop.DatagramSocket // one per driver: what it sends there goes to all others
+	broadcastSockets []*eventloop.DatagramSocket // one per driver: what it sends there goes to all others
 	falls            play.Falls
 	events           chan processEvent
 	readers          sync.WaitGroup // goroutines that read the logs of processes
@@ -108,7 +108,7 @@
 		return nil, err
 	}
 	defer addresses.reservation.Close() // after the loop and all processes have stopped listening in the block
-	if f.loop, err = loop.New(1<<16, 1<<30); err != nil {
+	if f.loop, err = eventloop.New(1<<16, 1<<30); err != nil {
 		return nil, err
 	}
 	defer f.loop.Close()
--- a/internal/member/attempt.go
+++ b/internal/member/attempt.go
@@ -6,9 +6,9 @@
 	"time"
 
 	"passtack/driver"
-	"passtack/internal/chain"
-	"passtack/internal/loop"
-	"passtack/internal/slots"
+	"passtack/internal/eventloop"
+	"passtack/internal/linkedlist"
+	"passtack/internal/slotmap"
 )
 
 // failureLogInterval is the minimum time between log lines about failures at one member. Counters include every failure.
@@ -16,7 +16,7 @@
 
 // attempt is one attempt of an RPC at a member, or a health check.
 type attempt struct {
-	handle        slots.Handle
+	handle        slotmap.Handle
 	rpc           driver.RPC
 	number        int  // index among the RPC's attempts
 	probe         bool // it is a health check and has no RPC
@@ -26,8 +26,8 @@
 	deadline      time.Duration // time by which its response is due
 	connection    *connection
 	request       *driver.MemberRequest // a copy, kept until it is written
-	timer         loop.Timer
-	queued        chain.Element[*attempt] // element of the member's queue
+	timer         eventloop.Timer
+	queued        linkedlist.Element[*attempt] // element of the member's queue
 }
 
 // Attempt sends a request to a member with the time that is left until the deadline. A request that is not fully written by
@@ -41,7 +41,7 @@
 	}
 	a.handle = p.attempts.Insert(a)
 	if a.handle == 0 || m == nil || a.writeDeadline <= p.loop.Clock() {
-		p.loop.Defer(func() { p.finish(a, driver.Moot, nil) })
+		p.loop.Defer(func() { p.finish(a, driver.NotSent, nil) })
 		return uint32(a.handle)
 	}
 	p.expireAt(a, a.writeDeadline)
@@ -70,7 +70,7 @@
 	a := &attempt{probe: true, target: target, startedAt: now, writeDeadline: deadline, deadline: deadline}
 	a.handle = p.attempts.Insert(a)
 	if a.handle == 0 {
-		p.loop.Defer(func() { p.finish(a, driver.Moot, nil) })
+		p.loop.Defer(func() { p.finish(a, driver.NotSent, nil) })
 		return
 	}
 	p.expireAt(a, a.deadline)
@@ -80,7 +80,7 @@
 		return
 	}
 	if p.connectLimiter.AtMemberLimit(&m.connections) {
-		p.loop.Defer(func() { p.finish(a, driver.Moot, nil) })
+		p.loop.Defer(func() { p.finish(a, driver.NotSent, nil) })
 		return
 	}
 	p.connect(a, m)
@@ -88,10 +88,10 @@
 
 // Cancel ends an attempt later in this iteration of the loop. Nothing of its request is written after the call.
 func (p *Pool) Cancel(handle uint32) {
-	if a := p.attempts.Get(slots.Handle(handle)); a != nil {
+	if a := p.attempts.Get(slotmap.Handle(handle)); a != nil {
 		outcome := driver.Cancelled
 		if a.progress() < FullyWritten {
-			outcome = driver.Moot
+			outcome = driver.NotSent
 		}
 		p.detach(a)
 		p.loop.Defer(func() { p.finish(a, outcome, nil) })
@@ -100,7 +100,7 @@
 
 // Withdraw cancels an attempt that is not fully written. It does not count against the member.
 func (p *Pool) Withdraw(handle uint32) {
-	if a := p.attempts.Get(slots.Handle(handle)); a != nil && a.progress() < FullyWritten {
+	if a := p.attempts.Get(slotmap.Handle(handle)); a != nil && a.progress() < FullyWritten {
 		p.Cancel(handle)
 	}
 }
@@ -119,13 +119,13 @@
 }
 
 // expire ends an attempt that missed a deadline. One that was fully written in time has until its response is due.
-func (p *Pool) expire(handle slots.Handle) {
+func (p *Pool) expire(handle slotmap.Handle) {
 	a := p.attempts.Get(handle)
 	if a == nil {
 		return
 	}
 	if a.queued.Value != nil && a.connection == nil {
-		p.ledger.Count("connects_wait_expired")
+		p.outcomes.Count("connects_wait_expired")
 	}
 	progress, errorReceived, outcome := a.progress(), false, driver.Failed
 	if progress >= FullyWritten && p.loop.Now() < a.deadline {
@@ -165,7 +165,7 @@
 	p.finish(a, failure.Outcome(), nil)
 }
 
-// finish reports the outcome of an attempt to the ledger, once. The response is nil if none was received.
+// finish reports the outcome of an attempt to the outcome handler, once. The response is nil if none was received.
 func (p *Pool) finish(a *attempt, outcome driver.Outcome, response *Response) {
 	if a.handle != 0 && p.attempts.Get(a.handle) != a {
 		return
@@ -178,9 +178,9 @@
 	}
 	took := p.loop.Now() - a.startedAt
 	if a.probe {
-		p.ledger.Probed(a.target, outcome == driver.OK, took, response.LoadReport)
+		p.outcomes.Probed(a.target, outcome == driver.OK, took, response.LoadReport)
 		return
 	}
-	p.ledger.AttemptEnded(a.rpc, a.number, a.target, outcome, took, response.Answer.Position, response.Role, response.LoadReport,
+	p.outcomes.AttemptEnded(a.rpc, a.number, a.target, outcome, took, response.Answer.Position, response.Role, response.LoadReport,
 		&response.Answer)
 }
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -78,7 +78,7 @@
 
 var outcomes = map[uint8]driver.Outcome{
 	0: driver.OK, 13: driver.Failed, 8: driver.Full, 4: driver.TimedOut, 14: driver.NoConnection,
-	10: driver.Broken, 1: driver.Cancelled, 9: driver.Moot, 5: driver.Miss,
+	10: driver.Broken, 1: driver.Cancelled, 9: driver.NotSent, 5: driver.Misdirected,
 }
 
 // instance is one instance of the module and implements its host.
@@ -208,7 +208,7 @@
 		if kind > 3 || kind < 3 && listNumber >= maxLists {
 			return fmt.Errorf("list kind %d, number %d", kind, listNumber)
 		}
-		i.list(driver.Listing(kind), listNumber)
+		i.list(driver.ListKind(kind), listNumber)
 	case evIncoming:
 		rpc, _ := driver.RPC(r.u32()), r.u32()
 		tenant, method, group := driver.Tenant(r.u16()), driver.Method(r.u16()), driver.Group(r.f32())
@@ -261,12 +261,12 @@
 	return nil
 }
 
-func (i *instance) list(kind driver.Listing, listNumber uint16) {
+func (i *instance) list(kind driver.ListKind, listNumber uint16) {
 	i.module.ListBegins(kind)
 	if kind != driver.NoList {
 		for r := (reader{rest: i.table.lists[listNumber]}); len(r.rest) > 0; {
 			m, zone, _, group := r.member(), driver.Zone(r.u16()), r.u8(), driver.Group(r.u16())
-			standing, size, startedAt := driver.Standing(r.u8()), r.f32(), r.u64()
+			standing, size, startedAt := driver.MemberState(r.u8()), r.f32(), r.u64()
 			started := driver.LongAgo
 			if startedAt != 0 {
 				started = i.sinceBase(startedAt)
@@ -368,8 +368,8 @@
 // Forget implements driver.Host. There is nothing to do, since a member is identified by its address here.
 func (i *instance) Forget(driver.Member) {}
 
-// Remembered implements driver.Host. There is nothing to do, since no state outlives an instance.
-func (i *instance) Remembered(driver.Session, time.Duration) {}
+// SessionWrote implements driver.Host. There is nothing to do, since no state outlives an instance.
+func (i *instance) SessionWrote(driver.Session, time.Duration) {}
 
 // Watch implements driver.Host.
 func (i *instance) Watch(on bool) {
