--- a/internal/emu/group.go
+++ b/internal/emu/group.go
@@ -7,44 +7,44 @@
 	"passtack/internal/pcg"
 )
 
-// Election is how a group gets another primary.
+// Election holds the durations of an election, each drawn at random between two bounds where it has two.
 type Election struct {
-	Notice   [2]time.Duration // a dead or hung primary is given up after a time between these
-	Takeover [2]time.Duration // then a replica takes over after a time between these
-	HandOver [2]time.Duration // a draining primary hands over
-	Contest  time.Duration    // a primary that was only hung may claim its role for so long beside the new one
+	Detection [2]time.Duration // from the failure of a primary until the group gives it up
+	Takeover  [2]time.Duration // from then until a replica takes over
+	HandOver  [2]time.Duration // from the drain of a primary until it hands over
+	DualClaim time.Duration    // for which a primary that was only hung may still claim its role beside the new one
 }
 
-// commitment is one write in the log.
-type commitment struct {
-	at time.Duration // its position
+// logEntry is one write in the log.
+type logEntry struct {
+	position time.Duration
 }
 
 // Group is a primary and its replicas.
 type Group struct {
-	Number   driver.Group
-	Members  []*Member
-	Election Election
-	timer    Timer
-	chance   *pcg.Source
-	primary  *Member
-	log      []commitment             // of the last minute, by position
-	repeats  map[string]time.Duration // when a token first ran
-	swept    time.Duration
-	term     int // counts primaries
-	giving   bool
-
-	Changed func(primary *Member) // told of each new primary, and by nil that there is none; may be nil
+	Number     driver.Group
+	Members    []*Member
+	Election   Election
+	timer      Timer
+	chance     *pcg.Source
+	primary    *Member
+	log        []logEntry               // the last minute, in rising order of position
+	tokenTimes map[string]time.Duration // when a write with this token first ran
+	lastSweep  time.Duration
+	term       int // number of elections so far
+	electing   bool
+
+	OnPrimaryChange func(primary *Member) // called with each new primary, and with nil when there is none; may be nil
 }
 
-// kept is how long the log reaches back: replicas further behind than that get the rest at once.
-const kept = time.Minute
+// logRetention is how far back the log reaches. A replica that is further behind gets everything older at once.
+const logRetention = time.Minute
 
-// NewGroup makes a group whose first member is primary.
+// NewGroup returns a group whose first member is primary.
 func NewGroup(number driver.Group, e Election, t Timer, chance *pcg.Source, members ...*Member) *Group {
-	g := &Group{Number: number, Members: members, Election: e, timer: t, chance: chance, repeats: make(map[string]time.Duration)}
+	g := &Group{Number: number, Members: members, Election: e, timer: t, chance: chance, tokenTimes: make(map[string]time.Duration)}
 	for i, m := range members {
-		m.Group, m.role, m.applied, m.thread = g, driver.Replica, t.Now(), t.Now()
+		m.Group, m.role, m.applied, m.applierFreeAt = g, driver.Replica, t.Now(), t.Now()
 		if i == 0 {
 			m.role, g.primary = driver.Primary, m
 		}
@@ -52,155 +52,158 @@
 	return g
 }
 
-// Primary is the member that the group follows, nil while there is none.
+// Primary returns the member that the group currently follows, or nil.
 func (g *Group) Primary() *Member { return g.primary }
 
-func (g *Group) draw(between [2]time.Duration) time.Duration {
-	return between[0] + time.Duration(g.chance.Float()*float64(between[1]-between[0]))
+func (g *Group) randomBetween(bounds [2]time.Duration) time.Duration {
+	return bounds[0] + time.Duration(g.chance.Float()*float64(bounds[1]-bounds[0]))
 }
 
-// commit puts a write into the log, unless it repeats one of the window. It tells whether it had an effect.
+// commit appends a write to the log, unless its token ran within the deduplication window. It reports whether the
+// write had an effect.
 func (g *Group) commit(m *Member, j *Job) bool {
 	now := g.timer.Now()
-	if now-g.swept > time.Second {
-		g.swept = now
-		for token, at := range g.repeats {
-			if now-at > 4*m.Build.Window {
-				delete(g.repeats, token)
+	if now-g.lastSweep > time.Second {
+		g.lastSweep = now
+		for token, at := range g.tokenTimes {
+			if now-at > 4*m.Spec.DedupWindow {
+				delete(g.tokenTimes, token)
 			}
 		}
 	}
-	if at, known := g.repeats[j.Token]; j.Token != "" && known && j.came-at <= m.Build.Window { // what waits here is no later for it
+	if at, known := g.tokenTimes[j.Token]; j.Token != "" && known && j.arrivedAt-at <= m.Spec.DedupWindow { // measured from arrival: time spent in the member's queue does not count
 		return false
 	}
 	if j.Token != "" {
-		g.repeats[j.Token] = now
+		g.tokenTimes[j.Token] = now
 	}
-	if g.primary != m { // the group follows another: what this one writes is lost to it
+	if g.primary != m { // the group follows another primary, so this write is lost
 		return true
 	}
-	g.log = append(g.log, commitment{now})
-	for len(g.log) > 0 && g.log[0].at < now-kept {
+	g.log = append(g.log, logEntry{now})
+	for len(g.log) > 0 && g.log[0].position < now-logRetention {
 		g.log = g.log[1:]
 	}
 	return true
 }
 
-// seenBy lets a replica apply what has reached it by now, one commit after the other, and tells how far it has come: to
-// the last commit applied, or to now less the log's delay where nothing is left.
-func (g *Group) seenBy(m *Member) time.Duration {
+// applyLog applies the log entries that have reached a replica by now, one after the other, and returns the replica's
+// position: that of the last entry applied, or now less the log delay if none is left.
+func (g *Group) applyLog(m *Member) time.Duration {
 	now := g.timer.Now()
-	reached := min(now, max(m.paused, now)) - m.Build.Delay
+	reached := min(now, max(m.pausedUntil, now)) - m.Spec.LogDelay
 	if g.primary == nil {
 		return m.applied
 	}
 	for _, c := range g.log {
-		if c.at <= m.applied {
+		if c.position <= m.applied {
 			continue
 		}
-		if c.at > reached {
+		if c.position > reached {
 			return m.applied
 		}
-		took := time.Duration(float64(m.Build.Apply) * m.Lagging * (1 + m.Load()) / max(1-m.Theft, 0.05))
-		done := max(m.thread, c.at+m.Build.Delay) + took
+		took := time.Duration(float64(m.Spec.ApplyTime) * m.ApplySlowdown * (1 + m.Load()) / max(1-m.StolenCPU, 0.05))
+		done := max(m.applierFreeAt, c.position+m.Spec.LogDelay) + took
 		if done > now {
 			return m.applied
 		}
-		m.thread, m.applied = done, c.at
+		m.applierFreeAt, m.applied = done, c.position
 	}
 	m.applied = max(m.applied, reached)
 	return m.applied
 }
 
-func (g *Group) follow(m *Member) {
+func (g *Group) setPrimary(m *Member) {
 	g.primary = m
-	if g.Changed != nil {
-		g.Changed(m)
+	if g.OnPrimaryChange != nil {
+		g.OnPrimaryChange(m)
 	}
 }
 
-// lost hears that a member died.
-func (g *Group) lost(m *Member) {
+// memberLost starts an election if the member that died was the primary.
+func (g *Group) memberLost(m *Member) {
 	if g.primary == m {
-		g.giveUp(m, g.draw(g.Election.Notice))
+		g.replacePrimary(m, g.randomBetween(g.Election.Detection))
 	}
 }
 
-// Suspect hears that the primary stands still: it is given up like a dead one unless it comes back in time.
+// Suspect reports that the primary has stopped responding. It is replaced like a dead one unless it responds again
+// before it is given up.
 func (g *Group) Suspect(m *Member) {
 	if g.primary != m {
 		return
 	}
 	term := g.term
-	g.timer.At(g.timer.Now()+g.draw(g.Election.Notice), func() {
+	g.timer.At(g.timer.Now()+g.randomBetween(g.Election.Detection), func() {
 		if g.term == term && g.primary == m && (m.Paused() || !m.up) {
-			g.giveUp(m, 0)
+			g.replacePrimary(m, 0)
 		}
 	})
 }
 
-// giveUp lets the replica with most of the log take over. The old one, where it was only hung, may claim its role for
-// a while beside the new one, before it hears of it.
-func (g *Group) giveUp(old *Member, after time.Duration) {
-	if g.giving {
+// replacePrimary starts an election in which the replica with most of the log takes over. An old primary that was only
+// hung may claim its role beside the new one for a while, until it learns of the election.
+func (g *Group) replacePrimary(old *Member, after time.Duration) {
+	if g.electing {
 		return
 	}
-	g.giving = true
+	g.electing = true
 	g.timer.At(g.timer.Now()+after, func() {
 		for _, m := range g.Members {
 			if m.up {
-				g.seenBy(m)
+				g.applyLog(m)
 			}
 		}
 		if g.primary == old {
-			g.follow(nil)
+			g.setPrimary(nil)
 		}
 		until := g.timer.Now()
-		g.timer.At(until+g.draw(g.Election.Takeover), func() { g.elect(old, until, false) })
+		g.timer.At(until+g.randomBetween(g.Election.Takeover), func() { g.elect(old, until, false) })
 	})
 }
 
-// elect lets a replica take over. The old primary was followed until then; where nobody else is left it may come back.
+// elect makes the most advanced available replica primary. The old primary was followed until the given time; it may
+// be elected again if no other member is available.
 func (g *Group) elect(old *Member, until time.Duration, again bool) {
 	var best *Member
 	for _, m := range g.Members {
-		if m.up && !m.drains && !m.Paused() && (m != old || again) && (best == nil || m.applied > best.applied) {
+		if m.up && !m.draining && !m.Paused() && (m != old || again) && (best == nil || m.applied > best.applied) {
 			best = m
 		}
 	}
-	if best == nil { // nobody is left: look again
+	if best == nil { // no member is available: try again
 		g.timer.At(g.timer.Now()+100*time.Millisecond, func() { g.elect(old, until, true) })
 		return
 	}
-	g.giving = false
+	g.electing = false
 	g.term++
 	best.role = driver.Primary
-	g.follow(best)
+	g.setPrimary(best)
 	if best != old && old.up && old.role == driver.Primary {
-		life := old.life
-		g.timer.At(max(g.timer.Now(), old.paused)+g.Election.Contest, func() {
-			if old.life == life && g.primary != old {
-				old.yield(until)
+		incarnation := old.incarnation
+		g.timer.At(max(g.timer.Now(), old.pausedUntil)+g.Election.DualClaim, func() {
+			if old.incarnation == incarnation && g.primary != old {
+				old.demote(until)
 			}
 		})
 	}
 }
 
-// handOver lets a draining primary give its role to another.
+// handOver transfers the role of a draining primary to a replica.
 func (g *Group) handOver(m *Member) {
-	if g.primary != m || g.giving {
+	if g.primary != m || g.electing {
 		return
 	}
-	g.giving = true
-	g.timer.At(g.timer.Now()+g.draw(g.Election.HandOver), func() {
+	g.electing = true
+	g.timer.At(g.timer.Now()+g.randomBetween(g.Election.HandOver), func() {
 		for _, o := range g.Members {
 			if o.up {
-				g.seenBy(o)
+				g.applyLog(o)
 			}
 		}
-		m.yield(g.timer.Now())
+		m.demote(g.timer.Now())
 		if g.primary == m {
-			g.follow(nil)
+			g.setPrimary(nil)
 		}
 		g.elect(m, g.timer.Now(), false)
 	})
--- a/internal/emu/member.go
+++ b/internal/emu/member.go
@@ -1,6 +1,6 @@
-// Package emu models what a driver meets: members with their queues, logs and troubles, groups that elect, and a record
-// from which the rules are checked. It decides by events and times only, so that the same models stand behind simulated
-// and real sockets.
+// Package emu models the systems that a driver talks to: members with queues, logs and faults, groups that elect a
+// primary, and a record of events from which the rules are checked. The models depend on events and times only, so the
+// same code runs behind simulated and real sockets.
 package emu
 
 import (
@@ -12,292 +12,292 @@
 	"passtack/internal/pcg"
 )
 
-// Timer is where the models get their time from.
+// Timer is the clock and scheduler of the models.
 type Timer interface {
 	Now() time.Duration
 	At(at time.Duration, act func())
 }
 
-// Build is what a member is made of.
-type Build struct {
-	Cores    int
-	Queue    int           // attempts that may wait; more are turned away
-	Cold     float64       // part of its capacity that it has right after a start
-	Warm     time.Duration // after a start until it has all of it
-	Multiple float64       // of what it can do at that moment: more sent within Tips tips it over while it is cold
-	Tips     time.Duration
-	Patience time.Duration // a read too far ahead waits so long and is then turned away
-	Delay    time.Duration // of the log on its way to a replica
-	Apply    time.Duration // of one commit by the one thread that applies
-	Window   time.Duration // in which its group drops repeats
-
-	Handshake   time.Duration // work of a new connection
-	Connections int           // that it holds at most, 0: as many as come
-	Blind       bool          // it answers reads from what it has, however old
-	Lies        bool          // it tells a position that it has not reached
+// MemberSpec describes the capacity and behaviour of a member.
+type MemberSpec struct {
+	Cores          int
+	Queue          int           // attempts that may wait; further ones are rejected
+	ColdShare      float64       // part of its capacity that a member has right after a start
+	WarmUp         time.Duration // time from a start to full capacity
+	ColdMultiple   float64       // of the current capacity: a cold member that is sent more than this within OverloadWindow crashes
+	OverloadWindow time.Duration
+	MaxReadWait    time.Duration // longest time that a read waits for the log before it is rejected
+	LogDelay       time.Duration // time for a log entry to reach a replica
+	ApplyTime      time.Duration // time to apply one log entry; a replica applies them in one thread
+	DedupWindow    time.Duration // in which the group drops writes with a token that has run
+
+	Handshake      time.Duration // work for a new connection
+	MaxConnections int           // 0: no limit
+	ServesStale    bool          // answers reads from its current data, however old
+	Lies           bool          // reports a position that it has not reached
 }
 
-// Job is one attempt as a member gets it.
+// Job is one attempt at a member.
 type Job struct {
-	RPC     string
-	Token   string // "": it has none
-	Write   bool
-	Session bool          // must see what was committed up to After
-	After   time.Duration // position, 0: any
-	Work    time.Duration // on a core of an idle, warm member
-	Hello   bool          // it opens a connection and asks for nothing
-	Done    func(Result)  // called once, unless the member dies; never at once
-
-	came  time.Duration
-	place chain.Element[*Job]
-	began bool
-	gone  bool
+	RPC             string
+	Token           string // empty: none
+	Write           bool
+	Session         bool          // must see all writes up to After
+	After           time.Duration // position; 0: any
+	Work            time.Duration // on one core of an idle, warm member
+	OpensConnection bool          // a handshake, with no request
+	Done            func(Result)  // called once, unless the member dies; never from within Submit
+
+	arrivedAt time.Duration
+	element   chain.Element[*Job]
+	started   bool
+	cancelled bool
 }
 
-// Result is what the member says.
+// Result is a member's answer to an attempt.
 type Result struct {
-	How      driver.Outcome // OK, Miss, Full or Failed
-	Position time.Duration  // as it is told
-	Truth    time.Duration  // as it is
-	Role     driver.Role
-	Load     float64 // how busy its cores are, 0 to 1
-	Effect   bool    // it had an effect now, which a dropped repeat has not
+	Outcome          driver.Outcome // OK, Miss, Full or Failed
+	ReportedPosition time.Duration  // as the member reports it
+	ActualPosition   time.Duration  // as it really is
+	Role             driver.Role
+	Load             float64 // busy part of the cores, 0 to 1
+	Effect           bool    // the attempt had an effect; false for a dropped repeat
 }
 
 // Member is one process.
 type Member struct {
-	Name    string
-	Build   Build
-	Group   *Group
-	Slow    float64 // how many times longer work takes, 1: as usual
-	Theft   float64 // part of the cores that others on the machine take
-	Lagging float64 // how many times longer the log takes to be applied
-	timer   Timer
-	chance  *pcg.Source
-	started time.Duration // LongAgo: warm
-	role    driver.Role
-	up      bool
-	drains  bool
-	tipped  bool
-	paused  time.Duration // until when it stands still
-	busy    int
-	waiting chain.List[*Job]
-	applied time.Duration // position, while it is a replica
-	thread  time.Duration // when the thread that applies is free
-	sent    float64       // seconds of work of the last Tips, fading
-	sentAt  time.Duration
-	life    int // counts starts: what belongs to an earlier one is void
+	Name          string
+	Spec          MemberSpec
+	Group         *Group
+	Slowdown      float64 // factor on the duration of work; 1: normal
+	StolenCPU     float64 // part of the cores that other processes on the machine take
+	ApplySlowdown float64 // factor on the duration of applying the log
+	timer         Timer
+	chance        *pcg.Source
+	started       time.Duration // LongAgo: warm
+	role          driver.Role
+	up            bool
+	draining      bool
+	overloaded    bool
+	pausedUntil   time.Duration // the process is suspended until then
+	busy          int
+	waiting       chain.List[*Job]
+	applied       time.Duration // position, while the member is a replica
+	applierFreeAt time.Duration // when the applying thread is free
+	recentWork    float64       // seconds of work in the last OverloadWindow, decaying exponentially
+	recentWorkAt  time.Duration
+	incarnation   int // number of starts and stops; events scheduled in an earlier one are ignored
 }
 
-// NewMember makes one that has been up for long.
-func NewMember(name string, b Build, t Timer, chance *pcg.Source) *Member {
-	return &Member{Name: name, Build: b, Slow: 1, Lagging: 1, timer: t, chance: chance, started: driver.LongAgo, up: true}
+// NewMember returns a warm member that is up.
+func NewMember(name string, spec MemberSpec, t Timer, chance *pcg.Source) *Member {
+	return &Member{Name: name, Spec: spec, Slowdown: 1, ApplySlowdown: 1, timer: t, chance: chance, started: driver.LongAgo, up: true}
 }
 
 // Up reports whether the member runs.
 func (m *Member) Up() bool { return m.up }
 
-// Tipped reports whether the member was overloaded while it was cold and has fallen.
-func (m *Member) Tipped() bool { return m.tipped }
+// Overloaded reports whether the member crashed because it was overloaded while cold.
+func (m *Member) Overloaded() bool { return m.overloaded }
 
-// Drains reports whether the member finishes what it has and takes nothing new.
-func (m *Member) Drains() bool { return m.drains }
+// Draining reports whether the member finishes its work and takes nothing new.
+func (m *Member) Draining() bool { return m.draining }
 
-// Role is what it takes itself for.
+// Role returns the role that the member claims.
 func (m *Member) Role() driver.Role { return m.role }
 
-// Started tells when it started, LongAgo where that is long ago.
+// Started returns the time of the last start, LongAgo for a member that was up from the beginning.
 func (m *Member) Started() time.Duration { return m.started }
 
-// Capacity is the part of its cores' speed that it has at the moment.
+// Capacity returns the available part of the cores' full speed.
 func (m *Member) Capacity() float64 {
 	warmth := 1.0
-	if age := m.timer.Now() - m.started; m.started != driver.LongAgo && age < m.Build.Warm {
-		warmth = m.Build.Cold + (1-m.Build.Cold)*float64(age)/float64(m.Build.Warm)
+	if age := m.timer.Now() - m.started; m.started != driver.LongAgo && age < m.Spec.WarmUp {
+		warmth = m.Spec.ColdShare + (1-m.Spec.ColdShare)*float64(age)/float64(m.Spec.WarmUp)
 	}
-	return warmth * (1 - m.Theft) / max(m.Slow, 0.01)
+	return warmth * (1 - m.StolenCPU) / max(m.Slowdown, 0.01)
 }
 
-// Load is how busy its cores are.
-func (m *Member) Load() float64 { return float64(m.busy) / float64(m.Build.Cores) }
+// Load returns the busy part of the cores.
+func (m *Member) Load() float64 { return float64(m.busy) / float64(m.Spec.Cores) }
 
-// Position is up to where it has the log.
+// Position returns the position up to which the member has the log.
 func (m *Member) Position() time.Duration {
 	if m.role == driver.Primary {
 		return m.timer.Now()
 	}
-	return m.Group.seenBy(m)
+	return m.Group.applyLog(m)
 }
 
-// Take gets an attempt. It says whether it was taken at all: a member that is down takes none.
-func (m *Member) Take(j *Job) bool {
+// Submit hands an attempt to the member and reports whether it was taken: a member that is down takes none.
+func (m *Member) Submit(j *Job) bool {
 	if !m.up {
 		return false
 	}
-	j.place.Value, j.came = j, m.timer.Now()
-	m.tip(j)
+	j.element.Value, j.arrivedAt = j, m.timer.Now()
+	m.recordWork(j)
 	if !m.up {
 		return false
 	}
 	switch {
-	case m.busy >= m.Build.Cores && m.waiting.Len() >= m.Build.Queue, m.drains && m.role == driver.Unknown:
-		m.say(j, driver.Full, false)
+	case m.busy >= m.Spec.Cores && m.waiting.Len() >= m.Spec.Queue, m.draining && m.role == driver.Unknown:
+		m.respond(j, driver.Full, false)
 	case j.Write && m.role != driver.Primary:
-		m.say(j, driver.Miss, false)
-	case !j.Write && !j.Hello && !m.Build.Blind && j.After > m.Position():
-		m.wait(j, m.timer.Now()+m.Build.Patience)
+		m.respond(j, driver.Miss, false)
+	case !j.Write && !j.OpensConnection && !m.Spec.ServesStale && j.After > m.Position():
+		m.waitForLog(j, m.timer.Now()+m.Spec.MaxReadWait)
 	default:
-		m.queue(j)
+		m.enqueue(j)
 	}
 	return true
 }
 
-// tip keeps the sum of what came lately, and lets a cold member fall that got too much of it.
-func (m *Member) tip(j *Job) {
+// recordWork updates the sum of recent work, and crashes a cold member that was sent too much of it.
+func (m *Member) recordWork(j *Job) {
 	now := m.timer.Now()
-	m.sent = m.sent*math.Exp(-float64(now-m.sentAt)/float64(m.Build.Tips)) + j.Work.Seconds()
-	m.sentAt = now
-	cold := m.started != driver.LongAgo && now-m.started < m.Build.Warm
-	if cold && m.sent > m.room() {
-		m.tipped = true
-		m.Die()
+	m.recentWork = m.recentWork*math.Exp(-float64(now-m.recentWorkAt)/float64(m.Spec.OverloadWindow)) + j.Work.Seconds()
+	m.recentWorkAt = now
+	cold := m.started != driver.LongAgo && now-m.started < m.Spec.WarmUp
+	if cold && m.recentWork > m.coldCapacity() {
+		m.overloaded = true
+		m.Kill()
 	}
 }
 
-// room is the work that it bears within Tips while it is cold.
-func (m *Member) room() float64 {
-	return m.Build.Multiple * m.Capacity() * float64(m.Build.Cores) * m.Build.Tips.Seconds()
+// coldCapacity returns the seconds of work that a cold member can take within OverloadWindow.
+func (m *Member) coldCapacity() float64 {
+	return m.Spec.ColdMultiple * m.Capacity() * float64(m.Spec.Cores) * m.Spec.OverloadWindow.Seconds()
 }
 
-// ColdPart is how much of what it bears it was sent lately, 0 once it is warm.
-func (m *Member) ColdPart() float64 {
-	if now := m.timer.Now(); m.up && m.started != driver.LongAgo && now-m.started < m.Build.Warm {
-		return m.sent / m.room()
+// ColdLoad returns the recent work of a cold member as a part of its cold capacity, and 0 for a warm one.
+func (m *Member) ColdLoad() float64 {
+	if now := m.timer.Now(); m.up && m.started != driver.LongAgo && now-m.started < m.Spec.WarmUp {
+		return m.recentWork / m.coldCapacity()
 	}
 	return 0
 }
 
-// wait holds a read until the log has come as far as it needs.
-func (m *Member) wait(j *Job, until time.Duration) {
-	life := m.life
+// waitForLog holds a read until the log has reached the position that it needs.
+func (m *Member) waitForLog(j *Job, until time.Duration) {
+	incarnation := m.incarnation
 	m.timer.At(min(m.timer.Now()+2*time.Millisecond, until), func() {
 		switch {
-		case m.life != life || j.gone:
+		case m.incarnation != incarnation || j.cancelled:
 		case j.After <= m.Position():
-			m.queue(j)
+			m.enqueue(j)
 		case m.timer.Now() >= until:
-			m.say(j, driver.Miss, false)
+			m.respond(j, driver.Miss, false)
 		default:
-			m.wait(j, until)
+			m.waitForLog(j, until)
 		}
 	})
 }
 
-func (m *Member) queue(j *Job) {
-	if m.busy < m.Build.Cores {
-		m.begin(j)
+func (m *Member) enqueue(j *Job) {
+	if m.busy < m.Spec.Cores {
+		m.run(j)
 		return
 	}
-	m.waiting.PushBack(&j.place)
+	m.waiting.PushBack(&j.element)
 }
 
-func (m *Member) begin(j *Job) {
+func (m *Member) run(j *Job) {
 	m.busy++
-	j.began = true
-	m.finish(j, m.timer.Now()+time.Duration(float64(j.Work)/max(m.Capacity(), 0.001)))
+	j.started = true
+	m.scheduleEnd(j, m.timer.Now()+time.Duration(float64(j.Work)/max(m.Capacity(), 0.001)))
 }
 
-// finish ends the work at the time; what a pause takes is added.
-func (m *Member) finish(j *Job, at time.Duration) {
-	life, before := m.life, m.timer.Now()
+// scheduleEnd completes the work at the given time, plus the time for which the member is paused until then.
+func (m *Member) scheduleEnd(j *Job, at time.Duration) {
+	incarnation, before := m.incarnation, m.timer.Now()
 	m.timer.At(at, func() {
-		if m.life != life {
+		if m.incarnation != incarnation {
 			return
 		}
-		if now := m.timer.Now(); now < m.paused {
-			m.finish(j, m.paused+max(0, at-max(before, now)))
+		if now := m.timer.Now(); now < m.pausedUntil {
+			m.scheduleEnd(j, m.pausedUntil+max(0, at-max(before, now)))
 			return
 		}
 		m.busy--
-		m.end(j)
+		m.complete(j)
 		if next := m.waiting.Front(); next != nil {
 			next.Remove()
-			m.begin(next.Value)
+			m.run(next.Value)
 		}
 	})
 }
 
-func (m *Member) end(j *Job) {
+func (m *Member) complete(j *Job) {
 	effect := false
 	if j.Write {
-		if m.role != driver.Primary { // it has lost the role meanwhile
-			m.say(j, driver.Miss, false)
+		if m.role != driver.Primary { // the member has lost the role since the write arrived
+			m.respond(j, driver.Miss, false)
 			return
 		}
 		effect = m.Group.commit(m, j)
 	}
-	m.say(j, driver.OK, effect)
+	m.respond(j, driver.OK, effect)
 }
 
-// say answers an attempt, in a moment of its own.
-func (m *Member) say(j *Job, how driver.Outcome, effect bool) {
-	if j.gone && how != driver.OK {
+// respond answers an attempt in an event of its own, after the end of a pause.
+func (m *Member) respond(j *Job, how driver.Outcome, effect bool) {
+	if j.cancelled && how != driver.OK {
 		return
 	}
 	r := Result{how, m.Position(), m.Position(), m.role, m.Load(), effect}
-	if m.Build.Lies {
-		r.Position = m.timer.Now()
+	if m.Spec.Lies {
+		r.ReportedPosition = m.timer.Now()
 	}
-	life := m.life
-	m.timer.At(max(m.timer.Now(), m.paused), func() {
-		if m.life == life {
+	incarnation := m.incarnation
+	m.timer.At(max(m.timer.Now(), m.pausedUntil), func() {
+		if m.incarnation == incarnation {
 			j.Done(r)
 		}
 	})
 }
 
-// Drop lets an attempt go whose driver has given it up: waiting work is dropped, running work goes on.
-func (m *Member) Drop(j *Job) {
-	j.gone = true
-	if !j.began {
-		j.place.Remove()
+// Cancel gives up an attempt that its driver has abandoned: waiting work is dropped, running work goes on.
+func (m *Member) Cancel(j *Job) {
+	j.cancelled = true
+	if !j.started {
+		j.element.Remove()
 	}
 }
 
-// Pause lets the process stand still.
-func (m *Member) Pause(until time.Duration) { m.paused = max(m.paused, until) }
+// Pause suspends the process.
+func (m *Member) Pause(until time.Duration) { m.pausedUntil = max(m.pausedUntil, until) }
 
-// Paused tells whether it stands still.
-func (m *Member) Paused() bool { return m.timer.Now() < m.paused }
+// Paused reports whether the process is suspended.
+func (m *Member) Paused() bool { return m.timer.Now() < m.pausedUntil }
 
-// Drain lets it finish what it has and hand its role over.
+// Drain lets the member finish its work and hand its role over.
 func (m *Member) Drain() {
-	m.drains = true
+	m.draining = true
 	m.Group.handOver(m)
 }
 
-// Die ends the process; whatever it held is gone.
-func (m *Member) Die() {
+// Kill ends the process and drops all its work.
+func (m *Member) Kill() {
 	m.up, m.busy, m.waiting = false, 0, chain.List[*Job]{}
-	m.life++
-	m.yield(m.timer.Now())
-	m.Group.lost(m)
+	m.incarnation++
+	m.demote(m.timer.Now())
+	m.Group.memberLost(m)
 }
 
-// yield ends its role; it has the log up to then.
-func (m *Member) yield(at time.Duration) {
+// demote makes the member a replica that has the log up to the given time.
+func (m *Member) demote(at time.Duration) {
 	if m.role == driver.Primary {
 		m.applied = at
 	}
-	m.role, m.thread = driver.Replica, m.timer.Now()
+	m.role, m.applierFreeAt = driver.Replica, m.timer.Now()
 }
 
-// Start lets it come back, cold, with the log up to where it had it, or that of a copy so old.
+// Start starts the process again, cold, with the log up to its last position, or from a copy of the given age.
 func (m *Member) Start(copyAge time.Duration) {
 	now := m.timer.Now()
-	m.up, m.drains, m.tipped, m.started, m.paused, m.sent = true, false, false, now, 0, 0
-	m.life++
-	m.role, m.thread = driver.Replica, now
+	m.up, m.draining, m.overloaded, m.started, m.pausedUntil, m.recentWork = true, false, false, now, 0, 0
+	m.incarnation++
+	m.role, m.applierFreeAt = driver.Replica, now
 	if copyAge > 0 {
 		m.applied = min(m.applied, now-copyAge)
 	}
--- a/internal/emu/play/clients.go
+++ b/internal/emu/play/clients.go
@@ -12,97 +12,97 @@
 	"passtack/internal/pgwire"
 )
 
-// Clients are all clients, on one loop. RPCs come at the script's rate, whether or not earlier ones are answered.
+// Clients are all clients, on one loop. RPCs arrive at the script's rate, whether or not earlier ones are answered.
 type Clients struct {
-	loop     *loop.Loop
-	script   *Script
-	record   *emu.Record
-	chance   *pcg.Source
-	drivers  []netip.AddrPort
-	idle     [][]*line // by driver
-	sessions []time.Duration
-	from     time.Duration
-	due      time.Duration // of the next
-	next     int
-	total    float64
-	Asked    int // first tries
-	Served   int // of them, in the end
-	Worth    float64
-	Took     []time.Duration // of RPCs that were ok, from the first try on
-	Got      float64         // utility answered within the soft deadline, and what late answers bring
-	Flow     Flow
-	ledger   *emu.Ledger
-	writes   []try  // that have ended
-	home     []int  // the driver of each session
-	up       []bool // whom clients are dealt to, as far as who deals them out knows
-	alive    []int  // those
+	loop             *loop.Loop
+	script           *Script
+	record           *emu.Record
+	chance           *pcg.Source
+	drivers          []netip.AddrPort
+	idle             [][]*clientConn // by driver
+	sessionPositions []time.Duration
+	startedAt        time.Duration
+	nextArrival      time.Duration
+	lastID           int
+	shareSum         float64
+	Asked            int // RPCs begun
+	Served           int // RPCs that ended with ok
+	RequestedUtility float64
+	Latencies        []time.Duration // of RPCs that were ok, from the first try on
+	ServedUtility    float64         // full within the soft deadline, reduced for later answers
+	UtilitySeries    UtilitySeries
+	ledger           *emu.Ledger
+	writes           []writeTry // that have ended
+	sessionDriver    []int      // by session
+	up               []bool     // by driver: whether the balancer sends clients to it
+	upDrivers        []int      // those that are up, in rising order
 }
 
-// wish is one RPC over all its tries.
-type wish struct {
-	method  *Method
-	home    int // the driver that it went to first
-	session int
-	token   string
-	began   time.Duration
-	tries   int
-	mayRun  bool // an earlier try may have run
+// clientRPC is one RPC over all its tries.
+type clientRPC struct {
+	method      *Method
+	firstDriver int // to which the first try was sent
+	session     int
+	token       string
+	began       time.Duration
+	tries       int
+	mayRun      bool // an earlier try may have run
 }
 
-// rest is how much of its time an RPC has left for a try at that time. What may have run is asked for again only while its group surely knows the
-// token, with time for what is on its way.
-func (w *wish) rest(at time.Duration) time.Duration {
-	if w.mayRun && w.method.Effect == emu.Tokened {
-		return min(w.method.Limit, w.began+w.method.Window-onItsWay-at)
+// timeLeft returns the time limit of a try that starts at the given time. A tokened RPC that may have run is retried
+// only while its group still holds the token, less an allowance for data in transit.
+func (r *clientRPC) timeLeft(at time.Duration) time.Duration {
+	if r.mayRun && r.method.Effect == emu.Tokened {
+		return min(r.method.Limit, r.began+r.method.Window-transitAllowance-at)
 	}
-	return w.method.Limit
+	return r.method.Limit
 }
 
-// line is one connection to a driver.
-type line struct {
-	clients *Clients
-	to      int
-	stream  *loop.Stream
-	wish    *wish
-	id      string
-	due     loop.Timer
-	until   time.Duration
-	heard   string
-	back    time.Duration
-	commit  time.Duration
-	closed  bool
-	let     bool // the driver has let it in
-	asked   int  // RPCs on this connection
-	text    []byte
-	again   bool // what it asks was asked before on one that ended
+// clientConn is one connection to a driver.
+type clientConn struct {
+	clients    *Clients
+	driver     int
+	stream     *loop.Stream
+	rpc        *clientRPC
+	id         string
+	timer      loop.Timer
+	giveUpAt   time.Duration
+	answer     string
+	retryAfter time.Duration
+	position   time.Duration
+	closed     bool
+	admitted   bool // the driver has completed the handshake
+	requests   int  // RPCs sent on this connection
+	message    []byte
+	resent     bool // the current RPC was sent before, on a connection that has ended
 }
 
 const (
-	onItsWay = 150 * time.Millisecond // that an attempt may arrive after the time in which it was sent
-	least    = 100 * time.Millisecond // a client does not ask with less time
-	late     = 20 * time.Millisecond  // that a client waits for an answer beyond its time
+	transitAllowance = 150 * time.Millisecond // an attempt may arrive this much after the time limit under which it was sent
+	minTryTime       = 100 * time.Millisecond // a client does not start a try with less time
+	answerAllowance  = 20 * time.Millisecond  // a client waits this much longer than the time limit for an answer
 )
 
-// NewClients lets clients ask from now on.
+// NewClients starts the clients.
 func NewClients(l *loop.Loop, s *Script, r *emu.Record, ledger *emu.Ledger, seed uint64, drivers []netip.AddrPort) *Clients {
-	c := &Clients{loop: l, script: s, record: r, chance: pcg.New(seed), drivers: drivers, idle: make([][]*line, len(drivers)),
-		sessions: make([]time.Duration, s.Sessions), from: l.Now(), due: l.Now(), ledger: ledger, Flow: newFlow(len(drivers)),
-		home: make([]int, s.Sessions), up: make([]bool, len(drivers))}
-	for n := range c.home {
-		c.home[n] = n % len(drivers)
+	c := &Clients{loop: l, script: s, record: r, chance: pcg.New(seed), drivers: drivers, idle: make([][]*clientConn, len(drivers)),
+		sessionPositions: make([]time.Duration, s.Sessions), startedAt: l.Now(), nextArrival: l.Now(), ledger: ledger, UtilitySeries: newUtilitySeries(len(drivers)),
+		sessionDriver: make([]int, s.Sessions), up: make([]bool, len(drivers))}
+	for n := range c.sessionDriver {
+		c.sessionDriver[n] = n % len(drivers)
 	}
 	for n := range c.up {
-		c.mark(n, true)
+		c.setUp(n, true)
 	}
 	for _, m := range s.Methods {
-		c.total += m.Share
+		c.shareSum += m.Share
 	}
 	l.Defer(c.arrive)
 	return c
 }
 
 func (c *Clients) rate() float64 {
-	rate, at := c.script.Rate, c.loop.Now()-c.from
+	rate, at := c.script.Rate, c.loop.Now()-c.startedAt
 	for _, s := range c.script.Surges {
 		if at >= s.From && at < s.To {
 			rate *= s.Times
@@ -112,116 +112,118 @@
 }
 
 func (c *Clients) arrive() {
-	if c.loop.Now()-c.from >= c.script.Lasts {
+	if c.loop.Now()-c.startedAt >= c.script.Lasts {
 		return
 	}
-	dice := c.chance.Float() * c.total
-	w := &wish{session: c.chance.Below(len(c.sessions)), began: c.loop.Now()}
+	dice := c.chance.Float() * c.shareSum
+	r := &clientRPC{session: c.chance.Below(len(c.sessionPositions)), began: c.loop.Now()}
 	for _, m := range c.script.Methods {
-		if w.method = m; dice < m.Share {
+		if r.method = m; dice < m.Share {
 			break
 		}
 		dice -= m.Share
 	}
 	c.Asked++
-	c.Worth += w.method.Utility
-	w.home = c.driverOf(w.session)
-	c.Flow.asked(w.began-c.from, w.home, w.method.Utility)
-	c.ledger.Add(emu.Worth, Driver(w.home), w.began, w.method.Utility)
-	c.ask(w)
-	c.due -= time.Duration(logOf(1-c.chance.Float()) / c.rate() * float64(time.Second))
-	c.loop.At(c.due, c.arrive) // a loop that wakes late catches up
+	c.RequestedUtility += r.method.Utility
+	r.firstDriver = c.driverOf(r.session)
+	c.UtilitySeries.asked(r.began-c.startedAt, r.firstDriver, r.method.Utility)
+	c.ledger.Add(emu.RequestedUtility, Driver(r.firstDriver), r.began, r.method.Utility)
+	c.sendTry(r)
+	c.nextArrival -= time.Duration(logOf(1-c.chance.Float()) / c.rate() * float64(time.Second))
+	c.loop.At(c.nextArrival, c.arrive) // next arrival time is absolute, so a loop that wakes late catches up
 }
 
-// driverOf tells where a session's RPCs go now: to its own driver. Those of one that is known to be dead are shared out evenly.
+// driverOf returns the driver to which a session's RPCs are sent now: its own one, or while that is known to be dead
+// another, so that the load of dead drivers is spread evenly.
 func (c *Clients) driverOf(session int) int {
-	home := c.home[session]
-	if c.up[home] || len(c.alive) == 0 {
+	home := c.sessionDriver[session]
+	if c.up[home] || len(c.upDrivers) == 0 {
 		return home
 	}
-	return c.alive[(home+session/len(c.up))%len(c.alive)]
+	return c.upDrivers[(home+session/len(c.up))%len(c.upDrivers)]
 }
 
-// mark notes whether clients are dealt to a driver.
-func (c *Clients) mark(n int, up bool) {
+// setUp records whether the balancer sends clients to a driver.
+func (c *Clients) setUp(n int, up bool) {
 	c.up[n] = up
-	c.alive = c.alive[:0]
+	c.upDrivers = c.upDrivers[:0]
 	for d, is := range c.up {
 		if is {
-			c.alive = append(c.alive, d)
+			c.upDrivers = append(c.upDrivers, d)
 		}
 	}
 }
 
-// Died tells who deals clients out that a driver has died; they notice later. Then they ask whether it is back.
-func (c *Clients) Died(n int) {
+// DriverDied tells the balancer of a driver's death. It reacts after the script's detection time, and then probes the
+// driver until it serves again.
+func (c *Clients) DriverDied(n int) {
 	if c.script.Route != "spread" {
 		return
 	}
-	c.loop.At(c.loop.Now()+c.script.Notice, func() {
-		c.mark(n, false)
-		c.knock(n)
+	c.loop.At(c.loop.Now()+c.script.BalancerDetection, func() {
+		c.setUp(n, false)
+		c.probe(n)
 	})
 }
 
-// knocking is how often who deals clients out asks a driver that was dead whether it is back.
-const knocking = 100 * time.Millisecond
+// probeInterval is how often the balancer probes a dead driver.
+const probeInterval = 100 * time.Millisecond
 
-// knock asks a driver an empty query, which it answers once it serves.
-func (c *Clients) knock(n int) {
-	k := &knock{clients: c, driver: n}
+// probe sends an empty query to a driver, which answers it once it serves.
+func (c *Clients) probe(n int) {
+	k := &probe{clients: c, driver: n}
 	var err error
 	if k.stream, err = c.loop.Dial(c.drivers[n], k, pgwire.Most+1); err != nil {
-		c.loop.At(c.loop.Now()+knocking, func() { c.knock(n) })
+		c.loop.At(c.loop.Now()+probeInterval, func() { c.probe(n) })
 		return
 	}
 	k.stream.Send(pgwire.AppendFirst(nil, "app", "shop"), append(pgwire.AppendHead(nil, 'Q', 1), 0))
-	k.due = c.loop.At(c.loop.Now()+10*knocking, func() {
+	k.timer = c.loop.At(c.loop.Now()+10*probeInterval, func() {
 		k.stream.Close()
 		k.Closed(nil)
 	})
 }
 
-// knock is a connection on which a driver is asked whether it is back.
-type knock struct {
+// probe is a connection on which a driver is probed.
+type probe struct {
 	clients *Clients
 	driver  int
 	stream  *loop.Stream
-	due     loop.Timer
+	timer   loop.Timer
 }
 
 // Opened implements loop.Handler.
-func (k *knock) Opened() {}
+func (k *probe) Opened() {}
 
 // Panicked implements loop.Handler.
-func (k *knock) Panicked(cause error) { k.stream.Close() }
+func (k *probe) Panicked(cause error) { k.stream.Close() }
 
 // Closed implements loop.Handler.
-func (k *knock) Closed(error) {
+func (k *probe) Closed(error) {
 	c := k.clients
-	c.loop.Cancel(k.due)
-	c.loop.At(c.loop.Now()+knocking, func() { c.knock(k.driver) })
+	c.loop.Cancel(k.timer)
+	c.loop.At(c.loop.Now()+probeInterval, func() { c.probe(k.driver) })
 }
 
 // Input implements loop.Handler.
-func (k *knock) Input(in []byte) int {
+func (k *probe) Input(in []byte) int {
 	kind, _, size, err := pgwire.Next(in)
 	if err != nil || kind == 'I' && size > 0 {
 		k.stream.Close()
-		if k.clients.loop.Cancel(k.due); err != nil {
+		if k.clients.loop.Cancel(k.timer); err != nil {
 			k.Closed(err)
 		} else {
-			k.clients.mark(k.driver, true)
+			k.clients.setUp(k.driver, true)
 		}
 		return 0
 	}
 	return size
 }
 
-// ask sends a try to the driver of its session.
-func (c *Clients) ask(w *wish) {
-	to := c.driverOf(w.session)
-	var l *line
+// sendTry sends a try to the driver of its session.
+func (c *Clients) sendTry(r *clientRPC) {
+	to := c.driverOf(r.session)
+	var l *clientConn
 	for n := len(c.idle[to]); n > 0 && l == nil; n = len(c.idle[to]) {
 		l = c.idle[to][n-1]
 		if c.idle[to] = c.idle[to][:n-1]; l.closed || !l.stream.Alive() {
@@ -233,11 +235,11 @@
 			return
 		}
 	}
-	l.ask(w)
+	l.request(r)
 }
 
-func (c *Clients) dial(to int) *line {
-	l := &line{clients: c, to: to}
+func (c *Clients) dial(to int) *clientConn {
+	l := &clientConn{clients: c, driver: to}
 	var err error
 	if l.stream, err = c.loop.Dial(c.drivers[to], l, pgwire.Most+1); err != nil {
 		return nil
@@ -246,144 +248,145 @@
 	return l
 }
 
-func (l *line) ask(w *wish) {
+func (l *clientConn) request(r *clientRPC) {
 	c := l.clients
-	now, m := c.loop.Now(), w.method
-	c.next++
-	w.tries++
-	l.wish, l.id, l.heard, l.back, l.commit = w, fmt.Sprintf("r%d", c.next), "", 0, 0
-	l.again = false
-	if m.Effect == emu.Tokened && w.token == "" {
-		w.token = "t" + l.id
+	now, m := c.loop.Now(), r.method
+	c.lastID++
+	r.tries++
+	l.rpc, l.id, l.answer, l.retryAfter, l.position = r, fmt.Sprintf("r%d", c.lastID), "", 0, 0
+	l.resent = false
+	if m.Effect == emu.Tokened && r.token == "" {
+		r.token = "t" + l.id
 	}
-	key := fmt.Sprintf("s%d", w.session)
-	limit := w.rest(now).Truncate(time.Millisecond)
+	key := fmt.Sprintf("s%d", r.session)
+	limit := r.timeLeft(now).Truncate(time.Millisecond)
 	text := fmt.Sprintf("/* id=%s,c=%s,d=%d", l.id, m.Name, limit/time.Millisecond)
-	if w.token != "" {
-		text += ",k=" + w.token
+	if r.token != "" {
+		text += ",k=" + r.token
 	}
-	text += fmt.Sprintf(",cluster=%d", w.session%c.script.Groups)
-	if w.tries > 1 {
+	text += fmt.Sprintf(",cluster=%d", r.session%c.script.Groups)
+	if r.tries > 1 {
 		text += ",r=1"
 	}
-	if at := c.sessions[w.session]; m.Need == "session" && at > 0 {
+	if at := c.sessionPositions[r.session]; m.Need == "session" && at > 0 {
 		text += ",after=" + strconv.FormatInt(int64(at/time.Millisecond), 10)
 	}
 	text += " */ SELECT doc FROM items WHERE id = '" + key + "'"
 	if m.Need == "write" {
 		text = text[:len(text)-len("SELECT doc FROM items WHERE id = '"+key+"'")] + "INSERT INTO items (id, doc) VALUES ('" + key + "', 'x') RETURNING doc"
 	}
-	c.record.Asked(l.id, w.token, fmt.Sprint("d", l.to), m.Effect, now, now+limit)
-	l.text = append(append(pgwire.AppendHead(nil, 'Q', len(text)+1), text...), 0)
-	l.send(now + limit + late)
+	c.record.TrySent(l.id, r.token, fmt.Sprint("d", l.driver), m.Effect, now, now+limit)
+	l.message = append(append(pgwire.AppendHead(nil, 'Q', len(text)+1), text...), 0)
+	l.send(now + limit + answerAllowance)
 }
 
-func (l *line) send(until time.Duration) {
-	l.asked++
-	l.stream.Send(l.text)
-	l.until = until
-	l.due = l.clients.loop.At(until, func() {
+func (l *clientConn) send(until time.Duration) {
+	l.requests++
+	l.stream.Send(l.message)
+	l.giveUpAt = until
+	l.timer = l.clients.loop.At(until, func() {
 		l.stream.Close()
 		l.closed = true
-		l.lost(false)
+		l.finishUnanswered(false)
 	})
 }
 
-// onceMore sends what crossed the end of a connection that had rested on a new one: the driver may not have read it. It may have, too, so that this is
-// not for what must not run twice.
-func (l *line) onceMore() bool {
-	if l.wish == nil || l.asked < 2 || l.again || l.heard != "" || l.wish.method.Effect == emu.NonIdempotent {
+// resend sends a request again on a new connection if its reused connection was closed before an answer: the driver
+// may not have read it. It may have run, though, so that non-idempotent requests are not sent again.
+func (l *clientConn) resend() bool {
+	if l.rpc == nil || l.requests < 2 || l.resent || l.answer != "" || l.rpc.method.Effect == emu.NonIdempotent {
 		return false
 	}
 	c := l.clients
-	n := c.dial(l.to)
+	n := c.dial(l.driver)
 	if n == nil {
 		return false
 	}
-	c.loop.Cancel(l.due)
-	l.wish.mayRun = true
-	n.wish, n.id, n.text, n.again = l.wish, l.id, l.text, true
-	l.wish = nil
-	n.send(l.until)
+	c.loop.Cancel(l.timer)
+	l.rpc.mayRun = true
+	n.rpc, n.id, n.message, n.resent = l.rpc, l.id, l.message, true
+	l.rpc = nil
+	n.send(l.giveUpAt)
 	return true
 }
 
-// done ends a try; the client may ask again.
-func (l *line) done(answer string) {
-	c, w := l.clients, l.wish
-	if w == nil {
+// finish ends a try; the client may retry.
+func (l *clientConn) finish(answer string) {
+	c, r := l.clients, l.rpc
+	if r == nil {
 		return
 	}
-	l.wish = nil
-	c.loop.Cancel(l.due)
+	l.rpc = nil
+	c.loop.Cancel(l.timer)
 	now := c.loop.Now()
-	c.record.Heard(l.id, answer, now)
-	l.tried(w)
+	c.record.TryAnswered(l.id, answer, now)
+	l.noteWriteTry(r)
 	if answer == emu.OK {
 		c.Served++
-		c.Took = append(c.Took, now-w.began)
-		if w.method.Need == "write" && l.commit > 0 {
-			c.sessions[w.session] = max(c.sessions[w.session], l.commit)
+		c.Latencies = append(c.Latencies, now-r.began)
+		if r.method.Need == "write" && l.position > 0 {
+			c.sessionPositions[r.session] = max(c.sessionPositions[r.session], l.position)
 		}
-		got := w.method.Utility
-		if now-w.began > w.method.Soft {
-			got *= w.method.Late
+		got := r.method.Utility
+		if now-r.began > r.method.SoftDeadline {
+			got *= r.method.LateUtility
 		}
-		c.Got += got
-		c.Flow.got(w.began-c.from, w.home, got)
-		c.ledger.Add(emu.Got, Driver(w.home), w.began, got)
+		c.ServedUtility += got
+		c.UtilitySeries.got(r.began-c.startedAt, r.firstDriver, got)
+		c.ledger.Add(emu.ServedUtility, Driver(r.firstDriver), r.began, got)
 		return
 	}
 	switch answer {
 	case emu.PushedBack:
-		c.ledger.Add(emu.PushedOff, Driver(l.to), now, 1)
+		c.ledger.Add(emu.PushedBackTries, Driver(l.driver), now, 1)
 	case emu.Nothing, emu.NotTaken:
-		c.ledger.Add(emu.Lost, Driver(l.to), now, 1)
-		if c.script.Route == "stay" && c.home[w.session] == l.to { // it looks for another driver, and stays there
-			c.home[w.session] = (l.to + 1 + c.chance.Below(max(len(c.drivers)-1, 1))) % len(c.drivers)
+		c.ledger.Add(emu.UnansweredTries, Driver(l.driver), now, 1)
+		if c.script.Route == "stay" && c.sessionDriver[r.session] == l.driver { // moves the session to another driver for good
+			c.sessionDriver[r.session] = (l.driver + 1 + c.chance.Below(max(len(c.drivers)-1, 1))) % len(c.drivers)
 		}
 	}
-	w.mayRun = w.mayRun || answer != emu.PushedBack && l.let
-	if w.tries > c.script.Retries || w.mayRun && w.method.Effect == emu.NonIdempotent {
+	r.mayRun = r.mayRun || answer != emu.PushedBack && l.admitted
+	if r.tries > c.script.Retries || r.mayRun && r.method.Effect == emu.NonIdempotent {
 		return
 	}
 	wait := 100*time.Millisecond + time.Duration(c.chance.Below(200))*time.Millisecond
-	if c.script.Obeys {
-		wait = max(wait, l.back)
+	if c.script.HonorsRetryAfter {
+		wait = max(wait, l.retryAfter)
 	}
 	c.loop.At(now+wait, func() {
-		if w.rest(c.loop.Now()) >= least {
-			c.ask(w)
+		if r.timeLeft(c.loop.Now()) >= minTryTime {
+			c.sendTry(r)
 		}
 	})
 }
 
 // Opened implements loop.Handler.
-func (l *line) Opened() {}
+func (l *clientConn) Opened() {}
 
 // Panicked implements loop.Handler.
-func (l *line) Panicked(cause error) { l.stream.Close() }
+func (l *clientConn) Panicked(cause error) { l.stream.Close() }
 
 // Closed implements loop.Handler.
-func (l *line) Closed(error) {
+func (l *clientConn) Closed(error) {
 	l.closed = true
-	if l.onceMore() {
+	if l.resend() {
 		return
 	}
-	l.lost(true)
+	l.finishUnanswered(true)
 }
 
-// lost ends a try without an answer. The first one on a connection that the driver closes is not taken for one that it has to answer, though it may have run.
-func (l *line) lost(shut bool) {
-	if l.let && !(shut && l.asked == 1) {
-		l.done(emu.Nothing)
+// finishUnanswered ends a try without an answer. If the driver closes a connection on its first request, that request
+// counts as not taken, though it may have run.
+func (l *clientConn) finishUnanswered(shut bool) {
+	if l.admitted && !(shut && l.requests == 1) {
+		l.finish(emu.Nothing)
 	} else {
-		l.done(emu.NotTaken)
+		l.finish(emu.NotTaken)
 	}
 }
 
 // Input implements loop.Handler.
-func (l *line) Input(in []byte) int {
+func (l *clientConn) Input(in []byte) int {
 	kind, body, size, err := pgwire.Next(in)
 	if err != nil {
 		l.stream.Close()
@@ -394,29 +397,29 @@
 	case size == 0:
 		return 0
 	case kind == 'R':
-		l.let = true
+		l.admitted = true
 	case kind == 'S':
 		if name, value, ok := pgwire.Parameter(body); ok && string(name) == "replay_position" {
 			millis, _ := strconv.ParseInt(string(value), 10, 64)
-			l.commit = time.Duration(millis) * time.Millisecond
+			l.position = time.Duration(millis) * time.Millisecond
 		}
 	case kind == 'D':
-		l.heard = emu.OK
+		l.answer = emu.OK
 	case kind == 'E':
-		l.heard = emu.Aborted
+		l.answer = emu.Aborted
 		pgwire.Fields(body, func(code byte, value []byte) {
 			if code == 'C' && (string(value) == "53300" || string(value) == "57P03") {
-				l.heard = emu.PushedBack
+				l.answer = emu.PushedBack
 			} else if code == 'D' {
 				millis, _ := strconv.Atoi(string(value))
-				l.back = time.Duration(millis) * time.Millisecond
+				l.retryAfter = time.Duration(millis) * time.Millisecond
 			}
 		})
-	case kind == 'Z' && l.heard != "":
-		heard := l.heard
-		l.heard = ""
-		l.done(heard)
-		l.clients.idle[l.to] = append(l.clients.idle[l.to], l)
+	case kind == 'Z' && l.answer != "":
+		heard := l.answer
+		l.answer = ""
+		l.finish(heard)
+		l.clients.idle[l.driver] = append(l.clients.idle[l.driver], l)
 	}
 	return size
 }
--- a/internal/emu/play/cluster.go
+++ b/internal/emu/play/cluster.go
@@ -1,4 +1,5 @@
-// Package play puts the models of emu behind sockets, beside drivers and clients, and plays scripts on them.
+// Package play runs the models of package emu behind sockets, together with drivers and clients, and plays scripts of
+// load and faults.
 package play
 
 import (
@@ -18,7 +19,7 @@
 	"passtack/internal/pgwire"
 )
 
-// timer gives the models their time from a loop.
+// timer schedules the models' events on a loop.
 type timer struct{ loop *loop.Loop }
 
 // Now implements emu.Timer by the loop's clock.
@@ -27,51 +28,51 @@
 // At implements emu.Timer by the loop's timers.
 func (t timer) At(at time.Duration, act func()) { t.loop.At(at, act) }
 
-// Cluster is all members and discovery, on one loop: simulated or real.
+// Cluster is all members and discovery, on one loop, simulated or real.
 type Cluster struct {
-	loop    *loop.Loop
-	script  *Script
-	record  *emu.Record
-	chance  *pcg.Source
-	groups  []*emu.Group
-	members []*served
-	agents  []*agent
-	rev     int
-	old     time.Duration // until when discovery hears of no change
-	fault   error
-	ledger  *emu.Ledger
-	began   time.Duration
-	Course  Course
-	changes []*Change
-
-	// Address tells where a driver reaches a member; nil: where it listens.
+	loop             *loop.Loop
+	script           *Script
+	record           *emu.Record
+	chance           *pcg.Source
+	groups           []*emu.Group
+	members          []*memberServer
+	agents           []*discoveryAgent
+	revision         int
+	changesHeldUntil time.Duration // discovery publishes no change before then
+	err              error
+	ledger           *emu.Ledger
+	startedAt        time.Duration
+	Course           Course
+	changes          []*PrimaryChange
+
+	// Address returns the address at which a driver reaches a member; nil: where the member listens.
 	Address func(driver, member int) netip.AddrPort
 }
 
-// served is one member behind its address.
-type served struct {
-	cluster  *Cluster
-	number   int
-	model    *emu.Member
-	group    int
-	at       netip.AddrPort
-	listener *loop.Listener
-	conns    chain.List[*conn]
-	state    string
-	bootedAt time.Duration
-	listed   int             // rev of its latest change
-	led      bool            // it has been primary
-	denied   map[string]bool // drivers that it has told since that it is none
+// memberServer is one member behind its address.
+type memberServer struct {
+	cluster        *Cluster
+	number         int
+	model          *emu.Member
+	group          int
+	addr           netip.AddrPort
+	listener       *loop.Listener
+	conns          chain.List[*memberConn]
+	state          string
+	bootedAt       time.Duration
+	listedRevision int // revision of its latest change in the endpoint list
+	wasPrimary     bool
+	disclaimedTo   map[string]bool // drivers to which it has answered as a replica since it was last primary
 }
 
 // NewCluster listens for all members of the script's groups, and for discovery at the agents' addresses.
-func NewCluster(l *loop.Loop, s *Script, r *emu.Record, seed uint64, place func(n int) netip.AddrPort, agents []netip.AddrPort) (*Cluster, error) {
-	c := &Cluster{loop: l, script: s, record: r, chance: pcg.New(seed), rev: 1, ledger: emu.NewLedger(l.Now()), began: l.Now()}
+func NewCluster(l *loop.Loop, s *Script, r *emu.Record, seed uint64, memberAddr func(n int) netip.AddrPort, agents []netip.AddrPort) (*Cluster, error) {
+	c := &Cluster{loop: l, script: s, record: r, chance: pcg.New(seed), revision: 1, ledger: emu.NewLedger(l.Now()), startedAt: l.Now()}
 	for g := range s.Groups {
 		var models []*emu.Member
 		for range s.Members {
-			m := &served{cluster: c, number: len(c.members), group: g, at: place(len(c.members)), state: "in_service", denied: make(map[string]bool)}
-			m.model = emu.NewMember(fmt.Sprint("m", len(c.members)), s.Build, timer{l}, c.chance)
+			m := &memberServer{cluster: c, number: len(c.members), group: g, addr: memberAddr(len(c.members)), state: "in_service", disclaimedTo: make(map[string]bool)}
+			m.model = emu.NewMember(fmt.Sprint("m", len(c.members)), s.MemberSpec, timer{l}, c.chance)
 			models = append(models, m.model)
 			c.members = append(c.members, m)
 			if err := m.listen(); err != nil {
@@ -79,18 +80,18 @@
 			}
 		}
 		group := emu.NewGroup(driver.Group(g), s.Election, timer{l}, c.chance, models...)
-		group.Changed = func(primary *emu.Member) {
+		group.OnPrimaryChange = func(primary *emu.Member) {
 			if primary == nil {
 				c.note(fmt.Sprint("group ", g), "has no primary")
 			} else {
 				c.note(primary.Name, "is primary of group %d", g)
-				c.changed(g, primary)
+				c.primaryChanged(g, primary)
 			}
 		}
 		c.groups = append(c.groups, group)
 	}
 	for i, at := range agents {
-		a := &agent{cluster: c, number: i, driver: Driver(i)}
+		a := &discoveryAgent{cluster: c, number: i, driver: Driver(i)}
 		if _, err := l.Listen(at, 1<<16, loop.AcceptLimiter{}, func(open func(loop.Handler) *loop.Stream) {
 			w := &watcher{agent: a}
 			w.stream = open(w)
@@ -102,58 +103,58 @@
 	return c, nil
 }
 
-func (m *served) listen() (err error) {
-	m.listener, err = m.cluster.loop.Listen(m.at, pgwire.Most+1, loop.AcceptLimiter{}, func(open func(loop.Handler) *loop.Stream) {
-		k := &conn{member: m}
+func (m *memberServer) listen() (err error) {
+	m.listener, err = m.cluster.loop.Listen(m.addr, pgwire.Most+1, loop.AcceptLimiter{}, func(open func(loop.Handler) *loop.Stream) {
+		k := &memberConn{member: m}
 		if k.stream = open(k); k.stream == nil {
 			return
 		}
-		if most := m.model.Build.Connections; most > 0 && m.conns.Len() >= most {
+		if most := m.model.Spec.MaxConnections; most > 0 && m.conns.Len() >= most {
 			m.count(emu.TurnedAway, 1)
 			k.stream.Send(pgwire.AppendError(nil, true, "53300", "too many connections", -1))
 			k.stream.CloseWhenSent()
 			return
 		}
-		k.place.Value = k
-		m.conns.PushBack(&k.place)
+		k.element.Value = k
+		m.conns.PushBack(&k.element)
 		m.count(emu.Connects, 1)
-		if change := m.changeTo(); change != nil && m.cluster.at() < change.At+early {
+		if change := m.ownChange(); change != nil && m.cluster.elapsed() < change.At+firstPeriod {
 			change.Connects++
 		}
-		m.cluster.ledger.Most(emu.OpenMost, m.model.Name, m.cluster.loop.Now(), float64(m.conns.Len()))
+		m.cluster.ledger.Max(emu.MaxOpen, m.model.Name, m.cluster.loop.Now(), float64(m.conns.Len()))
 	}, func(bool) {})
 	return err
 }
 
-// Begin lets the script's time begin now.
-func (c *Cluster) Begin() {
-	c.began, c.ledger = c.loop.Now(), emu.NewLedger(c.loop.Now())
+// ResetStart makes now the start of the script's time and clears the ledger.
+func (c *Cluster) ResetStart() {
+	c.startedAt, c.ledger = c.loop.Now(), emu.NewLedger(c.loop.Now())
 }
 
 func (c *Cluster) note(who, format string, args ...any) {
-	c.Course.Note(c.loop.Now()-c.began, who, format, args...)
+	c.Course.Note(c.loop.Now()-c.startedAt, who, format, args...)
 }
 
-// count adds to what the ledger has of the member.
-func (m *served) count(what string, n float64) {
+// count adds to the member's count in the ledger.
+func (m *memberServer) count(what string, n float64) {
 	m.cluster.ledger.Add(what, m.model.Name, m.cluster.loop.Now(), n)
 }
 
-// take hands work to the model; a member that falls over takes none.
-func (m *served) take(j *emu.Job) {
-	if !m.model.Take(j) {
-		if m.model.Tipped() {
-			m.cluster.record.Tipped(m.model.Name)
-			m.cluster.note(m.model.Name, "falls over: it was sent too much while cold")
+// submit hands work to the model. A member that is down, or that crashes under overload, is stopped.
+func (m *memberServer) submit(j *emu.Job) {
+	if !m.model.Submit(j) {
+		if m.model.Overloaded() {
+			m.cluster.record.MemberOverloaded(m.model.Name)
+			m.cluster.note(m.model.Name, "crashes: overloaded while cold")
 		}
-		m.die()
+		m.kill()
 		return
 	}
-	m.cluster.ledger.Most(emu.ColdPart, m.model.Name, m.cluster.loop.Now(), m.model.ColdPart())
+	m.cluster.ledger.Max(emu.ColdLoad, m.model.Name, m.cluster.loop.Now(), m.model.ColdLoad())
 }
 
-// die ends the member's process; Tipped is noted by the caller's look at the model.
-func (m *served) die() {
+// kill ends the member's process. The caller records an overload.
+func (m *memberServer) kill() {
 	if m.listener != nil {
 		m.listener.Close()
 		m.listener = nil
@@ -163,76 +164,76 @@
 		at.Value.stream.Close()
 	}
 	if m.model.Up() {
-		m.model.Die()
+		m.model.Kill()
 	}
 }
 
-func (m *served) start(copyAge time.Duration) {
+func (m *memberServer) start(copyAge time.Duration) {
 	if m.model.Up() {
 		return
 	}
 	m.model.Start(copyAge)
 	m.bootedAt = m.cluster.loop.Now()
 	if err := m.listen(); err != nil {
-		m.cluster.fault = err
+		m.cluster.err = err
 	}
-	m.cluster.list(m, "in_service")
+	m.cluster.updateListing(m, "in_service")
 }
 
-// list changes what discovery says of a member; it becomes known after the script's delay.
-func (c *Cluster) list(m *served, state string) {
-	c.loop.At(max(c.loop.Now()+c.script.ListDelay, c.old), func() {
-		if c.loop.Now() < c.old {
-			c.list(m, state)
+// updateListing changes the state of a member in the endpoint list after the script's delay.
+func (c *Cluster) updateListing(m *memberServer, state string) {
+	c.loop.At(max(c.loop.Now()+c.script.ListDelay, c.changesHeldUntil), func() {
+		if c.loop.Now() < c.changesHeldUntil {
+			c.updateListing(m, state)
 			return
 		}
-		c.rev++
-		m.state, m.listed = state, c.rev
-		c.note("discovery", "lists %s as %s, revision %d", m.model.Name, state, c.rev)
+		c.revision++
+		m.state, m.listedRevision = state, c.revision
+		c.note("discovery", "lists %s as %s, revision %d", m.model.Name, state, c.revision)
 		for _, a := range c.agents {
-			a.tell()
+			a.notifyWatchers()
 		}
 	})
 }
 
-// conn is one connection to a member.
-type conn struct {
-	member  *served
-	stream  *loop.Stream
-	welcome bool
-	job     *emu.Job
-	place   chain.Element[*conn]
+// memberConn is one connection to a member.
+type memberConn struct {
+	member        *memberServer
+	stream        *loop.Stream
+	handshakeSeen bool
+	job           *emu.Job
+	element       chain.Element[*memberConn]
 }
 
 // Opened implements loop.Handler.
-func (k *conn) Opened() {}
+func (k *memberConn) Opened() {}
 
 // Closed implements loop.Handler.
-func (k *conn) Closed(error) {
-	k.place.Remove()
+func (k *memberConn) Closed(error) {
+	k.element.Remove()
 	if k.job != nil {
-		k.member.model.Drop(k.job)
+		k.member.model.Cancel(k.job)
 	}
 }
 
 // Panicked implements loop.Handler.
-func (k *conn) Panicked(cause error) { k.stream.Close() }
+func (k *memberConn) Panicked(cause error) { k.stream.Close() }
 
 // Input implements loop.Handler.
-func (k *conn) Input(in []byte) int {
+func (k *memberConn) Input(in []byte) int {
 	m := k.member
-	if m.model.Paused() { // it reads when it goes on
+	if m.model.Paused() { // reads again after the pause
 		m.cluster.loop.At(m.cluster.loop.Now()+5*time.Millisecond, k.stream.DeliverInput)
 		return 0
 	}
-	if !k.welcome {
+	if !k.handshakeSeen {
 		_, size, err := pgwire.First(in)
 		if err != nil {
 			k.stream.Close()
 			return 0
 		}
 		if size > 0 {
-			k.greet()
+			k.completeHandshake()
 		}
 		return size
 	}
@@ -245,23 +246,23 @@
 		return len(in)
 	}
 	if size > 0 {
-		k.asked(string(body[:max(len(body)-1, 0)]))
+		k.handleQuery(string(body[:max(len(body)-1, 0)]))
 	}
 	return size
 }
 
-// greet lets a connection in, once the member has done the work for it.
-func (k *conn) greet() {
+// completeHandshake lets a connection in after the member has done the work for it.
+func (k *memberConn) completeHandshake() {
 	m := k.member
-	k.welcome = true
+	k.handshakeSeen = true
 	m.count(emu.Handshakes, 1)
-	if m.model.Build.Handshake == 0 {
+	if m.model.Spec.Handshake == 0 {
 		k.stream.Send(pgwire.AppendWelcome(nil, 1, 1))
 		return
 	}
-	k.job = &emu.Job{Hello: true, Work: m.model.Build.Handshake, Done: func(r emu.Result) {
+	k.job = &emu.Job{OpensConnection: true, Work: m.model.Spec.Handshake, Done: func(r emu.Result) {
 		k.job = nil
-		if r.How != driver.OK {
+		if r.Outcome != driver.OK {
 			k.stream.Send(pgwire.AppendError(nil, true, "53300", "no room", -1))
 			k.stream.CloseWhenSent()
 			return
@@ -269,11 +270,11 @@
 		k.stream.Send(pgwire.AppendWelcome(nil, 1, 1))
 		m.cluster.loop.Defer(k.stream.DeliverInput)
 	}}
-	m.take(k.job)
+	m.submit(k.job)
 }
 
-// told is what a member says of itself beside every answer.
-func (k *conn) told(out []byte, role driver.Role, position time.Duration, load float64) []byte {
+// appendStatus appends the role, position and load that a member reports with every answer.
+func (k *memberConn) appendStatus(out []byte, role driver.Role, position time.Duration, load float64) []byte {
 	name := map[driver.Role]string{driver.Primary: "leader", driver.Replica: "follower"}[role]
 	leads := map[driver.Role]int{driver.Primary: 1}[role]
 	out = pgwire.AppendParameter(out, "node_role", name)
@@ -281,12 +282,12 @@
 	return pgwire.AppendParameter(out, "server_load", fmt.Sprintf("x0=%.3f,x1=%d,util=%.2f", position.Seconds(), leads, load))
 }
 
-func (k *conn) asked(text string) {
+func (k *memberConn) handleQuery(text string) {
 	m := k.member
 	c := m.cluster
 	if text == "" {
 		m.count(emu.Probes, 1)
-		out := k.told(pgwire.AppendHead(nil, 'I', 0), m.model.Role(), m.model.Position(), m.model.Load())
+		out := k.appendStatus(pgwire.AppendHead(nil, 'I', 0), m.model.Role(), m.model.Position(), m.model.Load())
 		k.stream.Send(pgwire.AppendReady(out))
 		return
 	}
@@ -306,39 +307,39 @@
 	if method.Need == "bounded" {
 		job.After = now - method.Bound
 	}
-	c.record.Arrived(id, m.model.Name, now)
+	c.record.AttemptArrived(id, m.model.Name, now)
 	m.count(emu.Attempts, 1)
-	if change := m.changeTo(); change != nil && c.at() < change.At+early {
+	if change := m.ownChange(); change != nil && c.elapsed() < change.At+firstPeriod {
 		change.Attempts++
 	}
 	switch isPrimary := m.model.Role() == driver.Primary; {
-	case m.model.Drains():
+	case m.model.Draining():
 		m.count(emu.Drained, 1)
-	case job.Write && !isPrimary && m.led:
-		m.count(emu.Stale, 1)
+	case job.Write && !isPrimary && m.wasPrimary:
+		m.count(emu.FormerPrimaryWrites, 1)
 	case job.Write && !isPrimary:
 		m.count(emu.Scouts, 1)
 	}
 	if m.model.Role() == driver.Primary {
-		m.led = true
-		clear(m.denied)
+		m.wasPrimary = true
+		clear(m.disclaimedTo)
 	}
-	excused := m.led && !m.denied[c.record.DriverOf(id)] // the driver may still take it for the primary
+	excused := m.wasPrimary && !m.disclaimedTo[c.record.DriverOf(id)] // the driver may still believe that it is the primary
 	job.Done = func(r emu.Result) { k.answer(id, job, r, excused) }
 	k.job = job
-	m.take(job)
+	m.submit(job)
 }
 
-func (k *conn) answer(id string, job *emu.Job, r emu.Result, excused bool) {
+func (k *memberConn) answer(id string, job *emu.Job, r emu.Result, excused bool) {
 	c := k.member.cluster
-	if r.How == driver.OK {
+	if r.Outcome == driver.OK {
 		stale := ""
-		if !job.Write && !excused && job.After > r.Truth+5*time.Millisecond {
-			stale = fmt.Sprintf("lacks the last %v", (job.After - r.Truth).Round(time.Millisecond))
+		if !job.Write && !excused && job.After > r.ActualPosition+5*time.Millisecond {
+			stale = fmt.Sprintf("lacks the last %v", (job.After - r.ActualPosition).Round(time.Millisecond))
 		}
-		c.record.Ran(id, r.Effect, stale)
+		c.record.AttemptRan(id, r.Effect, stale)
 		if job.Write {
-			k.member.wrote(c.record.DriverOf(id))
+			k.member.noteWrite(c.record.DriverOf(id))
 		}
 	}
 	if k.job != job {
@@ -346,27 +347,27 @@
 	}
 	k.job = nil
 	if r.Role == driver.Replica {
-		k.member.denied[c.record.DriverOf(id)] = true
+		k.member.disclaimedTo[c.record.DriverOf(id)] = true
 	}
 	var out []byte
-	if code := map[driver.Outcome]string{driver.Miss: "72000", driver.Full: "53300", driver.Failed: "XX000"}[r.How]; code != "" {
-		if job.Write && r.How == driver.Miss {
+	if code := map[driver.Outcome]string{driver.Miss: "72000", driver.Full: "53300", driver.Failed: "XX000"}[r.Outcome]; code != "" {
+		if job.Write && r.Outcome == driver.Miss {
 			code = "25006"
-		} else if r.How == driver.Miss {
+		} else if r.Outcome == driver.Miss {
 			k.member.count(emu.Behind, 1)
-		} else if r.How == driver.Full {
-			k.member.count(emu.Fulls, 1)
+		} else if r.Outcome == driver.Full {
+			k.member.count(emu.QueueFull, 1)
 		}
 		out = pgwire.AppendError(nil, false, code, "no", -1)
 	} else {
 		out = row("value of " + id)
 	}
-	out = k.told(out, r.Role, r.Position, r.Load)
+	out = k.appendStatus(out, r.Role, r.ReportedPosition, r.Load)
 	k.stream.Send(pgwire.AppendReady(out))
 	c.loop.Defer(k.stream.DeliverInput)
 }
 
-// row is one row of one column.
+// row encodes a result of one row with one column.
 func row(value string) []byte {
 	out := append(pgwire.AppendHead(nil, 'T', 2+4+18), 0, 1, 'd', 'o', 'c', 0)
 	out = append(out, make([]byte, 18)...)
@@ -375,22 +376,22 @@
 	return append(pgwire.AppendHead(out, 'C', 9), "SELECT 1\x00"...)
 }
 
-// agent is discovery as one driver sees it.
-type agent struct {
-	cluster *Cluster
-	number  int
-	driver  string
-	waiting []*watcher
-	down    time.Duration // until when it says nothing
-	known   []byte        // the list as it has told it
-	first   []byte        // with which the driver was started first
+// discoveryAgent is discovery as one driver sees it.
+type discoveryAgent struct {
+	cluster     *Cluster
+	number      int
+	driver      string
+	watchers    []*watcher
+	silentUntil time.Duration // it answers nothing before then
+	lastList    []byte        // endpoint list as last sent
+	firstList   []byte        // endpoint list of the driver's first start
 }
 
 type watcher struct {
-	agent  *agent
-	stream *loop.Stream
-	from   int
-	due    loop.Timer
+	agent        *discoveryAgent
+	stream       *loop.Stream
+	fromRevision int
+	timer        loop.Timer
 }
 
 // Opened implements loop.Handler.
@@ -400,13 +401,13 @@
 func (w *watcher) Panicked(cause error) { w.stream.Close() }
 
 // Closed implements loop.Handler.
-func (w *watcher) Closed(error) { w.leave() }
+func (w *watcher) Closed(error) { w.stopWaiting() }
 
-func (w *watcher) leave() {
-	w.agent.cluster.loop.Cancel(w.due)
-	for i, o := range w.agent.waiting {
+func (w *watcher) stopWaiting() {
+	w.agent.cluster.loop.Cancel(w.timer)
+	for i, o := range w.agent.watchers {
 		if o == w {
-			w.agent.waiting = append(w.agent.waiting[:i], w.agent.waiting[i+1:]...)
+			w.agent.watchers = append(w.agent.watchers[:i], w.agent.watchers[i+1:]...)
 			return
 		}
 	}
@@ -423,7 +424,7 @@
 	if r.Size > 0 {
 		c.ledger.Add(emu.Lists, w.agent.driver, c.loop.Now(), 1)
 	}
-	if r.Size == 0 || c.loop.Now() < w.agent.down {
+	if r.Size == 0 || c.loop.Now() < w.agent.silentUntil {
 		return r.Size
 	}
 	_, query, watches := strings.Cut(string(r.Target), "?")
@@ -432,41 +433,41 @@
 		return r.Size
 	}
 	hold := 0
-	fmt.Sscanf(query, "from=%d&hold_ms=%d", &w.from, &hold)
-	if w.from < c.rev {
-		w.answer(w.from)
+	fmt.Sscanf(query, "from=%d&hold_ms=%d", &w.fromRevision, &hold)
+	if w.fromRevision < c.revision {
+		w.answer(w.fromRevision)
 		return r.Size
 	}
-	w.agent.waiting = append(w.agent.waiting, w)
-	w.due = c.loop.At(c.loop.Now()+time.Duration(hold)*time.Millisecond, func() {
-		w.leave()
-		w.answer(w.from)
+	w.agent.watchers = append(w.agent.watchers, w)
+	w.timer = c.loop.At(c.loop.Now()+time.Duration(hold)*time.Millisecond, func() {
+		w.stopWaiting()
+		w.answer(w.fromRevision)
 	})
 	return r.Size
 }
 
-// tell answers all who wait for a change.
-func (a *agent) tell() {
-	if a.cluster.loop.Now() < a.down {
+// notifyWatchers answers all requests that wait for a change.
+func (a *discoveryAgent) notifyWatchers() {
+	if a.cluster.loop.Now() < a.silentUntil {
 		return
 	}
-	waiting := a.waiting
-	a.waiting = nil
+	waiting := a.watchers
+	a.watchers = nil
 	for _, w := range waiting {
-		a.cluster.loop.Cancel(w.due)
-		w.answer(w.from)
+		a.cluster.loop.Cancel(w.timer)
+		w.answer(w.fromRevision)
 	}
 }
 
 func (w *watcher) answer(from int) {
 	c := w.agent.cluster
 	body := c.List(w.agent.number, from)
-	w.agent.known = c.List(w.agent.number, 0)
+	w.agent.lastList = c.List(w.agent.number, 0)
 	for _, m := range c.members {
-		if m.listed > from && m.state != "in_service" {
-			c.record.Told(w.agent.driver, m.model.Name, c.loop.Now())
-		} else if m.listed > from {
-			c.record.Untold(w.agent.driver, m.model.Name, c.loop.Now())
+		if m.listedRevision > from && m.state != "in_service" {
+			c.record.DrainHeard(w.agent.driver, m.model.Name, c.loop.Now())
+		} else if m.listedRevision > from {
+			c.record.InServiceHeard(w.agent.driver, m.model.Name, c.loop.Now())
 		}
 	}
 	out := httpwire.AppendStatus(nil, 200)
@@ -474,28 +475,29 @@
 	w.stream.Send(append(httpwire.AppendLength(out, len(body)), body...))
 }
 
-// Fault is what has broken the play itself, nil while nothing has.
-func (c *Cluster) Fault() error { return c.fault }
+// Err returns the error that made the run invalid, or nil.
+func (c *Cluster) Err() error { return c.err }
 
-// Ledger has what members and discovery saw by second.
+// Ledger returns the counts of members and discovery by second.
 func (c *Cluster) Ledger() *emu.Ledger { return c.ledger }
 
-// Known is the list as a driver last had it.
-func (c *Cluster) Known(driver int) []byte {
+// LastList returns the endpoint list that a driver last received, or the first one if the script starts drivers with
+// that.
+func (c *Cluster) LastList(driver int) []byte {
 	a := c.agents[driver]
-	if a.known == nil {
-		a.known = c.List(driver, 0)
+	if a.lastList == nil {
+		a.lastList = c.List(driver, 0)
 	}
-	if a.first == nil {
-		a.first = a.known
+	if a.firstList == nil {
+		a.firstList = a.lastList
 	}
-	if c.script.KnownFirst {
-		return a.first
+	if c.script.StartWithFirstList {
+		return a.firstList
 	}
-	return a.known
+	return a.lastList
 }
 
-// List is what discovery says to a driver: the whole list from 0, else what has changed since.
+// List returns discovery's answer to a driver: the whole list for revision 0, else the changes since that revision.
 func (c *Cluster) List(driver, from int) []byte {
 	type target struct {
 		UID      string  `json:"uid"`
@@ -508,14 +510,14 @@
 	}
 	targets, zones := []target{}, c.script.zoneNames()
 	for _, m := range c.members {
-		if from == 0 || m.listed > from {
-			at := m.at
+		if from == 0 || m.listedRevision > from {
+			at := m.addr
 			if c.Address != nil {
 				at = c.Address(driver, m.number)
 			}
 			targets = append(targets, target{m.model.Name, at.String(), zones[c.script.MemberZone(m.number)], m.group, m.state, 1, int64(m.bootedAt / time.Millisecond)})
 		}
 	}
-	body, _ := json.Marshal(map[string]any{"rev": c.rev, "all": from == 0, "targets": targets})
+	body, _ := json.Marshal(map[string]any{"rev": c.revision, "all": from == 0, "targets": targets})
 	return body
 }
--- a/internal/emu/play/controls.go
+++ b/internal/emu/play/controls.go
@@ -7,53 +7,54 @@
 	"passtack/internal/settings"
 )
 
-// Publication is a configuration that somebody publishes.
+// Publication is a configuration that is published during the run.
 type Publication struct {
 	At   time.Duration
-	From int // the version that it is made from; 0: the one in force then
+	From int // version that it is based on; 0: the one in force at that time
 	Text string
 }
 
-// publishText is the block as HCL has it.
+// publishText is the HCL form of a publish block.
 type publishText struct {
 	At   string `hcl:"at"`
 	From int    `hcl:"from,optional"`
 	Text string `hcl:"text"`
 }
 
-// Control names a control machine by number.
+// Control returns the name of the nth control machine.
 func Control(n int) string { return "c" + strconv.Itoa(n) }
 
-// controls reads how many control machines there are and what is published. Texts that no control machine takes are a mistake; what drivers
-// refuse is not.
-func (t *text) controls(s *Script, span func(path, value string, otherwise time.Duration) time.Duration, wrong func(path, format string, args ...any)) {
+// controls reads the number of control machines and the publications. A text that no control machine accepts is an
+// error; one that drivers refuse is not.
+func (t *scriptText) controls(s *Script, duration func(path, value string, otherwise time.Duration) time.Duration, report func(path, format string, args ...any)) {
 	if s.Controls = t.Fleet.Controls; s.Controls != 0 && s.Controls != 3 {
-		wrong("fleet controls", "%d control machines are not 3", s.Controls)
+		report("fleet controls", "%d control machines, expected 0 or 3", s.Controls)
 	}
 	if s.Controls == 0 && len(t.Publish) > 0 {
-		wrong("publish 1", "there is no control machine")
+		report("publish 1", "requires controls = 3 in the fleet block")
 	}
 	for i, p := range t.Publish {
 		at := "publish " + strconv.Itoa(i+1)
 		if _, err := settings.ParsePublished([]byte(p.Text)); err != nil {
-			wrong(at+" text", "%v", err)
+			report(at+" text", "%v", err)
 		}
-		one := Publication{At: span(at+" at", p.At, 0), From: p.From, Text: p.Text}
+		one := Publication{At: duration(at+" at", p.At, 0), From: p.From, Text: p.Text}
 		if p.From < 0 {
-			wrong(at+" from", "%d is under 0", p.From)
+			report(at+" from", "%d is under 0", p.From)
 		}
 		if one.At > s.Lasts {
-			wrong(at+" at", "%v is after the end", one.At)
+			report(at+" at", "%v is after the end", one.At)
 		}
 		s.Publications = append(s.Publications, one)
 	}
 }
 
-// VersionSample is what a driver, or a control machine, told of the newest version that it has, at some time after the script's start.
+// VersionSample is what a driver or a control machine reported about its newest version, at a time since the script's
+// start.
 type VersionSample struct {
 	At      time.Duration
-	Who     string
-	Version uint64 // in force at a driver, known to count at a control machine
+	Source  string
+	Version uint64 // in force at a driver, committed as far as a control machine knows
 	Refused uint64
 	Why     string
 }
--- a/internal/emu/play/folders.go
+++ b/internal/emu/play/folders.go
@@ -15,13 +15,14 @@
 	"passtack/internal/pcg"
 )
 
-// Folders are those in which the drivers of a script keep what they learn and what they promise, two each.
+// Folders manages the folders in which the drivers of a script store what they learn and their lease promises: two for
+// each driver.
 type Folders struct {
 	root   string
 	chance *pcg.Source
 }
 
-// NewFolders makes empty ones under a folder.
+// NewFolders creates empty folders below root.
 func NewFolders(root string, drivers int, seed uint64) (*Folders, error) {
 	f := &Folders{root, pcg.New(seed)}
 	for i := range drivers {
@@ -34,15 +35,16 @@
 	return f, nil
 }
 
-// Path is where a driver keeps what it learns.
+// Path returns the folder for what a driver learns.
 func (f *Folders) Path(driver int) string { return filepath.Join(f.root, Driver(driver)+"-state") }
 
-// VotesPath is where it keeps what it promises.
+// VotesPath returns the folder for a driver's lease promises.
 func (f *Folders) VotesPath(driver int) string { return filepath.Join(f.root, Driver(driver)+"-votes") }
 
 func (f *Folders) paths(driver int) []string { return []string{f.Path(driver), f.VotesPath(driver)} }
 
-// ConfigurationPath is where every other driver keeps the version in force. It is never treated.
+// ConfigurationPath returns the folder in which every other driver stores the version in force; the rest have none.
+// Faults never alter it.
 func (f *Folders) ConfigurationPath(driver int) (path string, err error) {
 	if driver%2 == 1 {
 		return "", nil
@@ -51,38 +53,38 @@
 	return path, os.MkdirAll(path, 0o700)
 }
 
-// ControlPath is a control machine's folder.
+// ControlPath returns the folder of a control machine.
 func (f *Folders) ControlPath(control int) string {
 	return filepath.Join(f.root, Control(control)+"-folder")
 }
 
-// TreatControl does to it what the script says, before the machine starts.
-func (f *Folders) TreatControl(control int, how string) error {
+// PrepareControl alters the folder of a control machine as the script says, before the machine starts.
+func (f *Folders) PrepareControl(control int, state string) error {
 	path := f.ControlPath(control)
-	return errors.Join(f.treat(path, how), os.MkdirAll(path, 0o700))
+	return errors.Join(f.prepare(path, state), os.MkdirAll(path, 0o700))
 }
 
-func copyOf(path string) string { return path + "-copy" }
+func copyPath(path string) string { return path + "-copy" }
 
-// how a folder is found by the next start.
+// Values of a fault's folder key: the state of the folder at the next start.
 const (
 	keptFolder    = "kept"
 	emptiedFolder = "emptied"
-	olderFolder   = "older"   // as the driver found it when it started last
-	flippedFolder = "flipped" // one bit of one file
-	stalledFolder = "stalled" // the disk does not answer for some seconds
+	olderFolder   = "older"   // as it was at the driver's last start
+	flippedFolder = "flipped" // one bit of one file is flipped
+	stalledFolder = "stalled" // the disk does not answer for stallDuration
 )
 
-// Treat does to a driver's folders what the script says, before it starts again.
-func (f *Folders) Treat(driver int, how string) (err error) {
+// Prepare alters a driver's folders as the script says, before the driver starts again.
+func (f *Folders) Prepare(driver int, state string) (err error) {
 	for _, path := range f.paths(driver) {
-		err = errors.Join(err, f.treat(path, how))
+		err = errors.Join(err, f.prepare(path, state))
 	}
 	return err
 }
 
-func (f *Folders) treat(path, how string) error {
-	switch how {
+func (f *Folders) prepare(path, state string) error {
+	switch state {
 	case emptiedFolder:
 		if err := os.RemoveAll(path); err != nil {
 			return err
@@ -92,7 +94,7 @@
 		if err := os.RemoveAll(path); err != nil {
 			return err
 		}
-		return copyFolder(copyOf(path), path)
+		return copyFolder(copyPath(path), path)
 	case flippedFolder:
 		names, err := filepath.Glob(filepath.Join(path, "*-*"))
 		if err != nil || len(names) == 0 {
@@ -106,14 +108,14 @@
 		text[f.chance.Below(len(text))] ^= 1 << f.chance.Below(8)
 		return os.WriteFile(name, text, 0o600)
 	case stalledFolder:
-		return stall(path)
+		return stallDisk(path)
 	}
 	return nil
 }
 
-// stall puts a pipe where the next snapshot is to be written: who opens it waits for a reader, as on a disk that does not answer, and is told
-// of an error once one has come.
-func stall(path string) error {
+// stallDisk creates a named pipe in place of the next snapshot file. Opening it for writing blocks until a reader opens
+// it, as on a disk that does not answer, and then fails.
+func stallDisk(path string) error {
 	names, err := filepath.Glob(filepath.Join(path, "state-*"))
 	if err != nil {
 		return err
@@ -128,7 +130,7 @@
 	if err := unix.Mkfifo(pipe, 0o600); err != nil {
 		return err
 	}
-	time.AfterFunc(stalls, func() {
+	time.AfterFunc(stallDuration, func() {
 		if f, err := os.OpenFile(pipe, os.O_RDONLY|unix.O_NONBLOCK, 0); err == nil {
 			io.Copy(io.Discard, f)
 			f.Close()
@@ -137,14 +139,14 @@
 	return nil
 }
 
-// stalls is how long a disk does not answer.
-const stalls = 5 * time.Second
+// stallDuration is how long a stalled disk does not answer.
+const stallDuration = 5 * time.Second
 
-// Starts keeps a copy of what a driver finds, to be put back later.
-func (f *Folders) Starts(driver int) (err error) {
+// SaveCopies copies a driver's folders as they are at its start, so that a fault can restore them.
+func (f *Folders) SaveCopies(driver int) (err error) {
 	for _, path := range f.paths(driver) {
-		if err = errors.Join(err, os.RemoveAll(copyOf(path))); err == nil {
-			err = copyFolder(path, copyOf(path))
+		if err = errors.Join(err, os.RemoveAll(copyPath(path))); err == nil {
+			err = copyFolder(path, copyPath(path))
 		}
 	}
 	return err
--- a/internal/emu/play/like.go
+++ b/internal/emu/play/inherit.go
@@ -12,64 +12,66 @@
 	"github.com/zclconf/go-cty/cty"
 )
 
-// several are the blocks of which a script may have any number without names. Those of the script that another is like hold only where that has none.
-var several = map[string]bool{"trouble": true, "surge": true}
+// repeatable are the unnamed block types that may occur any number of times. If a script has any of a type, they
+// replace all of that type in its base script.
+var repeatable = map[string]bool{"trouble": true, "surge": true}
 
 const (
-	likeName  = "like"
-	mostLikes = 4 // scripts on each other
+	baseAttribute = "like"
+	maxBaseDepth  = 4
 )
 
-// body parses a script, and puts it over the one that it is like, if any.
-func body(in []byte, name string, depth int) (*hclsyntax.Body, hcl.Diagnostics) {
+// parseBody parses a script and merges it onto its base script, if it names one with like.
+func parseBody(in []byte, name string, depth int) (*hclsyntax.Body, hcl.Diagnostics) {
 	parsed, diagnostics := hclsyntax.ParseConfig(in, name, hcl.InitialPos)
 	if diagnostics.HasErrors() {
 		return nil, diagnostics
 	}
 	over := parsed.Body.(*hclsyntax.Body)
-	like := over.Attributes[likeName]
+	like := over.Attributes[baseAttribute]
 	if like == nil {
 		return over, diagnostics
 	}
-	delete(over.Attributes, likeName)
+	delete(over.Attributes, baseAttribute)
 	fails := func(format string, args ...any) (*hclsyntax.Body, hcl.Diagnostics) {
 		at := like.Expr.Range()
 		return nil, append(diagnostics, &hcl.Diagnostic{Severity: hcl.DiagError, Summary: "like", Detail: fmt.Sprintf(format, args...), Subject: &at})
 	}
 	value, wrong := like.Expr.Value(nil)
 	if wrong.HasErrors() || !value.Type().Equals(cty.String) || value.IsNull() {
-		return fails("it is no name of a file")
+		return fails("the value is not a file name")
 	}
-	if depth >= mostLikes {
-		return fails("%d scripts on each other are too many", depth+1)
+	if depth >= maxBaseDepth {
+		return fails("%d levels of base scripts are too many", depth+1)
 	}
 	file := filepath.Join(filepath.Dir(name), value.AsString())
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return fails("%v", err)
 	}
-	base, more := body(text, file, depth+1)
+	base, more := parseBody(text, file, depth+1)
 	if diagnostics = append(diagnostics, more...); diagnostics.HasErrors() {
 		return nil, diagnostics
 	}
-	onto(base, over)
+	mergeBody(base, over)
 	return base, diagnostics
 }
 
-// onto puts a body over another: attributes go over those of the same name, blocks onto those of the same kind and name.
-func onto(base, over *hclsyntax.Body) {
+// mergeBody merges a body onto a base: attributes replace those of the same name, and blocks are merged with those of
+// the same type and labels.
+func mergeBody(base, over *hclsyntax.Body) {
 	maps.Copy(base.Attributes, over.Attributes)
 	replaced := make(map[string]bool)
 	for _, b := range over.Blocks {
-		if several[b.Type] && !replaced[b.Type] {
+		if repeatable[b.Type] && !replaced[b.Type] {
 			replaced[b.Type] = true
 			base.Blocks = slices.DeleteFunc(base.Blocks, func(o *hclsyntax.Block) bool { return o.Type == b.Type })
 		}
 		i := slices.IndexFunc(base.Blocks, func(o *hclsyntax.Block) bool { return o.Type == b.Type && slices.Equal(o.Labels, b.Labels) })
-		if several[b.Type] || i < 0 {
+		if repeatable[b.Type] || i < 0 {
 			base.Blocks = append(base.Blocks, b)
 		} else {
-			onto(base.Blocks[i].Body, b.Body)
+			mergeBody(base.Blocks[i].Body, b.Body)
 		}
 	}
 }
--- a/internal/emu/play/like_test.go
+++ b/internal/emu/play/inherit_test.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// A script that is like another has what that has, but for what it says itself; mistakes are named where they stand.
-func TestScriptsBuildOnAnother(t *testing.T) {
+// A script with a base must have everything of the base except what it sets itself, and errors must name the file and
+// line at fault.
+func TestScriptsInheritFromBase(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) string {
 		path := filepath.Join(dir, name)
@@ -66,17 +67,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Drivers != 4 || s.Members != 3 || s.Lasts != 5*time.Second || len(s.Methods) != 2 || s.Methods[0].Soft != 500*time.Millisecond || s.Methods[0].Limit != 2*time.Second ||
-		len(s.Surges) != 1 || len(s.Troubles) != 1 || s.Troubles[0].Kind != "pause" || s.LeastOK != 0.9 {
+	if s.Drivers != 4 || s.Members != 3 || s.Lasts != 5*time.Second || len(s.Methods) != 2 || s.Methods[0].SoftDeadline != 500*time.Millisecond || s.Methods[0].Limit != 2*time.Second ||
+		len(s.Surges) != 1 || len(s.Faults) != 1 || s.Faults[0].Kind != "pause" || s.MinOK != 0.9 {
 		t.Errorf("%+v", s)
 	}
-	if again, err := ReadScript(write("third.hcl", "like = \"over.hcl\"\nlasts = \"9s\"\n")); err != nil || again.Lasts != 9*time.Second || again.Drivers != 4 || again.Troubles[0].Kind != "pause" {
-		t.Errorf("one on one on another: %+v, %v", again, err)
+	if again, err := ReadScript(write("third.hcl", "like = \"over.hcl\"\nlasts = \"9s\"\n")); err != nil || again.Lasts != 9*time.Second || again.Drivers != 4 || again.Faults[0].Kind != "pause" {
+		t.Errorf("a base with a base: %+v, %v", again, err)
 	}
 	for text, want := range map[string]string{
 		"like = \"nobody.hcl\"\n": "nobody.hcl: no such file",
-		"like = 7\n":              "it is no name of a file",
-		"like = \"self.hcl\"\n":   "scripts on each other are too many",
+		"like = 7\n":              "the value is not a file name",
+		"like = \"self.hcl\"\n":   "5 levels of base scripts are too many",
 		"like = \"base.hcl\"\nfleet { drivers = 900 }\n": "self.hcl:2: fleet drivers: 900 is not from 1 to 500",
 		"like = \"base.hcl\"\nfleet { divers = 9 }\n":    "self.hcl:2:9: Unsupported argument",
 		"like = \"bad.hcl\"\n":                           "bad.hcl:3: fleet drivers: -3 is not from 1 to 500",
--- a/internal/emu/play/leases.go
+++ b/internal/emu/play/leases.go
@@ -9,17 +9,17 @@
 	"time"
 )
 
-// Leases are what the drivers of a script do by leases.
+// Leases describes the leases of a script and the tasks of their holders.
 type Leases struct {
-	Voters  []int // drivers
-	Askers  []int // drivers that do the tasks when they hold; empty: all
+	Voters  []int // numbers of drivers
+	Askers  []int // drivers that do the tasks when they hold a lease; empty: all
 	Lasts   time.Duration
-	Summary time.Duration // how often the holder brings one; 0: never
-	Watch   bool          // one watches discovery for all
-	Folders bool          // voters keep their promises
+	Summary time.Duration // interval at which the holder sends a summary; 0: never
+	Watch   bool          // one driver watches discovery for all
+	Folders bool          // voters store their promises
 }
 
-// leasesText is the block as HCL has it.
+// leasesText is the HCL form of the leases block.
 type leasesText struct {
 	Voters  []int  `hcl:"voters"`
 	Askers  []int  `hcl:"askers,optional"`
@@ -29,46 +29,46 @@
 	Folders bool   `hcl:"folders,optional"`
 }
 
-func (t *leasesText) read(s *Script, span func(path, value string, otherwise time.Duration) time.Duration, wrong func(path, format string, args ...any)) *Leases {
-	l := &Leases{Voters: t.Voters, Askers: t.Askers, Lasts: span("leases lasts", t.Lasts, 2*time.Second), Summary: span("leases summary", t.Summary, 0), Watch: t.Watch, Folders: t.Folders}
+func (t *leasesText) read(s *Script, duration func(path, value string, otherwise time.Duration) time.Duration, report func(path, format string, args ...any)) *Leases {
+	l := &Leases{Voters: t.Voters, Askers: t.Askers, Lasts: duration("leases lasts", t.Lasts, 2*time.Second), Summary: duration("leases summary", t.Summary, 0), Watch: t.Watch, Folders: t.Folders}
 	if n := len(l.Voters); n != 3 && n != 5 && n != 7 {
-		wrong("leases voters", "%d are neither three nor five nor seven", n)
+		report("leases voters", "%d voters, expected 3, 5 or 7", n)
 	}
 	for i, n := range l.Voters {
 		if n < 0 || n >= s.Drivers || slices.Contains(l.Voters[:i], n) {
-			wrong("leases voters", "there is no driver %d, or it is named twice", n)
+			report("leases voters", "there is no driver %d, or it is named twice", n)
 		}
 	}
 	for _, n := range l.Askers {
 		if n < 0 || n >= s.Drivers {
-			wrong("leases askers", "there is no driver %d", n)
+			report("leases askers", "there is no driver %d", n)
 		}
 	}
 	if !s.Peers {
-		wrong("leases", "drivers do not talk: the fleet has no peers = true")
+		report("leases", "requires peers = true in the fleet block")
 	}
 	return l
 }
 
-// Electorate is who votes at some time.
+// Electorate is the set of voters at some time.
 type Electorate struct {
 	Version        int
 	Voters, Former []int
 }
 
-// Places are those that a driver's own operator's file names.
-type Places struct {
-	State, Votes     string // folders; "": none
-	Control, Witness netip.AddrPort
-	Machines         []netip.AddrPort // control machines that hand out configurations; none: none are asked
-	Configuration    string           // folder for what they say; "": none
+// OperatorParams are the folders and addresses in a driver's own operator's file.
+type OperatorParams struct {
+	State, Votes           string // folders; empty: none
+	Control, FencingServer netip.AddrPort
+	Machines               []netip.AddrPort // control machines that provide configurations; empty: none
+	Configuration          string           // folder for configurations from the control machines; empty: none
 }
 
-// OwnFile tells whether each driver has an operator's file of its own.
+// OwnFile reports whether each driver has an operator's file of its own.
 func (s *Script) OwnFile() bool { return s.Folders || s.Leases != nil || s.View > 0 || s.Controls > 0 }
 
-// OperatorText is the operator's file of one driver: what the script gives all of them, and its own places.
-func (s *Script) OperatorText(driver int, at Places, by Electorate) ([]byte, error) {
+// OperatorText returns the operator's file of one driver: the script's common file and the driver's own parameters.
+func (s *Script) OperatorText(driver int, at OperatorParams, by Electorate) ([]byte, error) {
 	var text []byte
 	if s.Operator != "" {
 		var err error
@@ -101,16 +101,16 @@
 		text = append(text, "}\n"...)
 	}
 	if l := s.Leases; l != nil {
-		text = fmt.Appendf(text, "\nleases {\n  fleet = \"rehearsal\"\n  version = %d\n  voters = [%s]\n  lasts = %q\n  longest = %q\n", by.Version, names(by.Voters), l.Lasts, l.Lasts)
+		text = fmt.Appendf(text, "\nleases {\n  fleet = \"rehearsal\"\n  version = %d\n  voters = [%s]\n  lasts = %q\n  longest = %q\n", by.Version, quotedNames(by.Voters), l.Lasts, l.Lasts)
 		if by.Former != nil {
-			text = fmt.Appendf(text, "  former = [%s]\n", names(by.Former))
+			text = fmt.Appendf(text, "  former = [%s]\n", quotedNames(by.Former))
 		}
 		if at.Votes != "" {
 			text = fmt.Appendf(text, "  folder = %q\n", at.Votes)
 		}
 		asks := len(l.Askers) == 0 || slices.Contains(l.Askers, driver)
 		if l.Summary > 0 && asks {
-			text = fmt.Appendf(text, "  task \"summary\" {\n    every = %q\n    to = %q\n  }\n", l.Summary, at.Witness)
+			text = fmt.Appendf(text, "  task \"summary\" {\n    every = %q\n    to = %q\n  }\n", l.Summary, at.FencingServer)
 		}
 		if l.Watch && asks {
 			text = append(text, "  task \"watch-discovery\" {}\n"...)
@@ -120,7 +120,7 @@
 	return text, nil
 }
 
-func names(drivers []int) string {
+func quotedNames(drivers []int) string {
 	var all []string
 	for _, n := range drivers {
 		all = append(all, fmt.Sprintf("%q", Driver(n)))
--- a/internal/emu/play/leases_test.go
+++ b/internal/emu/play/leases_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// A holder that loses its lease again and again and has it back soon acts as often as it is to, not once more for each time.
-func TestAHolderThatIsBackActsAsOftenAsBefore(t *testing.T) {
+// Guards against a task timer for each term: a holder that loses its lease repeatedly and soon has it back must send
+// summaries at the configured interval.
+func TestReturningLeaseHolderKeepsSummaryInterval(t *testing.T) {
 	text := `lasts = "40s"
 fleet {
   drivers = 4
@@ -43,12 +44,12 @@
 		t.Fatal(err)
 	}
 	acts := 0
-	for _, a := range r.Witness.Acts {
-		if a.Came >= epoch+19*time.Second && a.Came < epoch+37*time.Second {
+	for _, a := range r.FencingServer.Requests {
+		if a.ReceivedAt >= epoch+19*time.Second && a.ReceivedAt < epoch+37*time.Second {
 			acts++
 		}
 	}
-	if terms := r.Witness.Terms(); terms < 3 || acts < 5 || acts > 7 || len(r.Broken) > 0 {
+	if terms := r.FencingServer.Terms(); terms < 3 || acts < 5 || acts > 7 || len(r.Broken) > 0 {
 		t.Errorf("%d terms, %d acts in eighteen seconds, %v", terms, acts, r.Broken)
 	}
 }
--- a/internal/emu/play/network.go
+++ b/internal/emu/play/network.go
@@ -8,37 +8,37 @@
 	"time"
 )
 
-// Condition is how bytes go one way between two places of a script, beside what is usual.
+// Condition is how bytes travel in one direction between two nodes, relative to the usual link.
 type Condition struct {
 	Cut, Refuse           bool
 	Delay, Jitter         time.Duration
-	Loss, Double, Reorder float64       // parts of the pieces; the last two of datagrams only
-	Late                  time.Duration // what is doubled or overtaken comes later by that at most
-	Rate                  int           // bytes a second of each stream, 0: as many as come
+	Loss, Double, Reorder float64       // probability per packet; the last two for datagrams only
+	MaxExtraDelay         time.Duration // largest delay of duplicates and of packets that others overtake
+	Rate                  int           // bytes per second of each stream, 0: no limit
 }
 
-// Road is a way on which one place calls another.
-type Road struct{ From, To string }
+// Link is a pair of nodes of which the first calls the second.
+type Link struct{ From, To string }
 
-// Names of places that are no driver d0, d1, ..., no member m0, m1, ... and no control machine c0, c1, ...
+// Names of nodes other than drivers d0, d1, ..., members m0, m1, ... and control machines c0, c1, ...
 const (
-	toDiscovery = "discovery"
-	fromClients = "clients"
+	discoveryNode = "discovery"
+	clientsNode   = "clients"
 )
 
-// Driver and Member name places by number.
+// Driver returns the name of the nth driver.
 func Driver(n int) string { return "d" + strconv.Itoa(n) }
 
 // Member returns the name of the nth member.
 func Member(n int) string { return "m" + strconv.Itoa(n) }
 
-// DriverZone and MemberZone number zones by what is in them. First primaries are spread over them too.
+// DriverZone returns the zone of the nth driver.
 func (s *Script) DriverZone(n int) int { return n % s.Zones }
 
-// MemberZone returns the zone of the nth member.
+// MemberZone returns the zone of the nth member. The first primaries of the groups are spread over the zones too.
 func (s *Script) MemberZone(n int) int { return (n + n/s.Members) % s.Zones }
 
-// zoneNames are those of all zones.
+// zoneNames returns the names of all zones.
 func (s *Script) zoneNames() (names []string) {
 	for z := range s.Zones {
 		names = append(names, string(rune('a'+z)))
@@ -46,37 +46,38 @@
 	return names
 }
 
-// Roads are all ways that a fleet of the script has.
-func (s *Script) Roads() (roads []Road) {
+// Links returns all links of the script's fleet.
+func (s *Script) Links() (links []Link) {
 	for d := range s.Drivers {
-		roads = append(roads, Road{fromClients, Driver(d)}, Road{Driver(d), toDiscovery})
+		links = append(links, Link{clientsNode, Driver(d)}, Link{Driver(d), discoveryNode})
 		for m := range s.Groups * s.Members {
-			roads = append(roads, Road{Driver(d), Member(m)})
+			links = append(links, Link{Driver(d), Member(m)})
 		}
 		for o := range s.Drivers {
 			if o != d {
-				roads = append(roads, Road{Driver(d), Driver(o)})
+				links = append(links, Link{Driver(d), Driver(o)})
 			}
 		}
 		for c := range s.Controls {
-			roads = append(roads, Road{Driver(d), Control(c)})
+			links = append(links, Link{Driver(d), Control(c)})
 		}
 	}
 	for c := range s.Controls {
 		for o := range s.Controls {
 			if o != c {
-				roads = append(roads, Road{Control(c), Control(o)})
+				links = append(links, Link{Control(c), Control(o)})
 			}
 		}
 	}
-	return roads
+	return links
 }
 
-// places reads a name or a range of places: d3, d0..5, drivers, m1, m0..3, members, c0, controls, discovery, clients.
-func (s *Script) places(text string) (names []string, err error) {
+// readNodes expands a node name or a range of them: d3, d0..5, drivers, m1, m0..3, members, c0, controls, discovery,
+// clients.
+func (s *Script) readNodes(text string) (names []string, err error) {
 	all := map[byte]int{'d': s.Drivers, 'm': s.Groups * s.Members, 'c': s.Controls}
 	switch text {
-	case toDiscovery, fromClients:
+	case discoveryNode, clientsNode:
 		return []string{text}, nil
 	case "controls":
 		text = fmt.Sprintf("c0..%d", all['c']-1)
@@ -95,7 +96,7 @@
 	from, bad := strconv.Atoi(low)
 	to, worse := strconv.Atoi(high)
 	if bad != nil || worse != nil || from < 0 || to < from || to >= all[text[0]] {
-		return nil, fmt.Errorf("%q names places that there are not: the last is %c%d", text, text[0], all[text[0]]-1)
+		return nil, fmt.Errorf("%q names nodes that do not exist: the last is %c%d", text, text[0], all[text[0]]-1)
 	}
 	for n := from; n <= to; n++ {
 		names = append(names, text[:1]+strconv.Itoa(n))
@@ -103,16 +104,17 @@
 	return names, nil
 }
 
-// acts tells whether a trouble is felt at a time after the script's start; one that flaps is felt every other while.
-func (t *Trouble) acts(at time.Duration) bool {
+// activeAt reports whether the fault is in effect at a time after the script's start. One with a period is in effect
+// in every other period.
+func (t *Fault) activeAt(at time.Duration) bool {
 	if at < t.At || at >= t.At+t.Lasts {
 		return false
 	}
 	return t.Every == 0 || (at-t.At)/t.Every%2 == 0
 }
 
-// touches tells whether a trouble of links is about what goes from one place to another.
-func (t *Trouble) touches(from, to string) bool {
+// affects reports whether a link fault concerns data from one node to another.
+func (t *Fault) affects(from, to string) bool {
 	if t.Kind == "partition" {
 		apart, placed := true, 0
 		for _, island := range t.Islands {
@@ -130,11 +132,11 @@
 		!t.OneWay && slices.Contains(t.To, from) && slices.Contains(t.From, to)
 }
 
-// Between tells how bytes go from one place to another at a time after the script's start.
+// Between returns the condition from one node to another at a time after the script's start.
 func (s *Script) Between(at time.Duration, from, to string) (c Condition) {
-	for i := range s.Troubles {
-		t := &s.Troubles[i]
-		if kinds[t.Kind].about != "link" || !t.acts(at) || !t.touches(from, to) {
+	for i := range s.Faults {
+		t := &s.Faults[i]
+		if faultKinds[t.Kind].target != "link" || !t.activeAt(at) || !t.affects(from, to) {
 			continue
 		}
 		switch t.Kind {
@@ -147,9 +149,9 @@
 		case "delay":
 			c.Delay, c.Jitter = c.Delay+t.By, c.Jitter+t.Jitter
 		case "double":
-			c.Double, c.Late = max(c.Double, min(t.Times, 1)), max(c.Late, t.By)
+			c.Double, c.MaxExtraDelay = max(c.Double, min(t.Times, 1)), max(c.MaxExtraDelay, t.By)
 		case "reorder":
-			c.Reorder, c.Late = max(c.Reorder, min(t.Times, 1)), max(c.Late, t.By)
+			c.Reorder, c.MaxExtraDelay = max(c.Reorder, min(t.Times, 1)), max(c.MaxExtraDelay, t.By)
 		case "thin":
 			if c.Rate == 0 || t.Rate < c.Rate {
 				c.Rate = t.Rate
@@ -159,24 +161,24 @@
 	return c
 }
 
-// Resets tells whether streams on a road are reset at a time.
-func (s *Script) Resets(at time.Duration, r Road) bool {
-	return slices.ContainsFunc(s.Troubles, func(t Trouble) bool {
-		return t.Kind == "reset" && t.At == at && t.touches(r.From, r.To)
+// ResetAt reports whether streams on a link are reset at a time.
+func (s *Script) ResetAt(at time.Duration, l Link) bool {
+	return slices.ContainsFunc(s.Faults, func(t Fault) bool {
+		return t.Kind == "reset" && t.At == at && t.affects(l.From, l.To)
 	})
 }
 
-// Edges are the times at which a link changes, in order.
-func (s *Script) Edges() (edges []time.Duration) {
-	for _, t := range s.Troubles {
-		if kinds[t.Kind].about != "link" {
+// LinkChangeTimes returns the times at which the condition of a link changes, in order.
+func (s *Script) LinkChangeTimes() (times []time.Duration) {
+	for _, t := range s.Faults {
+		if faultKinds[t.Kind].target != "link" {
 			continue
 		}
-		edges = append(edges, t.At, t.At+t.Lasts)
+		times = append(times, t.At, t.At+t.Lasts)
 		for at := t.At + t.Every; t.Every > 0 && at < t.At+t.Lasts; at += t.Every {
-			edges = append(edges, at)
+			times = append(times, at)
 		}
 	}
-	slices.Sort(edges)
-	return slices.Compact(edges)
+	slices.Sort(times)
+	return slices.Compact(times)
 }
--- a/internal/emu/play/play_test.go
+++ b/internal/emu/play/play_test.go
@@ -10,7 +10,7 @@
 	"passtack/internal/emu"
 )
 
-func quiet() { slog.SetDefault(slog.New(slog.DiscardHandler)) }
+func discardLogs() { slog.SetDefault(slog.New(slog.DiscardHandler)) }
 
 func script(t *testing.T, name string) *Script {
 	t.Helper()
@@ -21,12 +21,12 @@
 	return s
 }
 
-// Each rehearsal keeps the rules and meets what is expected of it, and the same seed gives the same course.
+// Each rehearsal must meet its expectations and keep the rules, and the same seed must give the same result.
 func TestRehearsals(t *testing.T) {
-	quiet()
+	discardLogs()
 	names, _ := filepath.Glob("../../../deploy/rehearsals/*.hcl")
 	if len(names) < 4 {
-		t.Fatalf("there are %d", len(names))
+		t.Fatalf("found %d rehearsals", len(names))
 	}
 	for _, name := range names {
 		t.Run(filepath.Base(name), func(t *testing.T) {
@@ -45,28 +45,28 @@
 				t.Errorf("%v, digests %x and %x", err, r.Digest, again.Digest)
 			}
 			if other, _ := Rehearse(s, 2); other.Digest == r.Digest {
-				t.Error("another seed gives the same course")
+				t.Error("another seed gives the same digest")
 			}
 		})
 	}
 }
 
-// The checker is seen to fail where a rule's guard is taken out: members that do not drop repeats, that bear less while
-// cold than drivers are told, that answer from whatever they have, and a drain that drivers hear of too late.
-func TestBrokenRulesShow(t *testing.T) {
-	quiet()
+// Guards against a check that finds nothing: each case removes what keeps a rule, namely deduplication at members, the
+// capacity of cold members that drivers are told of, reads that wait for the log, and the grace period after a drain.
+func TestRehearsalsDetectRuleViolations(t *testing.T) {
+	discardLogs()
 	for want, c := range map[string]struct {
 		script string
 		spoil  func(s *Script)
 	}{
 		"rule 2": {"hung-or-dead.hcl", func(s *Script) {
-			s.Build.Window, s.Retries = 0, 8
+			s.MemberSpec.DedupWindow, s.Retries = 0, 8
 			s.method("apply-write").Limit, s.method("apply-write").Window = 300*time.Millisecond, 5*time.Second
-			s.Troubles[0].Kind, s.Troubles[0].Times, s.Troubles[0].Lasts = "slow", 100, 300*time.Millisecond
+			s.Faults[0].Kind, s.Faults[0].Times, s.Faults[0].Lasts = "slow", 100, 300*time.Millisecond
 		}},
 		"rule 3": {"rolling-deploy.hcl", func(s *Script) { s.Grace = -s.Grace * 100 }},
-		"rule 4": {"rolling-deploy.hcl", func(s *Script) { s.Build.Multiple = 0.02 }},
-		"rule 5": {"offer-week.hcl", func(s *Script) { s.Build.Blind, s.Build.Lies, s.Troubles[0].Times = true, true, 2000 }},
+		"rule 4": {"rolling-deploy.hcl", func(s *Script) { s.MemberSpec.ColdMultiple = 0.02 }},
+		"rule 5": {"offer-week.hcl", func(s *Script) { s.MemberSpec.ServesStale, s.MemberSpec.Lies, s.Faults[0].Times = true, true, 2000 }},
 	} {
 		s := script(t, c.script)
 		c.spoil(s)
@@ -79,12 +79,12 @@
 			found = found || strings.HasPrefix(b, want)
 		}
 		if !found {
-			t.Errorf("%s does not break: %v", want, r.Broken[:min(len(r.Broken), 3)])
+			t.Errorf("%s is not reported: %v", want, r.Broken[:min(len(r.Broken), 3)])
 		}
 	}
 }
 
-func TestMistakesInScripts(t *testing.T) {
+func TestScriptErrors(t *testing.T) {
 	const good = "lasts = \"5s\"\nfleet {\n  drivers = 1\n  members = 3\n}\nload {\n  rate = 10\n  method \"a\" {\n    need  = \"any\"\n" +
 		"    work  = \"1ms..2ms\"\n    soft  = \"1s\"\n    limit = \"2s\"\n    share = 1\n  }\n}\ntrouble \"kill\" {\n  at = \"1s\"\n  on = [0]\n}\n"
 	if _, err := ParseScript([]byte(good), "x.hcl"); err != nil {
@@ -108,14 +108,14 @@
 		{`members = 3`, "members = 3\n  groups = -2", `fleet groups: -2 is not from 1 to 1100`},
 		{`members = 3`, "members = 2\n  groups = 1101", `fleet groups: 1101 is not from 1 to 1100`},
 		{"\"kill\" {\n  at = \"1s\"\n  on = [0]", "\"cut\" {\n  at = \"1s\"\n  every = \"1ns\"\n  on = [0]", `trouble 1 every: 1ns is under 10ms`},
-		{`on = [0]`, `rate = 5`, `x.hcl:18: trouble 1 rate: kill has no use for it`},
-		{`on = [0]`, `from = ["drivers"]`, `kill has no use for from and to`},
-		{"\"kill\" {\n  at = \"1s\"\n  on = [0]", "\"cut\" {\n  at = \"1s\"\n  from = [\"d0\"]\n  to = [\"m0..3\"]", `trouble 1 to: "m0..3" names places that there are not: the last is m2`},
+		{`on = [0]`, `rate = 5`, `x.hcl:18: trouble 1 rate: kill does not take this key`},
+		{`on = [0]`, `from = ["drivers"]`, `kill does not take from and to`},
+		{"\"kill\" {\n  at = \"1s\"\n  on = [0]", "\"cut\" {\n  at = \"1s\"\n  from = [\"d0\"]\n  to = [\"m0..3\"]", `trouble 1 to: "m0..3" names nodes that do not exist: the last is m2`},
 		{"\"kill\" {\n  at = \"1s\"\n  on = [0]", "\"cut\" {\n  at = \"1s\"\n  from = [\"d0\"]\n  to = [\"people\"]", `"people" is none of d0, d0..5`},
 		{"\"kill\" {\n  at = \"1s\"\n  on = [0]", "\"cut\" {\n  at = \"1s\"", `on is missing, or from and to`},
 		{"\"kill\" {\n  at = \"1s\"\n  on = [0]", "\"thin\" {\n  at = \"1s\"\n  on = [0]", `rate is missing or too small`},
 		{"\"kill\" {\n  at = \"1s\"\n  on = [0]", "\"partition\" {\n  at = \"1s\"\n  islands = [[\"d0\"]]", `islands is missing or too small`},
-		{"\"kill\" {\n  at = \"1s\"\n  on = [0]", "\"driver_kill\" {\n  at = \"1s\"\n  times = 3\n  every = \"500ms\"\n  on = [0]", `trouble 1: 3 times every 500ms, each for 1s, is no whole`},
+		{"\"kill\" {\n  at = \"1s\"\n  on = [0]", "\"driver_kill\" {\n  at = \"1s\"\n  times = 3\n  every = \"500ms\"\n  on = [0]", `trouble 1: 3 times every 500ms, each for 1s: times must be a whole number`},
 		{"\"kill\" {\n  at = \"1s\"\n  on = [0]", "\"driver_kill\" {\n  at = \"1s\"\n  folder = \"lost\"\n  on = [0]", `folder: "lost" is none of kept, emptied, older, flipped and stalled`},
 		{`members = 3`, "members = 3\n  older = [4]", `fleet older: there is no driver 4`},
 		{`rate = 10`, "rate = 10\n  route = \"away\"", `load route: "away" is none of fixed, stay and spread`},
@@ -148,7 +148,7 @@
 }
 `
 
-// What a script says of links holds between the places that it names, in the direction and at the times that it says.
+// Link faults must hold between the named nodes, in the given direction and at the given times only.
 func TestConditionsOfLinks(t *testing.T) {
 	s, err := ParseScript([]byte(fourDrivers+`
 trouble "cut" {
@@ -197,23 +197,23 @@
 			t.Errorf("at %v from %s to %s: %+v", c.at, c.from, c.to, got)
 		}
 	}
-	if edges := s.Edges(); len(edges) != 10 || edges[0] != time.Second || edges[len(edges)-1] != 4*time.Second {
+	if edges := s.LinkChangeTimes(); len(edges) != 10 || edges[0] != time.Second || edges[len(edges)-1] != 4*time.Second {
 		t.Errorf("edges %v", edges)
 	}
-	if roads := s.Roads(); len(roads) != 4*(1+1+3+3) {
-		t.Errorf("%d roads", len(roads))
+	if links := s.Links(); len(links) != 4*(1+1+3+3) {
+		t.Errorf("%d links", len(links))
 	}
 }
 
-// Whole drivers in simulated time feel what is said of their links, and nobody else does.
+// Link faults must affect drivers in simulated time on the named links only.
 func TestLinksInSimulatedTime(t *testing.T) {
-	quiet()
+	discardLogs()
 	for name, c := range map[string]struct {
 		more string
 		fits func(r *Result) bool
 	}{
 		"cut off":  {`on = [1]`, func(r *Result) bool { return r.Answers["pushed back"] > 10 }},
-		"refused":  {"from = [\"clients\"]\n  to = [\"d2\"]", func(r *Result) bool { return r.Flow.Part(0, 0, 5*time.Second) == 1 }},
+		"refused":  {"from = [\"clients\"]\n  to = [\"d2\"]", func(r *Result) bool { return r.UtilitySeries.ServedShare(0, 0, 5*time.Second) == 1 }},
 		"late":     {"from = [\"clients\"]\n  to = [\"d0\"]\n  by = \"300ms\"", func(r *Result) bool { return r.Latency(95) > 500 && r.Latency(30) < 100 }},
 		"no list":  {"from = [\"drivers\"]\n  to = [\"discovery\"]", func(r *Result) bool { return r.Utility > 0.99 }},
 		"thin":     {"from = [\"clients\"]\n  to = [\"d0\"]\n  rate = 400", func(r *Result) bool { return r.Latency(95) > 300 }},
@@ -238,31 +238,31 @@
 	}
 }
 
-// The measures of a return: when service was whole, what was lost, and the busiest seconds before and after.
-func TestReturns(t *testing.T) {
-	r := Result{Script: &Script{Lasts: 12 * time.Second}, Ledger: emu.NewLedger(0), Flow: newFlow(2)}
-	for at := time.Duration(0); at < 12*time.Second; at += piece {
+// Checks the evaluation of an outage: time to recovery, lost service, and the highest loads before and after.
+func TestRecoveries(t *testing.T) {
+	r := Result{Script: &Script{Lasts: 12 * time.Second}, Ledger: emu.NewLedger(0), UtilitySeries: newUtilitySeries(2)}
+	for at := time.Duration(0); at < 12*time.Second; at += sliceLength {
 		part := 1.0
 		if at >= 4*time.Second && at < 5500*time.Millisecond {
 			part = 0.2
 		}
 		for d := range 2 {
-			r.Flow.asked(at, d, 10)
-			r.Flow.got(at, d, 10*part)
+			r.UtilitySeries.asked(at, d, 10)
+			r.UtilitySeries.got(at, d, 10*part)
 		}
 		r.Ledger.Add(emu.Connects, "m0", at, 1)
 		if at >= 5*time.Second && at < 6*time.Second {
 			r.Ledger.Add(emu.Connects, "m1", at, 5)
 		}
 	}
-	var falls Falls
-	falls.Gone(0, 4*time.Second)
-	falls.Gone(1, 4100*time.Millisecond)
-	falls.Back(0, 4800*time.Millisecond)
-	falls.Back(1, 5*time.Second)
-	falls.Back(1, 9*time.Second)
-	r.Falls = falls.all
-	back := r.Returns()
+	var outages Outages
+	outages.DriverDown(0, 4*time.Second)
+	outages.DriverDown(1, 4100*time.Millisecond)
+	outages.DriverUp(0, 4800*time.Millisecond)
+	outages.DriverUp(1, 5*time.Second)
+	outages.DriverUp(1, 9*time.Second)
+	r.Outages = outages.all
+	back := r.Recoveries()
 	if len(back) != 1 || back[0].Up != 5*time.Second || back[0].Whole != 500*time.Millisecond || len(back[0].Drivers) != 2 || back[0].Level != 1 {
 		t.Fatalf("%+v", back)
 	}
@@ -274,24 +274,25 @@
 	}
 }
 
-// Drivers keep what they learn and all are killed. Where other members are primary when they are back, no write goes to the former ones on
-// what is recalled alone but the scouts', one for each driver and group. Where it has not moved since, what was kept finds it at once.
-func TestNoWriteOnStaleBelief(t *testing.T) {
-	quiet()
-	play := func(folders bool, moves time.Duration) Return {
+// All drivers are killed and restart with stored state. If the primaries changed meanwhile, stored state alone must
+// not send writes to the former ones, except for one exploratory write for each driver and group. If they did not
+// change, stored state must lead to them at once.
+func TestStoredStateSendsNoWritesToFormerPrimaries(t *testing.T) {
+	discardLogs()
+	play := func(folders bool, moves time.Duration) Recovery {
 		s, err := ReadScript("../../../deploy/drills/primary-moved.hcl")
 		if err != nil {
 			t.Fatal(err)
 		}
 		s.Rate, s.Folders, s.SaveEvery = 300, folders, 200*time.Millisecond
-		s.Election.Notice, s.Election.Takeover = [2]time.Duration{300 * time.Millisecond, 300 * time.Millisecond}, [2]time.Duration{300 * time.Millisecond, 300 * time.Millisecond}
-		s.Troubles[0].Folder, s.Troubles[0].Lasts = keptFolder, 2*time.Second
-		s.Troubles[1].At, s.Troubles[1].Lasts = moves, 1500*time.Millisecond
+		s.Election.Detection, s.Election.Takeover = [2]time.Duration{300 * time.Millisecond, 300 * time.Millisecond}, [2]time.Duration{300 * time.Millisecond, 300 * time.Millisecond}
+		s.Faults[0].Folder, s.Faults[0].Lasts = keptFolder, 2*time.Second
+		s.Faults[1].At, s.Faults[1].Lasts = moves, 1500*time.Millisecond
 		r, err := Rehearse(s, 3)
 		if err != nil {
 			t.Fatal(err)
 		}
-		back := r.Returns()[0]
+		back := r.Recoveries()[0]
 		if len(r.Broken) > 0 || back.Whole < 0 || back.Whole > 2*time.Second {
 			t.Errorf("rules broken %d, service is whole after %v", len(r.Broken), back.Whole)
 		}
@@ -302,6 +303,6 @@
 	}
 	with, without := play(true, 500*time.Millisecond), play(false, 500*time.Millisecond)
 	if t.Logf("%.0f writes at former primaries with folders, %.0f without", with.Stale, without.Stale); with.Stale > 2 || without.Stale < 5 {
-		t.Error("what was kept does not find the primary")
+		t.Error("stored state does not lead to the primary")
 	}
 }
--- a/internal/emu/play/changes_test.go
+++ b/internal/emu/play/primary_changes_test.go
@@ -7,9 +7,10 @@
 	"time"
 )
 
-// A change is told with each driver's first write at the new primary: after the group had it, and never of one that is cut off from it.
+// A change of primary must report each driver's first write at the new primary, after the group's election, and none
+// for a driver that cannot reach it.
 func TestChangesOfPrimary(t *testing.T) {
-	quiet()
+	discardLogs()
 	s, err := ParseScript([]byte(`lasts = "12s"
 fleet {
   drivers = 4
@@ -55,12 +56,12 @@
 		t.Errorf("%+v", c)
 	}
 	for d := range 3 {
-		if c.First[d] <= c.Waited[d] || c.Waited[d] < c.At || c.First[d] > c.At+time.Second {
-			t.Errorf("driver %d: its first write ran at %v, waited for since %v; the group had a primary at %v", d, c.First[d], c.Waited[d], c.At)
+		if c.FirstWrite[d] <= c.WaitedSince[d] || c.WaitedSince[d] < c.At || c.FirstWrite[d] > c.At+time.Second {
+			t.Errorf("driver %d: its first write ran at %v, waited for since %v; the group had a primary at %v", d, c.FirstWrite[d], c.WaitedSince[d], c.At)
 		}
 	}
-	if c.First[3] >= 0 || c.Waited[3] < c.At {
-		t.Errorf("a driver that was cut off wrote at %v, waited for since %v", c.First[3], c.Waited[3])
+	if c.FirstWrite[3] >= 0 || c.WaitedSince[3] < c.At {
+		t.Errorf("a driver that was cut off wrote at %v, waited for since %v", c.FirstWrite[3], c.WaitedSince[3])
 	}
 	second := int(c.At / time.Second)
 	if seen := r.Ledger.Sum("attempts", second, second+2); c.Attempts < 100 || float64(c.Attempts) > seen || c.Connects < 3 || c.Connects > c.Attempts {
@@ -68,18 +69,19 @@
 	}
 }
 
-// What dead drivers had is shared out evenly: with a zone of seven gone each other one has seven sixths.
-func TestDeadDriversAreSharedOut(t *testing.T) {
+// The sessions of dead drivers must be spread evenly: with one zone of seven down, each remaining driver has seven
+// sixths of its own.
+func TestSessionsOfDeadDriversAreSpread(t *testing.T) {
 	const drivers, zones, each = 70, 7, 100
-	c := Clients{up: make([]bool, drivers), home: make([]int, drivers*each)}
-	for n := range c.home {
-		c.home[n] = n % drivers
+	c := Clients{up: make([]bool, drivers), sessionDriver: make([]int, drivers*each)}
+	for n := range c.sessionDriver {
+		c.sessionDriver[n] = n % drivers
 	}
 	for n := range drivers {
-		c.mark(n, n%zones != 3)
+		c.setUp(n, n%zones != 3)
 	}
 	has := make(map[int]int)
-	for n := range c.home {
+	for n := range c.sessionDriver {
 		has[c.driverOf(n)]++
 	}
 	for n := range drivers {
@@ -87,15 +89,16 @@
 			t.Errorf("driver %d has %d sessions", n, has[n])
 		}
 	}
-	c.mark(3, true)
+	c.setUp(3, true)
 	if c.driverOf(3) != 3 {
-		t.Error("a driver that is back does not get its own again")
+		t.Error("a restarted driver does not get its sessions back")
 	}
 }
 
-// Drivers and each group's members are spread over the zones that a script has, and the drivers are told so.
+// Drivers and each group's members must be spread over the script's zones, and the settings must name the zone of each
+// driver.
 func TestZones(t *testing.T) {
-	quiet()
+	discardLogs()
 	s, err := ParseScript([]byte(strings.Replace(fourDrivers, "drivers = 4", "drivers = 4\n  groups = 2\n  zones = 3", 1)), "x.hcl")
 	if err != nil {
 		t.Fatal(err)
@@ -104,8 +107,8 @@
 	for n := range 6 {
 		members = append(members, s.MemberZone(n))
 	}
-	if !slices.Equal(members, []int{0, 1, 2, 1, 2, 0}) || s.Terms(3)["zone"] != "0" || s.Terms(2)["zone"] != "2" || s.Terms(0)["zones"] != "a,b,c" {
-		t.Errorf("members %v, %v", members, s.Terms(2))
+	if !slices.Equal(members, []int{0, 1, 2, 1, 2, 0}) || s.DriverSettings(3)["zone"] != "0" || s.DriverSettings(2)["zone"] != "2" || s.DriverSettings(0)["zones"] != "a,b,c" {
+		t.Errorf("members %v, %v", members, s.DriverSettings(2))
 	}
 	s.Lasts = 3 * time.Second
 	if r, err := Rehearse(s, 1); err != nil || len(r.Broken) > 0 || r.Utility < 0.95 {
--- a/internal/emu/play/rehearse.go
+++ b/internal/emu/play/rehearse.go
@@ -21,40 +21,40 @@
 
 func logOf(x float64) float64 { return math.Log(max(x, 1e-12)) }
 
-// everyPeer is where a datagram goes that is for all other drivers.
-var everyPeer = netip.MustParseAddrPort("10.3.255.255:7946")
+// broadcastAddr is the address of a datagram to all other drivers.
+var broadcastAddr = netip.MustParseAddrPort("10.3.255.255:7946")
 
-// epoch is when simulated time begins, as Unix time.
+// epoch is the start of simulated time as Unix time.
 const epoch = 1767225600 * time.Second
 
-// stage is a rehearsal under way.
-type stage struct {
-	script  *Script
-	seed    uint64
-	world   *sim.World
-	record  *emu.Record
-	cluster *Cluster
-	field   *sim.Host // where the members are
-	hosts   []*sim.Host
-	drivers []netip.AddrPort
-	agents  []netip.AddrPort
-	talk    []netip.AddrPort // where drivers take each other's datagrams
-	crowd   *sim.Host
-	clients *Clients
-	falls   Falls
-	starts  uint64
-	folders *Folders
-	nodes   []*node.Node
-	witness *Witness
-	fault   error
+// rehearsal is the state of one simulated run.
+type rehearsal struct {
+	script      *Script
+	seed        uint64
+	world       *sim.World
+	record      *emu.Record
+	cluster     *Cluster
+	memberHost  *sim.Host // runs all members
+	hosts       []*sim.Host
+	driverAddrs []netip.AddrPort
+	agentAddrs  []netip.AddrPort
+	peerAddrs   []netip.AddrPort // where drivers receive each other's datagrams
+	clientHost  *sim.Host
+	clients     *Clients
+	outages     Outages
+	starts      uint64
+	folders     *Folders
+	nodes       []*node.Node
+	fencing     *FencingServer
+	err         error
 }
 
 // Rehearse plays the script in simulated time.
 func Rehearse(s *Script, seed uint64) (*Result, error) {
 	if s.Controls > 0 {
-		return nil, errors.New("control machines are played where they and the drivers are processes only")
+		return nil, errors.New("a script with control machines requires drivers as processes (--sockets)")
 	}
-	st := &stage{script: s, seed: seed, world: sim.New(seed, epoch), record: emu.NewRecord(emu.Allowed{Grace: s.Grace, Slack: 100 * time.Millisecond})}
+	st := &rehearsal{script: s, seed: seed, world: sim.New(seed, epoch), record: emu.NewRecord(emu.Tolerance{Grace: s.Grace, Slack: 100 * time.Millisecond})}
 	if s.OwnFile() {
 		root, err := os.MkdirTemp("", "rehearsal")
 		if err != nil {
@@ -67,56 +67,56 @@
 	}
 	st.nodes = make([]*node.Node, s.Drivers)
 	for i := range s.Drivers {
-		st.drivers = append(st.drivers, netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 6543))
-		st.agents = append(st.agents, netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 2, byte(i >> 8), byte(i)}), 8500))
-		st.talk = append(st.talk, netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 3, byte(i >> 8), byte(i)}), 7946))
-	}
-	st.world.SetMulticast(everyPeer, st.talk)
-	st.field = st.world.AddHost("members")
-	st.field.IterationTime = 0
-	field, err := s.on(st.field)
+		st.driverAddrs = append(st.driverAddrs, netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 6543))
+		st.agentAddrs = append(st.agentAddrs, netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 2, byte(i >> 8), byte(i)}), 8500))
+		st.peerAddrs = append(st.peerAddrs, netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 3, byte(i >> 8), byte(i)}), 7946))
+	}
+	st.world.SetMulticast(broadcastAddr, st.peerAddrs)
+	st.memberHost = st.world.AddHost("members")
+	st.memberHost.IterationTime = 0
+	memberLoop, err := s.newLoop(st.memberHost)
 	if err != nil {
 		return nil, err
 	}
-	place := func(n int) netip.AddrPort {
+	memberAddr := func(n int) netip.AddrPort {
 		return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, byte(n >> 8), byte(n)}), 5432)
 	}
-	if st.cluster, err = NewCluster(field, s, st.record, seed+1, place, st.agents); err != nil {
+	if st.cluster, err = NewCluster(memberLoop, s, st.record, seed+1, memberAddr, st.agentAddrs); err != nil {
 		return nil, err
 	}
 	if s.Leases != nil && s.Leases.Summary > 0 {
-		if st.witness, err = NewWitness(field, witnessPlace); err != nil {
+		if st.fencing, err = NewFencingServer(memberLoop, fencingAddr); err != nil {
 			return nil, err
 		}
 	}
 	for i := range s.Drivers {
 		st.hosts = append(st.hosts, st.world.AddHost(fmt.Sprint("d", i)))
-		if err := st.drive(i); err != nil {
+		if err := st.startDriver(i); err != nil {
 			return nil, err
 		}
 	}
-	st.crowd = st.world.AddHost("clients")
-	st.crowd.IterationTime = 0
-	people, err := s.on(st.crowd)
+	st.clientHost = st.world.AddHost("clients")
+	st.clientHost.IterationTime = 0
+	clientLoop, err := s.newLoop(st.clientHost)
 	if err != nil {
 		return nil, err
 	}
-	st.clients = NewClients(people, s, st.record, st.cluster.ledger, seed+2, st.drivers)
-	for _, t := range s.Troubles {
-		st.world.At(epoch+t.At, func() { st.trouble(t) })
+	st.clients = NewClients(clientLoop, s, st.record, st.cluster.ledger, seed+2, st.driverAddrs)
+	for _, t := range s.Faults {
+		st.world.At(epoch+t.At, func() { st.injectFault(t) })
 	}
-	for _, at := range s.Edges() {
-		st.world.At(epoch+at, func() { st.bend(at) })
+	for _, at := range s.LinkChangeTimes() {
+		st.world.At(epoch+at, func() { st.updateLinks(at) })
 	}
 	end := epoch + s.Ends()
 	st.world.Run(end)
-	if st.fault != nil || st.cluster.fault != nil {
-		return nil, fmt.Errorf("the rehearsal broke down: %v %v", st.fault, st.cluster.fault)
+	if st.err != nil || st.cluster.err != nil {
+		return nil, fmt.Errorf("simulation failed: rehearsal: %v, cluster: %v", st.err, st.cluster.err)
 	}
-	return st.clients.Result(s, seed, st.cluster, st.falls, st.witness, end), nil
+	return st.clients.Result(s, seed, st.cluster, st.outages, st.fencing, end), nil
 }
 
-// Ends tells when all is over, with what was under way at the end of the load.
+// Ends returns the end of the run: after the load, RPCs in flight have time to end.
 func (s *Script) Ends() time.Duration {
 	longest := time.Duration(0)
 	for _, m := range s.Methods {
@@ -125,8 +125,9 @@
 	return s.Lasts + longest + time.Second
 }
 
-// on makes a loop for all members, or all clients: it may hold a connection for each driver and member, and some that are about to end.
-func (s *Script) on(h *sim.Host) (*loop.Loop, error) {
+// newLoop returns a loop for all members, or for all clients. Beside 32,768 others it has room for two
+// connections for each driver and member, as old ones may still be about to end.
+func (s *Script) newLoop(h *sim.Host) (*loop.Loop, error) {
 	l, err := loop.NewWithSystem(h, 1<<15+2*s.Drivers*s.Groups*s.Members, 64<<20)
 	if err == nil {
 		h.Serve(l, func() {})
@@ -134,8 +135,8 @@
 	return l, err
 }
 
-// drive starts a driver on its host.
-func (st *stage) drive(i int) error {
+// startDriver starts a driver on its host.
+func (st *rehearsal) startDriver(i int) error {
 	h := st.hosts[i]
 	h.Start()
 	l, err := loop.NewWithSystem(h, 1024, 48<<20)
@@ -145,31 +146,31 @@
 	h.Serve(l, func() {})
 	st.starts++
 	site := &node.Site{
-		Name: h.Name, Listen: st.drivers[i], Discovery: st.agents[i], Seed: st.seed*1000003 + st.starts, Descriptors: 1024, Memory: 192 << 20,
-		InitialList: st.cluster.Known(i), Settings: st.script.Terms(i), ConfigFile: st.script.Operator,
+		Name: h.Name, Listen: st.driverAddrs[i], Discovery: st.agentAddrs[i], Seed: st.seed*1000003 + st.starts, Descriptors: 1024, Memory: 192 << 20,
+		InitialList: st.cluster.LastList(i), Settings: st.script.DriverSettings(i), ConfigFile: st.script.Operator,
 	}
 	if st.script.Peers {
-		site.PeerListen, site.PeerBroadcast, site.Peers = st.talk[i], everyPeer, st.talk
+		site.PeerListen, site.PeerBroadcast, site.Peers = st.peerAddrs[i], broadcastAddr, st.peerAddrs
 	}
-	wants, err := st.wants(i, site)
+	operator, err := st.operatorConfig(i, site)
 	if err != nil {
 		return err
 	}
-	n, err := node.On(l, site, wants)
+	n, err := node.On(l, site, operator)
 	st.nodes[i] = n
 	if err == nil && st.clients != nil {
-		st.follow(i, l, n, n.RecoveryStage())
+		st.watchRecovery(i, l, n, n.RecoveryStage())
 	}
 	return err
 }
 
-// wants is the operator's file of a driver.
-func (st *stage) wants(i int, site *node.Site) (*config.File, error) {
+// operatorConfig returns the parsed operator's file of a driver.
+func (st *rehearsal) operatorConfig(i int, site *node.Site) (*config.File, error) {
 	s := st.script
 	if st.folders == nil {
 		return site.ReadConfig()
 	}
-	at := Places{Witness: witnessPlace}
+	at := OperatorParams{FencingServer: fencingAddr}
 	if s.Folders {
 		at.State = st.folders.Path(i)
 	}
@@ -182,7 +183,7 @@
 	}
 	text, err := s.OperatorText(i, at, by)
 	if err == nil {
-		err = st.folders.Starts(i)
+		err = st.folders.SaveCopies(i)
 	}
 	if err != nil {
 		return nil, err
@@ -190,33 +191,33 @@
 	return site.ParseConfig(text, Driver(i)+".hcl")
 }
 
-// witnessPlace is where holders act.
-var witnessPlace = netip.MustParseAddrPort("10.4.0.1:9000")
+// fencingAddr is the address of the fencing server.
+var fencingAddr = netip.MustParseAddrPort("10.4.0.1:9000")
 
-// follow notes the stages in which a driver that has started again says to be.
-func (st *stage) follow(i int, l *loop.Loop, n *node.Node, last recovery.Stage) {
-	l.At(l.Now()+looking, func() {
+// watchRecovery records each recovery stage that a restarted driver reports.
+func (st *rehearsal) watchRecovery(i int, l *loop.Loop, n *node.Node, last recovery.Stage) {
+	l.At(l.Now()+stagePollInterval, func() {
 		now := n.RecoveryStage()
 		if now != last {
-			st.falls.Reached(i, now.String(), st.world.Now()-epoch)
+			st.outages.StageReached(i, now.String(), st.world.Now()-epoch)
 		}
 		if now != recovery.Complete {
-			st.follow(i, l, n, now)
+			st.watchRecovery(i, l, n, now)
 		}
 	})
 }
 
-// looking is how often a driver that comes back is asked how far it is.
-const looking = 10 * time.Millisecond
+// stagePollInterval is how often the recovery stage of a restarted driver is read.
+const stagePollInterval = 10 * time.Millisecond
 
-// Terms are what a driver is told of itself and of the script's methods, in the project's words.
-func (s *Script) Terms(number int) map[string]string {
+// DriverSettings returns the settings of a driver and of the script's methods, in the project's own terms.
+func (s *Script) DriverSettings(number int) map[string]string {
 	micros := func(d time.Duration) string { return strconv.FormatInt(int64(d/time.Microsecond), 10) }
 	t := map[string]string{
 		"zones": strings.Join(s.zoneNames(), ","), "zone": strconv.Itoa(s.DriverZone(number)), "drivers": strconv.Itoa(s.Drivers), "driver": strconv.Itoa(number), "tick": "5000", "list": "pushed", "caps.cancel": "true",
 		"caps.connect_timeout": "250000", "caps.idle_close": "15000000", "caps.longest_wait": "1000000", "caps.attempts": "8",
 		"family_info.checks": "wait", "family_info.token": "carried", "report.columns": "x0,x1,util", "methods.count": strconv.Itoa(len(s.Methods)),
-		"rules.cold_lasts": micros(s.Build.Warm), "rules.cold_share": "0.25", "rules.cold_multiple": "4", "rules.cold_window": "1000000",
+		"rules.cold_lasts": micros(s.MemberSpec.WarmUp), "rules.cold_share": "0.25", "rules.cold_multiple": "4", "rules.cold_window": "1000000",
 		"rules.drain_grace": micros(s.Grace),
 	}
 	var needs, bounds []string
@@ -224,104 +225,104 @@
 		at := fmt.Sprintf("methods.%d.", i)
 		t[at+"name"], t[at+"repeats"] = m.Name, map[bool]string{true: "group", false: "all"}[m.Need == "write"]
 		t[at+"effect"] = [...]string{"idempotent", "tokened", "non-idempotent"}[m.Effect]
-		t[at+"soft_deadline"], t[at+"limit"], t[at+"window"] = micros(m.Soft), micros(m.Limit), micros(m.Window)
-		t[at+"utility"], t[at+"late_utility"] = fmt.Sprint(m.Utility), fmt.Sprint(m.Late)
+		t[at+"soft_deadline"], t[at+"limit"], t[at+"window"] = micros(m.SoftDeadline), micros(m.Limit), micros(m.Window)
+		t[at+"utility"], t[at+"late_utility"] = fmt.Sprint(m.Utility), fmt.Sprint(m.LateUtility)
 		needs, bounds = append(needs, m.Need), append(bounds, micros(m.Bound))
 	}
 	t["family_info.needs"], t["family_info.bounds"] = strings.Join(needs, ","), strings.Join(bounds, ",")
 	return t
 }
 
-// bend lets links be as they are at a time of the script.
-func (st *stage) bend(at time.Duration) {
-	for _, r := range st.script.Roads() {
-		caller, place := st.crowd, netip.AddrPort{}
-		if n, ok := strings.CutPrefix(r.From, "d"); ok {
-			caller = st.hosts[number(n)]
+// updateLinks applies the condition that each link has at a time of the script.
+func (st *rehearsal) updateLinks(at time.Duration) {
+	for _, l := range st.script.Links() {
+		host, addr := st.clientHost, netip.AddrPort{}
+		if n, ok := strings.CutPrefix(l.From, "d"); ok {
+			host = st.hosts[nodeNumber(n)]
 		}
-		switch n := number(r.To[1:]); {
-		case r.To == toDiscovery:
-			place = st.agents[number(r.From[1:])]
-		case r.To[0] == 'm':
-			place = st.cluster.members[n].at
+		switch n := nodeNumber(l.To[1:]); {
+		case l.To == discoveryNode:
+			addr = st.agentAddrs[nodeNumber(l.From[1:])]
+		case l.To[0] == 'm':
+			addr = st.cluster.members[n].addr
 		default:
-			if place = st.drivers[n]; r.From[0] == 'd' {
-				place = st.talk[n]
+			if addr = st.driverAddrs[n]; l.From[0] == 'd' {
+				addr = st.peerAddrs[n]
 			}
 		}
-		there, back := st.script.Between(at, r.From, r.To), st.script.Between(at, r.To, r.From)
-		if there == (Condition{}) && back == there {
-			st.world.ClearRoute(caller, place)
+		forward, backward := st.script.Between(at, l.From, l.To), st.script.Between(at, l.To, l.From)
+		if forward == (Condition{}) && backward == forward {
+			st.world.ClearRoute(host, addr)
 		} else {
-			st.world.SetRoute(caller, place, link(there), link(back))
+			st.world.SetRoute(host, addr, simLink(forward), simLink(backward))
 		}
-		if st.script.Resets(at, r) {
-			st.world.ResetRoute(caller, place)
+		if st.script.ResetAt(at, l) {
+			st.world.ResetRoute(host, addr)
 		}
 	}
 }
 
-func number(text string) int {
+func nodeNumber(text string) int {
 	n, _ := strconv.Atoi(text)
 	return n
 }
 
-// link adds a condition to what is usual.
-func link(c Condition) sim.Link {
+// simLink returns the usual link with a condition added.
+func simLink(c Condition) sim.Link {
 	l := sim.LocalLink
 	l.Cut, l.RefuseConnects, l.Delay, l.Jitter, l.Loss = c.Cut, c.Refuse, l.Delay+c.Delay, l.Jitter+c.Jitter, c.Loss
-	l.Duplicate, l.Reorder, l.ReorderDelay, l.BytesPerSecond = c.Double, c.Reorder, c.Late, c.Rate
+	l.Duplicate, l.Reorder, l.ReorderDelay, l.BytesPerSecond = c.Double, c.Reorder, c.MaxExtraDelay, c.Rate
 	return l
 }
 
-// trouble lets something happen, and end.
-func (st *stage) trouble(t Trouble) {
+// injectFault starts a fault and schedules its end.
+func (st *rehearsal) injectFault(t Fault) {
 	now := st.world.Now()
 	until := now + t.Lasts
 	switch t.Kind {
 	case "driver_kill", "driver_stop", "driver_pause":
-		for place, n := range t.On {
-			back := t.Back(place, until)
-			st.record.Down(Driver(n), now, back)
-			st.falls.Gone(n, now-epoch)
+		for index, n := range t.On {
+			restart := t.RestartTime(index, until)
+			st.record.DriverDown(Driver(n), now, restart)
+			st.outages.DriverDown(n, now-epoch)
 			st.cluster.Course.Note(now-epoch, Driver(n), "%s", t.Kind)
 			if t.Kind == "driver_pause" {
-				st.hosts[n].Pause(back)
-				st.world.At(back, func() {
-					st.falls.Back(n, back-epoch)
-					st.cluster.Course.Note(back-epoch, Driver(n), "goes on")
+				st.hosts[n].Pause(restart)
+				st.world.At(restart, func() {
+					st.outages.DriverUp(n, restart-epoch)
+					st.cluster.Course.Note(restart-epoch, Driver(n), "goes on")
 				})
 				continue
 			}
-			st.clients.Died(n)
+			st.clients.DriverDied(n)
 			st.hosts[n].Kill()
 			st.nodes[n].CloseStores()
-			st.world.At(back, func() {
+			st.world.At(restart, func() {
 				err := error(nil)
 				if st.folders != nil {
-					err = st.folders.Treat(n, t.Folder)
+					err = st.folders.Prepare(n, t.Folder)
 				}
-				if err = errors.Join(err, st.drive(n)); err != nil {
-					st.fault = err
+				if err = errors.Join(err, st.startDriver(n)); err != nil {
+					st.err = err
 				}
-				st.falls.Back(n, back-epoch)
-				st.cluster.Course.Note(back-epoch, Driver(n), "started")
+				st.outages.DriverUp(n, restart-epoch)
+				st.cluster.Course.Note(restart-epoch, Driver(n), "started")
 			})
 		}
 	case "voters":
-		st.fault = errors.New("voters change where drivers are processes only")
+		st.err = errors.New("a voters fault requires drivers as processes (--sockets)")
 	default:
-		st.field.Post(func() { st.cluster.Trouble(t, until) })
+		st.memberHost.Post(func() { st.cluster.InjectFault(t, until) })
 	}
 }
 
-// Back tells when the driver at a place of On starts again, where the first does at a time.
-func (t *Trouble) Back(place int, first time.Duration) time.Duration {
-	return first + t.Within*time.Duration(place)/time.Duration(max(len(t.On)-1, 1))
+// RestartTime returns when the driver at an index of On starts again, if the first one starts at the given time.
+func (t *Fault) RestartTime(index int, first time.Duration) time.Duration {
+	return first + t.Within*time.Duration(index)/time.Duration(max(len(t.On)-1, 1))
 }
 
-// words tell what it is, for who reads the course.
-func (t *Trouble) words() string {
+// describe returns the text of the fault for the course.
+func (t *Fault) describe() string {
 	text := fmt.Sprintf("%s for %v", t.Kind, t.Lasts)
 	if len(t.On) > 0 {
 		text += fmt.Sprintf(", on %v", t.On)
@@ -335,35 +336,35 @@
 	return text
 }
 
-// Links tells whether it is about links.
-func (t *Trouble) Links() bool { return kinds[t.Kind].about == "link" }
+// AffectsLinks reports whether the fault is one of links.
+func (t *Fault) AffectsLinks() bool { return faultKinds[t.Kind].target == "link" }
 
-// hold notes that what drivers send may come late while their links are troubled.
-func (t *Trouble) hold(r *emu.Record, from, to time.Duration) {
+// noteDelays records that data sent by the nodes at both ends may arrive late while their links have a fault.
+func (t *Fault) noteDelays(r *emu.Record, from, to time.Duration) {
 	for _, names := range append([][]string{t.From, t.To}, t.Islands...) {
 		for _, name := range names {
-			r.Held(name, from, to)
+			r.SendsDelayed(name, from, to)
 		}
 	}
 }
 
-// Trouble lets something happen to members or discovery until then.
-func (c *Cluster) Trouble(t Trouble, until time.Duration) {
+// InjectFault applies a fault to members or discovery until the given time.
+func (c *Cluster) InjectFault(t Fault, until time.Duration) {
 	later := func(act func()) { c.loop.At(until, act) }
-	c.note("script", "%s", t.words())
-	if t.Links() {
-		t.hold(c.record, c.loop.Now(), until)
+	c.note("script", "%s", t.describe())
+	if t.AffectsLinks() {
+		t.noteDelays(c.record, c.loop.Now(), until)
 	}
 	switch t.Kind {
 	case "discovery":
 		for i, a := range c.agents {
 			if len(t.On) == 0 || slices.Contains(t.On, i) {
-				a.down = until
+				a.silentUntil = until
 			}
 		}
 		return
 	case "discovery_old":
-		c.old = until
+		c.changesHeldUntil = until
 		return
 	}
 	for _, n := range t.On {
@@ -374,22 +375,22 @@
 			model.Pause(until)
 			c.groups[m.group].Suspect(model)
 		case "kill":
-			m.die()
+			m.kill()
 			later(func() { m.start(0) })
 		case "slow":
-			model.Slow = t.Times
-			later(func() { model.Slow = 1 })
+			model.Slowdown = t.Times
+			later(func() { model.Slowdown = 1 })
 		case "theft":
-			model.Theft = min(t.Times, 0.95)
-			later(func() { model.Theft = 0 })
+			model.StolenCPU = min(t.Times, 0.95)
+			later(func() { model.StolenCPU = 0 })
 		case "lag":
-			model.Lagging = t.Times
-			later(func() { model.Lagging = 1 })
+			model.ApplySlowdown = t.Times
+			later(func() { model.ApplySlowdown = 1 })
 		case "drain":
 			model.Drain()
-			c.list(m, "terminating")
+			c.updateListing(m, "terminating")
 			later(func() {
-				m.die()
+				m.kill()
 				m.start(0)
 			})
 		}
--- a/internal/emu/play/script.go
+++ b/internal/emu/play/script.go
@@ -18,72 +18,72 @@
 
 // Method is one method of a script.
 type Method struct {
-	Name, Need  string
-	Effect      emu.Effect
-	Work        [2]time.Duration
-	Soft, Limit time.Duration
-	Bound       time.Duration
-	Window      time.Duration
-	Utility     float64
-	Late        float64
-	Share       float64 // of the RPCs
+	Name, Need          string
+	Effect              emu.Effect
+	Work                [2]time.Duration
+	SoftDeadline, Limit time.Duration
+	Bound               time.Duration
+	Window              time.Duration
+	Utility             float64
+	LateUtility         float64 // factor on Utility for an answer after the soft deadline
+	Share               float64 // of the RPCs, relative to the other methods
 }
 
-// Trouble is something that happens to some of the hosts, or to what goes between them.
-type Trouble struct {
+// Fault is a trouble block of a script: something that happens to some of the nodes, or to the links between them.
+type Fault struct {
 	Kind   string
 	At     time.Duration
 	Lasts  time.Duration
-	On     []int // which members or drivers
+	On     []int // numbers of members, drivers or control machines
 	Times  float64
-	Within time.Duration // drivers that were ended start again within this, one after the other
-	Folder string        // how they find what they have kept: kept, emptied, older, flipped or stalled
+	Within time.Duration // drivers that were ended start again one after the other within this time
+	Folder string        // what happens to stored state before the restart: kept, emptied, older, flipped or stalled
 
-	From, To   []string   // places between which a link is troubled
-	OneWay     bool       // only from the first to the second
-	Islands    [][]string // of a partition: who is on one reaches nobody that is on others only
+	From, To   []string   // nodes at the two ends of the links
+	OneWay     bool       // only from From to To
+	Islands    [][]string // of a partition: a node reaches only nodes that share an island with it
 	Every      time.Duration
 	By, Jitter time.Duration
 	Rate       int
 }
 
-// Script is what is rehearsed.
+// Script describes one run: the fleet, the load, the faults and the expected result.
 type Script struct {
-	Name            string
-	Lasts           time.Duration
-	Drivers         int
-	Groups, Members int // members of each group
-	Zones           int // over which drivers and each group's members are spread
-	Build           emu.Build
-	Election        emu.Election
-	ListDelay       time.Duration
-	Peers           bool          // drivers may talk with each other
-	Operator        string        // the operator's own file of every driver, "": none
-	Folders         bool          // drivers keep what they learn
-	SaveEvery       time.Duration // and write it so often
-	KnownFirst      bool          // drivers are always started with the list of the play's beginning
-	Controls        int           // control machines that all drivers ask, 0: none
-	Publications    []Publication // what is published on them
-	Twins           []int         // drivers that are started under the name of the one before them
-	Older           []int         // drivers that an older program is started for, where drivers are processes
-	Leases          *Leases       // nil: none
-	ViewConnections int           // that one member takes from all drivers, of which each takes its part; 0: not told
-	View            time.Duration // between two questions of the drivers' views of their fleet; 0: they keep none
-	Methods         []*Method
-	Rate            float64 // RPCs a second
-	Surges          []Surge
-	Sessions        int
-	Retries         int
-	Obeys           bool          // clients come back when they were told
-	Route           string        // how clients pick their driver: fixed, stay or spread
-	Notice          time.Duration // until who deals clients out notices that a driver is dead
-	Grace           time.Duration
-	Troubles        []Trouble
-	LeastOK         float64       // expected part of the RPCs that are ok
-	spared          time.Duration // when drivers would be back that do not end
+	Name               string
+	Lasts              time.Duration
+	Drivers            int
+	Groups, Members    int // members per group
+	Zones              int // over which drivers and each group's members are spread
+	MemberSpec         emu.MemberSpec
+	Election           emu.Election
+	ListDelay          time.Duration
+	Peers              bool          // drivers may send datagrams to each other
+	Operator           string        // path of an operator's file for all drivers, empty: none
+	Folders            bool          // drivers store what they learn
+	SaveEvery          time.Duration // interval at which they store it
+	StartWithFirstList bool          // drivers always start with the list from the start of the run
+	Controls           int           // number of control machines that all drivers ask, 0: none
+	Publications       []Publication // configurations that are published on the control machines
+	Twins              []int         // drivers that start under the name of the one before them
+	Older              []int         // drivers that run an older program, where drivers are processes
+	Leases             *Leases       // nil: none
+	ViewConnections    int           // limit of one member for all drivers, shared among them; 0: not set
+	View               time.Duration // interval at which drivers query each other for their views of the fleet; 0: no views
+	Methods            []*Method
+	Rate               float64 // RPCs per second
+	Surges             []Surge
+	Sessions           int
+	Retries            int
+	HonorsRetryAfter   bool          // clients retry no earlier than they are told
+	Route              string        // how clients pick their driver: fixed, stay or spread
+	BalancerDetection  time.Duration // from the death of a driver until the balancer notices it
+	Grace              time.Duration
+	Faults             []Fault
+	MinOK              float64       // expected part of the RPCs that are ok
+	removedStart       time.Duration // last restart among removed driver faults
 }
 
-// Surge is a time of another rate.
+// Surge is a time with a different rate.
 type Surge struct {
 	From, To time.Duration
 	Times    float64
@@ -98,17 +98,17 @@
 	return nil
 }
 
-// kind is what a trouble is about, and which entries it has beside at and lasts.
-type kind struct {
-	about, has string
+// faultKind says what a kind of fault acts on, and which optional keys it takes beside at and lasts.
+type faultKind struct {
+	target, keys string
 }
 
-var kinds = map[string]kind{
+var faultKinds = map[string]faultKind{
 	"pause": {"member", "part"}, "kill": {"member", "part"}, "drain": {"member", ""},
 	"slow": {"member", "times"}, "theft": {"member", "times"}, "lag": {"member", "times"},
 	"driver_kill": {"driver", "within part folder times every"}, "driver_stop": {"driver", "within part folder"}, "driver_pause": {"driver", "part"},
 	"control_kill": {"control", "folder"}, "control_pause": {"control", ""},
-	"voters":    {"driver", ""}, // who votes from then on: for as long as it lasts together with those before
+	"voters":    {"driver", ""}, // the new voters; until the fault ends they vote together with the former ones
 	"discovery": {"agent", ""}, "discovery_old": {"none", ""},
 	"cut": {"link", "every one_way"}, "refuse": {"link", "every"}, "reset": {"link", ""},
 	"loss": {"link", "times every one_way"}, "delay": {"link", "by jitter every one_way"},
@@ -116,8 +116,8 @@
 	"thin": {"link", "rate every one_way"}, "partition": {"link", "islands every"},
 }
 
-// text is the script as HCL has it.
-type text struct {
+// scriptText is the HCL form of a script.
+type scriptText struct {
 	Lasts string `hcl:"lasts"`
 	Fleet struct {
 		Drivers   int    `hcl:"drivers"`
@@ -197,10 +197,10 @@
 	} `hcl:"expect,block"`
 }
 
-// ReadScript reads and checks a script; all that is wrong with it is told at once, a line each.
+// ReadScript reads and checks a script. Its error lists all problems, one per line.
 func ReadScript(name string) (*Script, error) { return ReadScaled(name, 1) }
 
-// ReadScaled is ReadScript with so many times the drivers, groups, sessions and RPCs.
+// ReadScaled is ReadScript with the drivers, groups, sessions and RPCs multiplied by the given factor.
 func ReadScaled(name string, times int) (*Script, error) {
 	in, err := os.ReadFile(name)
 	if err != nil {
@@ -209,20 +209,20 @@
 	return parse(in, name, times)
 }
 
-// mistakes collects what is wrong.
-type mistakes struct{ lines []string }
+// problems collects the errors found in a script.
+type problems struct{ lines []string }
 
-func (m *mistakes) say(format string, args ...any) {
+func (m *problems) add(format string, args ...any) {
 	m.lines = append(m.lines, fmt.Sprintf(format, args...))
 }
 
-// ParseScript is ReadScript of a text.
+// ParseScript is ReadScript for a text.
 func ParseScript(in []byte, name string) (*Script, error) { return parse(in, name, 1) }
 
 func parse(in []byte, name string, times int) (*Script, error) {
-	wrong := new(mistakes)
-	all, diagnostics := body(in, name, 0)
-	var t text
+	found := new(problems)
+	all, diagnostics := parseBody(in, name, 0)
+	var t scriptText
 	if !diagnostics.HasErrors() {
 		diagnostics = append(diagnostics, gohcl.DecodeBody(all, nil, &t)...)
 	}
@@ -231,34 +231,34 @@
 		if d.Subject != nil {
 			at = *d.Subject
 		}
-		wrong.say("%s:%d:%d: %s: %s", at.Filename, at.Start.Line, at.Start.Column, d.Summary, d.Detail)
+		found.add("%s:%d:%d: %s: %s", at.Filename, at.Start.Line, at.Start.Column, d.Summary, d.Detail)
 	}
 	if diagnostics.HasErrors() {
-		return nil, fmt.Errorf("%s", strings.Join(wrong.lines, "\n"))
+		return nil, fmt.Errorf("%s", strings.Join(found.lines, "\n"))
 	}
 	if t.Fleet.Groups == 0 {
 		t.Fleet.Groups = 1
 	}
 	t.Fleet.Drivers, t.Fleet.Groups = t.Fleet.Drivers*times, t.Fleet.Groups*times
 	t.Load.Rate, t.Load.Sessions = t.Load.Rate*float64(times), t.Load.Sessions*times
-	lines := places(all)
+	lines := attributeLines(all)
 	s := t.script(name, func(path, format string, args ...any) {
 		at := lines[path]
 		if at == "" {
 			at = name + ":0"
 		}
-		wrong.say("%s: %s: %s", at, path, fmt.Sprintf(format, args...))
+		found.add("%s: %s: %s", at, path, fmt.Sprintf(format, args...))
 	})
-	if len(wrong.lines) > 0 {
-		sort.Strings(wrong.lines)
-		return nil, fmt.Errorf("%s", strings.Join(wrong.lines, "\n"))
+	if len(found.lines) > 0 {
+		sort.Strings(found.lines)
+		return nil, fmt.Errorf("%s", strings.Join(found.lines, "\n"))
 	}
 	s.Name = name
 	return s, nil
 }
 
-// places tells the file and line of each attribute by its path.
-func places(body *hclsyntax.Body) map[string]string {
+// attributeLines returns the file and line of each attribute and block by its path.
+func attributeLines(body *hclsyntax.Body) map[string]string {
 	lines, counts := make(map[string]string), make(map[string]int)
 	line := func(r hcl.Range) string { return fmt.Sprintf("%s:%d", r.Filename, r.Start.Line) }
 	var walk func(path string, b *hclsyntax.Body)
@@ -283,21 +283,21 @@
 	return lines
 }
 
-// mostGroups is what 2,200 members in groups of two need.
-const mostGroups = 1100
+// maxGroups allows 2,200 members in groups of two.
+const maxGroups = 1100
 
-func (t *text) script(name string, wrong func(path, format string, args ...any)) *Script {
-	span := func(path, value string, otherwise time.Duration) time.Duration {
+func (t *scriptText) script(name string, report func(path, format string, args ...any)) *Script {
+	duration := func(path, value string, otherwise time.Duration) time.Duration {
 		if value == "" {
 			return otherwise
 		}
 		d, err := time.ParseDuration(value)
 		if err != nil || d < 0 || d > 24*time.Hour {
-			wrong(path, "%q is no time up to 24h", value)
+			report(path, "%q is no time up to 24h", value)
 		}
 		return d
 	}
-	between := func(path, value string, low, high time.Duration) [2]time.Duration {
+	durationRange := func(path, value string, low, high time.Duration) [2]time.Duration {
 		if value == "" {
 			return [2]time.Duration{low, high}
 		}
@@ -305,9 +305,9 @@
 		if !ranged {
 			to = from
 		}
-		b := [2]time.Duration{span(path, from, 0), span(path, to, 0)}
+		b := [2]time.Duration{duration(path, from, 0), duration(path, to, 0)}
 		if b[1] < b[0] {
-			wrong(path, "%q ends before it begins", value)
+			report(path, "%q ends before it begins", value)
 		}
 		return b
 	}
@@ -316,38 +316,38 @@
 			return otherwise
 		}
 		if n < 1 || n > most {
-			wrong(path, "%d is not from 1 to %d", n, most)
+			report(path, "%d is not from 1 to %d", n, most)
 		}
 		return n
 	}
 	f := &t.Fleet
 	s := &Script{
-		Lasts: span("lasts", t.Lasts, 0), Drivers: count("fleet drivers", f.Drivers, 1, 500), Groups: count("fleet groups", f.Groups, 1, mostGroups),
-		Members: count("fleet members", f.Members, 1, 50), Zones: count("fleet zones", f.Zones, 1, 26), ListDelay: span("fleet list_delay", f.ListDelay, time.Second), Grace: 250 * time.Millisecond,
-		Build: emu.Build{Cores: count("fleet cores", f.Cores, 4, 256), Queue: count("fleet queue", f.Queue, 64, 10000), Cold: 0.25,
-			Warm: span("fleet warm", f.Warm, 16*time.Second), Multiple: 4, Tips: time.Second, Patience: 50 * time.Millisecond,
-			Handshake: span("fleet handshake", f.Handshake, 0), Connections: f.Conns,
-			Delay: 5 * time.Millisecond, Apply: span("fleet apply", f.Apply, time.Millisecond), Window: 1200 * time.Millisecond},
-		Election: emu.Election{Notice: between("fleet notice", f.Notice, time.Second, 2*time.Second),
-			Takeover: between("fleet takeover", f.Takeover, time.Second, 3*time.Second),
-			HandOver: [2]time.Duration{300 * time.Millisecond, 900 * time.Millisecond}, Contest: 300 * time.Millisecond},
+		Lasts: duration("lasts", t.Lasts, 0), Drivers: count("fleet drivers", f.Drivers, 1, 500), Groups: count("fleet groups", f.Groups, 1, maxGroups),
+		Members: count("fleet members", f.Members, 1, 50), Zones: count("fleet zones", f.Zones, 1, 26), ListDelay: duration("fleet list_delay", f.ListDelay, time.Second), Grace: 250 * time.Millisecond,
+		MemberSpec: emu.MemberSpec{Cores: count("fleet cores", f.Cores, 4, 256), Queue: count("fleet queue", f.Queue, 64, 10000), ColdShare: 0.25,
+			WarmUp: duration("fleet warm", f.Warm, 16*time.Second), ColdMultiple: 4, OverloadWindow: time.Second, MaxReadWait: 50 * time.Millisecond,
+			Handshake: duration("fleet handshake", f.Handshake, 0), MaxConnections: f.Conns,
+			LogDelay: 5 * time.Millisecond, ApplyTime: duration("fleet apply", f.Apply, time.Millisecond), DedupWindow: 1200 * time.Millisecond},
+		Election: emu.Election{Detection: durationRange("fleet notice", f.Notice, time.Second, 2*time.Second),
+			Takeover: durationRange("fleet takeover", f.Takeover, time.Second, 3*time.Second),
+			HandOver: [2]time.Duration{300 * time.Millisecond, 900 * time.Millisecond}, DualClaim: 300 * time.Millisecond},
 		Rate: t.Load.Rate, Sessions: count("load sessions", t.Load.Sessions, 200, 1<<20), Retries: t.Load.Retries,
-		Obeys: t.Load.Obeys == nil || *t.Load.Obeys, Route: t.Load.Route, Notice: span("load notice", t.Load.Notice, time.Second),
+		HonorsRetryAfter: t.Load.Obeys == nil || *t.Load.Obeys, Route: t.Load.Route, BalancerDetection: duration("load notice", t.Load.Notice, time.Second),
 	}
 	if s.Route == "" {
 		s.Route = "fixed"
 	}
 	if !strings.Contains(" fixed stay spread ", " "+s.Route+" ") {
-		wrong("load route", "%q is none of fixed, stay and spread", s.Route)
+		report("load route", "%q is none of fixed, stay and spread", s.Route)
 	}
-	if s.KnownFirst = f.Known == "first"; f.Known != "" && f.Known != "first" && f.Known != "latest" {
-		wrong("fleet known", "%q is neither first nor latest", f.Known)
+	if s.StartWithFirstList = f.Known == "first"; f.Known != "" && f.Known != "first" && f.Known != "latest" {
+		report("fleet known", "%q is neither first nor latest", f.Known)
 	}
-	s.Folders, s.SaveEvery = f.Folders, span("fleet save_every", f.SaveEvery, 500*time.Millisecond)
+	s.Folders, s.SaveEvery = f.Folders, duration("fleet save_every", f.SaveEvery, 500*time.Millisecond)
 	s.Twins = f.Twins
 	for _, n := range f.Twins {
 		if n < 1 || n >= s.Drivers {
-			wrong("fleet twins", "there is no driver %d with one before it", n)
+			report("fleet twins", "there is no driver %d with one before it", n)
 		}
 	}
 	if s.Peers, s.Older = f.Peers, f.Older; f.Operator != "" {
@@ -355,117 +355,117 @@
 	}
 	if t.View != nil {
 		s.ViewConnections = t.View.Connections
-		if s.View = span("view every", t.View.Every, time.Second); !s.Peers {
-			wrong("view", "drivers do not talk: the fleet has no peers = true")
+		if s.View = duration("view every", t.View.Every, time.Second); !s.Peers {
+			report("view", "requires peers = true in the fleet block")
 		}
 	}
 	if t.Leases != nil {
-		s.Leases = t.Leases.read(s, span, wrong)
+		s.Leases = t.Leases.read(s, duration, report)
 	}
-	t.controls(s, span, wrong)
+	t.controls(s, duration, report)
 	for _, n := range f.Older {
 		if n < 0 || n >= s.Drivers {
-			wrong("fleet older", "there is no driver %d", n)
+			report("fleet older", "there is no driver %d", n)
 		}
 	}
 	if f.Conns < 0 {
-		wrong("fleet connections", "%d is under 0", f.Conns)
+		report("fleet connections", "%d is under 0", f.Conns)
 	}
 	if s.Lasts < time.Second {
-		wrong("lasts", "%v is under a second", s.Lasts)
+		report("lasts", "%v is under a second", s.Lasts)
 	}
 	if s.Rate <= 0 || s.Rate > 1e5 {
-		wrong("load rate", "%v is not over 0 and up to 100000", s.Rate)
+		report("load rate", "%v is not over 0 and up to 100000", s.Rate)
 	}
 	if s.Retries < 0 || s.Retries > 10 {
-		wrong("load retries", "%d is not from 0 to 10", s.Retries)
+		report("load retries", "%d is not from 0 to 10", s.Retries)
 	}
 	for _, m := range t.Load.Methods {
 		at := "load method " + m.Name + " "
 		effect, known := map[string]emu.Effect{"": emu.Idempotent, "idempotent": emu.Idempotent, "tokened": emu.Tokened, "non-idempotent": emu.NonIdempotent}[m.Effect]
 		if !known {
-			wrong(at+"effect", "%q is none of idempotent, tokened and non-idempotent", m.Effect)
+			report(at+"effect", "%q is none of idempotent, tokened and non-idempotent", m.Effect)
 		}
 		if !strings.Contains(" any bounded session fresh write ", " "+m.Need+" ") {
-			wrong(at+"need", "%q is none of any, bounded, session, fresh and write", m.Need)
+			report(at+"need", "%q is none of any, bounded, session, fresh and write", m.Need)
 		}
 		if s.method(m.Name) != nil {
-			wrong("load method "+m.Name, "there are two of this name")
+			report("load method "+m.Name, "another method has the same name")
 		}
 		if m.Share <= 0 {
-			wrong(at+"share", "%v is not over 0", m.Share)
+			report(at+"share", "%v is not over 0", m.Share)
 		}
 		if m.Utility == 0 {
 			m.Utility = 1
 		}
-		s.Methods = append(s.Methods, &Method{Name: m.Name, Need: m.Need, Effect: effect, Work: between(at+"work", m.Work, 0, 0),
-			Soft: span(at+"soft", m.Soft, 0), Limit: span(at+"limit", m.Limit, 0), Bound: span(at+"bound", m.Bound, 0),
-			Window: span(at+"window", m.Window, 0), Utility: m.Utility, Late: m.Late, Share: m.Share})
+		s.Methods = append(s.Methods, &Method{Name: m.Name, Need: m.Need, Effect: effect, Work: durationRange(at+"work", m.Work, 0, 0),
+			SoftDeadline: duration(at+"soft", m.Soft, 0), Limit: duration(at+"limit", m.Limit, 0), Bound: duration(at+"bound", m.Bound, 0),
+			Window: duration(at+"window", m.Window, 0), Utility: m.Utility, LateUtility: m.Late, Share: m.Share})
 	}
 	if len(s.Methods) == 0 {
-		wrong("load", "there is no method")
+		report("load", "no method block; at least one is needed")
 	}
 	for i, g := range t.Load.Surges {
 		at := fmt.Sprintf("load surge %d ", i+1)
-		surge := Surge{span(at+"from", g.From, 0), span(at+"to", g.To, 0), g.Times}
+		surge := Surge{duration(at+"from", g.From, 0), duration(at+"to", g.To, 0), g.Times}
 		if surge.To <= surge.From || g.Times <= 0 || g.Times > 100 {
-			wrong(strings.TrimSpace(at), "%v to %v, %v times", surge.From, surge.To, g.Times)
+			report(strings.TrimSpace(at), "from %v to %v times %v: to must be after from, and times over 0 and up to 100", surge.From, surge.To, g.Times)
 		}
 		s.Surges = append(s.Surges, surge)
 	}
 	for i, x := range t.Troubles {
-		r := t.trouble(s, i, span, wrong)
-		s.Troubles = append(s.Troubles, r)
-		if about := kinds[r.Kind].about; about != "driver" || x.Times == 0 {
+		r := t.fault(s, i, duration, report)
+		s.Faults = append(s.Faults, r)
+		if target := faultKinds[r.Kind].target; target != "driver" || x.Times == 0 {
 			continue
 		}
 		if r.Every <= r.Lasts || x.Times != float64(int(x.Times)) || x.Times < 1 || r.At+time.Duration(x.Times)*r.Every > s.Lasts {
-			wrong(fmt.Sprintf("trouble %d", i+1), "%v times every %v, each for %v, is no whole number, overlaps itself or ends after the script", x.Times, r.Every, r.Lasts)
+			report(fmt.Sprintf("trouble %d", i+1), "%v times every %v, each for %v: times must be a whole number, every longer than lasts, and the end within the script", x.Times, r.Every, r.Lasts)
 			continue
 		}
 		for n := 1; n < int(x.Times); n++ {
 			again := r
 			again.At += time.Duration(n) * r.Every
-			s.Troubles = append(s.Troubles, again)
+			s.Faults = append(s.Faults, again)
 		}
 	}
 	for _, e := range t.Expect {
-		s.LeastOK = e.OK
+		s.MinOK = e.OK
 	}
 	return s
 }
 
-// leastEvery is how quickly a trouble comes and goes at most: each time all links are looked at.
-const leastEvery = 10 * time.Millisecond
+// minFlapPeriod is the shortest period of a fault that comes and goes: all links are updated at each change.
+const minFlapPeriod = 10 * time.Millisecond
 
-// trouble reads one of the troubles. What its kind has no use for is a mistake, as is what it lacks.
-func (t *text) trouble(s *Script, i int, span func(path, value string, otherwise time.Duration) time.Duration,
-	wrong func(path, format string, args ...any)) Trouble {
+// fault reads one trouble block. Keys that its kind does not take are an error, as are missing ones.
+func (t *scriptText) fault(s *Script, i int, duration func(path, value string, otherwise time.Duration) time.Duration,
+	report func(path, format string, args ...any)) Fault {
 	x, at := t.Troubles[i], fmt.Sprintf("trouble %d", i+1)
-	r := Trouble{Kind: x.Kind, At: span(at+" at", x.At, 0), Lasts: span(at+" lasts", x.Lasts, time.Second), On: x.On, Times: x.Times,
-		Within: span(at+" within", x.Within, 0), OneWay: x.OneWay, Every: span(at+" every", x.Every, 0),
-		By: span(at+" by", x.By, 0), Jitter: span(at+" jitter", x.Jitter, 0), Rate: x.Rate}
-	k, known := kinds[x.Kind]
+	r := Fault{Kind: x.Kind, At: duration(at+" at", x.At, 0), Lasts: duration(at+" lasts", x.Lasts, time.Second), On: x.On, Times: x.Times,
+		Within: duration(at+" within", x.Within, 0), OneWay: x.OneWay, Every: duration(at+" every", x.Every, 0),
+		By: duration(at+" by", x.By, 0), Jitter: duration(at+" jitter", x.Jitter, 0), Rate: x.Rate}
+	k, known := faultKinds[x.Kind]
 	if !known {
-		wrong(at, "there is no trouble %q", x.Kind)
+		report(at, "there is no trouble %q", x.Kind)
 		return r
 	}
 	if r.At > s.Lasts {
-		wrong(at+" at", "%v is after the end", r.At)
+		report(at+" at", "%v is after the end", r.At)
 	}
-	if r.Every != 0 && r.Every < leastEvery {
-		wrong(at+" every", "%v is under %v", r.Every, leastEvery)
+	if r.Every != 0 && r.Every < minFlapPeriod {
+		report(at+" every", "%v is under %v", r.Every, minFlapPeriod)
 	}
-	has := func(name string) bool { return slices.Contains(strings.Fields(k.has), name) }
+	has := func(name string) bool { return slices.Contains(strings.Fields(k.keys), name) }
 	for name, given := range map[string]bool{"times": x.Times != 0, "within": x.Within != "", "one_way": x.OneWay, "islands": x.Islands != nil,
 		"part": x.Part != 0, "folder": x.Folder != "", "every": x.Every != "", "by": x.By != "", "jitter": x.Jitter != "", "rate": x.Rate != 0} {
 		if given && !has(name) {
-			wrong(at+" "+name, "%s has no use for it", x.Kind)
+			report(at+" "+name, "%s does not take this key", x.Kind)
 		}
 	}
 	for name, missing := range map[string]bool{"rate": x.Rate <= 0, "islands": len(x.Islands) < 2} {
 		if missing && has(name) {
-			wrong(at, "%s is missing or too small", name)
+			report(at, "%s is missing or too small", name)
 		}
 	}
 	if r.Times == 0 {
@@ -477,49 +477,49 @@
 	if has("by") && r.By == 0 {
 		r.By = 50 * time.Millisecond
 	}
-	most := map[string]int{"member": s.Members * s.Groups, "driver": s.Drivers, "link": s.Drivers, "agent": s.Drivers, "control": s.Controls}[k.about]
+	most := map[string]int{"member": s.Members * s.Groups, "driver": s.Drivers, "link": s.Drivers, "agent": s.Drivers, "control": s.Controls}[k.target]
 	for _, n := range x.On {
 		if n < 0 || n >= most {
-			what := k.about
+			what := k.target
 			if what == "link" || what == "agent" {
 				what = "driver"
 			}
-			wrong(at+" on", "there is no %s %d", what, n)
+			report(at+" on", "there is no %s %d", what, n)
 		}
 	}
-	if k.about == "none" && len(x.On) > 0 {
-		wrong(at+" on", "%s has no use for it", x.Kind)
+	if k.target == "none" && len(x.On) > 0 {
+		report(at+" on", "%s does not take this key", x.Kind)
 	}
 	if r.Folder = x.Folder; r.Folder != "" && !slices.Contains([]string{keptFolder, emptiedFolder, olderFolder, flippedFolder, stalledFolder}, r.Folder) {
-		wrong(at+" folder", "%q is none of kept, emptied, older, flipped and stalled", r.Folder)
+		report(at+" folder", "%q is none of kept, emptied, older, flipped and stalled", r.Folder)
 	}
 	if x.Part < 0 || x.Part > 1 || x.Part > 0 && len(x.On) > 0 {
-		wrong(at+" part", "%v is not from 0 to 1, or on is given too", x.Part)
+		report(at+" part", "%v is not from 0 to 1, or on is given too", x.Part)
 	}
 	for n := range int(x.Part*float64(most) + 0.999) {
 		r.On = append(r.On, n)
 	}
 	if x.Kind == "voters" && s.Leases == nil {
-		wrong(at, "the script has no leases")
+		report(at, "the script has no leases")
 	}
-	if len(r.On) == 0 && (k.about == "member" || k.about == "driver" || k.about == "control") {
-		wrong(at, "on is missing")
+	if len(r.On) == 0 && (k.target == "member" || k.target == "driver" || k.target == "control") {
+		report(at, "on is missing")
 	}
-	if k.about == "control" && r.Folder != "" && r.Folder != keptFolder && r.Folder != emptiedFolder {
-		wrong(at+" folder", "%q is neither kept nor emptied", r.Folder)
+	if k.target == "control" && r.Folder != "" && r.Folder != keptFolder && r.Folder != emptiedFolder {
+		report(at+" folder", "%q is neither kept nor emptied", r.Folder)
 	}
-	if k.about != "link" && (x.From != nil || x.To != nil) {
-		wrong(at, "%s has no use for from and to", x.Kind)
+	if k.target != "link" && (x.From != nil || x.To != nil) {
+		report(at, "%s does not take from and to", x.Kind)
 	}
-	if k.about == "link" && x.Kind != "partition" {
-		r.ends(s, at, x.From, x.To, wrong)
+	if k.target == "link" && x.Kind != "partition" {
+		r.readEndpoints(s, at, x.From, x.To, report)
 	}
 	for _, island := range x.Islands {
 		var on []string
 		for _, name := range island {
-			names, err := s.places(name)
+			names, err := s.readNodes(name)
 			if err != nil {
-				wrong(at+" islands", "%v", err)
+				report(at+" islands", "%v", err)
 			}
 			on = append(on, names...)
 		}
@@ -528,26 +528,26 @@
 	return r
 }
 
-// ends reads between what a link is troubled: from and to, or the drivers that on names and all members.
-func (t *Trouble) ends(s *Script, at string, from, to []string, wrong func(path, format string, args ...any)) {
+// readEndpoints reads the two ends of the affected links: from and to, or the drivers in on and all members.
+func (t *Fault) readEndpoints(s *Script, at string, from, to []string, report func(path, format string, args ...any)) {
 	if len(from) == 0 && len(to) == 0 {
 		for _, n := range t.On {
 			t.From = append(t.From, Driver(n))
 		}
-		t.To, _ = s.places("members")
+		t.To, _ = s.readNodes("members")
 		if len(t.On) == 0 {
-			wrong(at, "on is missing, or from and to")
+			report(at, "on is missing, or from and to")
 		}
 		return
 	}
 	if len(t.On) > 0 || len(from) == 0 || len(to) == 0 {
-		wrong(at, "it wants either on, or from and to")
+		report(at, "either on, or both from and to must be given")
 	}
 	for name, texts := range map[string][]string{"from": from, "to": to} {
 		for _, text := range texts {
-			names, err := s.places(text)
+			names, err := s.readNodes(text)
 			if err != nil {
-				wrong(at+" "+name, "%v", err)
+				report(at+" "+name, "%v", err)
 			}
 			if name == "from" {
 				t.From = append(t.From, names...)
--- a/internal/emu/play/site.go
+++ b/internal/emu/play/site.go
@@ -9,33 +9,33 @@
 	"strings"
 )
 
-// Free finds addresses of this machine's loopback that are free now.
-func Free(n int) (places []netip.AddrPort, err error) {
+// FreeAddrs returns loopback addresses that are free at the time of the call.
+func FreeAddrs(n int) (addrs []netip.AddrPort, err error) {
 	for range n {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return nil, err
 		}
 		defer l.Close()
-		places = append(places, l.Addr().(*net.TCPAddr).AddrPort())
+		addrs = append(addrs, l.Addr().(*net.TCPAddr).AddrPort())
 	}
-	return places, nil
+	return addrs, nil
 }
 
-// Told is what one driver of a script is started with.
-type Told struct {
+// DriverSite holds what differs between the site files of a script's drivers.
+type DriverSite struct {
 	Name              string
 	Number            int
 	Listen, Discovery netip.AddrPort
 	Seed              uint64
 	Known             []byte
-	PeerListen        netip.AddrPort // invalid: drivers do not talk
+	PeerListen        netip.AddrPort // invalid: drivers do not send datagrams to each other
 	PeerAll           netip.AddrPort
 	Peers             []netip.AddrPort
 }
 
-// SiteJSON is the file that a driver of the script is started with.
-func (s *Script) SiteJSON(t Told) []byte {
+// SiteJSON returns the site file of a driver.
+func (s *Script) SiteJSON(t DriverSite) []byte {
 	settings := make(map[string]any)
 	methods := make([]map[string]any, len(s.Methods))
 	for i := range methods {
@@ -45,18 +45,18 @@
 		if items := strings.Split(value, ","); name == "needs" || name == "bounds" || name == "columns" || name == "zones" {
 			list := make([]any, len(items))
 			for i, item := range items {
-				list[i] = plain(item)
+				list[i] = jsonValue(item)
 			}
 			in[name] = list
 			return
 		}
-		in[name] = plain(value)
+		in[name] = jsonValue(value)
 	}
-	for path, value := range s.Terms(t.Number) {
+	for path, value := range s.DriverSettings(t.Number) {
 		parts := strings.Split(path, ".")
 		switch {
 		case path == "methods.count":
-		case parts[0] == "methods" && parts[2] == "repeats": // in the platform's words, as the project's mean another there
+		case parts[0] == "methods" && parts[2] == "repeats": // the site file uses the platform's terms, in which repeats has another meaning
 			i, _ := strconv.Atoi(parts[1])
 			methods[i]["group"] = map[string]string{"group": "cell", "all": "all"}[value]
 		case parts[0] == "methods":
@@ -74,19 +74,19 @@
 		}
 	}
 	settings["methods"] = methods
-	told := map[string]any{
+	site := map[string]any{
 		"name": t.Name, "listen": t.Listen.String(), "discovery": t.Discovery.String(), "seed": fmt.Sprintf("%016x", t.Seed),
 		"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024}, "known": json.RawMessage(t.Known), "settings": settings,
 	}
 	if t.PeerListen.IsValid() {
-		told["peer_listen"], told["peers_all"], told["peers"] = t.PeerListen, t.PeerAll, t.Peers
+		site["peer_listen"], site["peers_all"], site["peers"] = t.PeerListen, t.PeerAll, t.Peers
 	}
-	text, _ := json.MarshalIndent(told, "", " ")
+	text, _ := json.MarshalIndent(site, "", " ")
 	return text
 }
 
-// plain gives a value as JSON has it.
-func plain(text string) any {
+// jsonValue returns the value as a number or boolean where it is one.
+func jsonValue(text string) any {
 	if n, err := strconv.ParseFloat(text, 64); err == nil {
 		return n
 	}
--- a/internal/emu/rig/controls.go
+++ b/internal/emu/rig/controls.go
@@ -39,7 +39,7 @@
 	for n := range s.Controls {
 		f.machines = append(f.machines, &machine{number: n, name: play.Control(n), at: lots.next()})
 	}
-	for _, r := range s.Roads() {
+	for _, r := range s.Links() {
 		if r.To[0] == 'c' && r.To != "clients" {
 			if f.relays[r], err = newRelay(f.loop, f.chance, lots.next(), f.machines[number(r.To)].at); err != nil {
 				return err
@@ -48,7 +48,7 @@
 	}
 	for i := range f.places {
 		for n := range s.Controls {
-			f.places[i].Machines = append(f.places[i].Machines, f.relays[play.Road{From: play.Driver(i), To: play.Control(n)}].at)
+			f.places[i].Machines = append(f.places[i].Machines, f.relays[play.Link{From: play.Driver(i), To: play.Control(n)}].at)
 		}
 		if s.Controls > 0 {
 			if f.places[i].Configuration, err = f.folders.ConfigurationPath(i); err != nil {
@@ -60,14 +60,14 @@
 		text := fmt.Appendf(nil, "control_machine %q {\n  fleet = \"rehearsal\"\n  listen = %q\n  folder = %q\n", m.name, m.at, f.folders.ControlPath(m.number))
 		for _, o := range f.machines {
 			if o != m {
-				text = fmt.Appendf(text, "  peer %q {\n    at = %q\n  }\n", o.name, f.relays[play.Road{From: m.name, To: o.name}].at)
+				text = fmt.Appendf(text, "  peer %q {\n    at = %q\n  }\n", o.name, f.relays[play.Link{From: m.name, To: o.name}].at)
 			}
 		}
 		m.file = filepath.Join(f.folder, m.name+".hcl")
 		if err := os.WriteFile(m.file, append(text, "}\n"...), 0o600); err != nil {
 			return err
 		}
-		if err := f.folders.TreatControl(m.number, ""); err != nil {
+		if err := f.folders.PrepareControl(m.number, ""); err != nil {
 			return err
 		}
 		if err := f.control(m); err != nil {
@@ -92,7 +92,7 @@
 }
 
 // strikeControl ends or stops a control machine, which goes on then.
-func (f *fleet) strikeControl(m *machine, t play.Trouble, back time.Duration) {
+func (f *fleet) strikeControl(m *machine, t play.Fault, back time.Duration) {
 	f.noteOf(m.name, "%s %s", t.Kind, t.Folder)
 	if t.Kind == "control_pause" {
 		m.process.signal(syscall.SIGSTOP)
@@ -108,7 +108,7 @@
 	f.once(m.process.ended, func() {
 		f.loop.At(back, func() {
 			f.noteOf(m.name, "starts")
-			err := f.folders.TreatControl(m.number, t.Folder)
+			err := f.folders.PrepareControl(m.number, t.Folder)
 			if err == nil {
 				err = f.control(m)
 			}
@@ -197,7 +197,7 @@
 			if err != nil || json.Unmarshal(text, &told) != nil {
 				return false
 			}
-			s.Who, s.Version = m.name, told.Version
+			s.Source, s.Version = m.name, told.Version
 			return true
 		})
 	}
@@ -208,7 +208,7 @@
 			if control.Query(at, "status", &told) != nil || told.Configuration == nil {
 				return false // it is down
 			}
-			s.Who, s.Version, s.Refused, s.Why = d.name, told.Configuration.Version, told.Configuration.RejectedVersion, told.Configuration.RejectReason
+			s.Source, s.Version, s.Refused, s.Why = d.name, told.Configuration.Version, told.Configuration.RejectedVersion, told.Configuration.RejectReason
 			return true
 		})
 	}
--- a/internal/emu/rig/controls_test.go
+++ b/internal/emu/rig/controls_test.go
@@ -77,7 +77,7 @@
 func inForce(r *play.Result, drivers int, excuses []excuse) (took map[uint64][]time.Duration, wrong []string) {
 	counts, took := make(map[uint64]time.Duration), make(map[uint64][]time.Duration)
 	for _, s := range r.Versions {
-		if s.Who[0] != 'c' {
+		if s.Source[0] != 'c' {
 			continue
 		}
 		if _, known := counts[s.Version]; !known && s.Version > 0 {
@@ -87,14 +87,14 @@
 	for d := range drivers {
 		done, last := make(map[uint64]bool), uint64(0)
 		for _, s := range r.Versions {
-			if s.Who != play.Driver(d) {
+			if s.Source != play.Driver(d) {
 				continue
 			}
-			down := slices.ContainsFunc(r.Script.Troubles, func(t play.Trouble) bool { // it has started again: without a folder with its own file
+			down := slices.ContainsFunc(r.Script.Faults, func(t play.Fault) bool { // it has started again: without a folder with its own file
 				return t.Kind == "driver_kill" && slices.Contains(t.On, d) && s.At >= t.At && s.At < t.At+t.Lasts+2*time.Second
 			})
 			if s.Version < last && (!down || d%2 == 0) {
-				wrong = append(wrong, fmt.Sprintf("%s goes back from version %d to %d at %v", s.Who, last, s.Version, s.At))
+				wrong = append(wrong, fmt.Sprintf("%s goes back from version %d to %d at %v", s.Source, last, s.Version, s.At))
 			}
 			last = s.Version
 			for version, at := range counts {
@@ -173,7 +173,7 @@
 		}
 	}
 	published, outdated, refused := make(map[string]bool), 0, make(map[string]bool)
-	for _, m := range r.Course.Moments {
+	for _, m := range r.Course.Events {
 		if strings.HasPrefix(m.Who, "publisher") && strings.HasPrefix(m.What, "version ") {
 			if published[m.What] {
 				t.Errorf("%s is published twice", m.What)
@@ -184,7 +184,7 @@
 	}
 	for _, s := range r.Versions {
 		if s.Refused == 8 && strings.HasPrefix(s.Why, `settings.family_info.class_read is "old" for classes.0`) {
-			refused[s.Who] = true
+			refused[s.Source] = true
 		}
 	}
 	if len(published) != 10 || len(took) != 10 || outdated != 1 {
--- a/internal/emu/rig/leases_test.go
+++ b/internal/emu/rig/leases_test.go
@@ -122,7 +122,7 @@
 			if len(r.Broken) > 0 {
 				t.Errorf("seed %d: %v", seed, r.Broken[:min(3, len(r.Broken))])
 			}
-			acts, terms, refused = acts+len(r.Witness.Acts), terms+r.Witness.Terms(), refused+r.Witness.Refused
+			acts, terms, refused = acts+len(r.FencingServer.Requests), terms+r.FencingServer.Terms(), refused+r.FencingServer.Refused
 		})
 	}
 	all.Wait()
@@ -170,14 +170,14 @@
 			if err != nil {
 				t.Fatalf("%v\n%s", err, log.String())
 			}
-			w := r.Witness
+			w := r.FencingServer
 			if len(r.Broken) > 0 {
 				t.Errorf("%v", r.Broken[:min(3, len(r.Broken))])
 			}
-			end := w.Acts[len(w.Acts)-1].Came
-			from := w.Acts[0].Came + 800*time.Millisecond
-			gap, terms := w.Longest(from, end), w.Terms()
-			t.Logf("%d terms, %d acts, %d refused, the longest time without one %v", terms, len(w.Acts), w.Refused, gap)
+			end := w.Requests[len(w.Requests)-1].ReceivedAt
+			from := w.Requests[0].ReceivedAt + 800*time.Millisecond
+			gap, terms := w.LongestGap(from, end), w.Terms()
+			t.Logf("%d terms, %d acts, %d refused, the longest time without one %v", terms, len(w.Requests), w.Refused, gap)
 			if terms < c.terms[0] || terms > c.terms[1] || gap > c.gap {
 				var course strings.Builder
 				r.Course.Print(&course)
@@ -226,13 +226,13 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if len(r.Witness.Broken()) == 0 {
+			if len(r.FencingServer.Broken()) == 0 {
 				var course strings.Builder
 				r.Course.Print(&course)
 				t.Errorf("it is not found\n%s", course.String())
 			}
-			if r, err = playLeases(text+more, 1, Programs{}, io.Discard); err != nil || len(r.Witness.Broken()) > 0 {
-				t.Errorf("without it: %v", errors.Join(err, fmt.Errorf("%v", r.Witness.Broken())))
+			if r, err = playLeases(text+more, 1, Programs{}, io.Discard); err != nil || len(r.FencingServer.Broken()) > 0 {
+				t.Errorf("without it: %v", errors.Join(err, fmt.Errorf("%v", r.FencingServer.Broken())))
 			}
 		})
 	}
--- a/internal/emu/rig/relay.go
+++ b/internal/emu/rig/relay.go
@@ -253,7 +253,7 @@
 	}
 	wait := c.Delay + time.Duration(p.chance.Float()*float64(c.Jitter))
 	if c.Reorder > 0 && p.chance.Float() < c.Reorder {
-		wait += time.Duration(p.chance.Float() * float64(c.Late))
+		wait += time.Duration(p.chance.Float() * float64(c.MaxExtraDelay))
 	}
 	if wait == 0 {
 		send()
@@ -261,6 +261,6 @@
 		p.loop.At(p.loop.Now()+wait, send)
 	}
 	if c.Double > 0 && p.chance.Float() < c.Double {
-		p.loop.At(p.loop.Now()+wait+time.Duration(p.chance.Float()*float64(c.Late)), send)
+		p.loop.At(p.loop.Now()+wait+time.Duration(p.chance.Float()*float64(c.MaxExtraDelay)), send)
 	}
 }
--- a/internal/emu/rig/rig.go
+++ b/internal/emu/rig/rig.go
@@ -31,7 +31,7 @@
 type driver struct {
 	number  int
 	name    string
-	told    play.Told
+	told    play.DriverSite
 	program string
 	process *process
 	life    int  // counts processes
@@ -63,21 +63,21 @@
 	cluster  *play.Cluster
 	clients  *play.Clients
 	drivers  []*driver
-	relays   map[play.Road]*relay
-	posts    map[play.Road]*post
+	relays   map[play.Link]*relay
+	posts    map[play.Link]*post
 	everyone []*loop.DatagramSocket // where each driver addresses all others at once
-	falls    play.Falls
+	falls    play.Outages
 	said     chan said
 	readers  sync.WaitGroup // of the drivers' logs
 	began    time.Duration  // of the script; 0: not yet
 	starts   uint64
 	folders  *play.Folders
-	witness  *play.Witness
+	witness  *play.FencingServer
 	views    *viewers
 	program  string
 	machines []*machine
 	versions *versions
-	places   []play.Places // of each driver's operator's file
+	places   []play.OperatorParams // of each driver's operator's file
 	voters   play.Electorate
 	fault    error
 }
@@ -90,9 +90,9 @@
 // Play plays the script in real time with processes as the drivers. What they log goes to log, each line behind its driver's
 // name. No process outlives the call, nor this process.
 func Play(s *play.Script, seed uint64, programs Programs, log io.Writer) (*play.Result, error) {
-	f := &fleet{script: s, seed: seed, log: log, program: programs.Path, chance: pcg.New(seed + 3), relays: make(map[play.Road]*relay),
-		posts: make(map[play.Road]*post), said: make(chan said, 1024),
-		record: emu.NewRecord(emu.Allowed{Grace: s.Grace, Slack: 150 * time.Millisecond})}
+	f := &fleet{script: s, seed: seed, log: log, program: programs.Path, chance: pcg.New(seed + 3), relays: make(map[play.Link]*relay),
+		posts: make(map[play.Link]*post), said: make(chan said, 1024),
+		record: emu.NewRecord(emu.Tolerance{Grace: s.Grace, Slack: 150 * time.Millisecond})}
 	var err error
 	if f.folder, err = os.MkdirTemp("", "rig"); err != nil {
 		return nil, err
@@ -136,7 +136,7 @@
 		return nil, err
 	}
 	if f.fault == nil {
-		f.fault = f.cluster.Fault()
+		f.fault = f.cluster.Err()
 	}
 	if f.fault != nil {
 		return nil, fmt.Errorf("the play broke down: %w", f.fault)
@@ -168,7 +168,7 @@
 		return err
 	}
 	f.cluster.Address = func(driver, member int) netip.AddrPort {
-		return f.relays[play.Road{From: play.Driver(driver), To: play.Member(member)}].at
+		return f.relays[play.Link{From: play.Driver(driver), To: play.Member(member)}].at
 	}
 	for i := range s.Drivers {
 		d := &driver{number: i, name: play.Driver(i), program: programs.Path, behind: lots.next()}
@@ -179,7 +179,7 @@
 		}
 		f.drivers = append(f.drivers, d)
 	}
-	for _, r := range s.Roads() {
+	for _, r := range s.Links() {
 		d := f.drivers[0]
 		if r.From[0] == 'd' {
 			d = f.drivers[number(r.From)]
@@ -204,7 +204,7 @@
 		if slices.Contains(s.Twins, d.number) {
 			name = play.Driver(d.number - 1)
 		}
-		d.told = play.Told{Name: name, Number: d.number, Listen: d.behind, Discovery: f.relays[play.Road{From: d.name, To: "discovery"}].at}
+		d.told = play.DriverSite{Name: name, Number: d.number, Listen: d.behind, Discovery: f.relays[play.Link{From: d.name, To: "discovery"}].at}
 	}
 	if err := f.lease(lots); err != nil {
 		return err
@@ -221,17 +221,17 @@
 // lease gives drivers what their own operator's files name.
 func (f *fleet) lease(lots *lots) (err error) {
 	s := f.script
-	f.places = make([]play.Places, len(f.drivers))
+	f.places = make([]play.OperatorParams, len(f.drivers))
 	if s.Leases != nil {
 		f.voters = play.Electorate{Version: 1, Voters: s.Leases.Voters}
 	}
 	if s.Leases != nil && s.Leases.Summary > 0 {
 		at := lots.next()
-		if f.witness, err = play.NewWitness(f.loop, at); err != nil {
+		if f.witness, err = play.NewFencingServer(f.loop, at); err != nil {
 			return err
 		}
 		for i := range f.places {
-			f.places[i].Witness = at
+			f.places[i].FencingServer = at
 		}
 	}
 	for i := range f.places {
@@ -278,11 +278,11 @@
 				return err
 			}
 			d.told.Peers[o.number] = at
-			f.posts[play.Road{From: d.name, To: o.name}] = p
+			f.posts[play.Link{From: d.name, To: o.name}] = p
 		}
 		every, err := f.loop.ListenUDP(d.told.PeerAll, func(_ netip.AddrPort, text []byte) {
 			for _, o := range f.drivers {
-				if p := f.posts[play.Road{From: d.name, To: o.name}]; p != nil {
+				if p := f.posts[play.Link{From: d.name, To: o.name}]; p != nil {
 					p.pass(text)
 				}
 			}
@@ -293,7 +293,7 @@
 		f.everyone = append(f.everyone, every)
 	}
 	for r, p := range f.posts {
-		p.from = f.posts[play.Road{From: r.To, To: r.From}]
+		p.from = f.posts[play.Link{From: r.To, To: r.From}]
 	}
 	return nil
 }
@@ -307,7 +307,7 @@
 func (f *fleet) start(d *driver) error {
 	f.starts++
 	d.life++
-	d.told.Seed, d.told.Known = f.seed*1000003+f.starts, f.cluster.Known(d.number)
+	d.told.Seed, d.told.Known = f.seed*1000003+f.starts, f.cluster.LastList(d.number)
 	at := filepath.Join(f.folder, d.name+".json")
 	err := os.WriteFile(at, f.script.SiteJSON(d.told), 0o600)
 	if err != nil {
@@ -317,7 +317,7 @@
 	switch {
 	case f.folders != nil:
 		operatorFile, err := f.operate(d)
-		if err = errors.Join(err, f.folders.Starts(d.number)); err != nil {
+		if err = errors.Join(err, f.folders.SaveCopies(d.number)); err != nil {
 			return err
 		}
 		if !slices.Contains(f.script.Older, d.number) || accepts(d.program, at, operatorFile) {
@@ -416,7 +416,7 @@
 	stageChanged := event == "recovery stage changed" || event == "comeback" // the latter of earlier versions
 	if stageChanged && f.began > 0 {
 		f.note(d, "is %s", field(s.line, "stage"))
-		f.falls.Reached(d.number, field(s.line, "stage"), f.loop.Now()-f.began)
+		f.falls.StageReached(d.number, field(s.line, "stage"), f.loop.Now()-f.began)
 	}
 	if event != "started" {
 		return
@@ -424,7 +424,7 @@
 	d.serves = true
 	if f.began > 0 {
 		f.note(d, "serves")
-		f.falls.Back(d.number, f.loop.Now()-f.began)
+		f.falls.DriverUp(d.number, f.loop.Now()-f.began)
 	} else if !slices.ContainsFunc(f.drivers, func(o *driver) bool { return !o.serves }) {
 		f.begin()
 	}
@@ -454,16 +454,16 @@
 	for n, p := range f.script.Publications {
 		f.loop.At(f.began+p.At, func() { f.publish(n, p) })
 	}
-	f.cluster.Begin()
+	f.cluster.ResetStart()
 	var doors []netip.AddrPort
 	for _, d := range f.drivers {
-		doors = append(doors, f.relays[play.Road{From: "clients", To: d.name}].at)
+		doors = append(doors, f.relays[play.Link{From: "clients", To: d.name}].at)
 	}
 	f.clients = play.NewClients(f.loop, f.script, f.record, f.cluster.Ledger(), f.seed+2, doors)
-	for _, t := range f.script.Troubles {
+	for _, t := range f.script.Faults {
 		f.loop.At(f.began+t.At, func() { f.trouble(t) })
 	}
-	for _, at := range f.script.Edges() {
+	for _, at := range f.script.LinkChangeTimes() {
 		f.loop.At(f.began+at, func() { f.bend(at) })
 	}
 	f.loop.At(f.began+f.script.Ends(), f.loop.Stop)
@@ -475,7 +475,7 @@
 		if err := relay.bend(f.script.Between(at, r.From, r.To), f.script.Between(at, r.To, r.From)); err != nil {
 			f.fail("%s to %s: %w", r.From, r.To, err)
 		}
-		if f.script.Resets(at, r) {
+		if f.script.ResetAt(at, r) {
 			relay.reset()
 		}
 	}
@@ -485,12 +485,12 @@
 }
 
 // trouble lets something happen.
-func (f *fleet) trouble(t play.Trouble) {
+func (f *fleet) trouble(t play.Fault) {
 	until := f.loop.Now() + t.Lasts
 	switch t.Kind {
 	case "driver_kill", "driver_stop", "driver_pause":
 		for place, n := range t.On {
-			f.strike(f.drivers[n], t.Kind, t.Folder, t.Back(place, until))
+			f.strike(f.drivers[n], t.Kind, t.Folder, t.RestartTime(place, until))
 		}
 	case "control_kill", "control_pause":
 		for _, n := range t.On {
@@ -499,12 +499,12 @@
 	case "voters":
 		f.elect(t, until)
 	default:
-		f.cluster.Trouble(t, until)
+		f.cluster.InjectFault(t, until)
 	}
 }
 
 // elect lets others vote, for as long as it lasts together with those before.
-func (f *fleet) elect(t play.Trouble, until time.Duration) {
+func (f *fleet) elect(t play.Fault, until time.Duration) {
 	before := f.voters.Voters
 	tell := func(by play.Electorate) {
 		f.voters = by
@@ -525,8 +525,8 @@
 // strike ends or stops a driver, which goes on then. One that is down already stays so until the later time.
 func (f *fleet) strike(d *driver, how, folder string, back time.Duration) {
 	now := f.loop.Now()
-	f.record.Down(d.name, now, back+time.Second) // it has to start
-	f.falls.Gone(d.number, now-f.began)
+	f.record.DriverDown(d.name, now, back+time.Second) // it has to start
+	f.falls.DriverDown(d.number, now-f.began)
 	f.note(d, "%s", how)
 	if how == "driver_pause" && !d.running { // it is about to end, and would never
 		return
@@ -539,7 +539,7 @@
 				d.process.signal(syscall.SIGCONT)
 			}
 			if d.life == life && d.running {
-				f.falls.Back(d.number, f.loop.Now()-f.began)
+				f.falls.DriverUp(d.number, f.loop.Now()-f.began)
 				f.note(d, "goes on")
 			}
 		})
@@ -548,7 +548,7 @@
 	if !d.running {
 		return
 	}
-	f.clients.Died(d.number)
+	f.clients.DriverDied(d.number)
 	d.running = false
 	if how == "driver_kill" {
 		d.process.signal(syscall.SIGKILL)
@@ -585,7 +585,7 @@
 		f.note(d, "starts")
 		err := error(nil)
 		if f.folders != nil {
-			err = f.folders.Treat(d.number, folder)
+			err = f.folders.Prepare(d.number, folder)
 		}
 		if err = errors.Join(err, f.start(d)); err != nil {
 			f.fail("driver %s: %w", d.name, err)
--- a/internal/emu/rig/rig_test.go
+++ b/internal/emu/rig/rig_test.go
@@ -69,7 +69,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Rate, s.Build.Cores = s.Rate/4, 1
+	s.Rate, s.MemberSpec.Cores = s.Rate/4, 1
 	if change != nil {
 		change(s)
 	}
@@ -117,7 +117,7 @@
 			if len(r.Broken) > 0 {
 				t.Errorf("rules are broken: %v", r.Broken[:min(3, len(r.Broken))])
 			}
-			returns := r.Returns()
+			returns := r.Recoveries()
 			if len(returns) == 0 {
 				t.Fatal("nothing fell")
 			}
@@ -183,7 +183,7 @@
 		return fmt.Sprintf("trouble %q {\n  at = \"1s\"\n  lasts = \"1500ms\"\n  %s\n}\n", kind, strings.ReplaceAll(more, ";", "\n  "))
 	}
 	part := func(r *play.Result, driver int) float64 {
-		return r.Flow.Part(driver, 1200*time.Millisecond, 2300*time.Millisecond)
+		return r.UtilitySeries.ServedShare(driver, 1200*time.Millisecond, 2300*time.Millisecond)
 	}
 	for name, c := range map[string]struct {
 		more string
@@ -224,7 +224,7 @@
 		t.Errorf("answers %v, utility %v", r.Answers, r.Utility)
 	}
 	var words []string
-	for _, m := range r.Course.Moments {
+	for _, m := range r.Course.Events {
 		if m.Who == "d0" && !strings.HasPrefix(m.What, "is ") {
 			words = append(words, m.What)
 		}
@@ -232,7 +232,7 @@
 	if !slices.Equal(words, []string{"driver_stop", "ended", "starts", "serves"}) {
 		t.Errorf("the course of d0: %v", words)
 	}
-	if f := r.Falls; len(f) != 1 || f[0].Up < f[0].At || len(f[0].Drivers) != 2 {
+	if f := r.Outages; len(f) != 1 || f[0].Up < f[0].At || len(f[0].Drivers) != 2 {
 		t.Errorf("falls: %+v", f)
 	}
 }
@@ -321,7 +321,7 @@
 		t.Fatal(err)
 	}
 	restored, lost := 0, 0
-	for _, m := range r.Course.Moments {
+	for _, m := range r.Course.Events {
 		switch {
 		case strings.HasPrefix(m.What, "learned state restored members=3"):
 			restored++
@@ -363,7 +363,7 @@
 	usual, _ := latency("kept")
 	stalled, r := latency("stalled")
 	failures := 0
-	for _, m := range r.Course.Moments {
+	for _, m := range r.Course.Events {
 		if strings.HasPrefix(m.What, "learned state not saved") {
 			failures++
 		}
--- a/internal/emu/rig/views_test.go
+++ b/internal/emu/rig/views_test.go
@@ -214,7 +214,7 @@
 		}
 		away, most := r.Ledger.Sum(emu.TurnedAway, 0, 16), 0.0
 		for second := range 16 {
-			most = max(most, r.Ledger.Second(emu.OpenMost, second))
+			most = max(most, r.Ledger.Second(emu.MaxOpen, second))
 		}
 		t.Logf("parts: %v, %v connections turned away, up to %v open at one, utility %.3f", parted, away, most, r.Utility)
 		if (away > 0) == parted || len(r.Broken) > 0 {
@@ -233,13 +233,13 @@
 		t.Fatal(err)
 	}
 	told := 0
-	for _, m := range r.Course.Moments {
+	for _, m := range r.Course.Events {
 		if strings.HasPrefix(m.What, "duplicate driver name") {
 			told++
 		}
 	}
-	t.Logf("told %d times, %d terms, %d acts", told, r.Witness.Terms(), len(r.Witness.Acts))
-	if told < 2 || len(r.Broken) > 0 || len(r.Witness.Acts) < 100 {
-		t.Errorf("told %d times, %d acts, %v", told, len(r.Witness.Acts), r.Broken)
+	t.Logf("told %d times, %d terms, %d acts", told, r.FencingServer.Terms(), len(r.FencingServer.Requests))
+	if told < 2 || len(r.Broken) > 0 || len(r.FencingServer.Requests) < 100 {
+		t.Errorf("told %d times, %d acts, %v", told, len(r.FencingServer.Requests), r.Broken)
 	}
 }
--- a/internal/lab/capacity/failures.go
+++ b/internal/lab/capacity/failures.go
@@ -109,22 +109,22 @@
 	if err != nil {
 		return nil, err
 	}
-	s.Lasts, s.Zones, s.Route, s.Build.Cores = failureLasts, f.zones, "spread", 1
+	s.Lasts, s.Zones, s.Route, s.MemberSpec.Cores = failureLasts, f.zones, "spread", 1
 	if f.zones == regionsInAll {
 		hereDrivers, hereMembers := of(s, 0)
 		thereDrivers, thereMembers := of(s, 1)
-		s.Troubles = append(s.Troubles, play.Trouble{Kind: "delay", Lasts: s.Ends(), From: hereDrivers, To: thereMembers, By: regionDelay},
-			play.Trouble{Kind: "delay", Lasts: s.Ends(), From: thereDrivers, To: hereMembers, By: regionDelay})
+		s.Faults = append(s.Faults, play.Fault{Kind: "delay", Lasts: s.Ends(), From: hereDrivers, To: thereMembers, By: regionDelay},
+			play.Fault{Kind: "delay", Lasts: s.Ends(), From: thereDrivers, To: hereMembers, By: regionDelay})
 		if f.apart {
-			s.Troubles = append(s.Troubles, play.Trouble{Kind: "partition", At: trouble, Lasts: f.lasts,
+			s.Faults = append(s.Faults, play.Fault{Kind: "partition", At: trouble, Lasts: f.lasts,
 				Islands: [][]string{append(hereDrivers, hereMembers...), append(thereDrivers, thereMembers...)}})
 		}
 	}
 	if on := f.members(s); len(on) > 0 {
-		s.Troubles = append(s.Troubles, play.Trouble{Kind: map[bool]string{true: "drain", false: "kill"}[f.drains], At: trouble, Lasts: f.lasts, On: on})
+		s.Faults = append(s.Faults, play.Fault{Kind: map[bool]string{true: "drain", false: "kill"}[f.drains], At: trouble, Lasts: f.lasts, On: on})
 	}
 	if on := f.drivers(s); len(on) > 0 {
-		s.Troubles = append(s.Troubles, play.Trouble{Kind: "driver_kill", At: trouble, Lasts: f.lasts, On: on, Within: time.Second})
+		s.Faults = append(s.Faults, play.Fault{Kind: "driver_kill", At: trouble, Lasts: f.lasts, On: on, Within: time.Second})
 	}
 	return s, nil
 }
@@ -140,17 +140,17 @@
 		return err
 	}
 	p := &points{s.Name, Drivers, drivers, s, seed, point}
-	level := r.Flow.Part(play.Every, time.Second, trouble)
-	whole, lostUntil := r.Flow.Whole(play.Every, level, trouble, s.Lasts), s.Lasts
+	level := r.UtilitySeries.ServedShare(play.AllDrivers, time.Second, trouble)
+	whole, lostUntil := r.UtilitySeries.RecoveryTime(play.AllDrivers, level, trouble, s.Lasts), s.Lasts
 	p.say("level", "utility got of what was asked", level)
 	if whole >= 0 {
 		p.say("whole_after", "s", whole.Seconds())
 	}
 	p.say("never_whole", "plays", map[bool]float64{true: 1}[whole < 0])
-	p.say("lost", "s of the level before", (1-r.Flow.Part(play.Every, trouble, lostUntil)/level)*(lostUntil-trouble).Seconds())
+	p.say("lost", "s of the level before", (1-r.UtilitySeries.ServedShare(play.AllDrivers, trouble, lostUntil)/level)*(lostUntil-trouble).Seconds())
 	p.say("worst_second", "utility got of what was asked", worstSecond(r, s))
 	gone := f.drivers(s)
-	concerned := among(drivers, func(d int) bool { return r.Flow.Part(d, trouble, trouble+f.lasts) < 0.95*level })
+	concerned := among(drivers, func(d int) bool { return r.UtilitySeries.ServedShare(d, trouble, trouble+f.lasts) < 0.95*level })
 	p.say("drivers_gone", "drivers", float64(len(gone)))
 	p.say("drivers_concerned", "drivers under 95% of the level while it lasts", float64(len(concerned)))
 	members := f.members(s)
@@ -164,17 +164,17 @@
 	p.carried(r, gone, f.lasts)
 	from, end := int(trouble/time.Second), r.Ledger.Seconds()
 	for _, what := range []string{emu.Connects, emu.Lists, emu.Attempts, emu.Probes} {
-		p.say(what+"_usual", "in the busiest second", r.Ledger.Total(what, 1, from))
-		p.say(what+"_busiest", "in the busiest second", r.Ledger.Total(what, from, end))
+		p.say(what+"_usual", "in the busiest second", r.Ledger.PeakTotal(what, 1, from))
+		p.say(what+"_busiest", "in the busiest second", r.Ledger.PeakTotal(what, from, end))
 	}
 	usual, _ := r.Ledger.Peak(emu.Connects, 1, from)
 	one, _ := r.Ledger.Peak(emu.Connects, from, end)
 	p.say("connects_one_usual", "in the busiest second of one member", usual)
 	p.say("connects_one_busiest", "in the busiest second of one member", one)
-	p.say("former_writes", "attempts", r.Ledger.Sum(emu.Stale, from, end))
-	p.say("pushed_back", "tries", r.Ledger.Sum(emu.PushedOff, from, end))
-	p.say("no_answer", "tries", r.Ledger.Sum(emu.Lost, from, end))
-	cold, _ := r.Ledger.Peak(emu.ColdPart, from, end)
+	p.say("former_writes", "attempts", r.Ledger.Sum(emu.FormerPrimaryWrites, from, end))
+	p.say("pushed_back", "tries", r.Ledger.Sum(emu.PushedBackTries, from, end))
+	p.say("no_answer", "tries", r.Ledger.Sum(emu.UnansweredTries, from, end))
+	cold, _ := r.Ledger.Peak(emu.ColdLoad, from, end)
 	p.say("cold_part", "of what tips a cold member", cold)
 	return p.rules(r)
 }
@@ -183,7 +183,7 @@
 func worstSecond(r *play.Result, s *play.Script) float64 {
 	least := 1.0
 	for at := trouble; at+time.Second <= s.Lasts; at += 100 * time.Millisecond {
-		least = min(least, r.Flow.Part(play.Every, at, at+time.Second))
+		least = min(least, r.UtilitySeries.ServedShare(play.AllDrivers, at, at+time.Second))
 	}
 	return least
 }
@@ -195,11 +195,11 @@
 	}
 	from := int(trouble / time.Second)
 	begun, over := from+2, from+int(lasts/time.Second) // clients have been dealt anew
-	before := r.Ledger.Sum(emu.Worth, 1, from) / float64(from-1) / float64(p.script.Drivers)
+	before := r.Ledger.Sum(emu.RequestedUtility, 1, from) / float64(from-1) / float64(p.script.Drivers)
 	var times []float64
 	for d := range p.script.Drivers {
 		if !slices.Contains(gone, d) {
-			times = append(times, r.Ledger.Place(emu.Worth, play.Driver(d), begun, over)/float64(over-begun)/before)
+			times = append(times, r.Ledger.SumAt(emu.RequestedUtility, play.Driver(d), begun, over)/float64(over-begun)/before)
 		}
 	}
 	sum := 0.0
--- a/internal/lab/capacity/hollow.go
+++ b/internal/lab/capacity/hollow.go
@@ -102,7 +102,7 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &hollow{stop: stop, world: sim.New(seed, epoch), seed: seed, terms: s.Terms(0), wants: wants, numbers: make(map[*sim.Host]int), nodes: make([]*node.Node, drivers),
+	f := &hollow{stop: stop, world: sim.New(seed, epoch), seed: seed, terms: s.DriverSettings(0), wants: wants, numbers: make(map[*sim.Host]int), nodes: make([]*node.Node, drivers),
 		sent: make([]traffic, drivers), taken: make([]traffic, drivers), crowds: make([]traffic, drivers)}
 	f.terms["tick"] = hollowTick
 	f.world.OnDatagram = f.posted
