--- a/internal/lab/capacity/primary.go
+++ b/internal/lab/capacity/primary.go
@@ -26,12 +26,12 @@
 	lasts := s.Lasts - at - backBefore
 	switch how {
 	case "death": // it comes back cold
-		s.Troubles = append(s.Troubles, play.Trouble{Kind: "kill", At: at, Lasts: trouble, On: []int{member}})
+		s.Faults = append(s.Faults, play.Fault{Kind: "kill", At: at, Lasts: trouble, On: []int{member}})
 	case "vanish": // neither its process nor its machine takes anything
-		s.Troubles = append(s.Troubles, play.Trouble{Kind: "cut", At: at, Lasts: lasts, From: places(play.Driver, 0, s.Drivers), To: []string{play.Member(member)}})
+		s.Faults = append(s.Faults, play.Fault{Kind: "cut", At: at, Lasts: lasts, From: places(play.Driver, 0, s.Drivers), To: []string{play.Member(member)}})
 		fallthrough
 	case "hang":
-		s.Troubles = append(s.Troubles, play.Trouble{Kind: "pause", At: at, Lasts: lasts, On: []int{member}})
+		s.Faults = append(s.Faults, play.Fault{Kind: "pause", At: at, Lasts: lasts, On: []int{member}})
 	}
 }
 
@@ -44,15 +44,15 @@
 }
 
 // add counts a driver. Since is the moment, begun the first one at which it could have written.
-func (p *spans) add(c *play.Change, driver int, since, begun, end time.Duration) {
-	first := c.First[driver]
+func (p *spans) add(c *play.PrimaryChange, driver int, since, begun, end time.Duration) {
+	first := c.FirstWrite[driver]
 	if first < 0 {
 		first = end
 		p.never++
 	}
 	p.all = append(p.all, (first - since).Seconds())
 	p.own = append(p.own, max(0, first-begun).Seconds())
-	if w := c.Waited[driver]; w >= 0 {
+	if w := c.WaitedSince[driver]; w >= 0 {
 		p.asked = append(p.asked, max(0, first-max(w, begun)).Seconds())
 	}
 }
@@ -70,11 +70,11 @@
 	if err != nil {
 		return err
 	}
-	s.Build.Cores, s.Build.Queue = 64*max(1, drivers/fleetDrivers), 4096 // what it bears is not what is asked here
+	s.MemberSpec.Cores, s.MemberSpec.Queue = 64*max(1, drivers/fleetDrivers), 4096 // what it bears is not what is asked here
 	healed, half := trouble-apartBefore+apartFor, drivers
 	if apart {
 		half, s.Lasts = drivers/2, healed+afterApart
-		s.Troubles = append(s.Troubles, play.Trouble{Kind: "partition", At: trouble - apartBefore, Lasts: apartFor, Islands: [][]string{
+		s.Faults = append(s.Faults, play.Fault{Kind: "partition", At: trouble - apartBefore, Lasts: apartFor, Islands: [][]string{
 			append(places(play.Driver, 0, half), places(play.Member, 0, groupMembers/2)...),
 			append(places(play.Driver, half, drivers), places(play.Member, groupMembers/2, groupMembers)...)}})
 	}
@@ -108,15 +108,15 @@
 }
 
 // changeLoads is what a change brings to the new primary, and what goes astray.
-func (p *points) changeLoads(r *play.Result, c *play.Change) {
+func (p *points) changeLoads(r *play.Result, c *play.PrimaryChange) {
 	from, end := int(trouble/time.Second), r.Ledger.Seconds()
 	p.say("new_primary_attempts", "attempts in its first second", float64(c.Attempts))
 	p.say("new_primary_connects", "connections in its first second", float64(c.Connects))
 	p.say("usual_attempts", "attempts a second of the play's members", r.Ledger.Sum(emu.Attempts, 1, from)/float64(from-1))
-	p.say("former_writes", "attempts", r.Ledger.Sum(emu.Stale, from, end))
+	p.say("former_writes", "attempts", r.Ledger.Sum(emu.FormerPrimaryWrites, from, end))
 	p.say("scouts", "attempts", r.Ledger.Sum(emu.Scouts, from, end))
-	p.say("lists_busiest", "calls a second", r.Ledger.Total(emu.Lists, from, end))
-	cold, _ := r.Ledger.Peak(emu.ColdPart, from, end)
+	p.say("lists_busiest", "calls a second", r.Ledger.PeakTotal(emu.Lists, from, end))
+	cold, _ := r.Ledger.Peak(emu.ColdLoad, from, end)
 	p.say("cold_part", "of what tips a cold member", cold)
 	p.say("utility", "of what was asked", r.Utility)
 }
--- a/internal/lab/capacity/processes.go
+++ b/internal/lab/capacity/processes.go
@@ -47,7 +47,7 @@
 	if err != nil {
 		return nil, err
 	}
-	places, err := play.Free(3*drivers + 1)
+	places, err := play.FreeAddrs(3*drivers + 1)
 	if err != nil {
 		return nil, err
 	}
@@ -55,7 +55,7 @@
 	for i := range drivers {
 		at := filepath.Join(folder, driverName(i))
 		control := places[2*drivers+i].String()
-		site := s.SiteJSON(play.Told{Name: driverName(i), Number: i, Listen: places[drivers+i], Discovery: agents[i].at, Seed: seed*1000003 + uint64(i),
+		site := s.SiteJSON(play.DriverSite{Name: driverName(i), Number: i, Listen: places[drivers+i], Discovery: agents[i].at, Seed: seed*1000003 + uint64(i),
 			Known: []byte(`{"rev":1,"all":true,"targets":[]}`), PeerListen: talk[i], PeerAll: places[3*drivers], Peers: talk})
 		wants := fmt.Appendf(nil, "%scontrol {\n  listen = %q\n}\n", viewWants, control)
 		if err := errors.Join(os.WriteFile(at+".json", site, 0o600), os.WriteFile(at+".hcl", wants, 0o600)); err != nil {
@@ -126,7 +126,7 @@
 		return err
 	}
 	d := &discoveryAgent{rev: 1}
-	places, err := play.Free(size)
+	places, err := play.FreeAddrs(size)
 	if err != nil {
 		return err
 	}
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -89,23 +89,23 @@
 		case "drivers":
 			act, bad = func(s *play.Script) { s.Drivers = whole }, bad || number != float64(whole) || whole > 500
 		case "cores":
-			act, bad = func(s *play.Script) { s.Build.Cores = whole }, bad || number != float64(whole)
+			act, bad = func(s *play.Script) { s.MemberSpec.Cores = whole }, bad || number != float64(whole)
 		case "queue":
-			act, bad = func(s *play.Script) { s.Build.Queue = whole }, bad || number != float64(whole)
+			act, bad = func(s *play.Script) { s.MemberSpec.Queue = whole }, bad || number != float64(whole)
 		case "retries":
 			act, bad = func(s *play.Script) { s.Retries = whole }, notNumber != nil || number < 0 || number != float64(whole)
 		case "obeys":
-			act, bad = func(s *play.Script) { s.Obeys = value == "true" }, value != "true" && value != "false"
+			act, bad = func(s *play.Script) { s.HonorsRetryAfter = value == "true" }, value != "true" && value != "false"
 		case "folders": // drivers keep what they learn, and find it kept or emptied
 			act, bad = func(s *play.Script) { s.Folders = value == "true" }, value != "true" && value != "false"
 		case "spared": // no driver ends, however the script has it
-			act, bad = (*play.Script).Spare, value != "true"
+			act, bad = (*play.Script).RemoveDriverEnds, value != "true"
 		case "down": // how long the drivers stay away that the script ends, almost without load if it is long
-			act, bad = func(s *play.Script) { s.Absent(span) }, notSpan != nil || span < 50*time.Millisecond || span > 24*time.Hour
+			act, bad = func(s *play.Script) { s.SetDowntime(span) }, notSpan != nil || span < 50*time.Millisecond || span > 24*time.Hour
 		case "list_delay":
 			act, bad = func(s *play.Script) { s.ListDelay = span }, notSpan != nil || span < 0
 		case "apply":
-			act, bad = func(s *play.Script) { s.Build.Apply = span }, notSpan != nil || span < 0
+			act, bad = func(s *play.Script) { s.MemberSpec.ApplyTime = span }, notSpan != nil || span < 0
 		default:
 			return a, fmt.Errorf("arm %q: there is no %q; load, drivers, cores, queue, retries, obeys, folders, spared, down, list_delay and apply can be changed", name, key)
 		}
@@ -208,24 +208,24 @@
 		Broken: int64(len(r.Broken)), P50: r.Latency(50), P99: r.Latency(99), Digest: fmt.Sprintf("%016x", r.Digest),
 		Drivers: int64(s.Drivers),
 	}
-	if back := s.Return(); back > 0 {
-		row.First = r.Flow.Part(play.Every, back, back+10*time.Second)
+	if back := s.LastDriverStart(); back > 0 {
+		row.First = r.UtilitySeries.ServedShare(play.AllDrivers, back, back+10*time.Second)
 	}
-	if returns := r.Returns(); len(returns) > 0 {
+	if returns := r.Recoveries(); len(returns) > 0 {
 		row.fell(returns[len(returns)-1])
 	}
 	return row, nil
 }
 
 // fell takes over how the fleet came back.
-func (r *Row) fell(back play.Return) {
+func (r *Row) fell(back play.Recovery) {
 	connects, lists := back.Load(emu.Connects), back.Load(emu.Lists)
 	r.Whole, r.Lost, r.Cold, r.Stale = back.Whole.Seconds(), back.Lost, back.Cold, back.Stale
 	if back.Whole < 0 {
 		r.Whole = -1
 	}
 	r.Connects, r.ConnectsUsual, r.Member, r.MemberUsual = connects.AllAfter, connects.AllBefore, connects.After, connects.Before
-	r.Lists, r.ListsUsual, r.Full = lists.AllAfter, lists.AllBefore, back.Load(emu.Fulls).AllAfter
+	r.Lists, r.ListsUsual, r.Full = lists.AllAfter, lists.AllBefore, back.Load(emu.QueueFull).AllAfter
 }
 
 // numbers are the columns of a row that can be compared, by name.
