--- a/internal/emu/rig/control_machines.go
+++ b/internal/emu/rig/control_machines.go
@@ -39,7 +39,7 @@
 	for n := range s.Controls {
 		f.machines = append(f.machines, &controlMachine{number: n, name: play.Control(n), address: addresses.next()})
 	}
-	for _, r := range s.Roads() {
+	for _, r := range s.Links() {
 		if r.To[0] == 'c' && r.To != "clients" {
 			if f.relays[r], err = newRelay(f.loop, f.rng, addresses.next(), f.machines[numberInName(r.To)].address); err != nil {
 				return err
@@ -48,7 +48,7 @@
 	}
 	for i := range f.places {
 		for n := range s.Controls {
-			f.places[i].Machines = append(f.places[i].Machines, f.relays[play.Road{From: play.Driver(i), To: play.Control(n)}].listenAddress)
+			f.places[i].Machines = append(f.places[i].Machines, f.relays[play.Link{From: play.Driver(i), To: play.Control(n)}].listenAddress)
 		}
 		if s.Controls > 0 {
 			if f.places[i].Configuration, err = f.folders.ConfigurationPath(i); err != nil {
@@ -60,14 +60,14 @@
 		text := fmt.Appendf(nil, "control_machine %q {\n  fleet = \"rehearsal\"\n  listen = %q\n  folder = %q\n", m.name, m.address, f.folders.ControlPath(m.number))
 		for _, o := range f.machines {
 			if o != m {
-				text = fmt.Appendf(text, "  peer %q {\n    at = %q\n  }\n", o.name, f.relays[play.Road{From: m.name, To: o.name}].listenAddress)
+				text = fmt.Appendf(text, "  peer %q {\n    at = %q\n  }\n", o.name, f.relays[play.Link{From: m.name, To: o.name}].listenAddress)
 			}
 		}
 		m.configFile = filepath.Join(f.folder, m.name+".hcl")
 		if err := os.WriteFile(m.configFile, append(text, "}\n"...), 0o600); err != nil {
 			return err
 		}
-		if err := f.folders.TreatControl(m.number, ""); err != nil {
+		if err := f.folders.PrepareControl(m.number, ""); err != nil {
 			return err
 		}
 		if err := f.startControlMachine(m); err != nil {
@@ -92,7 +92,7 @@
 }
 
 // injectControlFault kills a control machine and starts it again at endTime, or pauses it until then.
-func (f *fleet) injectControlFault(m *controlMachine, t play.Trouble, endTime time.Duration) {
+func (f *fleet) injectControlFault(m *controlMachine, t play.Fault, endTime time.Duration) {
 	f.recordEvent(m.name, "%s %s", t.Kind, t.Folder)
 	if t.Kind == "control_pause" {
 		m.process.signal(syscall.SIGSTOP)
@@ -108,7 +108,7 @@
 	f.whenEnded(m.process.ended, func() {
 		f.loop.At(endTime, func() {
 			f.recordEvent(m.name, "starts")
-			err := f.folders.TreatControl(m.number, t.Folder)
+			err := f.folders.PrepareControl(m.number, t.Folder)
 			if err == nil {
 				err = f.startControlMachine(m)
 			}
@@ -197,7 +197,7 @@
 			if err != nil || json.Unmarshal(text, &status) != nil {
 				return false
 			}
-			s.Who, s.Version = m.name, status.Version
+			s.Source, s.Version = m.name, status.Version
 			return true
 		})
 	}
@@ -208,7 +208,7 @@
 			if control.Query(address, "status", &status) != nil || status.Configuration == nil {
 				return false // the driver is down or has no configuration
 			}
-			s.Who, s.Version, s.Refused, s.Why = d.name, status.Configuration.Version, status.Configuration.RejectedVersion, status.Configuration.RejectReason
+			s.Source, s.Version, s.Refused, s.Why = d.name, status.Configuration.Version, status.Configuration.RejectedVersion, status.Configuration.RejectReason
 			return true
 		})
 	}
--- a/internal/emu/rig/membership_test.go
+++ b/internal/emu/rig/membership_test.go
@@ -214,7 +214,7 @@
 		}
 		rejected, maxOpen := r.Ledger.Sum(emu.TurnedAway, 0, 16), 0.0
 		for second := range 16 {
-			maxOpen = max(maxOpen, r.Ledger.Second(emu.OpenMost, second))
+			maxOpen = max(maxOpen, r.Ledger.Second(emu.MaxOpen, second))
 		}
 		t.Logf("shards: %v, %v connections rejected, up to %v open at one member, utility %.3f", sharded, rejected, maxOpen, r.Utility)
 		if (rejected > 0) == sharded || len(r.Broken) > 0 {
@@ -234,13 +234,13 @@
 		t.Fatal(err)
 	}
 	reports := 0
-	for _, m := range r.Course.Moments {
+	for _, m := range r.Course.Events {
 		if strings.HasPrefix(m.What, "duplicate driver name") {
 			reports++
 		}
 	}
-	t.Logf("%d reports of the duplicate, %d terms, %d acts", reports, r.Witness.Terms(), len(r.Witness.Acts))
-	if reports < 2 || len(r.Broken) > 0 || len(r.Witness.Acts) < 100 {
-		t.Errorf("%d reports of the duplicate, %d acts, broken rules: %v", reports, len(r.Witness.Acts), r.Broken)
+	t.Logf("%d reports of the duplicate, %d terms, %d acts", reports, r.FencingServer.Terms(), len(r.FencingServer.Requests))
+	if reports < 2 || len(r.Broken) > 0 || len(r.FencingServer.Requests) < 100 {
+		t.Errorf("%d reports of the duplicate, %d acts, broken rules: %v", reports, len(r.FencingServer.Requests), r.Broken)
 	}
 }
--- a/internal/emu/rig/relay.go
+++ b/internal/emu/rig/relay.go
@@ -254,7 +254,7 @@
 	}
 	delay := c.Delay + time.Duration(p.rng.Float()*float64(c.Jitter))
 	if c.Reorder > 0 && p.rng.Float() < c.Reorder {
-		delay += time.Duration(p.rng.Float() * float64(c.Late))
+		delay += time.Duration(p.rng.Float() * float64(c.MaxExtraDelay))
 	}
 	if delay == 0 {
 		send()
@@ -262,6 +262,6 @@
 		p.loop.At(p.loop.Now()+delay, send)
 	}
 	if c.Double > 0 && p.rng.Float() < c.Double {
-		p.loop.At(p.loop.Now()+delay+time.Duration(p.rng.Float()*float64(c.Late)), send)
+		p.loop.At(p.loop.Now()+delay+time.Duration(p.rng.Float()*float64(c.MaxExtraDelay)), send)
 	}
 }
--- a/internal/emu/rig/rig.go
+++ b/internal/emu/rig/rig.go
@@ -31,7 +31,7 @@
 type driver struct {
 	number        int
 	name          string
-	site          play.Told
+	site          play.DriverSite
 	program       string
 	process       *process
 	processNumber int            // increases with each start
@@ -63,21 +63,21 @@
 	cluster          *play.Cluster
 	clients          *play.Clients
 	drivers          []*driver
-	relays           map[play.Road]*relay
-	datagramRelays   map[play.Road]*datagramRelay
+	relays           map[play.Link]*relay
+	datagramRelays   map[play.Link]*datagramRelay
 	broadcastSockets []*eventloop.DatagramSocket // one per driver: what it sends there goes to all others
-	falls            play.Falls
+	falls            play.Outages
 	events           chan processEvent
 	readers          sync.WaitGroup // goroutines that read the logs of processes
 	scriptStart      time.Duration  // 0 until all drivers serve
 	startCount       uint64
 	folders          *play.Folders
-	witness          *play.Witness
+	witness          *play.FencingServer
 	membershipPoller *membershipPoller
 	programPath      string
 	machines         []*controlMachine
 	versionPoller    *versionPoller
-	places           []play.Places // addresses and folders in each driver's operator file
+	places           []play.OperatorParams // addresses and folders in each driver's operator file
 	voters           play.Electorate
 	failure          error
 }
@@ -90,9 +90,9 @@
 // Play plays the script in real time, with processes as the drivers. It writes their log lines to log, each with its driver's name
 // before it. All processes end before the call returns, and also when the calling process dies.
 func Play(s *play.Script, seed uint64, programs Programs, log io.Writer) (*play.Result, error) {
-	f := &fleet{script: s, seed: seed, log: log, programPath: programs.Path, rng: pcg.New(seed + 3), relays: make(map[play.Road]*relay),
-		datagramRelays: make(map[play.Road]*datagramRelay), events: make(chan processEvent, 1024),
-		record: emu.NewRecord(emu.Allowed{Grace: s.Grace, Slack: 150 * time.Millisecond})}
+	f := &fleet{script: s, seed: seed, log: log, programPath: programs.Path, rng: pcg.New(seed + 3), relays: make(map[play.Link]*relay),
+		datagramRelays: make(map[play.Link]*datagramRelay), events: make(chan processEvent, 1024),
+		record: emu.NewRecord(emu.Tolerance{Grace: s.Grace, Slack: 150 * time.Millisecond})}
 	var err error
 	if f.folder, err = os.MkdirTemp("", "rig"); err != nil {
 		return nil, err
@@ -136,7 +136,7 @@
 		return nil, err
 	}
 	if f.failure == nil {
-		f.failure = f.cluster.Fault()
+		f.failure = f.cluster.Err()
 	}
 	if f.failure != nil {
 		return nil, fmt.Errorf("play failed: %w", f.failure)
@@ -168,7 +168,7 @@
 		return err
 	}
 	f.cluster.Address = func(driver, member int) netip.AddrPort {
-		return f.relays[play.Road{From: play.Driver(driver), To: play.Member(member)}].listenAddress
+		return f.relays[play.Link{From: play.Driver(driver), To: play.Member(member)}].listenAddress
 	}
 	for i := range s.Drivers {
 		d := &driver{number: i, name: play.Driver(i), program: programs.Path, listenAddress: addresses.next()}
@@ -179,7 +179,7 @@
 		}
 		f.drivers = append(f.drivers, d)
 	}
-	for _, r := range s.Roads() {
+	for _, r := range s.Links() {
 		d := f.drivers[0]
 		if r.From[0] == 'd' {
 			d = f.drivers[numberInName(r.From)]
@@ -204,7 +204,7 @@
 		if slices.Contains(s.Twins, d.number) {
 			name = play.Driver(d.number - 1)
 		}
-		d.site = play.Told{Name: name, Number: d.number, Listen: d.listenAddress, Discovery: f.relays[play.Road{From: d.name, To: "discovery"}].listenAddress}
+		d.site = play.DriverSite{Name: name, Number: d.number, Listen: d.listenAddress, Discovery: f.relays[play.Link{From: d.name, To: "discovery"}].listenAddress}
 	}
 	if err := f.assignOperatorSettings(addresses); err != nil {
 		return err
@@ -221,17 +221,17 @@
 // assignOperatorSettings chooses the addresses and folders that the drivers' operator files name, and starts the lease witness.
 func (f *fleet) assignOperatorSettings(addresses *addresses) (err error) {
 	s := f.script
-	f.places = make([]play.Places, len(f.drivers))
+	f.places = make([]play.OperatorParams, len(f.drivers))
 	if s.Leases != nil {
 		f.voters = play.Electorate{Version: 1, Voters: s.Leases.Voters}
 	}
 	if s.Leases != nil && s.Leases.Summary > 0 {
 		address := addresses.next()
-		if f.witness, err = play.NewWitness(f.loop, address); err != nil {
+		if f.witness, err = play.NewFencingServer(f.loop, address); err != nil {
 			return err
 		}
 		for i := range f.places {
-			f.places[i].Witness = address
+			f.places[i].FencingServer = address
 		}
 	}
 	for i := range f.places {
@@ -278,11 +278,11 @@
 				return err
 			}
 			d.site.Peers[o.number] = address
-			f.datagramRelays[play.Road{From: d.name, To: o.name}] = p
+			f.datagramRelays[play.Link{From: d.name, To: o.name}] = p
 		}
 		broadcastSocket, err := f.loop.ListenUDP(d.site.PeerAll, func(_ netip.AddrPort, data []byte) {
 			for _, o := range f.drivers {
-				if p := f.datagramRelays[play.Road{From: d.name, To: o.name}]; p != nil {
+				if p := f.datagramRelays[play.Link{From: d.name, To: o.name}]; p != nil {
 					p.forward(data)
 				}
 			}
@@ -293,7 +293,7 @@
 		f.broadcastSockets = append(f.broadcastSockets, broadcastSocket)
 	}
 	for r, p := range f.datagramRelays {
-		p.reverse = f.datagramRelays[play.Road{From: r.To, To: r.From}]
+		p.reverse = f.datagramRelays[play.Link{From: r.To, To: r.From}]
 	}
 	return nil
 }
@@ -307,7 +307,7 @@
 func (f *fleet) startDriver(d *driver) error {
 	f.startCount++
 	d.processNumber++
-	d.site.Seed, d.site.Known = f.seed*1000003+f.startCount, f.cluster.Known(d.number)
+	d.site.Seed, d.site.Known = f.seed*1000003+f.startCount, f.cluster.LastList(d.number)
 	siteFile := filepath.Join(f.folder, d.name+".json")
 	err := os.WriteFile(siteFile, f.script.SiteJSON(d.site), 0o600)
 	if err != nil {
@@ -317,7 +317,7 @@
 	switch {
 	case f.folders != nil:
 		operatorFile, err := f.writeOperatorFile(d)
-		if err = errors.Join(err, f.folders.Starts(d.number)); err != nil {
+		if err = errors.Join(err, f.folders.SaveCopies(d.number)); err != nil {
 			return err
 		}
 		if !slices.Contains(f.script.Older, d.number) || acceptsFiles(d.program, siteFile, operatorFile) {
@@ -416,7 +416,7 @@
 	stageChanged := event == "recovery stage changed" || event == "comeback" // earlier versions log comeback
 	if stageChanged && f.scriptStart > 0 {
 		f.recordDriverEvent(d, "is %s", logField(s.line, "stage"))
-		f.falls.Reached(d.number, logField(s.line, "stage"), f.loop.Now()-f.scriptStart)
+		f.falls.StageReached(d.number, logField(s.line, "stage"), f.loop.Now()-f.scriptStart)
 	}
 	if event != "started" {
 		return
@@ -424,7 +424,7 @@
 	d.serving = true
 	if f.scriptStart > 0 {
 		f.recordDriverEvent(d, "serves")
-		f.falls.Back(d.number, f.loop.Now()-f.scriptStart)
+		f.falls.DriverUp(d.number, f.loop.Now()-f.scriptStart)
 	} else if !slices.ContainsFunc(f.drivers, func(o *driver) bool { return !o.serving }) {
 		f.startScript()
 	}
@@ -454,16 +454,16 @@
 	for n, p := range f.script.Publications {
 		f.loop.At(f.scriptStart+p.At, func() { f.publish(n, p) })
 	}
-	f.cluster.Begin()
+	f.cluster.ResetStart()
 	var clientAddresses []netip.AddrPort
 	for _, d := range f.drivers {
-		clientAddresses = append(clientAddresses, f.relays[play.Road{From: "clients", To: d.name}].listenAddress)
+		clientAddresses = append(clientAddresses, f.relays[play.Link{From: "clients", To: d.name}].listenAddress)
 	}
 	f.clients = play.NewClients(f.loop, f.script, f.record, f.cluster.Ledger(), f.seed+2, clientAddresses)
-	for _, t := range f.script.Troubles {
+	for _, t := range f.script.Faults {
 		f.loop.At(f.scriptStart+t.At, func() { f.injectFault(t) })
 	}
-	for _, at := range f.script.Edges() {
+	for _, at := range f.script.LinkChangeTimes() {
 		f.loop.At(f.scriptStart+at, func() { f.updateLinks(at) })
 	}
 	f.loop.At(f.scriptStart+f.script.Ends(), f.loop.Stop)
@@ -475,7 +475,7 @@
 		if err := relay.setConditions(f.script.Between(scriptTime, r.From, r.To), f.script.Between(scriptTime, r.To, r.From)); err != nil {
 			f.fail("link from %s to %s: %w", r.From, r.To, err)
 		}
-		if f.script.Resets(scriptTime, r) {
+		if f.script.ResetAt(scriptTime, r) {
 			relay.reset()
 		}
 	}
@@ -485,12 +485,12 @@
 }
 
 // injectFault starts a fault of the script.
-func (f *fleet) injectFault(t play.Trouble) {
+func (f *fleet) injectFault(t play.Fault) {
 	until := f.loop.Now() + t.Lasts
 	switch t.Kind {
 	case "driver_kill", "driver_stop", "driver_pause":
 		for position, n := range t.On {
-			f.injectDriverFault(f.drivers[n], t.Kind, t.Folder, t.Back(position, until))
+			f.injectDriverFault(f.drivers[n], t.Kind, t.Folder, t.RestartTime(position, until))
 		}
 	case "control_kill", "control_pause":
 		for _, n := range t.On {
@@ -499,12 +499,12 @@
 	case "voters":
 		f.changeVoters(t, until)
 	default:
-		f.cluster.Trouble(t, until)
+		f.cluster.InjectFault(t, until)
 	}
 }
 
 // changeVoters replaces the lease voters. Until the fault ends, the former voters vote together with the new ones.
-func (f *fleet) changeVoters(t play.Trouble, until time.Duration) {
+func (f *fleet) changeVoters(t play.Fault, until time.Duration) {
 	formerVoters := f.voters.Voters
 	apply := func(voters play.Electorate) {
 		f.voters = voters
@@ -526,8 +526,8 @@
 // signalled again, and is allowed to be down until the later of both end times.
 func (f *fleet) injectDriverFault(d *driver, kind, folder string, endTime time.Duration) {
 	now := f.loop.Now()
-	f.record.Down(d.name, now, endTime+time.Second) // plus a second for its start
-	f.falls.Gone(d.number, now-f.scriptStart)
+	f.record.DriverDown(d.name, now, endTime+time.Second) // plus a second for its start
+	f.falls.DriverDown(d.number, now-f.scriptStart)
 	f.recordDriverEvent(d, "%s", kind)
 	if kind == "driver_pause" && !d.running { // a paused process would never complete its shutdown
 		return
@@ -540,7 +540,7 @@
 				d.process.signal(syscall.SIGCONT)
 			}
 			if d.processNumber == processNumber && d.running {
-				f.falls.Back(d.number, f.loop.Now()-f.scriptStart)
+				f.falls.DriverUp(d.number, f.loop.Now()-f.scriptStart)
 				f.recordDriverEvent(d, "goes on")
 			}
 		})
@@ -549,7 +549,7 @@
 	if !d.running {
 		return
 	}
-	f.clients.Died(d.number)
+	f.clients.DriverDied(d.number)
 	d.running = false
 	if kind == "driver_kill" {
 		d.process.signal(syscall.SIGKILL)
@@ -586,7 +586,7 @@
 		f.recordDriverEvent(d, "starts")
 		err := error(nil)
 		if f.folders != nil {
-			err = f.folders.Treat(d.number, folder)
+			err = f.folders.Prepare(d.number, folder)
 		}
 		if err = errors.Join(err, f.startDriver(d)); err != nil {
 			f.fail("driver %s cannot be restarted: %w", d.name, err)
--- a/internal/lab/capacity/failures.go
+++ b/internal/lab/capacity/failures.go
@@ -108,22 +108,22 @@
 	if err != nil {
 		return nil, err
 	}
-	s.Lasts, s.Zones, s.Route, s.Build.Cores = failurePlayDuration, f.zones, "spread", 1
+	s.Lasts, s.Zones, s.Route, s.MemberSpec.Cores = failurePlayDuration, f.zones, "spread", 1
 	if f.zones == regionCount {
 		hereDrivers, hereMembers := zoneNodeNames(s, 0)
 		thereDrivers, thereMembers := zoneNodeNames(s, 1)
-		s.Troubles = append(s.Troubles, play.Trouble{Kind: "delay", Lasts: s.Ends(), From: hereDrivers, To: thereMembers, By: regionDelay},
-			play.Trouble{Kind: "delay", Lasts: s.Ends(), From: thereDrivers, To: hereMembers, By: regionDelay})
+		s.Faults = append(s.Faults, play.Fault{Kind: "delay", Lasts: s.Ends(), From: hereDrivers, To: thereMembers, By: regionDelay},
+			play.Fault{Kind: "delay", Lasts: s.Ends(), From: thereDrivers, To: hereMembers, By: regionDelay})
 		if f.partition {
-			s.Troubles = append(s.Troubles, play.Trouble{Kind: "partition", At: faultStart, Lasts: f.duration,
+			s.Faults = append(s.Faults, play.Fault{Kind: "partition", At: faultStart, Lasts: f.duration,
 				Islands: [][]string{append(hereDrivers, hereMembers...), append(thereDrivers, thereMembers...)}})
 		}
 	}
 	if on := f.members(s); len(on) > 0 {
-		s.Troubles = append(s.Troubles, play.Trouble{Kind: map[bool]string{true: "drain", false: "kill"}[f.drainFirst], At: faultStart, Lasts: f.duration, On: on})
+		s.Faults = append(s.Faults, play.Fault{Kind: map[bool]string{true: "drain", false: "kill"}[f.drainFirst], At: faultStart, Lasts: f.duration, On: on})
 	}
 	if on := f.drivers(s); len(on) > 0 {
-		s.Troubles = append(s.Troubles, play.Trouble{Kind: "driver_kill", At: faultStart, Lasts: f.duration, On: on, Within: time.Second})
+		s.Faults = append(s.Faults, play.Fault{Kind: "driver_kill", At: faultStart, Lasts: f.duration, On: on, Within: time.Second})
 	}
 	return s, nil
 }
@@ -139,17 +139,19 @@
 		return err
 	}
 	p := &playReporter{s.Name, Drivers, drivers, s, seed, point}
-	level := r.Flow.Part(play.Every, time.Second, faultStart)
-	recovery, lossEnd := r.Flow.Whole(play.Every, level, faultStart, s.Lasts), s.Lasts
+	level := r.UtilitySeries.ServedShare(play.AllDrivers, time.Second, faultStart)
+	recovery, lossEnd := r.UtilitySeries.RecoveryTime(play.AllDrivers, level, faultStart, s.Lasts), s.Lasts
 	p.report("level", "utility got of what was asked", level)
 	if recovery >= 0 {
 		p.report("whole_after", "s", recovery.Seconds())
 	}
 	p.report("never_whole", "plays", map[bool]float64{true: 1}[recovery < 0])
-	p.report("lost", "s of the level before", (1-r.Flow.Part(play.Every, faultStart, lossEnd)/level)*(lossEnd-faultStart).Seconds())
+	p.report("lost", "s of the level before", (1-r.UtilitySeries.ServedShare(play.AllDrivers, faultStart, lossEnd)/level)*(lossEnd-faultStart).Seconds())
 	p.report("worst_second", "utility got of what was asked", worstSecond(r, s))
 	killedDrivers := f.drivers(s)
-	affected := indexesWhere(drivers, func(d int) bool { return r.Flow.Part(d, faultStart, faultStart+f.duration) < 0.95*level })
+	affected := indexesWhere(drivers, func(d int) bool {
+		return r.UtilitySeries.ServedShare(d, faultStart, faultStart+f.duration) < 0.95*level
+	})
 	p.report("drivers_gone", "drivers", float64(len(killedDrivers)))
 	p.report("drivers_concerned", "drivers under 95% of the level while it lasts", float64(len(affected)))
 	killedMembers := f.members(s)
@@ -163,17 +165,17 @@
 	p.reportCarriedLoad(r, killedDrivers, f.duration)
 	from, end := int(faultStart/time.Second), r.Ledger.Seconds()
 	for _, counter := range []string{emu.Connects, emu.Lists, emu.Attempts, emu.Probes} {
-		p.report(counter+"_usual", "in the busiest second", r.Ledger.Total(counter, 1, from))
-		p.report(counter+"_busiest", "in the busiest second", r.Ledger.Total(counter, from, end))
+		p.report(counter+"_usual", "in the busiest second", r.Ledger.PeakTotal(counter, 1, from))
+		p.report(counter+"_busiest", "in the busiest second", r.Ledger.PeakTotal(counter, from, end))
 	}
 	usual, _ := r.Ledger.Peak(emu.Connects, 1, from)
 	busiest, _ := r.Ledger.Peak(emu.Connects, from, end)
 	p.report("connects_one_usual", "in the busiest second of one member", usual)
 	p.report("connects_one_busiest", "in the busiest second of one member", busiest)
-	p.report("former_writes", "attempts", r.Ledger.Sum(emu.Stale, from, end))
-	p.report("pushed_back", "tries", r.Ledger.Sum(emu.PushedOff, from, end))
-	p.report("no_answer", "tries", r.Ledger.Sum(emu.Lost, from, end))
-	cold, _ := r.Ledger.Peak(emu.ColdPart, from, end)
+	p.report("former_writes", "attempts", r.Ledger.Sum(emu.FormerPrimaryWrites, from, end))
+	p.report("pushed_back", "tries", r.Ledger.Sum(emu.PushedBackTries, from, end))
+	p.report("no_answer", "tries", r.Ledger.Sum(emu.UnansweredTries, from, end))
+	cold, _ := r.Ledger.Peak(emu.ColdLoad, from, end)
 	p.report("cold_part", "of what tips a cold member", cold)
 	return p.reportBrokenRules(r)
 }
@@ -182,7 +184,7 @@
 func worstSecond(r *play.Result, s *play.Script) float64 {
 	least := 1.0
 	for from := faultStart; from+time.Second <= s.Lasts; from += 100 * time.Millisecond {
-		least = min(least, r.Flow.Part(play.Every, from, from+time.Second))
+		least = min(least, r.UtilitySeries.ServedShare(play.AllDrivers, from, from+time.Second))
 	}
 	return least
 }
@@ -194,11 +196,11 @@
 	}
 	from := int(faultStart / time.Second)
 	settled, end := from+2, from+int(duration/time.Second) // after 2 s clients have moved to the remaining drivers
-	before := r.Ledger.Sum(emu.Worth, 1, from) / float64(from-1) / float64(p.script.Drivers)
+	before := r.Ledger.Sum(emu.RequestedUtility, 1, from) / float64(from-1) / float64(p.script.Drivers)
 	var loads []float64
 	for d := range p.script.Drivers {
 		if !slices.Contains(killed, d) {
-			loads = append(loads, r.Ledger.Place(emu.Worth, play.Driver(d), settled, end)/float64(end-settled)/before)
+			loads = append(loads, r.Ledger.SumAt(emu.RequestedUtility, play.Driver(d), settled, end)/float64(end-settled)/before)
 		}
 	}
 	sum := 0.0
--- a/internal/lab/capacity/primary.go
+++ b/internal/lab/capacity/primary.go
@@ -26,12 +26,12 @@
 	duration := s.Lasts - at - returnLead
 	switch kind {
 	case "death": // it restarts cold
-		s.Troubles = append(s.Troubles, play.Trouble{Kind: "kill", At: at, Lasts: faultStart, On: []int{member}})
+		s.Faults = append(s.Faults, play.Fault{Kind: "kill", At: at, Lasts: faultStart, On: []int{member}})
 	case "vanish": // paused, and its machine accepts no packets from drivers
-		s.Troubles = append(s.Troubles, play.Trouble{Kind: "cut", At: at, Lasts: duration, From: nodeNames(play.Driver, 0, s.Drivers), To: []string{play.Member(member)}})
+		s.Faults = append(s.Faults, play.Fault{Kind: "cut", At: at, Lasts: duration, From: nodeNames(play.Driver, 0, s.Drivers), To: []string{play.Member(member)}})
 		fallthrough
 	case "hang":
-		s.Troubles = append(s.Troubles, play.Trouble{Kind: "pause", At: at, Lasts: duration, On: []int{member}})
+		s.Faults = append(s.Faults, play.Fault{Kind: "pause", At: at, Lasts: duration, On: []int{member}})
 	}
 }
 
@@ -45,15 +45,15 @@
 }
 
 // add adds a driver. Total is counted from since; earliest is the first time at which the driver could have written.
-func (p *changeTimes) add(c *play.Change, driver int, since, earliest, end time.Duration) {
-	first := c.First[driver]
+func (p *changeTimes) add(c *play.PrimaryChange, driver int, since, earliest, end time.Duration) {
+	first := c.FirstWrite[driver]
 	if first < 0 {
 		first = end
 		p.withoutWrite++
 	}
 	p.total = append(p.total, (first - since).Seconds())
 	p.driverPart = append(p.driverPart, max(0, first-earliest).Seconds())
-	if w := c.Waited[driver]; w >= 0 {
+	if w := c.WaitedSince[driver]; w >= 0 {
 		p.driverPartWaiting = append(p.driverPartWaiting, max(0, first-max(w, earliest)).Seconds())
 	}
 }
@@ -73,11 +73,11 @@
 	if err != nil {
 		return err
 	}
-	s.Build.Cores, s.Build.Queue = 64*max(1, drivers/fleetDrivers), 4096 // large, as the capacity of members is not measured here
+	s.MemberSpec.Cores, s.MemberSpec.Queue = 64*max(1, drivers/fleetDrivers), 4096 // large, as the capacity of members is not measured here
 	healedAt, firstHalf := faultStart-partitionLead+partitionDuration, drivers
 	if partition {
 		firstHalf, s.Lasts = drivers/2, healedAt+afterPartition
-		s.Troubles = append(s.Troubles, play.Trouble{Kind: "partition", At: faultStart - partitionLead, Lasts: partitionDuration, Islands: [][]string{
+		s.Faults = append(s.Faults, play.Fault{Kind: "partition", At: faultStart - partitionLead, Lasts: partitionDuration, Islands: [][]string{
 			append(nodeNames(play.Driver, 0, firstHalf), nodeNames(play.Member, 0, groupMembers/2)...),
 			append(nodeNames(play.Driver, firstHalf, drivers), nodeNames(play.Member, groupMembers/2, groupMembers)...)}})
 	}
@@ -111,15 +111,15 @@
 }
 
 // reportChangeLoad reports the load of a change on the new primary, and the attempts that reached the former one.
-func (p *playReporter) reportChangeLoad(r *play.Result, c *play.Change) {
+func (p *playReporter) reportChangeLoad(r *play.Result, c *play.PrimaryChange) {
 	from, end := int(faultStart/time.Second), r.Ledger.Seconds()
 	p.report("new_primary_attempts", "attempts in its first second", float64(c.Attempts))
 	p.report("new_primary_connects", "connections in its first second", float64(c.Connects))
 	p.report("usual_attempts", "attempts a second of the play's members", r.Ledger.Sum(emu.Attempts, 1, from)/float64(from-1))
-	p.report("former_writes", "attempts", r.Ledger.Sum(emu.Stale, from, end))
+	p.report("former_writes", "attempts", r.Ledger.Sum(emu.FormerPrimaryWrites, from, end))
 	p.report("scouts", "attempts", r.Ledger.Sum(emu.Scouts, from, end))
-	p.report("lists_busiest", "calls a second", r.Ledger.Total(emu.Lists, from, end))
-	cold, _ := r.Ledger.Peak(emu.ColdPart, from, end)
+	p.report("lists_busiest", "calls a second", r.Ledger.PeakTotal(emu.Lists, from, end))
+	cold, _ := r.Ledger.Peak(emu.ColdLoad, from, end)
 	p.report("cold_part", "of what tips a cold member", cold)
 	p.report("utility", "of what was asked", r.Utility)
 }
--- a/internal/lab/capacity/processes.go
+++ b/internal/lab/capacity/processes.go
@@ -47,7 +47,7 @@
 	if err != nil {
 		return nil, err
 	}
-	addresses, err := play.Free(3*drivers + 1)
+	addresses, err := play.FreeAddrs(3*drivers + 1)
 	if err != nil {
 		return nil, err
 	}
@@ -55,7 +55,7 @@
 	for i := range drivers {
 		base := filepath.Join(folder, driverName(i))
 		controlAddress := addresses[2*drivers+i].String()
-		site := s.SiteJSON(play.Told{Name: driverName(i), Number: i, Listen: addresses[drivers+i], Discovery: agents[i].address, Seed: seed*1000003 + uint64(i),
+		site := s.SiteJSON(play.DriverSite{Name: driverName(i), Number: i, Listen: addresses[drivers+i], Discovery: agents[i].address, Seed: seed*1000003 + uint64(i),
 			Known: []byte(`{"rev":1,"all":true,"targets":[]}`), PeerListen: peerAddresses[i], PeerAll: addresses[3*drivers], Peers: peerAddresses})
 		operatorFile := fmt.Appendf(nil, "%scontrol {\n  listen = %q\n}\n", viewConfig, controlAddress)
 		if err := errors.Join(os.WriteFile(base+".json", site, 0o600), os.WriteFile(base+".hcl", operatorFile, 0o600)); err != nil {
@@ -127,7 +127,7 @@
 		return err
 	}
 	d := &discoveryService{rev: 1}
-	addresses, err := play.Free(size)
+	addresses, err := play.FreeAddrs(size)
 	if err != nil {
 		return err
 	}
--- a/internal/lab/capacity/simulated_fleet.go
+++ b/internal/lab/capacity/simulated_fleet.go
@@ -105,7 +105,7 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &simulatedFleet{ctx: ctx, world: sim.New(seed, epoch), seed: seed, settings: s.Terms(0), config: config, driverIndex: make(map[*sim.Host]int), nodes: make([]*node.Node, drivers),
+	f := &simulatedFleet{ctx: ctx, world: sim.New(seed, epoch), seed: seed, settings: s.DriverSettings(0), config: config, driverIndex: make(map[*sim.Host]int), nodes: make([]*node.Node, drivers),
 		sent: make([]datagramCounts, drivers), received: make([]datagramCounts, drivers), broadcasts: make([]datagramCounts, drivers)}
 	f.settings["tick"] = tickSetting
 	f.world.OnDatagram = f.countDatagram
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -90,23 +90,23 @@
 		case "drivers":
 			apply, invalid = func(s *play.Script) { s.Drivers = integer }, invalid || number != float64(integer) || integer > 500
 		case "cores":
-			apply, invalid = func(s *play.Script) { s.Build.Cores = integer }, invalid || number != float64(integer)
+			apply, invalid = func(s *play.Script) { s.MemberSpec.Cores = integer }, invalid || number != float64(integer)
 		case "queue":
-			apply, invalid = func(s *play.Script) { s.Build.Queue = integer }, invalid || number != float64(integer)
+			apply, invalid = func(s *play.Script) { s.MemberSpec.Queue = integer }, invalid || number != float64(integer)
 		case "retries":
 			apply, invalid = func(s *play.Script) { s.Retries = integer }, numberErr != nil || number < 0 || number != float64(integer)
 		case "obeys":
-			apply, invalid = func(s *play.Script) { s.Obeys = value == "true" }, value != "true" && value != "false"
+			apply, invalid = func(s *play.Script) { s.HonorsRetryAfter = value == "true" }, value != "true" && value != "false"
 		case "folders": // drivers save learned state in folders that a restart finds intact or emptied
 			apply, invalid = func(s *play.Script) { s.Folders = value == "true" }, value != "true" && value != "false"
 		case "spared": // drivers keep running where the script would end them
-			apply, invalid = (*play.Script).Spare, value != "true"
+			apply, invalid = (*play.Script).RemoveDriverEnds, value != "true"
 		case "down": // downtime of the drivers that the script ends; a long one has almost no load
-			apply, invalid = func(s *play.Script) { s.Absent(duration) }, durationErr != nil || duration < 50*time.Millisecond || duration > 24*time.Hour
+			apply, invalid = func(s *play.Script) { s.SetDowntime(duration) }, durationErr != nil || duration < 50*time.Millisecond || duration > 24*time.Hour
 		case "list_delay":
 			apply, invalid = func(s *play.Script) { s.ListDelay = duration }, durationErr != nil || duration < 0
 		case "apply":
-			apply, invalid = func(s *play.Script) { s.Build.Apply = duration }, durationErr != nil || duration < 0
+			apply, invalid = func(s *play.Script) { s.MemberSpec.ApplyTime = duration }, durationErr != nil || duration < 0
 		default:
 			return a, fmt.Errorf("arm %q: unknown key %q; known keys are load, drivers, cores, queue, retries, obeys, folders, spared, down, list_delay and apply", name, key)
 		}
@@ -209,24 +209,24 @@
 		Broken: int64(len(r.Broken)), P50: r.Latency(50), P99: r.Latency(99), Digest: fmt.Sprintf("%016x", r.Digest),
 		Drivers: int64(s.Drivers),
 	}
-	if returnAt := s.Return(); returnAt > 0 {
-		row.UtilityFirst10s = r.Flow.Part(play.Every, returnAt, returnAt+10*time.Second)
+	if returnAt := s.LastDriverStart(); returnAt > 0 {
+		row.UtilityFirst10s = r.UtilitySeries.ServedShare(play.AllDrivers, returnAt, returnAt+10*time.Second)
 	}
-	if returns := r.Returns(); len(returns) > 0 {
+	if returns := r.Recoveries(); len(returns) > 0 {
 		row.setRecovery(returns[len(returns)-1])
 	}
 	return row, nil
 }
 
 // setRecovery copies the measures of a recovery from a driver failure into the row.
-func (r *Row) setRecovery(recovery play.Return) {
+func (r *Row) setRecovery(recovery play.Recovery) {
 	connects, lists := recovery.Load(emu.Connects), recovery.Load(emu.Lists)
 	r.RecoverySeconds, r.LostSeconds, r.ColdBudgetUsed, r.StaleWrites = recovery.Whole.Seconds(), recovery.Lost, recovery.Cold, recovery.Stale
 	if recovery.Whole < 0 {
 		r.RecoverySeconds = -1
 	}
 	r.Connects, r.ConnectsUsual, r.MemberConnects, r.MemberConnectsUsual = connects.AllAfter, connects.AllBefore, connects.After, connects.Before
-	r.Lists, r.ListsUsual, r.QueueFull = lists.AllAfter, lists.AllBefore, recovery.Load(emu.Fulls).AllAfter
+	r.Lists, r.ListsUsual, r.QueueFull = lists.AllAfter, lists.AllBefore, recovery.Load(emu.QueueFull).AllAfter
 }
 
 // numericColumns returns the columns that Compare compares, by name.
