--- a/internal/emu/rig/control_machines.go
+++ b/internal/emu/rig/control_machines.go
@@ -46,12 +46,12 @@
 			}
 		}
 	}
-	for i := range f.places {
+	for i := range f.operatorParams {
 		for n := range s.Controls {
-			f.places[i].Machines = append(f.places[i].Machines, f.relays[play.Link{From: play.Driver(i), To: play.Control(n)}].listenAddress)
+			f.operatorParams[i].Machines = append(f.operatorParams[i].Machines, f.relays[play.Link{From: play.Driver(i), To: play.Control(n)}].listenAddress)
 		}
 		if s.Controls > 0 {
-			if f.places[i].Configuration, err = f.folders.ConfigurationPath(i); err != nil {
+			if f.operatorParams[i].Configuration, err = f.folders.ConfigurationPath(i); err != nil {
 				return err
 			}
 		}
@@ -202,7 +202,7 @@
 		})
 	}
 	for _, d := range f.drivers {
-		address := f.places[d.number].Control.String()
+		address := f.operatorParams[d.number].Control.String()
 		v.poll(func(s *play.VersionSample) bool {
 			var status node.Status
 			if control.Query(address, "status", &status) != nil || status.Configuration == nil {
--- a/internal/emu/rig/leases_test.go
+++ b/internal/emu/rig/leases_test.go
@@ -101,8 +101,8 @@
 	return text.String()
 }
 
-// Random faults on several drivers as processes. A witness outside of the drivers records the acts of lease holders: no two holders may act at the
-// same moment, and no fencing token may decrease or belong to two drivers. RIG_SEEDS sets the number of seeds, to play more than CI does.
+// Random faults on several drivers as processes. A fencing server outside of the drivers records the acts of lease holders: no two holders may act at
+// the same moment, and no fencing token may decrease or belong to two drivers. RIG_SEEDS sets the number of seeds, to play more than CI does.
 func TestTwoLeaseHoldersNeverAct(t *testing.T) {
 	t.Parallel()
 	seeds := uint64(20)
@@ -200,7 +200,7 @@
 	return name, nil
 })
 
-// The witness has to detect bugs of leases that are built in on purpose, and report nothing without them.
+// The fencing server has to detect bugs of leases that are built in on purpose, and report nothing without them.
 func TestWitnessDetectsMutations(t *testing.T) {
 	at, err := buildMutatedProgram()
 	if err != nil {
--- a/internal/emu/rig/membership.go
+++ b/internal/emu/rig/membership.go
@@ -27,7 +27,7 @@
 		return v
 	}
 	for _, d := range f.drivers {
-		address := f.places[d.number].Control.String()
+		address := f.operatorParams[d.number].Control.String()
 		v.pollers.Go(func() {
 			for {
 				select {
--- a/internal/emu/rig/rig.go
+++ b/internal/emu/rig/rig.go
@@ -66,18 +66,18 @@
 	relays           map[play.Link]*relay
 	datagramRelays   map[play.Link]*datagramRelay
 	broadcastSockets []*eventloop.DatagramSocket // one per driver: what it sends there goes to all others
-	falls            play.Outages
+	outages          play.Outages
 	events           chan processEvent
 	readers          sync.WaitGroup // goroutines that read the logs of processes
 	scriptStart      time.Duration  // 0 until all drivers serve
 	startCount       uint64
 	folders          *play.Folders
-	witness          *play.FencingServer
+	fencingServer    *play.FencingServer
 	membershipPoller *membershipPoller
 	programPath      string
 	machines         []*controlMachine
 	versionPoller    *versionPoller
-	places           []play.OperatorParams // addresses and folders in each driver's operator file
+	operatorParams   []play.OperatorParams // addresses and folders in each driver's operator file
 	voters           play.Electorate
 	failure          error
 }
@@ -141,7 +141,7 @@
 	if f.failure != nil {
 		return nil, fmt.Errorf("play failed: %w", f.failure)
 	}
-	result := f.clients.Result(s, seed, f.cluster, f.falls, f.witness, f.loop.Now())
+	result := f.clients.Result(s, seed, f.cluster, f.outages, f.fencingServer, f.loop.Now())
 	result.Views, result.Versions = memberships, versions
 	return result, nil
 }
@@ -218,31 +218,31 @@
 	return nil
 }
 
-// assignOperatorSettings chooses the addresses and folders that the drivers' operator files name, and starts the lease witness.
+// assignOperatorSettings chooses the addresses and folders that the drivers' operator files name, and starts the fencing server.
 func (f *fleet) assignOperatorSettings(addresses *addresses) (err error) {
 	s := f.script
-	f.places = make([]play.OperatorParams, len(f.drivers))
+	f.operatorParams = make([]play.OperatorParams, len(f.drivers))
 	if s.Leases != nil {
 		f.voters = play.Electorate{Version: 1, Voters: s.Leases.Voters}
 	}
 	if s.Leases != nil && s.Leases.Summary > 0 {
 		address := addresses.next()
-		if f.witness, err = play.NewFencingServer(f.loop, address); err != nil {
+		if f.fencingServer, err = play.NewFencingServer(f.loop, address); err != nil {
 			return err
 		}
-		for i := range f.places {
-			f.places[i].FencingServer = address
+		for i := range f.operatorParams {
+			f.operatorParams[i].FencingServer = address
 		}
 	}
-	for i := range f.places {
+	for i := range f.operatorParams {
 		if s.OwnFile() {
-			f.places[i].Control = addresses.next()
+			f.operatorParams[i].Control = addresses.next()
 		}
 		if s.Folders {
-			f.places[i].State = f.folders.Path(i)
+			f.operatorParams[i].State = f.folders.Path(i)
 		}
 		if s.Leases != nil && s.Leases.Folders {
-			f.places[i].Votes = f.folders.VotesPath(i)
+			f.operatorParams[i].Votes = f.folders.VotesPath(i)
 		}
 	}
 	return nil
@@ -250,7 +250,7 @@
 
 // writeOperatorFile writes the operator file of a driver.
 func (f *fleet) writeOperatorFile(d *driver) (name string, err error) {
-	text, err := f.script.OperatorText(d.number, f.places[d.number], f.voters)
+	text, err := f.script.OperatorText(d.number, f.operatorParams[d.number], f.voters)
 	if err != nil {
 		return "", err
 	}
@@ -416,7 +416,7 @@
 	stageChanged := event == "recovery stage changed" || event == "comeback" // earlier versions log comeback
 	if stageChanged && f.scriptStart > 0 {
 		f.recordDriverEvent(d, "is %s", logField(s.line, "stage"))
-		f.falls.StageReached(d.number, logField(s.line, "stage"), f.loop.Now()-f.scriptStart)
+		f.outages.StageReached(d.number, logField(s.line, "stage"), f.loop.Now()-f.scriptStart)
 	}
 	if event != "started" {
 		return
@@ -424,7 +424,7 @@
 	d.serving = true
 	if f.scriptStart > 0 {
 		f.recordDriverEvent(d, "serves")
-		f.falls.DriverUp(d.number, f.loop.Now()-f.scriptStart)
+		f.outages.DriverUp(d.number, f.loop.Now()-f.scriptStart)
 	} else if !slices.ContainsFunc(f.drivers, func(o *driver) bool { return !o.serving }) {
 		f.startScript()
 	}
@@ -527,7 +527,7 @@
 func (f *fleet) injectDriverFault(d *driver, kind, folder string, endTime time.Duration) {
 	now := f.loop.Now()
 	f.record.DriverDown(d.name, now, endTime+time.Second) // plus a second for its start
-	f.falls.DriverDown(d.number, now-f.scriptStart)
+	f.outages.DriverDown(d.number, now-f.scriptStart)
 	f.recordDriverEvent(d, "%s", kind)
 	if kind == "driver_pause" && !d.running { // a paused process would never complete its shutdown
 		return
@@ -540,7 +540,7 @@
 				d.process.signal(syscall.SIGCONT)
 			}
 			if d.processNumber == processNumber && d.running {
-				f.falls.DriverUp(d.number, f.loop.Now()-f.scriptStart)
+				f.outages.DriverUp(d.number, f.loop.Now()-f.scriptStart)
 				f.recordDriverEvent(d, "goes on")
 			}
 		})
