--- a/internal/emu/rig/rig_test.go
+++ b/internal/emu/rig/rig_test.go
@@ -4,6 +4,7 @@
 	"flag"
 	"fmt"
 	"io"
+	"math"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -375,27 +376,35 @@
 }
 
 // Discovery does not answer while drivers restart with an outdated initial endpoint list. With the list that they saved they must not send requests
-// to a member that has drained since; without their folders they do.
+// to a member that has drained since; without their folders they do. A busy disk delays the restart by seconds, so attempts count only once all
+// drivers serve again: before that, none would prove nothing.
 func TestSavedEndpointListKeepsDrains(t *testing.T) {
 	t.Parallel()
+	const (
+		killed       = 6 * time.Second // the drivers save the drain before; a busy disk takes seconds for it
+		countFrom    = 7               // second of the script
+		countSeconds = 2
+		endSecond    = 15
+	)
 	for folder, drained := range map[string]bool{"kept": false, "emptied": true} {
-		text := strings.Replace(withStateFolders(strings.Replace(quickScript, `"3s"`, `"6s"`, 1)), "folders = true", "folders = true\n  known = \"first\"", 1) + fmt.Sprintf(`
+		script := strings.Replace(quickScript, `"3s"`, fmt.Sprintf(`"%ds"`, endSecond), 1)
+		text := strings.Replace(withStateFolders(script), "folders = true", "folders = true\n  known = \"first\"", 1) + fmt.Sprintf(`
 trouble "drain" {
   at = "500ms"
   lasts = "20s"
   on = [2]
 }
 trouble "discovery" {
-  at = "2500ms"
+  at = "5500ms"
   lasts = "20s"
 }
 trouble "driver_kill" {
-  at = "3s"
+  at = %q
   lasts = "300ms"
   on = [0, 1, 2]
   folder = %q
 }
-`, folder)
+`, killed, folder)
 		s, err := play.ParseScript([]byte(text), "list.hcl")
 		if err != nil {
 			t.Fatal(err)
@@ -404,8 +413,39 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if n := r.Ledger.Sum(emu.Drained, 4, 6); (n > 0) != drained {
-			t.Errorf("folder %s: %v attempts at a member that had drained before the restart", folder, n)
+		served := servedAfter(r, killed)
+		from := max(countFrom, int(math.Ceil(served.last.Seconds())))
+		if served.drivers != 3 || from+countSeconds > endSecond {
+			t.Errorf("folder %s: %d drivers serve after the kill, the last at %v; want 3, at %d s at the latest", folder, served.drivers, served.last, endSecond-countSeconds)
+		}
+		to := from + countSeconds
+		if !drained {
+			from, to = countFrom, endSecond
+		}
+		if n := r.Ledger.Sum(emu.Drained, from, to); (n > 0) != drained {
+			t.Errorf("folder %s: %v attempts from second %d to %d at a member that had drained before the restart", folder, n, from, to)
+		}
+		if t.Failed() {
+			var course strings.Builder
+			r.Course.Print(&course)
+			t.Logf("folder %s:\n%s", folder, course.String())
+		}
+	}
+}
+
+// restarts is how many drivers serve after a kill of all, and when the last of them does.
+type restarts struct {
+	drivers int
+	last    time.Duration // since the script's start
+}
+
+// servedAfter returns which restarts the course shows after a time.
+func servedAfter(r *play.Result, killed time.Duration) (served restarts) {
+	for _, event := range r.Course.Events {
+		if event.At > killed && event.What == "serves" {
+			served.drivers++
+			served.last = max(served.last, event.At)
 		}
 	}
+	return served
 }
