--- a/internal/emu/emu_test.go
+++ b/internal/emu/emu_test.go
@@ -19,14 +19,14 @@
 	events timerqueue.Queue[func()]
 }
 
-func (c *clock) Now() time.Duration              { return c.now }
-func (c *clock) At(at time.Duration, act func()) { c.events.Push(at, act) }
+func (c *clock) Now() time.Duration                 { return c.now }
+func (c *clock) At(at time.Duration, action func()) { c.events.Push(at, action) }
 func (c *clock) run(d time.Duration) {
 	end := c.now + d
 	for at, ok := c.events.NextDue(); ok && at <= end; at, ok = c.events.NextDue() {
 		c.now = max(c.now, at)
-		act, _ := c.events.PopDue(c.now)
-		act()
+		action, _ := c.events.PopDue(c.now)
+		action()
 	}
 	c.now = end
 }
@@ -39,12 +39,12 @@
 
 func newGroup(seed uint64) (*clock, *Group) {
 	c := &clock{now: 100 * time.Second}
-	chance := pcg.New(seed)
+	rng := pcg.New(seed)
 	var members []*Member
 	for i := range 3 {
-		members = append(members, NewMember(fmt.Sprint("m", i), memberSpec, c, chance))
+		members = append(members, NewMember(fmt.Sprint("m", i), memberSpec, c, rng))
 	}
-	return c, NewGroup(0, election, c, chance, members...)
+	return c, NewGroup(0, election, c, rng, members...)
 }
 
 // ask submits one attempt and returns its result, TimedOut until there is one.
@@ -199,22 +199,22 @@
 func TestElections(t *testing.T) {
 	for seed := range uint64(30) {
 		c, g := newGroup(seed)
-		chance := pcg.New(seed + 100)
+		rng := pcg.New(seed + 100)
 		latest := make(map[*Member]time.Duration)
 		lives := make(map[*Member]int)
 		for range 200 {
-			m := g.Members[chance.Below(3)]
-			switch chance.Below(12) {
+			m := g.Members[rng.Below(3)]
+			switch rng.Below(12) {
 			case 0:
 				if m.Up() {
 					m.Kill()
 				}
 			case 1:
 				if !m.Up() {
-					m.Start(time.Duration(chance.Below(2)) * time.Second)
+					m.Start(time.Duration(rng.Below(2)) * time.Second)
 				}
 			case 2:
-				m.Pause(c.now + time.Duration(chance.Below(5000))*ms)
+				m.Pause(c.now + time.Duration(rng.Below(5000))*ms)
 				g.Suspect(m)
 			case 3:
 				if m.Up() && g.Primary() == m {
--- a/internal/emu/group.go
+++ b/internal/emu/group.go
@@ -26,7 +26,7 @@
 	Members    []*Member
 	Election   Election
 	timer      Timer
-	chance     *pcg.Source
+	rng        *pcg.Source
 	primary    *Member
 	log        []logEntry               // the last minute, in rising order of position
 	tokenTimes map[string]time.Duration // when a write with this token first ran
@@ -41,8 +41,8 @@
 const logRetention = time.Minute
 
 // NewGroup returns a group whose first member is primary.
-func NewGroup(number driver.Group, e Election, t Timer, chance *pcg.Source, members ...*Member) *Group {
-	g := &Group{Number: number, Members: members, Election: e, timer: t, chance: chance, tokenTimes: make(map[string]time.Duration)}
+func NewGroup(number driver.Group, e Election, t Timer, rng *pcg.Source, members ...*Member) *Group {
+	g := &Group{Number: number, Members: members, Election: e, timer: t, rng: rng, tokenTimes: make(map[string]time.Duration)}
 	for i, m := range members {
 		m.Group, m.role, m.applied, m.applierFreeAt = g, driver.Replica, t.Now(), t.Now()
 		if i == 0 {
@@ -56,7 +56,7 @@
 func (g *Group) Primary() *Member { return g.primary }
 
 func (g *Group) randomBetween(bounds [2]time.Duration) time.Duration {
-	return bounds[0] + time.Duration(g.chance.Float()*float64(bounds[1]-bounds[0]))
+	return bounds[0] + time.Duration(g.rng.Float()*float64(bounds[1]-bounds[0]))
 }
 
 // commit appends a write to the log, unless its token ran within the deduplication window. It reports whether the
--- a/internal/emu/member.go
+++ b/internal/emu/member.go
@@ -15,7 +15,7 @@
 // Timer is the clock and scheduler of the models.
 type Timer interface {
 	Now() time.Duration
-	At(at time.Duration, act func())
+	At(at time.Duration, action func())
 }
 
 // MemberSpec describes the capacity and behaviour of a member.
@@ -73,7 +73,7 @@
 	StolenCPU     float64 // part of the cores that other processes on the machine take
 	ApplySlowdown float64 // factor on the duration of applying the log
 	timer         Timer
-	chance        *pcg.Source
+	rng           *pcg.Source
 	started       time.Duration // LongAgo: warm
 	role          driver.Role
 	up            bool
@@ -90,8 +90,8 @@
 }
 
 // NewMember returns a warm member that is up.
-func NewMember(name string, spec MemberSpec, t Timer, chance *pcg.Source) *Member {
-	return &Member{Name: name, Spec: spec, Slowdown: 1, ApplySlowdown: 1, timer: t, chance: chance, started: driver.LongAgo, up: true}
+func NewMember(name string, spec MemberSpec, t Timer, rng *pcg.Source) *Member {
+	return &Member{Name: name, Spec: spec, Slowdown: 1, ApplySlowdown: 1, timer: t, rng: rng, started: driver.LongAgo, up: true}
 }
 
 // Up reports whether the member runs.
--- a/internal/emu/play/clients.go
+++ b/internal/emu/play/clients.go
@@ -17,7 +17,7 @@
 	loop             *eventloop.Loop
 	script           *Script
 	record           *emu.Record
-	chance           *pcg.Source
+	rng              *pcg.Source
 	drivers          []netip.AddrPort
 	idle             [][]*clientConn // by driver
 	sessionPositions []time.Duration
@@ -85,7 +85,7 @@
 
 // NewClients starts the clients.
 func NewClients(l *eventloop.Loop, s *Script, r *emu.Record, ledger *emu.Ledger, seed uint64, drivers []netip.AddrPort) *Clients {
-	c := &Clients{loop: l, script: s, record: r, chance: pcg.New(seed), drivers: drivers, idle: make([][]*clientConn, len(drivers)),
+	c := &Clients{loop: l, script: s, record: r, rng: pcg.New(seed), drivers: drivers, idle: make([][]*clientConn, len(drivers)),
 		sessionPositions: make([]time.Duration, s.Sessions), startedAt: l.Now(), nextArrival: l.Now(), ledger: ledger, UtilitySeries: newUtilitySeries(len(drivers)),
 		sessionDriver: make([]int, s.Sessions), up: make([]bool, len(drivers))}
 	for n := range c.sessionDriver {
@@ -115,8 +115,8 @@
 	if c.loop.Now()-c.startedAt >= c.script.Lasts {
 		return
 	}
-	dice := c.chance.Float() * c.shareSum
-	r := &clientRPC{session: c.chance.Below(len(c.sessionPositions)), began: c.loop.Now()}
+	dice := c.rng.Float() * c.shareSum
+	r := &clientRPC{session: c.rng.Below(len(c.sessionPositions)), began: c.loop.Now()}
 	for _, m := range c.script.Methods {
 		if r.method = m; dice < m.Share {
 			break
@@ -129,7 +129,7 @@
 	c.UtilitySeries.asked(r.began-c.startedAt, r.firstDriver, r.method.Utility)
 	c.ledger.Add(emu.RequestedUtility, Driver(r.firstDriver), r.began, r.method.Utility)
 	c.sendTry(r)
-	c.nextArrival -= time.Duration(logOf(1-c.chance.Float()) / c.rate() * float64(time.Second))
+	c.nextArrival -= time.Duration(logOf(1-c.rng.Float()) / c.rate() * float64(time.Second))
 	c.loop.At(c.nextArrival, c.arrive) // next arrival time is absolute, so a loop that wakes late catches up
 }
 
@@ -342,14 +342,14 @@
 	case emu.Nothing, emu.NotTaken:
 		c.ledger.Add(emu.UnansweredTries, Driver(l.driver), now, 1)
 		if c.script.Route == "stay" && c.sessionDriver[r.session] == l.driver { // moves the session to another driver for good
-			c.sessionDriver[r.session] = (l.driver + 1 + c.chance.Below(max(len(c.drivers)-1, 1))) % len(c.drivers)
+			c.sessionDriver[r.session] = (l.driver + 1 + c.rng.Below(max(len(c.drivers)-1, 1))) % len(c.drivers)
 		}
 	}
 	r.mayRun = r.mayRun || answer != emu.PushedBack && l.admitted
 	if r.tries > c.script.Retries || r.mayRun && r.method.Effect == emu.NonIdempotent {
 		return
 	}
-	wait := 100*time.Millisecond + time.Duration(c.chance.Below(200))*time.Millisecond
+	wait := 100*time.Millisecond + time.Duration(c.rng.Below(200))*time.Millisecond
 	if c.script.HonorsRetryAfter {
 		wait = max(wait, l.retryAfter)
 	}
--- a/internal/emu/play/cluster.go
+++ b/internal/emu/play/cluster.go
@@ -26,14 +26,14 @@
 func (t timer) Now() time.Duration { return t.loop.Now() }
 
 // At implements emu.Timer by the loop's timers.
-func (t timer) At(at time.Duration, act func()) { t.loop.At(at, act) }
+func (t timer) At(at time.Duration, action func()) { t.loop.At(at, action) }
 
 // Cluster is all members and discovery, on one loop, simulated or real.
 type Cluster struct {
 	loop             *eventloop.Loop
 	script           *Script
 	record           *emu.Record
-	chance           *pcg.Source
+	rng              *pcg.Source
 	groups           []*emu.Group
 	members          []*memberServer
 	agents           []*discoveryAgent
@@ -67,19 +67,19 @@
 
 // NewCluster listens for all members of the script's groups, and for discovery at the agents' addresses.
 func NewCluster(l *eventloop.Loop, s *Script, r *emu.Record, seed uint64, memberAddr func(n int) netip.AddrPort, agents []netip.AddrPort) (*Cluster, error) {
-	c := &Cluster{loop: l, script: s, record: r, chance: pcg.New(seed), revision: 1, ledger: emu.NewLedger(l.Now()), startedAt: l.Now()}
+	c := &Cluster{loop: l, script: s, record: r, rng: pcg.New(seed), revision: 1, ledger: emu.NewLedger(l.Now()), startedAt: l.Now()}
 	for g := range s.Groups {
 		var models []*emu.Member
 		for range s.Members {
 			m := &memberServer{cluster: c, number: len(c.members), group: g, addr: memberAddr(len(c.members)), state: "in_service", disclaimedTo: make(map[string]bool)}
-			m.model = emu.NewMember(fmt.Sprint("m", len(c.members)), s.MemberSpec, timer{l}, c.chance)
+			m.model = emu.NewMember(fmt.Sprint("m", len(c.members)), s.MemberSpec, timer{l}, c.rng)
 			models = append(models, m.model)
 			c.members = append(c.members, m)
 			if err := m.listen(); err != nil {
 				return nil, err
 			}
 		}
-		group := emu.NewGroup(driver.Group(g), s.Election, timer{l}, c.chance, models...)
+		group := emu.NewGroup(driver.Group(g), s.Election, timer{l}, c.rng, models...)
 		group.OnPrimaryChange = func(primary *emu.Member) {
 			if primary == nil {
 				c.note(fmt.Sprint("group ", g), "has no primary")
@@ -302,7 +302,7 @@
 	after, _ := strconv.ParseInt(values["after"], 10, 64)
 	job := &emu.Job{
 		RPC: id, Token: values["k"], Write: method.Need == "write", After: time.Duration(after) * time.Millisecond,
-		Work: method.Work[0] + time.Duration(c.chance.Float()*float64(method.Work[1]-method.Work[0])),
+		Work: method.Work[0] + time.Duration(c.rng.Float()*float64(method.Work[1]-method.Work[0])),
 	}
 	if method.Need == "bounded" {
 		job.After = now - method.Bound
--- a/internal/emu/play/folders.go
+++ b/internal/emu/play/folders.go
@@ -18,8 +18,8 @@
 // Folders manages the folders in which the drivers of a script store what they learn and their lease promises: two for
 // each driver.
 type Folders struct {
-	root   string
-	chance *pcg.Source
+	root string
+	rng  *pcg.Source
 }
 
 // NewFolders creates empty folders below root.
@@ -100,12 +100,12 @@
 		if err != nil || len(names) == 0 {
 			return err
 		}
-		name := names[f.chance.Below(len(names))]
+		name := names[f.rng.Below(len(names))]
 		text, err := os.ReadFile(name)
 		if err != nil || len(text) == 0 {
 			return err
 		}
-		text[f.chance.Below(len(text))] ^= 1 << f.chance.Below(8)
+		text[f.rng.Below(len(text))] ^= 1 << f.rng.Below(8)
 		return os.WriteFile(name, text, 0o600)
 	case stalledFolder:
 		return stallDisk(path)
--- a/internal/emu/play/rehearse.go
+++ b/internal/emu/play/rehearse.go
@@ -350,7 +350,7 @@
 
 // InjectFault applies a fault to members or discovery until the given time.
 func (c *Cluster) InjectFault(t Fault, until time.Duration) {
-	later := func(act func()) { c.loop.At(until, act) }
+	later := func(action func()) { c.loop.At(until, action) }
 	c.note("script", "%s", t.describe())
 	if t.AffectsLinks() {
 		t.noteDelays(c.record, c.loop.Now(), until)
--- a/internal/emu/rig/leases_test.go
+++ b/internal/emu/rig/leases_test.go
@@ -69,19 +69,19 @@
 
 // randomFaults returns overlapping faults of drivers, folders and links.
 func randomFaults(seed uint64, drivers, seconds int) string {
-	chance := pcg.New(seed)
+	rng := pcg.New(seed)
 	var text strings.Builder
 	for range 8 {
-		at := fmt.Sprintf("%dms", 1500+chance.Below((seconds-4)*1000))
-		lasts := fmt.Sprintf("%dms", 50+chance.Below(2500))
-		d, o := chance.Below(drivers), chance.Below(drivers-1)
+		at := fmt.Sprintf("%dms", 1500+rng.Below((seconds-4)*1000))
+		lasts := fmt.Sprintf("%dms", 50+rng.Below(2500))
+		d, o := rng.Below(drivers), rng.Below(drivers-1)
 		if o >= d {
 			o++
 		}
 		between := fmt.Sprintf(`from = ["d%d"];to = ["d%d"]`, d, o)
-		switch chance.Below(8) {
+		switch rng.Below(8) {
 		case 0, 1:
-			folder := []string{"kept", "emptied", "older", "flipped"}[chance.Below(4)]
+			folder := []string{"kept", "emptied", "older", "flipped"}[rng.Below(4)]
 			text.WriteString(faultBlock("driver_kill", at, lasts, fmt.Sprintf(`on = [%d];folder = %q`, d, folder)))
 		case 2:
 			text.WriteString(faultBlock("driver_pause", at, lasts, fmt.Sprintf("on = [%d]", d)))
@@ -95,7 +95,7 @@
 			text.WriteString(faultBlock("loss", at, lasts, `from = ["drivers"];to = ["drivers"];times = 0.3`) +
 				faultBlock("double", at, lasts, `from = ["drivers"];to = ["drivers"];times = 0.3;by = "300ms"`))
 		case 7:
-			text.WriteString(faultBlock("delay", at, lasts, fmt.Sprintf(`from = ["d%d"];to = ["drivers"];by = "%dms"`, d, chance.Below(1500))))
+			text.WriteString(faultBlock("delay", at, lasts, fmt.Sprintf(`from = ["d%d"];to = ["drivers"];by = "%dms"`, d, rng.Below(1500))))
 		}
 	}
 	return text.String()
--- a/internal/emu/rig/membership_test.go
+++ b/internal/emu/rig/membership_test.go
@@ -125,18 +125,18 @@
 	longest := time.Duration(0)
 	for seed := range seeds {
 		all.Go(func() {
-			chance := pcg.New(seed)
+			rng := pcg.New(seed)
 			var text strings.Builder
 			down := make(map[int]bool)
 			for range 8 {
-				from := 1500 + chance.Below(5000)
-				settledAt, lasts := fmt.Sprintf("%dms", from), fmt.Sprintf("%dms", 100+chance.Below(int(ends/time.Millisecond)-from-700))
-				d, o := chance.Below(drivers), chance.Below(drivers-1)
+				from := 1500 + rng.Below(5000)
+				settledAt, lasts := fmt.Sprintf("%dms", from), fmt.Sprintf("%dms", 100+rng.Below(int(ends/time.Millisecond)-from-700))
+				d, o := rng.Below(drivers), rng.Below(drivers-1)
 				if o >= d {
 					o++
 				}
 				between := fmt.Sprintf(`from = ["d%d"];to = ["d%d"]`, d, o)
-				switch chance.Below(8) {
+				switch rng.Below(8) {
 				case 0, 1:
 					text.WriteString(faultBlock("driver_kill", settledAt, lasts, fmt.Sprintf("on = [%d]", d)))
 				case 2:
--- a/internal/emu/rig/relay.go
+++ b/internal/emu/rig/relay.go
@@ -72,10 +72,10 @@
 // reset resets all open connections.
 func (r *relay) reset() { r.each((*relayedConnection).reset) }
 
-func (r *relay) each(act func(*relayedConnection)) {
+func (r *relay) each(action func(*relayedConnection)) {
 	for element := r.connections.Front(); element != nil; {
 		next := element.Next()
-		act(element.Value)
+		action(element.Value)
 		element = next
 	}
 }
