--- a/internal/emu/ledger.go
+++ b/internal/emu/ledger.go
@@ -11,15 +11,15 @@
 // when the RPC began.
 const (
 	Connects            = "connects"    // connections that a member accepted
-	TurnedAway          = "turned_away" // connections rejected over the limit
+	RejectedConnections = "turned_away" // connections rejected over the limit
 	Handshakes          = "handshakes"  // connections that a member let in
 	MaxOpen             = "open"        // largest number of connections held at once
 	Attempts            = "attempts"
 	Probes              = "probes"
-	Scouts              = "scouts"     // writes at members that were never primary
+	ExploratoryWrites   = "scouts"     // writes at members that were never primary
 	FormerPrimaryWrites = "stale"      // writes at members that were primary before
-	Behind              = "behind"     // reads rejected by members that are too far behind
-	Drained             = "drained"    // attempts at members that are draining
+	LaggingReads        = "behind"     // reads rejected by members that are too far behind
+	DrainedAttempts     = "drained"    // attempts at members that are draining
 	QueueFull           = "full"       // attempts rejected because the queue was full
 	Lists               = "lists"      // requests for the endpoint list or its changes
 	RequestedUtility    = "worth"      // utility of RPCs, counted at the first try
--- a/internal/emu/play/cluster.go
+++ b/internal/emu/play/cluster.go
@@ -110,7 +110,7 @@
 			return
 		}
 		if most := m.model.Spec.MaxConnections; most > 0 && m.conns.Len() >= most {
-			m.count(emu.TurnedAway, 1)
+			m.count(emu.RejectedConnections, 1)
 			k.stream.Send(pgwire.AppendError(nil, true, "53300", "too many connections", -1))
 			k.stream.CloseWhenSent()
 			return
@@ -314,11 +314,11 @@
 	}
 	switch isPrimary := m.model.Role() == driver.Primary; {
 	case m.model.Draining():
-		m.count(emu.Drained, 1)
+		m.count(emu.DrainedAttempts, 1)
 	case job.Write && !isPrimary && m.wasPrimary:
 		m.count(emu.FormerPrimaryWrites, 1)
 	case job.Write && !isPrimary:
-		m.count(emu.Scouts, 1)
+		m.count(emu.ExploratoryWrites, 1)
 	}
 	if m.model.Role() == driver.Primary {
 		m.wasPrimary = true
@@ -354,7 +354,7 @@
 		if job.Write && r.Outcome == driver.Misdirected {
 			code = "25006"
 		} else if r.Outcome == driver.Misdirected {
-			k.member.count(emu.Behind, 1)
+			k.member.count(emu.LaggingReads, 1)
 		} else if r.Outcome == driver.Full {
 			k.member.count(emu.QueueFull, 1)
 		}
--- a/internal/emu/play/result.go
+++ b/internal/emu/play/result.go
@@ -158,8 +158,8 @@
 // Table writes the counts of clients, members and discovery in each second, over all places.
 func (r *Result) Table(out io.Writer) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
-	columns := []string{emu.RequestedUtility, emu.ServedUtility, emu.PushedBackTries, emu.UnansweredTries, emu.Connects, emu.Handshakes, emu.TurnedAway, emu.Attempts, emu.QueueFull, emu.Probes,
-		emu.Scouts, emu.FormerPrimaryWrites, emu.Behind, emu.Lists}
+	columns := []string{emu.RequestedUtility, emu.ServedUtility, emu.PushedBackTries, emu.UnansweredTries, emu.Connects, emu.Handshakes, emu.RejectedConnections, emu.Attempts, emu.QueueFull, emu.Probes,
+		emu.ExploratoryWrites, emu.FormerPrimaryWrites, emu.LaggingReads, emu.Lists}
 	fmt.Fprintf(w, "second\t%s\tcold\t\n", strings.Join(columns, "\t"))
 	for n := range r.Ledger.Seconds() {
 		fmt.Fprintf(w, "%d\t", n)
@@ -200,7 +200,7 @@
 const baselinePeriod = 8 * time.Second
 
 // Quantities that are compared, in the order of the report.
-var loads = []string{emu.Connects, emu.Handshakes, emu.MaxOpen, emu.Attempts, emu.Probes, emu.Scouts, emu.Lists, emu.TurnedAway, emu.QueueFull}
+var loads = []string{emu.Connects, emu.Handshakes, emu.MaxOpen, emu.Attempts, emu.Probes, emu.ExploratoryWrites, emu.Lists, emu.RejectedConnections, emu.QueueFull}
 
 // Recoveries evaluates all outages.
 func (r *Result) Recoveries() (all []Recovery) {
@@ -250,8 +250,8 @@
 			recovery.Loads = append(recovery.Loads, l)
 		}
 		recovery.Cold, _ = r.Ledger.Peak(emu.ColdLoad, fell, last)
-		recovery.Stale, recovery.Behind = r.Ledger.Sum(emu.FormerPrimaryWrites, fell, last), r.Ledger.Sum(emu.Behind, fell, last)
-		recovery.Drained = r.Ledger.Sum(emu.Drained, fell, last)
+		recovery.Stale, recovery.Behind = r.Ledger.Sum(emu.FormerPrimaryWrites, fell, last), r.Ledger.Sum(emu.LaggingReads, fell, last)
+		recovery.Drained = r.Ledger.Sum(emu.DrainedAttempts, fell, last)
 		all = append(all, recovery)
 	}
 	return all
--- a/internal/emu/rig/membership_test.go
+++ b/internal/emu/rig/membership_test.go
@@ -188,7 +188,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		late := r.Ledger.Sum(emu.Drained, 4, 6) // from 4 s on: the drain begins at 2 s, the list shows it within 1 s, and the grace is 250 ms
+		late := r.Ledger.Sum(emu.DrainedAttempts, 4, 6) // from 4 s on: the drain begins at 2 s, the list shows it within 1 s, and the grace is 250 ms
 		t.Logf("membership messages: %v, %v attempts at the member after one driver knew of its drain", sharesMembership, late)
 		if (late > 0) == sharesMembership || len(r.Broken) > 0 {
 			t.Errorf("%v attempts at the drained member, broken rules: %v", late, r.Broken)
@@ -212,7 +212,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		rejected, maxOpen := r.Ledger.Sum(emu.TurnedAway, 0, 16), 0.0
+		rejected, maxOpen := r.Ledger.Sum(emu.RejectedConnections, 0, 16), 0.0
 		for second := range 16 {
 			maxOpen = max(maxOpen, r.Ledger.Second(emu.MaxOpen, second))
 		}
--- a/internal/emu/rig/rig_test.go
+++ b/internal/emu/rig/rig_test.go
@@ -422,7 +422,7 @@
 		if !drained {
 			from, to = countFrom, endSecond
 		}
-		if n := r.Ledger.Sum(emu.Drained, from, to); (n > 0) != drained {
+		if n := r.Ledger.Sum(emu.DrainedAttempts, from, to); (n > 0) != drained {
 			t.Errorf("folder %s: %v attempts from second %d to %d at a member that had drained before the restart", folder, n, from, to)
 		}
 		if t.Failed() {
--- a/internal/lab/capacity/primary.go
+++ b/internal/lab/capacity/primary.go
@@ -117,7 +117,7 @@
 	p.report("new_primary_connects", "connections in its first second", float64(c.Connects))
 	p.report("usual_attempts", "attempts a second of the play's members", r.Ledger.Sum(emu.Attempts, 1, from)/float64(from-1))
 	p.report("former_writes", "attempts", r.Ledger.Sum(emu.FormerPrimaryWrites, from, end))
-	p.report("scouts", "attempts", r.Ledger.Sum(emu.Scouts, from, end))
+	p.report("scouts", "attempts", r.Ledger.Sum(emu.ExploratoryWrites, from, end))
 	p.report("lists_busiest", "calls a second", r.Ledger.PeakTotal(emu.Lists, from, end))
 	cold, _ := r.Ledger.Peak(emu.ColdLoad, from, end)
 	p.report("cold_part", "of what tips a cold member", cold)
