--- a/cmd/passtack/rehearse.go
+++ b/cmd/passtack/rehearse.go
@@ -63,7 +63,7 @@
 				return err
 			}
 			if c.Course {
-				r.Course.Print(os.Stdout)
+				r.Timeline.Print(os.Stdout)
 			}
 			if c.Table {
 				r.Table(os.Stdout)
--- a/internal/emu/play/clients.go
+++ b/internal/emu/play/clients.go
@@ -103,7 +103,7 @@
 
 func (c *Clients) rate() float64 {
 	rate, at := c.script.Rate, c.loop.Now()-c.startedAt
-	for _, s := range c.script.Surges {
+	for _, s := range c.script.LoadChanges {
 		if at >= s.From && at < s.To {
 			rate *= s.Times
 		}
@@ -112,7 +112,7 @@
 }
 
 func (c *Clients) arrive() {
-	if c.loop.Now()-c.startedAt >= c.script.Lasts {
+	if c.loop.Now()-c.startedAt >= c.script.Duration {
 		return
 	}
 	dice := c.rng.Float() * c.shareSum
@@ -171,16 +171,16 @@
 
 // probe sends an empty query to a driver, which answers it once it serves.
 func (c *Clients) probe(n int) {
-	k := &probe{clients: c, driver: n}
+	p := &probe{clients: c, driver: n}
 	var err error
-	if k.stream, err = c.loop.Dial(c.drivers[n], k, pgwire.MaxMessageLength+1); err != nil {
+	if p.stream, err = c.loop.Dial(c.drivers[n], p, pgwire.MaxMessageLength+1); err != nil {
 		c.loop.At(c.loop.Now()+probeInterval, func() { c.probe(n) })
 		return
 	}
-	k.stream.Send(pgwire.AppendStartup(nil, "app", "shop"), append(pgwire.AppendHead(nil, 'Q', 1), 0))
-	k.timer = c.loop.At(c.loop.Now()+10*probeInterval, func() {
-		k.stream.Close()
-		k.Closed(nil)
+	p.stream.Send(pgwire.AppendStartup(nil, "app", "shop"), append(pgwire.AppendHead(nil, 'Q', 1), 0))
+	p.timer = c.loop.At(c.loop.Now()+10*probeInterval, func() {
+		p.stream.Close()
+		p.Closed(nil)
 	})
 }
 
@@ -193,27 +193,27 @@
 }
 
 // Opened implements eventloop.Handler.
-func (k *probe) Opened() {}
+func (p *probe) Opened() {}
 
 // Panicked implements eventloop.Handler.
-func (k *probe) Panicked(cause error) { k.stream.Close() }
+func (p *probe) Panicked(cause error) { p.stream.Close() }
 
 // Closed implements eventloop.Handler.
-func (k *probe) Closed(error) {
-	c := k.clients
-	c.loop.Cancel(k.timer)
-	c.loop.At(c.loop.Now()+probeInterval, func() { c.probe(k.driver) })
+func (p *probe) Closed(error) {
+	c := p.clients
+	c.loop.Cancel(p.timer)
+	c.loop.At(c.loop.Now()+probeInterval, func() { c.probe(p.driver) })
 }
 
 // Input implements eventloop.Handler.
-func (k *probe) Input(in []byte) int {
+func (p *probe) Input(in []byte) int {
 	kind, _, size, err := pgwire.Next(in)
 	if err != nil || kind == 'I' && size > 0 {
-		k.stream.Close()
-		if k.clients.loop.Cancel(k.timer); err != nil {
-			k.Closed(err)
+		p.stream.Close()
+		if p.clients.loop.Cancel(p.timer); err != nil {
+			p.Closed(err)
 		} else {
-			k.clients.setUp(k.driver, true)
+			p.clients.setUp(p.driver, true)
 		}
 		return 0
 	}
@@ -223,44 +223,44 @@
 // sendTry sends a try to the driver of its session.
 func (c *Clients) sendTry(r *clientRPC) {
 	to := c.driverOf(r.session)
-	var l *clientConn
-	for n := len(c.idle[to]); n > 0 && l == nil; n = len(c.idle[to]) {
-		l = c.idle[to][n-1]
-		if c.idle[to] = c.idle[to][:n-1]; l.closed || !l.stream.Alive() {
-			l = nil
+	var conn *clientConn
+	for n := len(c.idle[to]); n > 0 && conn == nil; n = len(c.idle[to]) {
+		conn = c.idle[to][n-1]
+		if c.idle[to] = c.idle[to][:n-1]; conn.closed || !conn.stream.Alive() {
+			conn = nil
 		}
 	}
-	if l == nil {
-		if l = c.dial(to); l == nil {
+	if conn == nil {
+		if conn = c.dial(to); conn == nil {
 			return
 		}
 	}
-	l.request(r)
+	conn.request(r)
 }
 
 func (c *Clients) dial(to int) *clientConn {
-	l := &clientConn{clients: c, driver: to}
+	conn := &clientConn{clients: c, driver: to}
 	var err error
-	if l.stream, err = c.loop.Dial(c.drivers[to], l, pgwire.MaxMessageLength+1); err != nil {
+	if conn.stream, err = c.loop.Dial(c.drivers[to], conn, pgwire.MaxMessageLength+1); err != nil {
 		return nil
 	}
-	l.stream.Send(pgwire.AppendStartup(nil, "app", "shop"))
-	return l
+	conn.stream.Send(pgwire.AppendStartup(nil, "app", "shop"))
+	return conn
 }
 
-func (l *clientConn) request(r *clientRPC) {
-	c := l.clients
+func (conn *clientConn) request(r *clientRPC) {
+	c := conn.clients
 	now, m := c.loop.Now(), r.method
 	c.lastID++
 	r.tries++
-	l.rpc, l.id, l.answer, l.retryAfter, l.position = r, fmt.Sprintf("r%d", c.lastID), "", 0, 0
-	l.resent = false
+	conn.rpc, conn.id, conn.answer, conn.retryAfter, conn.position = r, fmt.Sprintf("r%d", c.lastID), "", 0, 0
+	conn.resent = false
 	if m.Effect == emu.Tokened && r.token == "" {
-		r.token = "t" + l.id
+		r.token = "t" + conn.id
 	}
 	key := fmt.Sprintf("s%d", r.session)
 	limit := r.timeLeft(now).Truncate(time.Millisecond)
-	text := fmt.Sprintf("/* id=%s,c=%s,d=%d", l.id, m.Name, limit/time.Millisecond)
+	text := fmt.Sprintf("/* id=%s,c=%s,d=%d", conn.id, m.Name, limit/time.Millisecond)
 	if r.token != "" {
 		text += ",k=" + r.token
 	}
@@ -275,57 +275,57 @@
 	if m.Need == "write" {
 		text = text[:len(text)-len("SELECT doc FROM items WHERE id = '"+key+"'")] + "INSERT INTO items (id, doc) VALUES ('" + key + "', 'x') RETURNING doc"
 	}
-	c.record.TrySent(l.id, r.token, fmt.Sprint("d", l.driver), m.Effect, now, now+limit)
-	l.message = append(append(pgwire.AppendHead(nil, 'Q', len(text)+1), text...), 0)
-	l.send(now + limit + answerAllowance)
+	c.record.TrySent(conn.id, r.token, fmt.Sprint("d", conn.driver), m.Effect, now, now+limit)
+	conn.message = append(append(pgwire.AppendHead(nil, 'Q', len(text)+1), text...), 0)
+	conn.send(now + limit + answerAllowance)
 }
 
-func (l *clientConn) send(until time.Duration) {
-	l.requests++
-	l.stream.Send(l.message)
-	l.giveUpAt = until
-	l.timer = l.clients.loop.At(until, func() {
-		l.stream.Close()
-		l.closed = true
-		l.finishUnanswered(false)
+func (conn *clientConn) send(until time.Duration) {
+	conn.requests++
+	conn.stream.Send(conn.message)
+	conn.giveUpAt = until
+	conn.timer = conn.clients.loop.At(until, func() {
+		conn.stream.Close()
+		conn.closed = true
+		conn.finishUnanswered(false)
 	})
 }
 
 // resend sends a request again on a new connection if its reused connection was closed before an answer: the driver
 // may not have read it. It may have run, though, so that non-idempotent requests are not sent again.
-func (l *clientConn) resend() bool {
-	if l.rpc == nil || l.requests < 2 || l.resent || l.answer != "" || l.rpc.method.Effect == emu.NonIdempotent {
+func (conn *clientConn) resend() bool {
+	if conn.rpc == nil || conn.requests < 2 || conn.resent || conn.answer != "" || conn.rpc.method.Effect == emu.NonIdempotent {
 		return false
 	}
-	c := l.clients
-	n := c.dial(l.driver)
+	c := conn.clients
+	n := c.dial(conn.driver)
 	if n == nil {
 		return false
 	}
-	c.loop.Cancel(l.timer)
-	l.rpc.mayRun = true
-	n.rpc, n.id, n.message, n.resent = l.rpc, l.id, l.message, true
-	l.rpc = nil
-	n.send(l.giveUpAt)
+	c.loop.Cancel(conn.timer)
+	conn.rpc.mayRun = true
+	n.rpc, n.id, n.message, n.resent = conn.rpc, conn.id, conn.message, true
+	conn.rpc = nil
+	n.send(conn.giveUpAt)
 	return true
 }
 
 // finish ends a try; the client may retry.
-func (l *clientConn) finish(answer string) {
-	c, r := l.clients, l.rpc
+func (conn *clientConn) finish(answer string) {
+	c, r := conn.clients, conn.rpc
 	if r == nil {
 		return
 	}
-	l.rpc = nil
-	c.loop.Cancel(l.timer)
+	conn.rpc = nil
+	c.loop.Cancel(conn.timer)
 	now := c.loop.Now()
-	c.record.TryAnswered(l.id, answer, now)
-	l.noteWriteTry(r)
+	c.record.TryAnswered(conn.id, answer, now)
+	conn.noteWriteTry(r)
 	if answer == emu.OK {
 		c.Served++
 		c.Latencies = append(c.Latencies, now-r.began)
-		if r.method.Need == "write" && l.position > 0 {
-			c.sessionPositions[r.session] = max(c.sessionPositions[r.session], l.position)
+		if r.method.Need == "write" && conn.position > 0 {
+			c.sessionPositions[r.session] = max(c.sessionPositions[r.session], conn.position)
 		}
 		got := r.method.Utility
 		if now-r.began > r.method.SoftDeadline {
@@ -338,20 +338,20 @@
 	}
 	switch answer {
 	case emu.PushedBack:
-		c.ledger.Add(emu.PushedBackTries, Driver(l.driver), now, 1)
+		c.ledger.Add(emu.PushedBackTries, Driver(conn.driver), now, 1)
 	case emu.Nothing, emu.NotTaken:
-		c.ledger.Add(emu.UnansweredTries, Driver(l.driver), now, 1)
-		if c.script.Route == "stay" && c.sessionDriver[r.session] == l.driver { // moves the session to another driver for good
-			c.sessionDriver[r.session] = (l.driver + 1 + c.rng.Below(max(len(c.drivers)-1, 1))) % len(c.drivers)
+		c.ledger.Add(emu.UnansweredTries, Driver(conn.driver), now, 1)
+		if c.script.Route == "stay" && c.sessionDriver[r.session] == conn.driver { // moves the session to another driver for good
+			c.sessionDriver[r.session] = (conn.driver + 1 + c.rng.Below(max(len(c.drivers)-1, 1))) % len(c.drivers)
 		}
 	}
-	r.mayRun = r.mayRun || answer != emu.PushedBack && l.admitted
+	r.mayRun = r.mayRun || answer != emu.PushedBack && conn.admitted
 	if r.tries > c.script.Retries || r.mayRun && r.method.Effect == emu.NonIdempotent {
 		return
 	}
 	wait := 100*time.Millisecond + time.Duration(c.rng.Below(200))*time.Millisecond
 	if c.script.HonorsRetryAfter {
-		wait = max(wait, l.retryAfter)
+		wait = max(wait, conn.retryAfter)
 	}
 	c.loop.At(now+wait, func() {
 		if r.timeLeft(c.loop.Now()) >= minTryTime {
@@ -361,65 +361,65 @@
 }
 
 // Opened implements eventloop.Handler.
-func (l *clientConn) Opened() {}
+func (conn *clientConn) Opened() {}
 
 // Panicked implements eventloop.Handler.
-func (l *clientConn) Panicked(cause error) { l.stream.Close() }
+func (conn *clientConn) Panicked(cause error) { conn.stream.Close() }
 
 // Closed implements eventloop.Handler.
-func (l *clientConn) Closed(error) {
-	l.closed = true
-	if l.resend() {
+func (conn *clientConn) Closed(error) {
+	conn.closed = true
+	if conn.resend() {
 		return
 	}
-	l.finishUnanswered(true)
+	conn.finishUnanswered(true)
 }
 
 // finishUnanswered ends a try without an answer. If the driver closes a connection on its first request, that request
 // counts as not taken, though it may have run.
-func (l *clientConn) finishUnanswered(shut bool) {
-	if l.admitted && !(shut && l.requests == 1) {
-		l.finish(emu.Nothing)
+func (conn *clientConn) finishUnanswered(shut bool) {
+	if conn.admitted && !(shut && conn.requests == 1) {
+		conn.finish(emu.Nothing)
 	} else {
-		l.finish(emu.NotTaken)
+		conn.finish(emu.NotTaken)
 	}
 }
 
 // Input implements eventloop.Handler.
-func (l *clientConn) Input(in []byte) int {
+func (conn *clientConn) Input(in []byte) int {
 	kind, body, size, err := pgwire.Next(in)
 	if err != nil {
-		l.stream.Close()
-		l.Closed(err)
+		conn.stream.Close()
+		conn.Closed(err)
 		return 0
 	}
 	switch {
 	case size == 0:
 		return 0
 	case kind == 'R':
-		l.admitted = true
+		conn.admitted = true
 	case kind == 'S':
 		if name, value, ok := pgwire.Parameter(body); ok && string(name) == "replay_position" {
 			millis, _ := strconv.ParseInt(string(value), 10, 64)
-			l.position = time.Duration(millis) * time.Millisecond
+			conn.position = time.Duration(millis) * time.Millisecond
 		}
 	case kind == 'D':
-		l.answer = emu.OK
+		conn.answer = emu.OK
 	case kind == 'E':
-		l.answer = emu.Aborted
+		conn.answer = emu.Aborted
 		pgwire.Fields(body, func(code byte, value []byte) {
 			if code == 'C' && (string(value) == "53300" || string(value) == "57P03") {
-				l.answer = emu.PushedBack
+				conn.answer = emu.PushedBack
 			} else if code == 'D' {
 				millis, _ := strconv.Atoi(string(value))
-				l.retryAfter = time.Duration(millis) * time.Millisecond
+				conn.retryAfter = time.Duration(millis) * time.Millisecond
 			}
 		})
-	case kind == 'Z' && l.answer != "":
-		heard := l.answer
-		l.answer = ""
-		l.finish(heard)
-		l.clients.idle[l.driver] = append(l.clients.idle[l.driver], l)
+	case kind == 'Z' && conn.answer != "":
+		heard := conn.answer
+		conn.answer = ""
+		conn.finish(heard)
+		conn.clients.idle[conn.driver] = append(conn.clients.idle[conn.driver], conn)
 	}
 	return size
 }
--- a/internal/emu/play/clients_test.go
+++ b/internal/emu/play/clients_test.go
@@ -37,24 +37,24 @@
 	answered bool // an RPC has been answered on it
 }
 
-func (g *crashingConn) Opened()             {}
-func (g *crashingConn) Closed(error)        {}
-func (g *crashingConn) Panicked(what error) { g.t.Error(what) }
+func (c *crashingConn) Opened()             {}
+func (c *crashingConn) Closed(error)        {}
+func (c *crashingConn) Panicked(what error) { c.t.Error(what) }
 
 var commentField = regexp.MustCompile(`([a-z]+)=([^, ]+)`)
 
-func (g *crashingConn) Input(in []byte) int {
-	if now := g.loop.Now(); now < g.downUntil {
-		g.stream.Close()
+func (c *crashingConn) Input(in []byte) int {
+	if now := c.loop.Now(); now < c.downUntil {
+		c.stream.Close()
 		return 0
 	}
-	if !g.admitted {
+	if !c.admitted {
 		if len(in) < 4 || len(in) < int(in[3]) { // the startup message is short, but may arrive in parts
 			return 0
 		}
 		size := int(in[3])
-		g.admitted = true
-		g.stream.Send(append(pgwire.AppendHead(nil, 'R', 4), 0, 0, 0, 0), append(pgwire.AppendHead(nil, 'Z', 1), 'I'))
+		c.admitted = true
+		c.stream.Send(append(pgwire.AppendHead(nil, 'R', 4), 0, 0, 0, 0), append(pgwire.AppendHead(nil, 'Z', 1), 'I'))
 		return size
 	}
 	kind, body, size, err := pgwire.Next(in)
@@ -69,29 +69,29 @@
 	if key == "" {
 		key = id
 		if values["r"] != "" {
-			g.retries++
+			c.retries++
 		}
 	}
 	millis, _ := strconv.Atoi(values["d"])
-	if g.downtime == 0 && !g.answered && values["r"] == "" { // the next one then arrives on a reused connection
-		g.answered = true
-		g.record.AttemptRan(id, true, "")
-		g.stream.Send(pgwire.AppendHead(nil, 'D', 0), append(pgwire.AppendHead(nil, 'Z', 1), 'I'))
+	if c.downtime == 0 && !c.answered && values["r"] == "" { // the next one then arrives on a reused connection
+		c.answered = true
+		c.record.AttemptRan(id, true, "")
+		c.stream.Send(pgwire.AppendHead(nil, 'D', 0), append(pgwire.AppendHead(nil, 'Z', 1), 'I'))
 		return size
 	}
-	if _, known := g.ranAt[key]; !known {
-		g.ranAt[key] = g.loop.Now()
-		g.record.AttemptRan(id, true, "")
-		g.loop.At(g.loop.Now()+20*time.Millisecond, func() {
-			g.downUntil = g.loop.Now() + g.downtime
-			g.stream.Close()
+	if _, known := c.ranAt[key]; !known {
+		c.ranAt[key] = c.loop.Now()
+		c.record.AttemptRan(id, true, "")
+		c.loop.At(c.loop.Now()+20*time.Millisecond, func() {
+			c.downUntil = c.loop.Now() + c.downtime
+			c.stream.Close()
 		})
 		return size
 	}
-	g.retries++
-	g.loop.At(g.loop.Now()+time.Duration(millis)*time.Millisecond, func() {
-		g.record.AttemptRan(id, g.loop.Now()-g.ranAt[key] > g.window, "")
-		g.stream.Close()
+	c.retries++
+	c.loop.At(c.loop.Now()+time.Duration(millis)*time.Millisecond, func() {
+		c.record.AttemptRan(id, c.loop.Now()-c.ranAt[key] > c.window, "")
+		c.stream.Close()
 	})
 	return size
 }
@@ -119,8 +119,8 @@
 		record := emu.NewRecord(emu.Tolerance{})
 		d := &crashingDriver{t: t, loop: l, record: record, window: s.Methods[0].Window, downtime: downtime, ranAt: make(map[string]time.Duration)}
 		if _, err := l.Listen(at, 1<<16, eventloop.AcceptLimiter{Descriptors: func(most int) int { return most }}, func(open func(eventloop.Handler) *eventloop.Stream) {
-			g := &crashingConn{crashingDriver: d}
-			g.stream = open(g)
+			c := &crashingConn{crashingDriver: d}
+			c.stream = open(c)
 		}, func(bool) {}); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/emu/play/cluster.go
+++ b/internal/emu/play/cluster.go
@@ -42,7 +42,7 @@
 	err              error
 	ledger           *emu.Ledger
 	startedAt        time.Duration
-	Course           Course
+	Timeline         Timeline
 	changes          []*PrimaryChange
 
 	// Address returns the address at which a driver reaches a member; nil: where the member listens.
@@ -105,18 +105,18 @@
 
 func (m *memberServer) listen() (err error) {
 	m.listener, err = m.cluster.loop.Listen(m.addr, pgwire.MaxMessageLength+1, eventloop.AcceptLimiter{}, func(open func(eventloop.Handler) *eventloop.Stream) {
-		k := &memberConn{member: m}
-		if k.stream = open(k); k.stream == nil {
+		conn := &memberConn{member: m}
+		if conn.stream = open(conn); conn.stream == nil {
 			return
 		}
 		if most := m.model.Spec.MaxConnections; most > 0 && m.conns.Len() >= most {
 			m.count(emu.RejectedConnections, 1)
-			k.stream.Send(pgwire.AppendError(nil, true, "53300", "too many connections", -1))
-			k.stream.CloseWhenSent()
+			conn.stream.Send(pgwire.AppendError(nil, true, "53300", "too many connections", -1))
+			conn.stream.CloseWhenSent()
 			return
 		}
-		k.element.Value = k
-		m.conns.PushBack(&k.element)
+		conn.element.Value = conn
+		m.conns.PushBack(&conn.element)
 		m.count(emu.Connects, 1)
 		if change := m.ownChange(); change != nil && m.cluster.elapsed() < change.At+firstPeriod {
 			change.Connects++
@@ -132,7 +132,7 @@
 }
 
 func (c *Cluster) note(who, format string, args ...any) {
-	c.Course.Note(c.loop.Now()-c.startedAt, who, format, args...)
+	c.Timeline.Note(c.loop.Now()-c.startedAt, who, format, args...)
 }
 
 // count adds to the member's count in the ledger.
@@ -206,75 +206,75 @@
 }
 
 // Opened implements eventloop.Handler.
-func (k *memberConn) Opened() {}
+func (conn *memberConn) Opened() {}
 
 // Closed implements eventloop.Handler.
-func (k *memberConn) Closed(error) {
-	k.element.Remove()
-	if k.job != nil {
-		k.member.model.Cancel(k.job)
+func (conn *memberConn) Closed(error) {
+	conn.element.Remove()
+	if conn.job != nil {
+		conn.member.model.Cancel(conn.job)
 	}
 }
 
 // Panicked implements eventloop.Handler.
-func (k *memberConn) Panicked(cause error) { k.stream.Close() }
+func (conn *memberConn) Panicked(cause error) { conn.stream.Close() }
 
 // Input implements eventloop.Handler.
-func (k *memberConn) Input(in []byte) int {
-	m := k.member
+func (conn *memberConn) Input(in []byte) int {
+	m := conn.member
 	if m.model.Paused() { // reads again after the pause
-		m.cluster.loop.At(m.cluster.loop.Now()+5*time.Millisecond, k.stream.DeliverInput)
+		m.cluster.loop.At(m.cluster.loop.Now()+5*time.Millisecond, conn.stream.DeliverInput)
 		return 0
 	}
-	if !k.handshakeSeen {
+	if !conn.handshakeSeen {
 		_, size, err := pgwire.First(in)
 		if err != nil {
-			k.stream.Close()
+			conn.stream.Close()
 			return 0
 		}
 		if size > 0 {
-			k.completeHandshake()
+			conn.completeHandshake()
 		}
 		return size
 	}
-	if k.job != nil {
+	if conn.job != nil {
 		return 0
 	}
 	kind, body, size, err := pgwire.Next(in)
 	if err != nil || size > 0 && kind != 'Q' {
-		k.stream.CloseWhenSent()
+		conn.stream.CloseWhenSent()
 		return len(in)
 	}
 	if size > 0 {
-		k.handleQuery(string(body[:max(len(body)-1, 0)]))
+		conn.handleQuery(string(body[:max(len(body)-1, 0)]))
 	}
 	return size
 }
 
 // completeHandshake lets a connection in after the member has done the work for it.
-func (k *memberConn) completeHandshake() {
-	m := k.member
-	k.handshakeSeen = true
+func (conn *memberConn) completeHandshake() {
+	m := conn.member
+	conn.handshakeSeen = true
 	m.count(emu.Handshakes, 1)
 	if m.model.Spec.Handshake == 0 {
-		k.stream.Send(pgwire.AppendAuthenticationOK(nil, 1, 1))
+		conn.stream.Send(pgwire.AppendAuthenticationOK(nil, 1, 1))
 		return
 	}
-	k.job = &emu.Job{OpensConnection: true, Work: m.model.Spec.Handshake, Done: func(r emu.Result) {
-		k.job = nil
+	conn.job = &emu.Job{OpensConnection: true, Work: m.model.Spec.Handshake, Done: func(r emu.Result) {
+		conn.job = nil
 		if r.Outcome != driver.OK {
-			k.stream.Send(pgwire.AppendError(nil, true, "53300", "no room", -1))
-			k.stream.CloseWhenSent()
+			conn.stream.Send(pgwire.AppendError(nil, true, "53300", "no room", -1))
+			conn.stream.CloseWhenSent()
 			return
 		}
-		k.stream.Send(pgwire.AppendAuthenticationOK(nil, 1, 1))
-		m.cluster.loop.Defer(k.stream.DeliverInput)
+		conn.stream.Send(pgwire.AppendAuthenticationOK(nil, 1, 1))
+		m.cluster.loop.Defer(conn.stream.DeliverInput)
 	}}
-	m.submit(k.job)
+	m.submit(conn.job)
 }
 
 // appendStatus appends the role, position and load that a member reports with every answer.
-func (k *memberConn) appendStatus(out []byte, role driver.Role, position time.Duration, load float64) []byte {
+func (conn *memberConn) appendStatus(out []byte, role driver.Role, position time.Duration, load float64) []byte {
 	name := map[driver.Role]string{driver.Primary: "leader", driver.Replica: "follower"}[role]
 	leads := map[driver.Role]int{driver.Primary: 1}[role]
 	out = pgwire.AppendParameter(out, "node_role", name)
@@ -282,20 +282,20 @@
 	return pgwire.AppendParameter(out, "server_load", fmt.Sprintf("x0=%.3f,x1=%d,util=%.2f", position.Seconds(), leads, load))
 }
 
-func (k *memberConn) handleQuery(text string) {
-	m := k.member
+func (conn *memberConn) handleQuery(text string) {
+	m := conn.member
 	c := m.cluster
 	if text == "" {
 		m.count(emu.Probes, 1)
-		out := k.appendStatus(pgwire.AppendHead(nil, 'I', 0), m.model.Role(), m.model.Position(), m.model.Load())
-		k.stream.Send(pgwire.AppendReady(out))
+		out := conn.appendStatus(pgwire.AppendHead(nil, 'I', 0), m.model.Role(), m.model.Position(), m.model.Load())
+		conn.stream.Send(pgwire.AppendReady(out))
 		return
 	}
 	values := make(map[string]string)
 	_, ok := pgwire.Comment([]byte(text), func(name, value []byte, _, _ int) { values[string(name)] = string(value) })
 	method := c.script.method(values["c"])
 	if !ok || method == nil {
-		k.stream.Send(pgwire.AppendReady(pgwire.AppendError(nil, false, "08P01", "no comment that can be read", -1)))
+		conn.stream.Send(pgwire.AppendReady(pgwire.AppendError(nil, false, "08P01", "no comment that can be read", -1)))
 		return
 	}
 	now, id := c.loop.Now(), values["id"]
@@ -325,13 +325,13 @@
 		clear(m.disclaimedTo)
 	}
 	excused := m.wasPrimary && !m.disclaimedTo[c.record.DriverOf(id)] // the driver may still believe that it is the primary
-	job.Done = func(r emu.Result) { k.answer(id, job, r, excused) }
-	k.job = job
+	job.Done = func(r emu.Result) { conn.answer(id, job, r, excused) }
+	conn.job = job
 	m.submit(job)
 }
 
-func (k *memberConn) answer(id string, job *emu.Job, r emu.Result, excused bool) {
-	c := k.member.cluster
+func (conn *memberConn) answer(id string, job *emu.Job, r emu.Result, excused bool) {
+	c := conn.member.cluster
 	if r.Outcome == driver.OK {
 		stale := ""
 		if !job.Write && !excused && job.After > r.ActualPosition+5*time.Millisecond {
@@ -339,32 +339,32 @@
 		}
 		c.record.AttemptRan(id, r.Effect, stale)
 		if job.Write {
-			k.member.noteWrite(c.record.DriverOf(id))
+			conn.member.noteWrite(c.record.DriverOf(id))
 		}
 	}
-	if k.job != job {
+	if conn.job != job {
 		return
 	}
-	k.job = nil
+	conn.job = nil
 	if r.Role == driver.Replica {
-		k.member.disclaimedTo[c.record.DriverOf(id)] = true
+		conn.member.disclaimedTo[c.record.DriverOf(id)] = true
 	}
 	var out []byte
 	if code := map[driver.Outcome]string{driver.Misdirected: "72000", driver.Full: "53300", driver.Failed: "XX000"}[r.Outcome]; code != "" {
 		if job.Write && r.Outcome == driver.Misdirected {
 			code = "25006"
 		} else if r.Outcome == driver.Misdirected {
-			k.member.count(emu.LaggingReads, 1)
+			conn.member.count(emu.LaggingReads, 1)
 		} else if r.Outcome == driver.Full {
-			k.member.count(emu.QueueFull, 1)
+			conn.member.count(emu.QueueFull, 1)
 		}
 		out = pgwire.AppendError(nil, false, code, "no", -1)
 	} else {
 		out = row("value of " + id)
 	}
-	out = k.appendStatus(out, r.Role, r.ReportedPosition, r.Load)
-	k.stream.Send(pgwire.AppendReady(out))
-	c.loop.Defer(k.stream.DeliverInput)
+	out = conn.appendStatus(out, r.Role, r.ReportedPosition, r.Load)
+	conn.stream.Send(pgwire.AppendReady(out))
+	c.loop.Defer(conn.stream.DeliverInput)
 }
 
 // row encodes a result of one row with one column.
--- a/internal/emu/play/controls.go
+++ b/internal/emu/play/controls.go
@@ -42,7 +42,7 @@
 		if p.From < 0 {
 			report(at+" from", "%d is under 0", p.From)
 		}
-		if one.At > s.Lasts {
+		if one.At > s.Duration {
 			report(at+" at", "%v is after the end", one.At)
 		}
 		s.Publications = append(s.Publications, one)
@@ -52,9 +52,9 @@
 // VersionSample is what a driver or a control machine reported about its newest version, at a time since the script's
 // start.
 type VersionSample struct {
-	At      time.Duration
-	Source  string
-	Version uint64 // in force at a driver, committed as far as a control machine knows
-	Refused uint64
-	Why     string
+	At              time.Duration
+	Source          string
+	Version         uint64 // in force at a driver, committed as far as a control machine knows
+	RejectedVersion uint64
+	RejectReason    string
 }
--- a/internal/emu/play/downtime.go
+++ b/internal/emu/play/downtime.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-func endsDriver(t Fault) bool { return t.Kind == "driver_kill" || t.Kind == "driver_stop" }
+func endsDriver(f Fault) bool { return f.Kind == "driver_kill" || f.Kind == "driver_stop" }
 
 // LastDriverStart returns when the last driver that the script ends starts again; 0: it ends none.
 func (s *Script) LastDriverStart() (last time.Duration) {
 	last = s.removedStart
-	for _, t := range s.Faults {
-		if endsDriver(t) {
-			last = max(last, t.At+t.Lasts+t.Within)
+	for _, f := range s.Faults {
+		if endsDriver(f) {
+			last = max(last, f.At+f.Duration+f.Within)
 		}
 	}
 	return last
@@ -29,13 +29,13 @@
 func (s *Script) SetDowntime(down time.Duration) {
 	from := time.Duration(0)
 	for i := range s.Faults {
-		if t := &s.Faults[i]; endsDriver(*t) {
-			t.Lasts, from = down, max(from, t.At)
+		if f := &s.Faults[i]; endsDriver(*f) {
+			f.Duration, from = down, max(from, f.At)
 		}
 	}
-	s.Lasts = s.LastDriverStart() + observedAfter
+	s.Duration = s.LastDriverStart() + observedAfter
 	if down > longDowntime {
-		s.Surges = append(s.Surges, Surge{from + longDowntime/4, s.LastDriverStart() - longDowntime/4, downtimeLoad})
+		s.LoadChanges = append(s.LoadChanges, LoadChange{from + longDowntime/4, s.LastDriverStart() - longDowntime/4, downtimeLoad})
 	}
 }
 
--- a/internal/emu/play/emulate.go
+++ b/internal/emu/play/emulate.go
@@ -36,10 +36,10 @@
 	for _, m := range c.members {
 		fmt.Fprintf(out, "member=%s group=%d listen=%s\n", m.model.Name, m.group, m.addr)
 	}
-	for _, t := range s.Faults {
-		l.At(l.Now()+t.At, func() {
-			fmt.Fprintf(out, "trouble=%s on=%v lasts=%v\n", t.Kind, t.On, t.Lasts)
-			c.InjectFault(t, l.Now()+t.Lasts)
+	for _, f := range s.Faults {
+		l.At(l.Now()+f.At, func() {
+			fmt.Fprintf(out, "trouble=%s on=%v lasts=%v\n", f.Kind, f.On, f.Duration)
+			c.InjectFault(f, l.Now()+f.Duration)
 		})
 	}
 	signals := make(chan os.Signal, 1)
--- a/internal/emu/play/inherit_test.go
+++ b/internal/emu/play/inherit_test.go
@@ -67,11 +67,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Drivers != 4 || s.Members != 3 || s.Lasts != 5*time.Second || len(s.Methods) != 2 || s.Methods[0].SoftDeadline != 500*time.Millisecond || s.Methods[0].Limit != 2*time.Second ||
-		len(s.Surges) != 1 || len(s.Faults) != 1 || s.Faults[0].Kind != "pause" || s.MinOK != 0.9 {
+	if s.Drivers != 4 || s.Members != 3 || s.Duration != 5*time.Second || len(s.Methods) != 2 || s.Methods[0].SoftDeadline != 500*time.Millisecond || s.Methods[0].Limit != 2*time.Second ||
+		len(s.LoadChanges) != 1 || len(s.Faults) != 1 || s.Faults[0].Kind != "pause" || s.MinOK != 0.9 {
 		t.Errorf("%+v", s)
 	}
-	if again, err := ReadScript(write("third.hcl", "like = \"over.hcl\"\nlasts = \"9s\"\n")); err != nil || again.Lasts != 9*time.Second || again.Drivers != 4 || again.Faults[0].Kind != "pause" {
+	if again, err := ReadScript(write("third.hcl", "like = \"over.hcl\"\nlasts = \"9s\"\n")); err != nil || again.Duration != 9*time.Second || again.Drivers != 4 || again.Faults[0].Kind != "pause" {
 		t.Errorf("a base with a base: %+v, %v", again, err)
 	}
 	for text, want := range map[string]string{
--- a/internal/emu/play/leases.go
+++ b/internal/emu/play/leases.go
@@ -11,12 +11,12 @@
 
 // Leases describes the leases of a script and the tasks of their holders.
 type Leases struct {
-	Voters  []int // numbers of drivers
-	Askers  []int // drivers that do the tasks when they hold a lease; empty: all
-	Lasts   time.Duration
-	Summary time.Duration // interval at which the holder sends a summary; 0: never
-	Watch   bool          // one driver watches discovery for all
-	Folders bool          // voters store their promises
+	Voters     []int // numbers of drivers
+	Candidates []int // drivers that do the tasks when they hold a lease; empty: all
+	TTL        time.Duration
+	Summary    time.Duration // interval at which the holder sends a summary; 0: never
+	Watch      bool          // one driver watches discovery for all
+	Folders    bool          // voters store their promises
 }
 
 // leasesText is the HCL form of the leases block.
@@ -30,7 +30,7 @@
 }
 
 func (t *leasesText) read(s *Script, duration func(path, value string, otherwise time.Duration) time.Duration, report func(path, format string, args ...any)) *Leases {
-	l := &Leases{Voters: t.Voters, Askers: t.Askers, Lasts: duration("leases lasts", t.Lasts, 2*time.Second), Summary: duration("leases summary", t.Summary, 0), Watch: t.Watch, Folders: t.Folders}
+	l := &Leases{Voters: t.Voters, Candidates: t.Askers, TTL: duration("leases lasts", t.Lasts, 2*time.Second), Summary: duration("leases summary", t.Summary, 0), Watch: t.Watch, Folders: t.Folders}
 	if n := len(l.Voters); n != 3 && n != 5 && n != 7 {
 		report("leases voters", "%d voters, expected 3, 5 or 7", n)
 	}
@@ -39,7 +39,7 @@
 			report("leases voters", "there is no driver %d, or it is named twice", n)
 		}
 	}
-	for _, n := range l.Askers {
+	for _, n := range l.Candidates {
 		if n < 0 || n >= s.Drivers {
 			report("leases askers", "there is no driver %d", n)
 		}
@@ -65,7 +65,9 @@
 }
 
 // OwnFile reports whether each driver has an operator's file of its own.
-func (s *Script) OwnFile() bool { return s.Folders || s.Leases != nil || s.View > 0 || s.Controls > 0 }
+func (s *Script) OwnFile() bool {
+	return s.StateFolders || s.Leases != nil || s.View > 0 || s.Controls > 0
+}
 
 // OperatorText returns the operator's file of one driver: the script's common file and the driver's own parameters.
 func (s *Script) OperatorText(driver int, at OperatorParams, by Electorate) ([]byte, error) {
@@ -101,18 +103,18 @@
 		text = append(text, "}\n"...)
 	}
 	if l := s.Leases; l != nil {
-		text = fmt.Appendf(text, "\nleases {\n  fleet = \"rehearsal\"\n  version = %d\n  voters = [%s]\n  lasts = %q\n  longest = %q\n", by.Version, quotedNames(by.Voters), l.Lasts, l.Lasts)
+		text = fmt.Appendf(text, "\nleases {\n  fleet = \"rehearsal\"\n  version = %d\n  voters = [%s]\n  lasts = %q\n  longest = %q\n", by.Version, quotedNames(by.Voters), l.TTL, l.TTL)
 		if by.Former != nil {
 			text = fmt.Appendf(text, "  former = [%s]\n", quotedNames(by.Former))
 		}
 		if at.Votes != "" {
 			text = fmt.Appendf(text, "  folder = %q\n", at.Votes)
 		}
-		asks := len(l.Askers) == 0 || slices.Contains(l.Askers, driver)
-		if l.Summary > 0 && asks {
+		candidate := len(l.Candidates) == 0 || slices.Contains(l.Candidates, driver)
+		if l.Summary > 0 && candidate {
 			text = fmt.Appendf(text, "  task \"summary\" {\n    every = %q\n    to = %q\n  }\n", l.Summary, at.FencingServer)
 		}
-		if l.Watch && asks {
+		if l.Watch && candidate {
 			text = append(text, "  task \"watch-discovery\" {}\n"...)
 		}
 		text = append(text, "}\n"...)
--- a/internal/emu/play/network.go
+++ b/internal/emu/play/network.go
@@ -106,18 +106,18 @@
 
 // activeAt reports whether the fault is in effect at a time after the script's start. One with a period is in effect
 // in every other period.
-func (t *Fault) activeAt(at time.Duration) bool {
-	if at < t.At || at >= t.At+t.Lasts {
+func (f *Fault) activeAt(at time.Duration) bool {
+	if at < f.At || at >= f.At+f.Duration {
 		return false
 	}
-	return t.Every == 0 || (at-t.At)/t.Every%2 == 0
+	return f.Every == 0 || (at-f.At)/f.Every%2 == 0
 }
 
 // affects reports whether a link fault concerns data from one node to another.
-func (t *Fault) affects(from, to string) bool {
-	if t.Kind == "partition" {
+func (f *Fault) affects(from, to string) bool {
+	if f.Kind == "partition" {
 		apart, placed := true, 0
-		for _, island := range t.Islands {
+		for _, island := range f.Islands {
 			a, b := slices.Contains(island, from), slices.Contains(island, to)
 			if a && b {
 				apart = false
@@ -128,33 +128,33 @@
 		}
 		return apart && placed > 1
 	}
-	return slices.Contains(t.From, from) && slices.Contains(t.To, to) ||
-		!t.OneWay && slices.Contains(t.To, from) && slices.Contains(t.From, to)
+	return slices.Contains(f.From, from) && slices.Contains(f.To, to) ||
+		!f.OneWay && slices.Contains(f.To, from) && slices.Contains(f.From, to)
 }
 
 // Between returns the condition from one node to another at a time after the script's start.
 func (s *Script) Between(at time.Duration, from, to string) (c Condition) {
 	for i := range s.Faults {
-		t := &s.Faults[i]
-		if faultKinds[t.Kind].target != "link" || !t.activeAt(at) || !t.affects(from, to) {
+		f := &s.Faults[i]
+		if faultKinds[f.Kind].target != "link" || !f.activeAt(at) || !f.affects(from, to) {
 			continue
 		}
-		switch t.Kind {
+		switch f.Kind {
 		case "cut", "partition":
 			c.Cut = true
 		case "refuse":
 			c.Refuse = true
 		case "loss":
-			c.Loss = max(c.Loss, min(t.Times, 0.9))
+			c.Loss = max(c.Loss, min(f.Times, 0.9))
 		case "delay":
-			c.Delay, c.Jitter = c.Delay+t.By, c.Jitter+t.Jitter
+			c.Delay, c.Jitter = c.Delay+f.By, c.Jitter+f.Jitter
 		case "double":
-			c.Double, c.MaxExtraDelay = max(c.Double, min(t.Times, 1)), max(c.MaxExtraDelay, t.By)
+			c.Double, c.MaxExtraDelay = max(c.Double, min(f.Times, 1)), max(c.MaxExtraDelay, f.By)
 		case "reorder":
-			c.Reorder, c.MaxExtraDelay = max(c.Reorder, min(t.Times, 1)), max(c.MaxExtraDelay, t.By)
+			c.Reorder, c.MaxExtraDelay = max(c.Reorder, min(f.Times, 1)), max(c.MaxExtraDelay, f.By)
 		case "thin":
-			if c.Rate == 0 || t.Rate < c.Rate {
-				c.Rate = t.Rate
+			if c.Rate == 0 || f.Rate < c.Rate {
+				c.Rate = f.Rate
 			}
 		}
 	}
@@ -163,19 +163,19 @@
 
 // ResetAt reports whether streams on a link are reset at a time.
 func (s *Script) ResetAt(at time.Duration, l Link) bool {
-	return slices.ContainsFunc(s.Faults, func(t Fault) bool {
-		return t.Kind == "reset" && t.At == at && t.affects(l.From, l.To)
+	return slices.ContainsFunc(s.Faults, func(f Fault) bool {
+		return f.Kind == "reset" && f.At == at && f.affects(l.From, l.To)
 	})
 }
 
 // LinkChangeTimes returns the times at which the condition of a link changes, in order.
 func (s *Script) LinkChangeTimes() (times []time.Duration) {
-	for _, t := range s.Faults {
-		if faultKinds[t.Kind].target != "link" {
+	for _, f := range s.Faults {
+		if faultKinds[f.Kind].target != "link" {
 			continue
 		}
-		times = append(times, t.At, t.At+t.Lasts)
-		for at := t.At + t.Every; t.Every > 0 && at < t.At+t.Lasts; at += t.Every {
+		times = append(times, f.At, f.At+f.Duration)
+		for at := f.At + f.Every; f.Every > 0 && at < f.At+f.Duration; at += f.Every {
 			times = append(times, at)
 		}
 	}
--- a/internal/emu/play/play_test.go
+++ b/internal/emu/play/play_test.go
@@ -62,7 +62,7 @@
 		"rule 2": {"hung-or-dead.hcl", func(s *Script) {
 			s.MemberSpec.DedupWindow, s.Retries = 0, 8
 			s.method("apply-write").Limit, s.method("apply-write").Window = 300*time.Millisecond, 5*time.Second
-			s.Faults[0].Kind, s.Faults[0].Times, s.Faults[0].Lasts = "slow", 100, 300*time.Millisecond
+			s.Faults[0].Kind, s.Faults[0].Times, s.Faults[0].Duration = "slow", 100, 300*time.Millisecond
 		}},
 		"rule 3": {"rolling-deploy.hcl", func(s *Script) { s.Grace = -s.Grace * 100 }},
 		"rule 4": {"rolling-deploy.hcl", func(s *Script) { s.MemberSpec.ColdMultiple = 0.02 }},
@@ -240,7 +240,7 @@
 
 // Checks the evaluation of an outage: time to recovery, lost service, and the highest loads before and after.
 func TestRecoveries(t *testing.T) {
-	r := Result{Script: &Script{Lasts: 12 * time.Second}, Ledger: emu.NewLedger(0), UtilitySeries: newUtilitySeries(2)}
+	r := Result{Script: &Script{Duration: 12 * time.Second}, Ledger: emu.NewLedger(0), UtilitySeries: newUtilitySeries(2)}
 	for at := time.Duration(0); at < 12*time.Second; at += sliceLength {
 		part := 1.0
 		if at >= 4*time.Second && at < 5500*time.Millisecond {
@@ -263,10 +263,10 @@
 	outages.DriverUp(1, 9*time.Second)
 	r.Outages = outages.all
 	back := r.Recoveries()
-	if len(back) != 1 || back[0].Up != 5*time.Second || back[0].Whole != 500*time.Millisecond || len(back[0].Drivers) != 2 || back[0].Level != 1 {
+	if len(back) != 1 || back[0].Up != 5*time.Second || back[0].FullServiceAfter != 500*time.Millisecond || len(back[0].Drivers) != 2 || back[0].Level != 1 {
 		t.Fatalf("%+v", back)
 	}
-	if lost := back[0].Lost; lost < 1.19 || lost > 1.21 {
+	if lost := back[0].LostSeconds; lost < 1.19 || lost > 1.21 {
 		t.Errorf("%v s of service lost", lost)
 	}
 	if l := back[0].Load(emu.Connects); l.Before != 10 || l.After != 50 || l.Where != "m1" || l.AllAfter != 60 {
@@ -284,25 +284,25 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.Rate, s.Folders, s.SaveEvery = 300, folders, 200*time.Millisecond
+		s.Rate, s.StateFolders, s.SaveEvery = 300, folders, 200*time.Millisecond
 		s.Election.Detection, s.Election.Takeover = [2]time.Duration{300 * time.Millisecond, 300 * time.Millisecond}, [2]time.Duration{300 * time.Millisecond, 300 * time.Millisecond}
-		s.Faults[0].Folder, s.Faults[0].Lasts = keptFolder, 2*time.Second
-		s.Faults[1].At, s.Faults[1].Lasts = moves, 1500*time.Millisecond
+		s.Faults[0].Folder, s.Faults[0].Duration = keptFolder, 2*time.Second
+		s.Faults[1].At, s.Faults[1].Duration = moves, 1500*time.Millisecond
 		r, err := Rehearse(s, 3)
 		if err != nil {
 			t.Fatal(err)
 		}
 		back := r.Recoveries()[0]
-		if len(r.Broken) > 0 || back.Whole < 0 || back.Whole > 2*time.Second {
-			t.Errorf("rules broken %d, service is whole after %v", len(r.Broken), back.Whole)
+		if len(r.Broken) > 0 || back.FullServiceAfter < 0 || back.FullServiceAfter > 2*time.Second {
+			t.Errorf("rules broken %d, service is whole after %v", len(r.Broken), back.FullServiceAfter)
 		}
 		return back
 	}
-	if back := play(true, 4*time.Second); back.Stale > 10*2 {
-		t.Errorf("%.0f writes at former primaries by ten drivers in two groups", back.Stale)
+	if back := play(true, 4*time.Second); back.FormerPrimaryWrites > 10*2 {
+		t.Errorf("%.0f writes at former primaries by ten drivers in two groups", back.FormerPrimaryWrites)
 	}
 	with, without := play(true, 500*time.Millisecond), play(false, 500*time.Millisecond)
-	if t.Logf("%.0f writes at former primaries with folders, %.0f without", with.Stale, without.Stale); with.Stale > 2 || without.Stale < 5 {
+	if t.Logf("%.0f writes at former primaries with folders, %.0f without", with.FormerPrimaryWrites, without.FormerPrimaryWrites); with.FormerPrimaryWrites > 2 || without.FormerPrimaryWrites < 5 {
 		t.Error("stored state does not lead to the primary")
 	}
 }
--- a/internal/emu/play/primary_changes.go
+++ b/internal/emu/play/primary_changes.go
@@ -82,10 +82,10 @@
 }
 
 // noteWriteTry records a try of a write that has ended.
-func (l *clientConn) noteWriteTry(r *clientRPC) {
-	c := l.clients
+func (conn *clientConn) noteWriteTry(r *clientRPC) {
+	c := conn.clients
 	if r.method.Need == "write" {
-		asked := l.giveUpAt - answerAllowance - r.method.Limit
-		c.writes = append(c.writes, writeTry{r.session % c.script.Groups, l.driver, asked - c.startedAt, c.loop.Now() - c.startedAt})
+		asked := conn.giveUpAt - answerAllowance - r.method.Limit
+		c.writes = append(c.writes, writeTry{r.session % c.script.Groups, conn.driver, asked - c.startedAt, c.loop.Now() - c.startedAt})
 	}
 }
--- a/internal/emu/play/primary_changes_test.go
+++ b/internal/emu/play/primary_changes_test.go
@@ -110,7 +110,7 @@
 	if !slices.Equal(members, []int{0, 1, 2, 1, 2, 0}) || s.DriverSettings(3)["zone"] != "0" || s.DriverSettings(2)["zone"] != "2" || s.DriverSettings(0)["zones"] != "a,b,c" {
 		t.Errorf("members %v, %v", members, s.DriverSettings(2))
 	}
-	s.Lasts = 3 * time.Second
+	s.Duration = 3 * time.Second
 	if r, err := Rehearse(s, 1); err != nil || len(r.Broken) > 0 || r.Utility < 0.95 {
 		t.Errorf("%v %+v", err, r)
 	}
--- a/internal/emu/play/rehearse.go
+++ b/internal/emu/play/rehearse.go
@@ -54,66 +54,66 @@
 	if s.Controls > 0 {
 		return nil, errors.New("a script with control machines requires drivers as processes (--sockets)")
 	}
-	st := &rehearsal{script: s, seed: seed, world: sim.New(seed, epoch), record: emu.NewRecord(emu.Tolerance{Grace: s.Grace, Slack: 100 * time.Millisecond})}
+	r := &rehearsal{script: s, seed: seed, world: sim.New(seed, epoch), record: emu.NewRecord(emu.Tolerance{Grace: s.Grace, Slack: 100 * time.Millisecond})}
 	if s.OwnFile() {
 		root, err := os.MkdirTemp("", "rehearsal")
 		if err != nil {
 			return nil, err
 		}
 		defer os.RemoveAll(root)
-		if st.folders, err = NewFolders(root, s.Drivers, seed+4); err != nil {
+		if r.folders, err = NewFolders(root, s.Drivers, seed+4); err != nil {
 			return nil, err
 		}
 	}
-	st.nodes = make([]*node.Node, s.Drivers)
+	r.nodes = make([]*node.Node, s.Drivers)
 	for i := range s.Drivers {
-		st.driverAddrs = append(st.driverAddrs, netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 6543))
-		st.agentAddrs = append(st.agentAddrs, netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 2, byte(i >> 8), byte(i)}), 8500))
-		st.peerAddrs = append(st.peerAddrs, netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 3, byte(i >> 8), byte(i)}), 7946))
-	}
-	st.world.SetMulticast(broadcastAddr, st.peerAddrs)
-	st.memberHost = st.world.AddHost("members")
-	st.memberHost.IterationTime = 0
-	memberLoop, err := s.newLoop(st.memberHost)
+		r.driverAddrs = append(r.driverAddrs, netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 6543))
+		r.agentAddrs = append(r.agentAddrs, netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 2, byte(i >> 8), byte(i)}), 8500))
+		r.peerAddrs = append(r.peerAddrs, netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 3, byte(i >> 8), byte(i)}), 7946))
+	}
+	r.world.SetMulticast(broadcastAddr, r.peerAddrs)
+	r.memberHost = r.world.AddHost("members")
+	r.memberHost.IterationTime = 0
+	memberLoop, err := s.newLoop(r.memberHost)
 	if err != nil {
 		return nil, err
 	}
 	memberAddr := func(n int) netip.AddrPort {
 		return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, byte(n >> 8), byte(n)}), 5432)
 	}
-	if st.cluster, err = NewCluster(memberLoop, s, st.record, seed+1, memberAddr, st.agentAddrs); err != nil {
+	if r.cluster, err = NewCluster(memberLoop, s, r.record, seed+1, memberAddr, r.agentAddrs); err != nil {
 		return nil, err
 	}
 	if s.Leases != nil && s.Leases.Summary > 0 {
-		if st.fencing, err = NewFencingServer(memberLoop, fencingAddr); err != nil {
+		if r.fencing, err = NewFencingServer(memberLoop, fencingAddr); err != nil {
 			return nil, err
 		}
 	}
 	for i := range s.Drivers {
-		st.hosts = append(st.hosts, st.world.AddHost(fmt.Sprint("d", i)))
-		if err := st.startDriver(i); err != nil {
+		r.hosts = append(r.hosts, r.world.AddHost(fmt.Sprint("d", i)))
+		if err := r.startDriver(i); err != nil {
 			return nil, err
 		}
 	}
-	st.clientHost = st.world.AddHost("clients")
-	st.clientHost.IterationTime = 0
-	clientLoop, err := s.newLoop(st.clientHost)
+	r.clientHost = r.world.AddHost("clients")
+	r.clientHost.IterationTime = 0
+	clientLoop, err := s.newLoop(r.clientHost)
 	if err != nil {
 		return nil, err
 	}
-	st.clients = NewClients(clientLoop, s, st.record, st.cluster.ledger, seed+2, st.driverAddrs)
-	for _, t := range s.Faults {
-		st.world.At(epoch+t.At, func() { st.injectFault(t) })
+	r.clients = NewClients(clientLoop, s, r.record, r.cluster.ledger, seed+2, r.driverAddrs)
+	for _, f := range s.Faults {
+		r.world.At(epoch+f.At, func() { r.injectFault(f) })
 	}
 	for _, at := range s.LinkChangeTimes() {
-		st.world.At(epoch+at, func() { st.updateLinks(at) })
+		r.world.At(epoch+at, func() { r.updateLinks(at) })
 	}
 	end := epoch + s.Ends()
-	st.world.Run(end)
-	if st.err != nil || st.cluster.err != nil {
-		return nil, fmt.Errorf("simulation failed: rehearsal: %v, cluster: %v", st.err, st.cluster.err)
+	r.world.Run(end)
+	if r.err != nil || r.cluster.err != nil {
+		return nil, fmt.Errorf("simulation failed: rehearsal: %v, cluster: %v", r.err, r.cluster.err)
 	}
-	return st.clients.Result(s, seed, st.cluster, st.outages, st.fencing, end), nil
+	return r.clients.Result(s, seed, r.cluster, r.outages, r.fencing, end), nil
 }
 
 // Ends returns the end of the run: after the load, RPCs in flight have time to end.
@@ -122,7 +122,7 @@
 	for _, m := range s.Methods {
 		longest = max(longest, m.Limit)
 	}
-	return s.Lasts + longest + time.Second
+	return s.Duration + longest + time.Second
 }
 
 // newLoop returns a loop for all members, or for all clients. Beside 32,768 others it has room for two
@@ -136,46 +136,46 @@
 }
 
 // startDriver starts a driver on its host.
-func (st *rehearsal) startDriver(i int) error {
-	h := st.hosts[i]
+func (r *rehearsal) startDriver(i int) error {
+	h := r.hosts[i]
 	h.Start()
 	l, err := eventloop.NewWithSystem(h, 1024, 48<<20)
 	if err != nil {
 		return err
 	}
 	h.Serve(l, func() {})
-	st.starts++
+	r.starts++
 	site := &node.Site{
-		Name: h.Name, Listen: st.driverAddrs[i], Discovery: st.agentAddrs[i], Seed: st.seed*1000003 + st.starts, Descriptors: 1024, Memory: 192 << 20,
-		InitialList: st.cluster.LastList(i), Settings: st.script.DriverSettings(i), ConfigFile: st.script.Operator,
+		Name: h.Name, Listen: r.driverAddrs[i], Discovery: r.agentAddrs[i], Seed: r.seed*1000003 + r.starts, Descriptors: 1024, Memory: 192 << 20,
+		InitialList: r.cluster.LastList(i), Settings: r.script.DriverSettings(i), ConfigFile: r.script.Operator,
 	}
-	if st.script.Peers {
-		site.PeerListen, site.PeerBroadcast, site.Peers = st.peerAddrs[i], broadcastAddr, st.peerAddrs
+	if r.script.Peers {
+		site.PeerListen, site.PeerBroadcast, site.Peers = r.peerAddrs[i], broadcastAddr, r.peerAddrs
 	}
-	operator, err := st.operatorConfig(i, site)
+	operator, err := r.operatorConfig(i, site)
 	if err != nil {
 		return err
 	}
 	n, err := node.On(l, site, operator)
-	st.nodes[i] = n
-	if err == nil && st.clients != nil {
-		st.watchRecovery(i, l, n, n.RecoveryStage())
+	r.nodes[i] = n
+	if err == nil && r.clients != nil {
+		r.watchRecovery(i, l, n, n.RecoveryStage())
 	}
 	return err
 }
 
 // operatorConfig returns the parsed operator's file of a driver.
-func (st *rehearsal) operatorConfig(i int, site *node.Site) (*config.File, error) {
-	s := st.script
-	if st.folders == nil {
+func (r *rehearsal) operatorConfig(i int, site *node.Site) (*config.File, error) {
+	s := r.script
+	if r.folders == nil {
 		return site.ReadConfig()
 	}
 	at := OperatorParams{FencingServer: fencingAddr}
-	if s.Folders {
-		at.State = st.folders.Path(i)
+	if s.StateFolders {
+		at.State = r.folders.Path(i)
 	}
 	if s.Leases != nil && s.Leases.Folders {
-		at.Votes = st.folders.VotesPath(i)
+		at.Votes = r.folders.VotesPath(i)
 	}
 	by := Electorate{Version: 1}
 	if s.Leases != nil {
@@ -183,7 +183,7 @@
 	}
 	text, err := s.OperatorText(i, at, by)
 	if err == nil {
-		err = st.folders.SaveCopies(i)
+		err = r.folders.SaveCopies(i)
 	}
 	if err != nil {
 		return nil, err
@@ -195,14 +195,14 @@
 var fencingAddr = netip.MustParseAddrPort("10.4.0.1:9000")
 
 // watchRecovery records each recovery stage that a restarted driver reports.
-func (st *rehearsal) watchRecovery(i int, l *eventloop.Loop, n *node.Node, last recovery.Stage) {
+func (r *rehearsal) watchRecovery(i int, l *eventloop.Loop, n *node.Node, last recovery.Stage) {
 	l.At(l.Now()+stagePollInterval, func() {
 		now := n.RecoveryStage()
 		if now != last {
-			st.outages.StageReached(i, now.String(), st.world.Now()-epoch)
+			r.outages.StageReached(i, now.String(), r.world.Now()-epoch)
 		}
 		if now != recovery.Complete {
-			st.watchRecovery(i, l, n, now)
+			r.watchRecovery(i, l, n, now)
 		}
 	})
 }
@@ -234,30 +234,30 @@
 }
 
 // updateLinks applies the condition that each link has at a time of the script.
-func (st *rehearsal) updateLinks(at time.Duration) {
-	for _, l := range st.script.Links() {
-		host, addr := st.clientHost, netip.AddrPort{}
+func (r *rehearsal) updateLinks(at time.Duration) {
+	for _, l := range r.script.Links() {
+		host, addr := r.clientHost, netip.AddrPort{}
 		if n, ok := strings.CutPrefix(l.From, "d"); ok {
-			host = st.hosts[nodeNumber(n)]
+			host = r.hosts[nodeNumber(n)]
 		}
 		switch n := nodeNumber(l.To[1:]); {
 		case l.To == discoveryNode:
-			addr = st.agentAddrs[nodeNumber(l.From[1:])]
+			addr = r.agentAddrs[nodeNumber(l.From[1:])]
 		case l.To[0] == 'm':
-			addr = st.cluster.members[n].addr
+			addr = r.cluster.members[n].addr
 		default:
-			if addr = st.driverAddrs[n]; l.From[0] == 'd' {
-				addr = st.peerAddrs[n]
+			if addr = r.driverAddrs[n]; l.From[0] == 'd' {
+				addr = r.peerAddrs[n]
 			}
 		}
-		forward, backward := st.script.Between(at, l.From, l.To), st.script.Between(at, l.To, l.From)
+		forward, backward := r.script.Between(at, l.From, l.To), r.script.Between(at, l.To, l.From)
 		if forward == (Condition{}) && backward == forward {
-			st.world.ClearRoute(host, addr)
+			r.world.ClearRoute(host, addr)
 		} else {
-			st.world.SetRoute(host, addr, simLink(forward), simLink(backward))
+			r.world.SetRoute(host, addr, simLink(forward), simLink(backward))
 		}
-		if st.script.ResetAt(at, l) {
-			st.world.ResetRoute(host, addr)
+		if r.script.ResetAt(at, l) {
+			r.world.ResetRoute(host, addr)
 		}
 	}
 }
@@ -276,72 +276,72 @@
 }
 
 // injectFault starts a fault and schedules its end.
-func (st *rehearsal) injectFault(t Fault) {
-	now := st.world.Now()
-	until := now + t.Lasts
-	switch t.Kind {
+func (r *rehearsal) injectFault(f Fault) {
+	now := r.world.Now()
+	until := now + f.Duration
+	switch f.Kind {
 	case "driver_kill", "driver_stop", "driver_pause":
-		for index, n := range t.On {
-			restart := t.RestartTime(index, until)
-			st.record.DriverDown(Driver(n), now, restart)
-			st.outages.DriverDown(n, now-epoch)
-			st.cluster.Course.Note(now-epoch, Driver(n), "%s", t.Kind)
-			if t.Kind == "driver_pause" {
-				st.hosts[n].Pause(restart)
-				st.world.At(restart, func() {
-					st.outages.DriverUp(n, restart-epoch)
-					st.cluster.Course.Note(restart-epoch, Driver(n), "goes on")
+		for index, n := range f.On {
+			restart := f.RestartTime(index, until)
+			r.record.DriverDown(Driver(n), now, restart)
+			r.outages.DriverDown(n, now-epoch)
+			r.cluster.Timeline.Note(now-epoch, Driver(n), "%s", f.Kind)
+			if f.Kind == "driver_pause" {
+				r.hosts[n].Pause(restart)
+				r.world.At(restart, func() {
+					r.outages.DriverUp(n, restart-epoch)
+					r.cluster.Timeline.Note(restart-epoch, Driver(n), "goes on")
 				})
 				continue
 			}
-			st.clients.DriverDied(n)
-			st.hosts[n].Kill()
-			st.nodes[n].CloseStores()
-			st.world.At(restart, func() {
+			r.clients.DriverDied(n)
+			r.hosts[n].Kill()
+			r.nodes[n].CloseStores()
+			r.world.At(restart, func() {
 				err := error(nil)
-				if st.folders != nil {
-					err = st.folders.Prepare(n, t.Folder)
+				if r.folders != nil {
+					err = r.folders.Prepare(n, f.Folder)
 				}
-				if err = errors.Join(err, st.startDriver(n)); err != nil {
-					st.err = err
+				if err = errors.Join(err, r.startDriver(n)); err != nil {
+					r.err = err
 				}
-				st.outages.DriverUp(n, restart-epoch)
-				st.cluster.Course.Note(restart-epoch, Driver(n), "started")
+				r.outages.DriverUp(n, restart-epoch)
+				r.cluster.Timeline.Note(restart-epoch, Driver(n), "started")
 			})
 		}
 	case "voters":
-		st.err = errors.New("a voters fault requires drivers as processes (--sockets)")
+		r.err = errors.New("a voters fault requires drivers as processes (--sockets)")
 	default:
-		st.memberHost.Post(func() { st.cluster.InjectFault(t, until) })
+		r.memberHost.Post(func() { r.cluster.InjectFault(f, until) })
 	}
 }
 
 // RestartTime returns when the driver at an index of On starts again, if the first one starts at the given time.
-func (t *Fault) RestartTime(index int, first time.Duration) time.Duration {
-	return first + t.Within*time.Duration(index)/time.Duration(max(len(t.On)-1, 1))
+func (f *Fault) RestartTime(index int, first time.Duration) time.Duration {
+	return first + f.Within*time.Duration(index)/time.Duration(max(len(f.On)-1, 1))
 }
 
-// describe returns the text of the fault for the course.
-func (t *Fault) describe() string {
-	text := fmt.Sprintf("%s for %v", t.Kind, t.Lasts)
-	if len(t.On) > 0 {
-		text += fmt.Sprintf(", on %v", t.On)
+// describe returns the text of the fault for the timeline.
+func (f *Fault) describe() string {
+	text := fmt.Sprintf("%s for %v", f.Kind, f.Duration)
+	if len(f.On) > 0 {
+		text += fmt.Sprintf(", on %v", f.On)
 	}
-	if t.From != nil {
-		text += fmt.Sprintf(", between %v and %v", t.From, t.To)
+	if f.From != nil {
+		text += fmt.Sprintf(", between %v and %v", f.From, f.To)
 	}
-	if t.Islands != nil {
-		text += fmt.Sprintf(", islands %v", t.Islands)
+	if f.Islands != nil {
+		text += fmt.Sprintf(", islands %v", f.Islands)
 	}
 	return text
 }
 
 // AffectsLinks reports whether the fault is one of links.
-func (t *Fault) AffectsLinks() bool { return faultKinds[t.Kind].target == "link" }
+func (f *Fault) AffectsLinks() bool { return faultKinds[f.Kind].target == "link" }
 
 // noteDelays records that data sent by the nodes at both ends may arrive late while their links have a fault.
-func (t *Fault) noteDelays(r *emu.Record, from, to time.Duration) {
-	for _, names := range append([][]string{t.From, t.To}, t.Islands...) {
+func (f *Fault) noteDelays(r *emu.Record, from, to time.Duration) {
+	for _, names := range append([][]string{f.From, f.To}, f.Islands...) {
 		for _, name := range names {
 			r.SendsDelayed(name, from, to)
 		}
@@ -349,16 +349,16 @@
 }
 
 // InjectFault applies a fault to members or discovery until the given time.
-func (c *Cluster) InjectFault(t Fault, until time.Duration) {
+func (c *Cluster) InjectFault(f Fault, until time.Duration) {
 	later := func(action func()) { c.loop.At(until, action) }
-	c.note("script", "%s", t.describe())
-	if t.AffectsLinks() {
-		t.noteDelays(c.record, c.loop.Now(), until)
+	c.note("script", "%s", f.describe())
+	if f.AffectsLinks() {
+		f.noteDelays(c.record, c.loop.Now(), until)
 	}
-	switch t.Kind {
+	switch f.Kind {
 	case "discovery":
 		for i, a := range c.agents {
-			if len(t.On) == 0 || slices.Contains(t.On, i) {
+			if len(f.On) == 0 || slices.Contains(f.On, i) {
 				a.silentUntil = until
 			}
 		}
@@ -367,10 +367,10 @@
 		c.changesHeldUntil = until
 		return
 	}
-	for _, n := range t.On {
+	for _, n := range f.On {
 		m := c.members[n]
 		model := m.model
-		switch t.Kind {
+		switch f.Kind {
 		case "pause":
 			model.Pause(until)
 			c.groups[m.group].Suspect(model)
@@ -378,13 +378,13 @@
 			m.kill()
 			later(func() { m.start(0) })
 		case "slow":
-			model.Slowdown = t.Times
+			model.Slowdown = f.Times
 			later(func() { model.Slowdown = 1 })
 		case "theft":
-			model.StolenCPU = min(t.Times, 0.95)
+			model.StolenCPU = min(f.Times, 0.95)
 			later(func() { model.StolenCPU = 0 })
 		case "lag":
-			model.ApplySlowdown = t.Times
+			model.ApplySlowdown = f.Times
 			later(func() { model.ApplySlowdown = 1 })
 		case "drain":
 			model.Drain()
--- a/internal/emu/play/result.go
+++ b/internal/emu/play/result.go
@@ -25,7 +25,7 @@
 	Ledger        *emu.Ledger
 	UtilitySeries UtilitySeries
 	Outages       []Outage
-	Course        Course
+	Timeline      Timeline
 	Changes       []PrimaryChange // of primaries
 	FencingServer *FencingServer  // nil: no lease holder sends summaries
 	Versions      []VersionSample // versions that drivers and control machines reported, in order of arrival; only where they are processes
@@ -34,29 +34,29 @@
 
 // ViewSample is a driver's view of its fleet at a time since the script's start.
 type ViewSample struct {
-	At     time.Duration
-	Driver int
-	Is     map[string]string // status by name
+	At       time.Duration
+	Driver   int
+	Statuses map[string]string // status by name
 }
 
-// Event is one entry of the course. Times count from the script's start.
+// Event is one entry of the timeline. Times count from the script's start.
 type Event struct {
 	At        time.Duration
 	Who, What string
 }
 
-// Course is what happened to drivers, members and discovery, in order.
-type Course struct{ Events []Event }
+// Timeline is what happened to drivers, members and discovery, in order.
+type Timeline struct{ Events []Event }
 
 // Note adds an event.
-func (c *Course) Note(at time.Duration, who, format string, args ...any) {
-	c.Events = append(c.Events, Event{at, who, fmt.Sprintf(format, args...)})
+func (t *Timeline) Note(at time.Duration, who, format string, args ...any) {
+	t.Events = append(t.Events, Event{at, who, fmt.Sprintf(format, args...)})
 }
 
 // Print writes one line per event.
-func (c *Course) Print(out io.Writer) {
-	for _, m := range c.Events {
-		fmt.Fprintf(out, "%9.3fs %-10s %s\n", m.At.Seconds(), m.Who, m.What)
+func (t *Timeline) Print(out io.Writer) {
+	for _, event := range t.Events {
+		fmt.Fprintf(out, "%9.3fs %-10s %s\n", event.At.Seconds(), event.Who, event.What)
 	}
 }
 
@@ -75,35 +75,35 @@
 }
 
 // DriverDown records that a driver went down.
-func (f *Outages) DriverDown(n int, at time.Duration) {
-	if f.down == nil {
-		f.down, f.up = make(map[int]bool), make(map[int]time.Duration)
+func (o *Outages) DriverDown(n int, at time.Duration) {
+	if o.down == nil {
+		o.down, o.up = make(map[int]bool), make(map[int]time.Duration)
 	}
-	if len(f.down) == 0 {
-		f.all = append(f.all, Outage{At: at, Up: -1, Stages: make(map[string][]time.Duration)})
+	if len(o.down) == 0 {
+		o.all = append(o.all, Outage{At: at, Up: -1, Stages: make(map[string][]time.Duration)})
 	}
-	last := &f.all[len(f.all)-1]
+	last := &o.all[len(o.all)-1]
 	if !slices.Contains(last.Drivers, n) {
 		last.Drivers = append(last.Drivers, n)
 	}
-	f.down[n] = true
+	o.down[n] = true
 }
 
 // DriverUp records that a driver serves again.
-func (f *Outages) DriverUp(n int, at time.Duration) {
-	if !f.down[n] {
+func (o *Outages) DriverUp(n int, at time.Duration) {
+	if !o.down[n] {
 		return
 	}
-	f.up[n] = at
-	if delete(f.down, n); len(f.down) == 0 {
-		f.all[len(f.all)-1].Up = at
+	o.up[n] = at
+	if delete(o.down, n); len(o.down) == 0 {
+		o.all[len(o.all)-1].Up = at
 	}
 }
 
 // StageReached records that a restarted driver reported a recovery stage.
-func (f *Outages) StageReached(n int, stage string, at time.Duration) {
-	if up, came := f.up[n]; came && !f.down[n] {
-		last := &f.all[len(f.all)-1]
+func (o *Outages) StageReached(n int, stage string, at time.Duration) {
+	if up, came := o.up[n]; came && !o.down[n] {
+		last := &o.all[len(o.all)-1]
 		last.Stages[stage] = append(last.Stages[stage], at-up)
 	}
 }
@@ -113,7 +113,7 @@
 	slices.Sort(c.Latencies)
 	r := c.record
 	result := &Result{Latencies: c.Latencies, Script: s, Seed: seed, Asked: c.Asked, Served: c.Served, Utility: c.ServedUtility / max(c.RequestedUtility, 1e-9),
-		Answers: r.Counts(), Broken: r.Broken(end), Digest: r.Digest(), Ledger: cluster.ledger, UtilitySeries: c.UtilitySeries, Outages: outages.all, Course: cluster.Course, Changes: c.Changes(cluster), FencingServer: fencing}
+		Answers: r.Counts(), Broken: r.Broken(end), Digest: r.Digest(), Ledger: cluster.ledger, UtilitySeries: c.UtilitySeries, Outages: outages.all, Timeline: cluster.Timeline, Changes: c.Changes(cluster), FencingServer: fencing}
 	if fencing != nil {
 		result.Broken = append(result.Broken, fencing.Broken()...)
 	}
@@ -135,7 +135,7 @@
 
 // Print writes a report.
 func (r *Result) Print(out io.Writer) {
-	fmt.Fprintf(out, "script=%s seed=%d lasts=%v rpcs=%d ok=%.4f expected=%.4f utility=%.4f p50_ms=%.1f p99_ms=%.1f digest=%016x\n", r.Script.Name, r.Seed, r.Script.Lasts,
+	fmt.Fprintf(out, "script=%s seed=%d lasts=%v rpcs=%d ok=%.4f expected=%.4f utility=%.4f p50_ms=%.1f p99_ms=%.1f digest=%016x\n", r.Script.Name, r.Seed, r.Script.Duration,
 		r.Asked, float64(r.Served)/float64(max(r.Asked, 1)), r.Script.MinOK, r.Utility, r.Latency(50), r.Latency(99), r.Digest)
 	for _, name := range []string{emu.OK, emu.PushedBack, emu.Aborted, emu.Nothing, emu.NotTaken} {
 		fmt.Fprintf(out, "tries_%s=%d\n", strings.ReplaceAll(name, " ", "_"), r.Answers[name])
@@ -184,16 +184,16 @@
 // up, and are negative if service never recovered.
 type Recovery struct {
 	Outage
-	Level   float64       // part of the requested utility that was served before
-	Whole   time.Duration // until the fleet's service recovered
-	Worst   time.Duration // until the last of the drivers that were down recovered
-	Median  time.Duration // over those drivers
-	Lost    float64       // utility not served from the outage until recovery, in seconds of service at the level before
-	Loads   []Load
-	Cold    float64 // largest part of its cold capacity that a cold member was sent
-	Stale   float64 // writes at members that were primary before
-	Behind  float64 // reads at members that were too far behind
-	Drained float64 // attempts at members that were draining
+	Level               float64       // part of the requested utility that was served before
+	FullServiceAfter    time.Duration // until the fleet's service recovered
+	SlowestDriver       time.Duration // until the last of the drivers that were down recovered
+	MedianDriver        time.Duration // over those drivers
+	LostSeconds         float64       // utility not served from the outage until recovery, in seconds of service at the level before
+	Loads               []Load
+	ColdLoad            float64 // largest part of its cold capacity that a cold member was sent
+	FormerPrimaryWrites float64 // writes at members that were primary before
+	LaggingReads        float64 // reads at members that were too far behind
+	DrainedAttempts     float64 // attempts at members that were draining
 }
 
 // baselinePeriod is the longest time before an outage that counts as normal operation.
@@ -204,54 +204,54 @@
 
 // Recoveries evaluates all outages.
 func (r *Result) Recoveries() (all []Recovery) {
-	end := r.Script.Lasts
-	for i, f := range r.Outages {
-		recovery := Recovery{Outage: f, Whole: -1, Worst: -1, Median: -1}
-		from := max(f.At-baselinePeriod, time.Second)
+	end := r.Script.Duration
+	for i, outage := range r.Outages {
+		recovery := Recovery{Outage: outage, FullServiceAfter: -1, SlowestDriver: -1, MedianDriver: -1}
+		from := max(outage.At-baselinePeriod, time.Second)
 		if i > 0 && r.Outages[i-1].Up >= 0 {
 			from = max(from, r.Outages[i-1].Up)
 		}
-		recovery.Level = r.UtilitySeries.ServedShare(AllDrivers, from, f.At)
+		recovery.Level = r.UtilitySeries.ServedShare(AllDrivers, from, outage.At)
 		until := end
 		if i+1 < len(r.Outages) {
 			until = r.Outages[i+1].At
 		}
-		if f.Up >= 0 {
-			recovery.Whole = r.UtilitySeries.RecoveryTime(AllDrivers, recovery.Level, f.Up, until)
+		if outage.Up >= 0 {
+			recovery.FullServiceAfter = r.UtilitySeries.RecoveryTime(AllDrivers, recovery.Level, outage.Up, until)
 			var each []time.Duration
-			for _, d := range f.Drivers {
-				w := r.UtilitySeries.RecoveryTime(d, recovery.Level, f.Up, until)
+			for _, d := range outage.Drivers {
+				w := r.UtilitySeries.RecoveryTime(d, recovery.Level, outage.Up, until)
 				if w < 0 {
 					w = until
 				}
 				each = append(each, w)
 			}
 			slices.Sort(each)
-			if recovery.Median, recovery.Worst = each[len(each)/2], each[len(each)-1]; recovery.Worst == until {
-				recovery.Worst = -1
+			if recovery.MedianDriver, recovery.SlowestDriver = each[len(each)/2], each[len(each)-1]; recovery.SlowestDriver == until {
+				recovery.SlowestDriver = -1
 			}
-			if recovery.Median == until {
-				recovery.Median = -1
+			if recovery.MedianDriver == until {
+				recovery.MedianDriver = -1
 			}
 		}
 		stop := until
-		if recovery.Whole >= 0 {
-			stop = f.Up + recovery.Whole
+		if recovery.FullServiceAfter >= 0 {
+			stop = outage.Up + recovery.FullServiceAfter
 		}
-		for at := f.At; at+sliceLength <= stop; at += sliceLength {
-			recovery.Lost += max(0, 1-r.UtilitySeries.ServedShare(AllDrivers, at, at+sliceLength)/max(recovery.Level, 1e-9)) * sliceLength.Seconds()
+		for at := outage.At; at+sliceLength <= stop; at += sliceLength {
+			recovery.LostSeconds += max(0, 1-r.UtilitySeries.ServedShare(AllDrivers, at, at+sliceLength)/max(recovery.Level, 1e-9)) * sliceLength.Seconds()
 		}
 		second := func(d time.Duration) int { return int(d / time.Second) }
-		first, fell, last := second(from+time.Second-1), second(f.At), second(stop+recoveryWindow)+1
+		first, fell, last := second(from+time.Second-1), second(outage.At), second(stop+recoveryWindow)+1
 		for _, what := range loads {
 			l := Load{What: what, AllBefore: r.Ledger.PeakTotal(what, first, fell), AllAfter: r.Ledger.PeakTotal(what, fell, last)}
 			l.Before, _ = r.Ledger.Peak(what, first, fell)
 			l.After, l.Where = r.Ledger.Peak(what, fell, last)
 			recovery.Loads = append(recovery.Loads, l)
 		}
-		recovery.Cold, _ = r.Ledger.Peak(emu.ColdLoad, fell, last)
-		recovery.Stale, recovery.Behind = r.Ledger.Sum(emu.FormerPrimaryWrites, fell, last), r.Ledger.Sum(emu.LaggingReads, fell, last)
-		recovery.Drained = r.Ledger.Sum(emu.DrainedAttempts, fell, last)
+		recovery.ColdLoad, _ = r.Ledger.Peak(emu.ColdLoad, fell, last)
+		recovery.FormerPrimaryWrites, recovery.LaggingReads = r.Ledger.Sum(emu.FormerPrimaryWrites, fell, last), r.Ledger.Sum(emu.LaggingReads, fell, last)
+		recovery.DrainedAttempts = r.Ledger.Sum(emu.DrainedAttempts, fell, last)
 		all = append(all, recovery)
 	}
 	return all
@@ -275,7 +275,7 @@
 		return d.Round(time.Millisecond).String()
 	}
 	fmt.Fprintf(out, "return fall=%s up=%s drivers=%d level=%.4f whole=%s median=%s worst=%s lost_s=%.2f cold=%.2f stale_writes=%.0f behind=%.0f drained=%.0f\n",
-		span(r.At), span(r.Up), len(r.Drivers), r.Level, span(r.Whole), span(r.Median), span(r.Worst), r.Lost, r.Cold, r.Stale, r.Behind, r.Drained)
+		span(r.At), span(r.Up), len(r.Drivers), r.Level, span(r.FullServiceAfter), span(r.MedianDriver), span(r.SlowestDriver), r.LostSeconds, r.ColdLoad, r.FormerPrimaryWrites, r.LaggingReads, r.DrainedAttempts)
 	for _, stage := range []string{"proving", "warming", "whole"} {
 		if took := slices.Sorted(slices.Values(r.Stages[stage])); len(took) > 0 {
 			fmt.Fprintf(out, "stage reached=%s drivers=%d median=%s worst=%s\n", stage, len(took), span(took[len(took)/2]), span(took[len(took)-1]))
--- a/internal/emu/play/script.go
+++ b/internal/emu/play/script.go
@@ -31,13 +31,13 @@
 
 // Fault is a trouble block of a script: something that happens to some of the nodes, or to the links between them.
 type Fault struct {
-	Kind   string
-	At     time.Duration
-	Lasts  time.Duration
-	On     []int // numbers of members, drivers or control machines
-	Times  float64
-	Within time.Duration // drivers that were ended start again one after the other within this time
-	Folder string        // what happens to stored state before the restart: kept, emptied, older, flipped or stalled
+	Kind     string
+	At       time.Duration
+	Duration time.Duration
+	On       []int // numbers of members, drivers or control machines
+	Times    float64
+	Within   time.Duration // drivers that were ended start again one after the other within this time
+	Folder   string        // what happens to stored state before the restart: kept, emptied, older, flipped or stalled
 
 	From, To   []string   // nodes at the two ends of the links
 	OneWay     bool       // only from From to To
@@ -50,7 +50,7 @@
 // Script describes one run: the fleet, the load, the faults and the expected result.
 type Script struct {
 	Name               string
-	Lasts              time.Duration
+	Duration           time.Duration
 	Drivers            int
 	Groups, Members    int // members per group
 	Zones              int // over which drivers and each group's members are spread
@@ -59,7 +59,7 @@
 	ListDelay          time.Duration
 	Peers              bool          // drivers may send datagrams to each other
 	Operator           string        // path of an operator's file for all drivers, empty: none
-	Folders            bool          // drivers store what they learn
+	StateFolders       bool          // drivers store what they learn
 	SaveEvery          time.Duration // interval at which they store it
 	StartWithFirstList bool          // drivers always start with the list from the start of the run
 	Controls           int           // number of control machines that all drivers ask, 0: none
@@ -71,7 +71,7 @@
 	View               time.Duration // interval at which drivers query each other for their views of the fleet; 0: no views
 	Methods            []*Method
 	Rate               float64 // RPCs per second
-	Surges             []Surge
+	LoadChanges        []LoadChange
 	Sessions           int
 	Retries            int
 	HonorsRetryAfter   bool          // clients retry no earlier than they are told
@@ -83,8 +83,8 @@
 	removedStart       time.Duration // last restart among removed driver faults
 }
 
-// Surge is a time with a different rate.
-type Surge struct {
+// LoadChange is a period with a different rate.
+type LoadChange struct {
 	From, To time.Duration
 	Times    float64
 }
@@ -212,8 +212,8 @@
 // problems collects the errors found in a script.
 type problems struct{ lines []string }
 
-func (m *problems) add(format string, args ...any) {
-	m.lines = append(m.lines, fmt.Sprintf(format, args...))
+func (p *problems) add(format string, args ...any) {
+	p.lines = append(p.lines, fmt.Sprintf(format, args...))
 }
 
 // ParseScript is ReadScript for a text.
@@ -322,7 +322,7 @@
 	}
 	f := &t.Fleet
 	s := &Script{
-		Lasts: duration("lasts", t.Lasts, 0), Drivers: count("fleet drivers", f.Drivers, 1, 500), Groups: count("fleet groups", f.Groups, 1, maxGroups),
+		Duration: duration("lasts", t.Lasts, 0), Drivers: count("fleet drivers", f.Drivers, 1, 500), Groups: count("fleet groups", f.Groups, 1, maxGroups),
 		Members: count("fleet members", f.Members, 1, 50), Zones: count("fleet zones", f.Zones, 1, 26), ListDelay: duration("fleet list_delay", f.ListDelay, time.Second), Grace: 250 * time.Millisecond,
 		MemberSpec: emu.MemberSpec{Cores: count("fleet cores", f.Cores, 4, 256), Queue: count("fleet queue", f.Queue, 64, 10000), ColdShare: 0.25,
 			WarmUp: duration("fleet warm", f.Warm, 16*time.Second), ColdMultiple: 4, OverloadWindow: time.Second, MaxReadWait: 50 * time.Millisecond,
@@ -343,7 +343,7 @@
 	if s.StartWithFirstList = f.Known == "first"; f.Known != "" && f.Known != "first" && f.Known != "latest" {
 		report("fleet known", "%q is neither first nor latest", f.Known)
 	}
-	s.Folders, s.SaveEvery = f.Folders, duration("fleet save_every", f.SaveEvery, 500*time.Millisecond)
+	s.StateFolders, s.SaveEvery = f.Folders, duration("fleet save_every", f.SaveEvery, 500*time.Millisecond)
 	s.Twins = f.Twins
 	for _, n := range f.Twins {
 		if n < 1 || n >= s.Drivers {
@@ -371,8 +371,8 @@
 	if f.Conns < 0 {
 		report("fleet connections", "%d is under 0", f.Conns)
 	}
-	if s.Lasts < time.Second {
-		report("lasts", "%v is under a second", s.Lasts)
+	if s.Duration < time.Second {
+		report("lasts", "%v is under a second", s.Duration)
 	}
 	if s.Rate <= 0 || s.Rate > 1e5 {
 		report("load rate", "%v is not over 0 and up to 100000", s.Rate)
@@ -407,11 +407,11 @@
 	}
 	for i, g := range t.Load.Surges {
 		at := fmt.Sprintf("load surge %d ", i+1)
-		surge := Surge{duration(at+"from", g.From, 0), duration(at+"to", g.To, 0), g.Times}
-		if surge.To <= surge.From || g.Times <= 0 || g.Times > 100 {
-			report(strings.TrimSpace(at), "from %v to %v times %v: to must be after from, and times over 0 and up to 100", surge.From, surge.To, g.Times)
+		change := LoadChange{duration(at+"from", g.From, 0), duration(at+"to", g.To, 0), g.Times}
+		if change.To <= change.From || g.Times <= 0 || g.Times > 100 {
+			report(strings.TrimSpace(at), "from %v to %v times %v: to must be after from, and times over 0 and up to 100", change.From, change.To, g.Times)
 		}
-		s.Surges = append(s.Surges, surge)
+		s.LoadChanges = append(s.LoadChanges, change)
 	}
 	for i, x := range t.Troubles {
 		r := t.fault(s, i, duration, report)
@@ -419,8 +419,8 @@
 		if target := faultKinds[r.Kind].target; target != "driver" || x.Times == 0 {
 			continue
 		}
-		if r.Every <= r.Lasts || x.Times != float64(int(x.Times)) || x.Times < 1 || r.At+time.Duration(x.Times)*r.Every > s.Lasts {
-			report(fmt.Sprintf("trouble %d", i+1), "%v times every %v, each for %v: times must be a whole number, every longer than lasts, and the end within the script", x.Times, r.Every, r.Lasts)
+		if r.Every <= r.Duration || x.Times != float64(int(x.Times)) || x.Times < 1 || r.At+time.Duration(x.Times)*r.Every > s.Duration {
+			report(fmt.Sprintf("trouble %d", i+1), "%v times every %v, each for %v: times must be a whole number, every longer than lasts, and the end within the script", x.Times, r.Every, r.Duration)
 			continue
 		}
 		for n := 1; n < int(x.Times); n++ {
@@ -442,7 +442,7 @@
 func (t *scriptText) fault(s *Script, i int, duration func(path, value string, otherwise time.Duration) time.Duration,
 	report func(path, format string, args ...any)) Fault {
 	x, at := t.Troubles[i], fmt.Sprintf("trouble %d", i+1)
-	r := Fault{Kind: x.Kind, At: duration(at+" at", x.At, 0), Lasts: duration(at+" lasts", x.Lasts, time.Second), On: x.On, Times: x.Times,
+	r := Fault{Kind: x.Kind, At: duration(at+" at", x.At, 0), Duration: duration(at+" lasts", x.Lasts, time.Second), On: x.On, Times: x.Times,
 		Within: duration(at+" within", x.Within, 0), OneWay: x.OneWay, Every: duration(at+" every", x.Every, 0),
 		By: duration(at+" by", x.By, 0), Jitter: duration(at+" jitter", x.Jitter, 0), Rate: x.Rate}
 	k, known := faultKinds[x.Kind]
@@ -450,7 +450,7 @@
 		report(at, "there is no trouble %q", x.Kind)
 		return r
 	}
-	if r.At > s.Lasts {
+	if r.At > s.Duration {
 		report(at+" at", "%v is after the end", r.At)
 	}
 	if r.Every != 0 && r.Every < minFlapPeriod {
@@ -529,18 +529,18 @@
 }
 
 // readEndpoints reads the two ends of the affected links: from and to, or the drivers in on and all members.
-func (t *Fault) readEndpoints(s *Script, at string, from, to []string, report func(path, format string, args ...any)) {
+func (f *Fault) readEndpoints(s *Script, at string, from, to []string, report func(path, format string, args ...any)) {
 	if len(from) == 0 && len(to) == 0 {
-		for _, n := range t.On {
-			t.From = append(t.From, Driver(n))
+		for _, n := range f.On {
+			f.From = append(f.From, Driver(n))
 		}
-		t.To, _ = s.readNodes("members")
-		if len(t.On) == 0 {
+		f.To, _ = s.readNodes("members")
+		if len(f.On) == 0 {
 			report(at, "on is missing, or from and to")
 		}
 		return
 	}
-	if len(t.On) > 0 || len(from) == 0 || len(to) == 0 {
+	if len(f.On) > 0 || len(from) == 0 || len(to) == 0 {
 		report(at, "either on, or both from and to must be given")
 	}
 	for name, texts := range map[string][]string{"from": from, "to": to} {
@@ -550,9 +550,9 @@
 				report(at+" "+name, "%v", err)
 			}
 			if name == "from" {
-				t.From = append(t.From, names...)
+				f.From = append(f.From, names...)
 			} else {
-				t.To = append(t.To, names...)
+				f.To = append(f.To, names...)
 			}
 		}
 	}
--- a/internal/emu/play/utility.go
+++ b/internal/emu/play/utility.go
@@ -14,20 +14,20 @@
 
 func newUtilitySeries(drivers int) UtilitySeries { return UtilitySeries{make([][]utilitySum, drivers)} }
 
-func (f *UtilitySeries) at(began time.Duration, driver int) *utilitySum {
+func (u *UtilitySeries) at(began time.Duration, driver int) *utilitySum {
 	n := int(began / sliceLength)
-	for len(f.drivers[driver]) <= n {
-		f.drivers[driver] = append(f.drivers[driver], utilitySum{})
+	for len(u.drivers[driver]) <= n {
+		u.drivers[driver] = append(u.drivers[driver], utilitySum{})
 	}
-	return &f.drivers[driver][n]
+	return &u.drivers[driver][n]
 }
 
-func (f *UtilitySeries) asked(began time.Duration, driver int, utility float64) {
-	f.at(began, driver).asked += utility
+func (u *UtilitySeries) asked(began time.Duration, driver int, utility float64) {
+	u.at(began, driver).asked += utility
 }
 
-func (f *UtilitySeries) got(began time.Duration, driver int, utility float64) {
-	f.at(began, driver).got += utility
+func (u *UtilitySeries) got(began time.Duration, driver int, utility float64) {
+	u.at(began, driver).got += utility
 }
 
 // AllDrivers stands for all drivers together.
@@ -35,9 +35,9 @@
 
 // ServedShare returns the served part of the utility that was requested by RPCs that began from one time to another,
 // of one driver or of all; 1 if none began.
-func (f *UtilitySeries) ServedShare(driver int, from, to time.Duration) float64 {
+func (u *UtilitySeries) ServedShare(driver int, from, to time.Duration) float64 {
 	var sum utilitySum
-	for d, pieces := range f.drivers {
+	for d, pieces := range u.drivers {
 		if driver != AllDrivers && d != driver {
 			continue
 		}
@@ -58,9 +58,9 @@
 
 // RecoveryTime returns the time until service recovered: RPCs that begin in the following two seconds get at least 95%
 // of the level before, and those in the first half second 90%. It is negative if service did not recover by the end.
-func (f *UtilitySeries) RecoveryTime(driver int, level float64, after, end time.Duration) time.Duration {
+func (u *UtilitySeries) RecoveryTime(driver int, level float64, after, end time.Duration) time.Duration {
 	for at := (after + sliceLength - 1).Truncate(sliceLength); at+recoveryWindow <= end; at += sliceLength {
-		if f.ServedShare(driver, at, at+recoveryWindow) >= level*(1-recoveryMargin) && f.ServedShare(driver, at, at+recoveryWindow/4) >= level*(1-2*recoveryMargin) {
+		if u.ServedShare(driver, at, at+recoveryWindow) >= level*(1-recoveryMargin) && u.ServedShare(driver, at, at+recoveryWindow/4) >= level*(1-2*recoveryMargin) {
 			return at - after
 		}
 	}
--- a/internal/emu/rig/addresses.go
+++ b/internal/emu/rig/addresses.go
@@ -38,7 +38,7 @@
 	return nil, errors.New("no free block of loopback addresses: other plays use all of them")
 }
 
-func (p *addresses) next() netip.AddrPort {
-	p.lastHost++
-	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, p.block, byte(p.lastHost >> 8), byte(p.lastHost)}), addressPort)
+func (a *addresses) next() netip.AddrPort {
+	a.lastHost++
+	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, a.block, byte(a.lastHost >> 8), byte(a.lastHost)}), addressPort)
 }
--- a/internal/emu/rig/control_machines.go
+++ b/internal/emu/rig/control_machines.go
@@ -92,9 +92,9 @@
 }
 
 // injectControlFault kills a control machine and starts it again at endTime, or pauses it until then.
-func (f *fleet) injectControlFault(m *controlMachine, t play.Fault, endTime time.Duration) {
-	f.recordEvent(m.name, "%s %s", t.Kind, t.Folder)
-	if t.Kind == "control_pause" {
+func (f *fleet) injectControlFault(m *controlMachine, fault play.Fault, endTime time.Duration) {
+	f.recordEvent(m.name, "%s %s", fault.Kind, fault.Folder)
+	if fault.Kind == "control_pause" {
 		m.process.signal(syscall.SIGSTOP)
 		process := m.process
 		f.loop.At(endTime, func() { process.signal(syscall.SIGCONT) })
@@ -108,7 +108,7 @@
 	f.whenEnded(m.process.ended, func() {
 		f.loop.At(endTime, func() {
 			f.recordEvent(m.name, "starts")
-			err := f.folders.PrepareControl(m.number, t.Folder)
+			err := f.folders.PrepareControl(m.number, fault.Folder)
 			if err == nil {
 				err = f.startControlMachine(m)
 			}
@@ -120,7 +120,7 @@
 }
 
 func (f *fleet) recordEvent(name, format string, args ...any) {
-	f.cluster.Course.Note(f.loop.Now()-f.scriptStart, name, format, args...)
+	f.cluster.Timeline.Note(f.loop.Now()-f.scriptStart, name, format, args...)
 }
 
 // handleControlEvent handles a log line or the exit of a control machine, or the result of a publication.
@@ -179,14 +179,14 @@
 const versionPollInterval = 100 * time.Millisecond // between two queries to the same process
 
 func (f *fleet) pollVersions() *versionPoller {
-	v := &versionPoller{startedAt: time.Now(), stop: make(chan struct{})}
+	p := &versionPoller{startedAt: time.Now(), stop: make(chan struct{})}
 	if f.script.Controls == 0 {
-		return v
+		return p
 	}
 	client := &http.Client{Timeout: time.Second}
 	for _, m := range f.machines {
 		url := "http://" + m.address.String() + "/status"
-		v.poll(func(s *play.VersionSample) bool {
+		p.poll(func(s *play.VersionSample) bool {
 			response, err := client.Get(url)
 			if err != nil {
 				return false
@@ -203,42 +203,42 @@
 	}
 	for _, d := range f.drivers {
 		address := f.operatorParams[d.number].Control.String()
-		v.poll(func(s *play.VersionSample) bool {
+		p.poll(func(s *play.VersionSample) bool {
 			var status node.Status
 			if control.Query(address, "status", &status) != nil || status.Configuration == nil {
 				return false // the driver is down or has no configuration
 			}
-			s.Source, s.Version, s.Refused, s.Why = d.name, status.Configuration.Version, status.Configuration.RejectedVersion, status.Configuration.RejectReason
+			s.Source, s.Version, s.RejectedVersion, s.RejectReason = d.name, status.Configuration.Version, status.Configuration.RejectedVersion, status.Configuration.RejectReason
 			return true
 		})
 	}
-	return v
+	return p
 }
 
 // poll repeats a query until the play ends. The query returns false if it got no answer.
-func (v *versionPoller) poll(query func(s *play.VersionSample) bool) {
-	v.pollers.Go(func() {
+func (p *versionPoller) poll(query func(s *play.VersionSample) bool) {
+	p.pollers.Go(func() {
 		for {
 			select {
-			case <-v.stop:
+			case <-p.stop:
 				return
 			case <-time.After(versionPollInterval):
 			}
 			var s play.VersionSample
 			if query(&s) {
-				s.At = time.Since(v.startedAt)
-				v.mutex.Lock()
-				v.samples = append(v.samples, s)
-				v.mutex.Unlock()
+				s.At = time.Since(p.startedAt)
+				p.mutex.Lock()
+				p.samples = append(p.samples, s)
+				p.mutex.Unlock()
 			}
 		}
 	})
 }
 
 // finish stops polling and returns the samples in order of time.
-func (v *versionPoller) finish() []play.VersionSample {
-	close(v.stop)
-	v.pollers.Wait()
-	slices.SortFunc(v.samples, func(a, b play.VersionSample) int { return int(a.At - b.At) })
-	return v.samples
+func (p *versionPoller) finish() []play.VersionSample {
+	close(p.stop)
+	p.pollers.Wait()
+	slices.SortFunc(p.samples, func(a, b play.VersionSample) int { return int(a.At - b.At) })
+	return p.samples
 }
--- a/internal/emu/rig/control_machines_test.go
+++ b/internal/emu/rig/control_machines_test.go
@@ -91,15 +91,15 @@
 			if s.Source != play.Driver(d) {
 				continue
 			}
-			down := slices.ContainsFunc(r.Script.Faults, func(t play.Fault) bool { // it restarts; drivers of odd numbers may go back then
-				return t.Kind == "driver_kill" && slices.Contains(t.On, d) && s.At >= t.At && s.At < t.At+t.Lasts+2*time.Second
+			down := slices.ContainsFunc(r.Script.Faults, func(fault play.Fault) bool { // it restarts; drivers of odd numbers may go back then
+				return fault.Kind == "driver_kill" && slices.Contains(fault.On, d) && s.At >= fault.At && s.At < fault.At+fault.Duration+2*time.Second
 			})
 			if s.Version < last && (!down || d%2 == 0) {
 				wrong = append(wrong, fmt.Sprintf("%s goes back from version %d to %d at %v", s.Source, last, s.Version, s.At))
 			}
 			last = s.Version
 			for version, at := range counts {
-				if done[version] || max(s.Version, s.Refused) < version {
+				if done[version] || max(s.Version, s.RejectedVersion) < version {
 					continue
 				}
 				for _, e := range exemptions {
@@ -145,11 +145,11 @@
 	if err != nil {
 		t.Fatalf("%v\n%s", err, log.String())
 	}
-	var course strings.Builder
-	r.Course.Print(&course)
+	var timeline strings.Builder
+	r.Timeline.Print(&timeline)
 	defer func() {
 		if t.Failed() {
-			t.Log(course.String())
+			t.Log(timeline.String())
 		}
 	}()
 	if len(r.Broken) > 0 {
@@ -174,17 +174,17 @@
 		}
 	}
 	published, outdated, refused := make(map[string]bool), 0, make(map[string]bool)
-	for _, m := range r.Course.Events {
-		if strings.HasPrefix(m.Who, "publisher") && strings.HasPrefix(m.What, "version ") {
-			if published[m.What] {
-				t.Errorf("%s is published twice", m.What)
+	for _, event := range r.Timeline.Events {
+		if strings.HasPrefix(event.Who, "publisher") && strings.HasPrefix(event.What, "version ") {
+			if published[event.What] {
+				t.Errorf("%s is published twice", event.What)
 			}
-			published[m.What] = true
+			published[event.What] = true
 		}
-		outdated += strings.Count(m.What, "make it anew")
+		outdated += strings.Count(event.What, "make it anew")
 	}
 	for _, s := range r.Versions {
-		if s.Refused == 8 && strings.HasPrefix(s.Why, `settings.family_info.class_read is "old" for classes.0`) {
+		if s.RejectedVersion == 8 && strings.HasPrefix(s.RejectReason, `settings.family_info.class_read is "old" for classes.0`) {
 			refused[s.Source] = true
 		}
 	}
--- a/internal/emu/rig/leases_test.go
+++ b/internal/emu/rig/leases_test.go
@@ -170,18 +170,18 @@
 			if err != nil {
 				t.Fatalf("%v\n%s", err, log.String())
 			}
-			w := r.FencingServer
+			server := r.FencingServer
 			if len(r.Broken) > 0 {
 				t.Errorf("%v", r.Broken[:min(3, len(r.Broken))])
 			}
-			end := w.Requests[len(w.Requests)-1].ReceivedAt
-			from := w.Requests[0].ReceivedAt + 800*time.Millisecond
-			gap, terms := w.LongestGap(from, end), w.Terms()
-			t.Logf("%d terms, %d acts, %d refused, the longest time without an act %v", terms, len(w.Requests), w.Refused, gap)
+			end := server.Requests[len(server.Requests)-1].ReceivedAt
+			from := server.Requests[0].ReceivedAt + 800*time.Millisecond
+			gap, terms := server.LongestGap(from, end), server.Terms()
+			t.Logf("%d terms, %d acts, %d refused, the longest time without an act %v", terms, len(server.Requests), server.Refused, gap)
 			if terms < c.terms[0] || terms > c.terms[1] || gap > c.gap {
-				var course strings.Builder
-				r.Course.Print(&course)
-				t.Errorf("%d terms, want %d to %d; %v without an act, at most %v is allowed\n%s", terms, c.terms[0], c.terms[1], gap, c.gap, course.String())
+				var timeline strings.Builder
+				r.Timeline.Print(&timeline)
+				t.Errorf("%d terms, want %d to %d; %v without an act, at most %v is allowed\n%s", terms, c.terms[0], c.terms[1], gap, c.gap, timeline.String())
 			}
 		})
 	}
@@ -228,9 +228,9 @@
 				t.Fatal(err)
 			}
 			if len(r.FencingServer.Broken()) == 0 {
-				var course strings.Builder
-				r.Course.Print(&course)
-				t.Errorf("the witness does not detect the mutation\n%s", course.String())
+				var timeline strings.Builder
+				r.Timeline.Print(&timeline)
+				t.Errorf("the fencing server does not detect the mutation\n%s", timeline.String())
 			}
 			if r, err = playLeases(text+more, 1, Programs{}, io.Discard); err != nil || len(r.FencingServer.Broken()) > 0 {
 				t.Errorf("without the mutation: %v", errors.Join(err, fmt.Errorf("%v", r.FencingServer.Broken())))
--- a/internal/emu/rig/membership.go
+++ b/internal/emu/rig/membership.go
@@ -22,16 +22,16 @@
 const membershipPollInterval = 100 * time.Millisecond // between two queries to the same driver
 
 func (f *fleet) pollMembership() *membershipPoller {
-	v := &membershipPoller{startedAt: time.Now(), stop: make(chan struct{})}
+	p := &membershipPoller{startedAt: time.Now(), stop: make(chan struct{})}
 	if f.script.View == 0 {
-		return v
+		return p
 	}
 	for _, d := range f.drivers {
 		address := f.operatorParams[d.number].Control.String()
-		v.pollers.Go(func() {
+		p.pollers.Go(func() {
 			for {
 				select {
-				case <-v.stop:
+				case <-p.stop:
 					return
 				case <-time.After(membershipPollInterval):
 				}
@@ -39,23 +39,23 @@
 				if control.Query(address, "fleet", &s) != nil {
 					continue // the driver is down or paused
 				}
-				sample := play.ViewSample{At: time.Since(v.startedAt), Driver: d.number, Is: make(map[string]string)}
+				sample := play.ViewSample{At: time.Since(p.startedAt), Driver: d.number, Statuses: make(map[string]string)}
 				for _, k := range s.Drivers {
-					sample.Is[k.Name] = k.Status
+					sample.Statuses[k.Name] = k.Status
 				}
-				v.mutex.Lock()
-				v.samples = append(v.samples, sample)
-				v.mutex.Unlock()
+				p.mutex.Lock()
+				p.samples = append(p.samples, sample)
+				p.mutex.Unlock()
 			}
 		})
 	}
-	return v
+	return p
 }
 
 // finish stops polling and returns the samples in order of time.
-func (v *membershipPoller) finish() []play.ViewSample {
-	close(v.stop)
-	v.pollers.Wait()
-	slices.SortFunc(v.samples, func(a, b play.ViewSample) int { return int(a.At - b.At) })
-	return v.samples
+func (p *membershipPoller) finish() []play.ViewSample {
+	close(p.stop)
+	p.pollers.Wait()
+	slices.SortFunc(p.samples, func(a, b play.ViewSample) int { return int(a.At - b.At) })
+	return p.samples
 }
--- a/internal/emu/rig/membership_test.go
+++ b/internal/emu/rig/membership_test.go
@@ -30,8 +30,8 @@
 		}
 		last[s.Driver] = s.At
 		for d := range drivers {
-			is, known := s.Is[play.Driver(d)]
-			if down[d] == (known && (is == "alive" || is == "suspect")) || !down[d] && is != "alive" {
+			status, known := s.Statuses[play.Driver(d)]
+			if down[d] == (known && (status == "alive" || status == "suspect")) || !down[d] && status != "alive" {
 				since = max(since, s.At)
 			}
 		}
@@ -47,8 +47,8 @@
 // countDeadSamples counts how often a driver is listed as dead, over all samples.
 func countDeadSamples(r *play.Result) (n int) {
 	for _, s := range r.Views {
-		for _, is := range s.Is {
-			if is == "dead" {
+		for _, status := range s.Statuses {
+			if status == "dead" {
 				n++
 			}
 		}
@@ -234,8 +234,8 @@
 		t.Fatal(err)
 	}
 	reports := 0
-	for _, m := range r.Course.Events {
-		if strings.HasPrefix(m.What, "duplicate driver name") {
+	for _, event := range r.Timeline.Events {
+		if strings.HasPrefix(event.What, "duplicate driver name") {
 			reports++
 		}
 	}
--- a/internal/emu/rig/relay.go
+++ b/internal/emu/rig/relay.go
@@ -37,15 +37,15 @@
 
 func (r *relay) listen() (err error) {
 	r.listener, err = r.loop.Listen(r.listenAddress, maxBufferedBytes, eventloop.AcceptLimiter{Descriptors: func(limit int) int { return limit }}, func(open func(eventloop.Handler) *eventloop.Stream) {
-		p := &relayedConnection{relay: r}
-		p.callerSide, p.targetSide = &connectionSide{connection: p}, &connectionSide{connection: p, backward: true}
-		p.callerSide.other, p.targetSide.other = p.targetSide, p.callerSide
-		if p.callerSide.stream = open(p.callerSide); p.callerSide.stream == nil {
+		c := &relayedConnection{relay: r}
+		c.callerSide, c.targetSide = &connectionSide{connection: c}, &connectionSide{connection: c, backward: true}
+		c.callerSide.other, c.targetSide.other = c.targetSide, c.callerSide
+		if c.callerSide.stream = open(c.callerSide); c.callerSide.stream == nil {
 			return
 		}
-		p.element.Value = p
-		r.connections.PushBack(&p.element)
-		p.dial()
+		c.element.Value = c
+		r.connections.PushBack(&c.element)
+		c.dial()
 	}, func(bool) {})
 	return err
 }
@@ -61,10 +61,10 @@
 			return err
 		}
 	}
-	r.each(func(p *relayedConnection) {
-		p.dial()
-		p.callerSide.flush()
-		p.targetSide.flush()
+	r.each(func(c *relayedConnection) {
+		c.dial()
+		c.callerSide.flush()
+		c.targetSide.flush()
 	})
 	return nil
 }
@@ -89,26 +89,26 @@
 }
 
 // dial connects to the target, unless the link is cut.
-func (p *relayedConnection) dial() {
-	if p.dialed || p.relay.forward.Cut {
+func (c *relayedConnection) dial() {
+	if c.dialed || c.relay.forward.Cut {
 		return
 	}
-	p.dialed = true
-	stream, err := p.relay.loop.Dial(p.relay.target, p.targetSide, maxBufferedBytes)
+	c.dialed = true
+	stream, err := c.relay.loop.Dial(c.relay.target, c.targetSide, maxBufferedBytes)
 	if err != nil {
-		p.reset()
+		c.reset()
 		return
 	}
-	p.targetSide.stream = stream
-	p.callerSide.flush()
+	c.targetSide.stream = stream
+	c.callerSide.flush()
 }
 
-func (p *relayedConnection) reset() {
-	p.element.Remove()
-	for _, e := range []*connectionSide{p.callerSide, p.targetSide} {
-		e.queue, e.outputClosed = nil, true
-		if e.stream != nil {
-			e.stream.Reset()
+func (c *relayedConnection) reset() {
+	c.element.Remove()
+	for _, side := range []*connectionSide{c.callerSide, c.targetSide} {
+		side.queue, side.outputClosed = nil, true
+		if side.stream != nil {
+			side.stream.Reset()
 		}
 	}
 }
@@ -136,45 +136,45 @@
 	outputClosed bool // segments of this side are no longer forwarded
 }
 
-func (e *connectionSide) condition() *play.Condition {
-	if e.backward {
-		return &e.connection.relay.backward
+func (side *connectionSide) condition() *play.Condition {
+	if side.backward {
+		return &side.connection.relay.backward
 	}
-	return &e.connection.relay.forward
+	return &side.connection.relay.forward
 }
 
 // Opened implements eventloop.Handler.
-func (e *connectionSide) Opened() {}
+func (side *connectionSide) Opened() {}
 
 // Panicked implements eventloop.Handler.
-func (e *connectionSide) Panicked(cause error) { e.connection.reset() }
+func (side *connectionSide) Panicked(cause error) { side.connection.reset() }
 
 // Input implements eventloop.Handler.
-func (e *connectionSide) Input(in []byte) int {
-	if e.queuedBytes >= maxBufferedBytes {
-		e.readPaused = true
+func (side *connectionSide) Input(in []byte) int {
+	if side.queuedBytes >= maxBufferedBytes {
+		side.readPaused = true
 		return 0
 	}
-	e.enqueue(segment{data: append([]byte(nil), in...)})
+	side.enqueue(segment{data: append([]byte(nil), in...)})
 	return len(in)
 }
 
 // Closed implements eventloop.Handler.
-func (e *connectionSide) Closed(cause error) {
-	e.streamClosed = true
-	if rest := e.stream.Unread(); len(rest) > 0 {
-		e.enqueue(segment{data: append([]byte(nil), rest...)})
+func (side *connectionSide) Closed(cause error) {
+	side.streamClosed = true
+	if rest := side.stream.Unread(); len(rest) > 0 {
+		side.enqueue(segment{data: append([]byte(nil), rest...)})
 	}
 	var code unix.Errno
-	e.enqueue(segment{end: true, reset: errors.As(cause, &code)})
+	side.enqueue(segment{end: true, reset: errors.As(cause, &code)})
 }
 
 // enqueue schedules a segment to arrive at the other side according to the conditions of the link.
-func (e *connectionSide) enqueue(s segment) {
-	if e.outputClosed {
+func (side *connectionSide) enqueue(s segment) {
+	if side.outputClosed {
 		return
 	}
-	c, r := e.condition(), e.connection.relay
+	c, r := side.condition(), side.connection.relay
 	s.arrival = r.loop.Now() + c.Delay
 	if c.Jitter > 0 {
 		s.arrival += time.Duration(r.rng.Float() * float64(c.Jitter))
@@ -182,50 +182,50 @@
 	for c.Loss > 0 && r.rng.Float() < c.Loss {
 		s.arrival += retransmitDelay
 	}
-	if s.arrival = max(s.arrival, e.lastArrival); c.Rate > 0 {
+	if s.arrival = max(s.arrival, side.lastArrival); c.Rate > 0 {
 		s.arrival += time.Duration(len(s.data)) * time.Second / time.Duration(c.Rate)
 	}
-	e.lastArrival = s.arrival
-	e.queuedBytes += len(s.data)
-	e.queue = append(e.queue, s)
-	e.flush()
+	side.lastArrival = s.arrival
+	side.queuedBytes += len(s.data)
+	side.queue = append(side.queue, s)
+	side.flush()
 }
 
 // flush forwards the segments that are due, unless the link is cut.
-func (e *connectionSide) flush() {
-	l, out := e.connection.relay.loop, e.other.stream
-	for len(e.queue) > 0 && !e.outputClosed {
-		s := e.queue[0]
-		if e.condition().Cut || out == nil {
+func (side *connectionSide) flush() {
+	l, out := side.connection.relay.loop, side.other.stream
+	for len(side.queue) > 0 && !side.outputClosed {
+		s := side.queue[0]
+		if side.condition().Cut || out == nil {
 			return
 		}
 		if s.arrival > l.Now() {
-			l.Cancel(e.timer)
-			e.timer = l.At(s.arrival, e.flush)
+			l.Cancel(side.timer)
+			side.timer = l.At(s.arrival, side.flush)
 			return
 		}
-		e.queue = e.queue[1:]
-		if e.queuedBytes -= len(s.data); s.end {
-			e.outputClosed = true
-			e.finish(s.reset)
+		side.queue = side.queue[1:]
+		if side.queuedBytes -= len(s.data); s.end {
+			side.outputClosed = true
+			side.finish(s.reset)
 			return
 		}
 		out.Send(s.data)
 	}
-	if e.readPaused && !e.streamClosed {
-		e.readPaused = false
-		l.Defer(e.stream.DeliverInput)
+	if side.readPaused && !side.streamClosed {
+		side.readPaused = false
+		l.Defer(side.stream.DeliverInput)
 	}
 }
 
 // finish closes the other stream and discards what is queued in the other direction.
-func (e *connectionSide) finish(reset bool) {
-	e.connection.element.Remove()
-	e.other.outputClosed = true
+func (side *connectionSide) finish(reset bool) {
+	side.connection.element.Remove()
+	side.other.outputClosed = true
 	if reset {
-		e.other.stream.Reset()
+		side.other.stream.Reset()
 	} else {
-		e.other.stream.CloseWhenSent()
+		side.other.stream.CloseWhenSent()
 	}
 }
 
@@ -241,27 +241,27 @@
 }
 
 // forward sends a datagram on once, twice or not at all, according to the conditions of the link.
-func (p *datagramRelay) forward(data []byte) {
-	c := &p.condition
-	if c.Cut || c.Loss > 0 && p.rng.Float() < c.Loss {
+func (r *datagramRelay) forward(data []byte) {
+	c := &r.condition
+	if c.Cut || c.Loss > 0 && r.rng.Float() < c.Loss {
 		return
 	}
 	data = append([]byte(nil), data...)
 	send := func() {
-		if !p.condition.Cut {
-			p.reverse.socket.Send(p.target, data)
+		if !r.condition.Cut {
+			r.reverse.socket.Send(r.target, data)
 		}
 	}
-	delay := c.Delay + time.Duration(p.rng.Float()*float64(c.Jitter))
-	if c.Reorder > 0 && p.rng.Float() < c.Reorder {
-		delay += time.Duration(p.rng.Float() * float64(c.MaxExtraDelay))
+	delay := c.Delay + time.Duration(r.rng.Float()*float64(c.Jitter))
+	if c.Reorder > 0 && r.rng.Float() < c.Reorder {
+		delay += time.Duration(r.rng.Float() * float64(c.MaxExtraDelay))
 	}
 	if delay == 0 {
 		send()
 	} else {
-		p.loop.At(p.loop.Now()+delay, send)
+		r.loop.At(r.loop.Now()+delay, send)
 	}
-	if c.Double > 0 && p.rng.Float() < c.Double {
-		p.loop.At(p.loop.Now()+delay+time.Duration(p.rng.Float()*float64(c.MaxExtraDelay)), send)
+	if c.Double > 0 && r.rng.Float() < c.Double {
+		r.loop.At(r.loop.Now()+delay+time.Duration(r.rng.Float()*float64(c.MaxExtraDelay)), send)
 	}
 }
--- a/internal/emu/rig/rig.go
+++ b/internal/emu/rig/rig.go
@@ -179,23 +179,23 @@
 		}
 		f.drivers = append(f.drivers, d)
 	}
-	for _, r := range s.Links() {
+	for _, link := range s.Links() {
 		d := f.drivers[0]
-		if r.From[0] == 'd' {
-			d = f.drivers[numberInName(r.From)]
+		if link.From[0] == 'd' {
+			d = f.drivers[numberInName(link.From)]
 		}
 		var target netip.AddrPort
 		switch {
-		case r.To == "discovery":
+		case link.To == "discovery":
 			target = discoveryAddresses[d.number]
-		case r.To[0] == 'm':
-			target = memberAddresses[numberInName(r.To)]
-		case r.From == "clients":
-			target = f.drivers[numberInName(r.To)].listenAddress
+		case link.To[0] == 'm':
+			target = memberAddresses[numberInName(link.To)]
+		case link.From == "clients":
+			target = f.drivers[numberInName(link.To)].listenAddress
 		default:
 			continue
 		}
-		if f.relays[r], err = newRelay(f.loop, f.rng, addresses.next(), target); err != nil {
+		if f.relays[link], err = newRelay(f.loop, f.rng, addresses.next(), target); err != nil {
 			return err
 		}
 	}
@@ -238,7 +238,7 @@
 		if s.OwnFile() {
 			f.operatorParams[i].Control = addresses.next()
 		}
-		if s.Folders {
+		if s.StateFolders {
 			f.operatorParams[i].State = f.folders.Path(i)
 		}
 		if s.Leases != nil && s.Leases.Folders {
@@ -271,19 +271,19 @@
 			if o == d {
 				continue
 			}
-			p := &datagramRelay{loop: f.loop, rng: f.rng, target: o.site.PeerListen}
+			r := &datagramRelay{loop: f.loop, rng: f.rng, target: o.site.PeerListen}
 			address := addresses.next()
 			var err error
-			if p.socket, err = f.loop.ListenUDP(address, func(_ netip.AddrPort, data []byte) { p.forward(data) }); err != nil {
+			if r.socket, err = f.loop.ListenUDP(address, func(_ netip.AddrPort, data []byte) { r.forward(data) }); err != nil {
 				return err
 			}
 			d.site.Peers[o.number] = address
-			f.datagramRelays[play.Link{From: d.name, To: o.name}] = p
+			f.datagramRelays[play.Link{From: d.name, To: o.name}] = r
 		}
 		broadcastSocket, err := f.loop.ListenUDP(d.site.PeerAll, func(_ netip.AddrPort, data []byte) {
 			for _, o := range f.drivers {
-				if p := f.datagramRelays[play.Link{From: d.name, To: o.name}]; p != nil {
-					p.forward(data)
+				if r := f.datagramRelays[play.Link{From: d.name, To: o.name}]; r != nil {
+					r.forward(data)
 				}
 			}
 		})
@@ -292,8 +292,8 @@
 		}
 		f.broadcastSockets = append(f.broadcastSockets, broadcastSocket)
 	}
-	for r, p := range f.datagramRelays {
-		p.reverse = f.datagramRelays[play.Link{From: r.To, To: r.From}]
+	for link, r := range f.datagramRelays {
+		r.reverse = f.datagramRelays[play.Link{From: link.To, To: link.From}]
 	}
 	return nil
 }
@@ -444,7 +444,7 @@
 }
 
 func (f *fleet) recordDriverEvent(d *driver, format string, args ...any) {
-	f.cluster.Course.Note(f.loop.Now()-f.scriptStart, d.name, format, args...)
+	f.cluster.Timeline.Note(f.loop.Now()-f.scriptStart, d.name, format, args...)
 }
 
 // startScript starts the clients and schedules the script's faults and publications.
@@ -460,8 +460,8 @@
 		clientAddresses = append(clientAddresses, f.relays[play.Link{From: "clients", To: d.name}].listenAddress)
 	}
 	f.clients = play.NewClients(f.loop, f.script, f.record, f.cluster.Ledger(), f.seed+2, clientAddresses)
-	for _, t := range f.script.Faults {
-		f.loop.At(f.scriptStart+t.At, func() { f.injectFault(t) })
+	for _, fault := range f.script.Faults {
+		f.loop.At(f.scriptStart+fault.At, func() { f.injectFault(fault) })
 	}
 	for _, at := range f.script.LinkChangeTimes() {
 		f.loop.At(f.scriptStart+at, func() { f.updateLinks(at) })
@@ -471,40 +471,40 @@
 
 // updateLinks sets the conditions that all links have at a time of the script.
 func (f *fleet) updateLinks(scriptTime time.Duration) {
-	for r, relay := range f.relays {
-		if err := relay.setConditions(f.script.Between(scriptTime, r.From, r.To), f.script.Between(scriptTime, r.To, r.From)); err != nil {
-			f.fail("link from %s to %s: %w", r.From, r.To, err)
+	for link, relay := range f.relays {
+		if err := relay.setConditions(f.script.Between(scriptTime, link.From, link.To), f.script.Between(scriptTime, link.To, link.From)); err != nil {
+			f.fail("link from %s to %s: %w", link.From, link.To, err)
 		}
-		if f.script.ResetAt(scriptTime, r) {
+		if f.script.ResetAt(scriptTime, link) {
 			relay.reset()
 		}
 	}
-	for r, p := range f.datagramRelays {
-		p.condition = f.script.Between(scriptTime, r.From, r.To)
+	for link, r := range f.datagramRelays {
+		r.condition = f.script.Between(scriptTime, link.From, link.To)
 	}
 }
 
 // injectFault starts a fault of the script.
-func (f *fleet) injectFault(t play.Fault) {
-	until := f.loop.Now() + t.Lasts
-	switch t.Kind {
+func (f *fleet) injectFault(fault play.Fault) {
+	until := f.loop.Now() + fault.Duration
+	switch fault.Kind {
 	case "driver_kill", "driver_stop", "driver_pause":
-		for position, n := range t.On {
-			f.injectDriverFault(f.drivers[n], t.Kind, t.Folder, t.RestartTime(position, until))
+		for position, n := range fault.On {
+			f.injectDriverFault(f.drivers[n], fault.Kind, fault.Folder, fault.RestartTime(position, until))
 		}
 	case "control_kill", "control_pause":
-		for _, n := range t.On {
-			f.injectControlFault(f.machines[n], t, until)
+		for _, n := range fault.On {
+			f.injectControlFault(f.machines[n], fault, until)
 		}
 	case "voters":
-		f.changeVoters(t, until)
+		f.changeVoters(fault, until)
 	default:
-		f.cluster.InjectFault(t, until)
+		f.cluster.InjectFault(fault, until)
 	}
 }
 
 // changeVoters replaces the lease voters. Until the fault ends, the former voters vote together with the new ones.
-func (f *fleet) changeVoters(t play.Fault, until time.Duration) {
+func (f *fleet) changeVoters(fault play.Fault, until time.Duration) {
 	formerVoters := f.voters.Voters
 	apply := func(voters play.Electorate) {
 		f.voters = voters
@@ -516,10 +516,10 @@
 				d.process.signal(syscall.SIGHUP)
 			}
 		}
-		f.cluster.Course.Note(f.loop.Now()-f.scriptStart, "script", "voters %v, before %v, version %d", voters.Voters, voters.Former, voters.Version)
+		f.cluster.Timeline.Note(f.loop.Now()-f.scriptStart, "script", "voters %v, before %v, version %d", voters.Voters, voters.Former, voters.Version)
 	}
-	apply(play.Electorate{Version: f.voters.Version + 1, Voters: t.On, Former: formerVoters})
-	f.loop.At(until, func() { apply(play.Electorate{Version: f.voters.Version + 1, Voters: t.On}) })
+	apply(play.Electorate{Version: f.voters.Version + 1, Voters: fault.On, Former: formerVoters})
+	f.loop.At(until, func() { apply(play.Electorate{Version: f.voters.Version + 1, Voters: fault.On}) })
 }
 
 // injectDriverFault kills or stops a driver and starts it again, or pauses it until endTime. A driver that is already down is not
--- a/internal/emu/rig/rig_test.go
+++ b/internal/emu/rig/rig_test.go
@@ -123,16 +123,16 @@
 				t.Fatal("the script had no outage of drivers")
 			}
 			last := returns[len(returns)-1]
-			t.Logf("full service after %v, connections %+v, cold %.2f, stale %v", last.Whole, last.Load(emu.Connects), last.Cold, last.Stale)
-			if last.Up < 0 || last.Whole < 0 || last.Whole > want.whole {
-				t.Errorf("full service %v after the last driver was up, at most %v is allowed", last.Whole, want.whole)
+			t.Logf("full service after %v, connections %+v, cold %.2f, stale %v", last.FullServiceAfter, last.Load(emu.Connects), last.ColdLoad, last.FormerPrimaryWrites)
+			if last.Up < 0 || last.FullServiceAfter < 0 || last.FullServiceAfter > want.whole {
+				t.Errorf("full service %v after the last driver was up, at most %v is allowed", last.FullServiceAfter, want.whole)
 			}
 			for _, back := range returns {
 				if l := back.Load(emu.Connects); l.After > want.connects {
 					t.Errorf("%s got %.0f connections in a second, at most %.0f are allowed; %.0f before the outage", l.Where, l.After, want.connects, l.Before)
 				}
-				if back.Cold >= 1 || back.Drained > 0 || back.Stale > want.stale {
-					t.Errorf("cold members got %.2f of the load that overloads them, %v attempts at drained members, %v writes at former primaries", back.Cold, back.Drained, back.Stale)
+				if back.ColdLoad >= 1 || back.DrainedAttempts > 0 || back.FormerPrimaryWrites > want.stale {
+					t.Errorf("cold members got %.2f of the load that overloads them, %v attempts at drained members, %v writes at former primaries", back.ColdLoad, back.DrainedAttempts, back.FormerPrimaryWrites)
 				}
 			}
 		})
@@ -218,20 +218,20 @@
 	}
 }
 
-// Planned stops of drivers must not lose requests, and the course lists their steps in order.
+// Planned stops of drivers must not lose requests, and the timeline lists their steps in order.
 func TestPlannedDriverStops(t *testing.T) {
 	r := playQuickScript(t, "trouble \"driver_stop\" {\n  at = \"1s\"\n  lasts = \"200ms\"\n  within = \"500ms\"\n  on = [0, 2]\n}\n")
 	if r.Answers[emu.Nothing] > 0 || r.Utility < 0.95 {
 		t.Errorf("answers %v, utility %v", r.Answers, r.Utility)
 	}
 	var words []string
-	for _, m := range r.Course.Events {
-		if m.Who == "d0" && !strings.HasPrefix(m.What, "is ") {
-			words = append(words, m.What)
+	for _, event := range r.Timeline.Events {
+		if event.Who == "d0" && !strings.HasPrefix(event.What, "is ") {
+			words = append(words, event.What)
 		}
 	}
 	if !slices.Equal(words, []string{"driver_stop", "ended", "starts", "serves"}) {
-		t.Errorf("events of d0 in the course: %v", words)
+		t.Errorf("events of d0 in the timeline: %v", words)
 	}
 	if f := r.Outages; len(f) != 1 || f[0].Up < f[0].At || len(f[0].Drivers) != 2 {
 		t.Errorf("outages: %+v", f)
@@ -322,14 +322,14 @@
 		t.Fatal(err)
 	}
 	restored, lost := 0, 0
-	for _, m := range r.Course.Events {
+	for _, event := range r.Timeline.Events {
 		switch {
-		case strings.HasPrefix(m.What, "learned state restored members=3"):
+		case strings.HasPrefix(event.What, "learned state restored members=3"):
 			restored++
-		case strings.HasPrefix(m.What, "learned state damaged"):
+		case strings.HasPrefix(event.What, "learned state damaged"):
 			lost++ // the end of a log is unreadable; the state before the last commit is restored
-		case strings.HasPrefix(m.What, "learned state "):
-			t.Errorf("%v %s: %s", m.At, m.Who, m.What)
+		case strings.HasPrefix(event.What, "learned state "):
+			t.Errorf("%v %s: %s", event.At, event.Who, event.What)
 		}
 	}
 	if restored < times-2 || lost > times/2 || len(r.Broken) > 0 {
@@ -364,8 +364,8 @@
 	usual, _ := latency("kept")
 	stalled, r := latency("stalled")
 	failures := 0
-	for _, m := range r.Course.Events {
-		if strings.HasPrefix(m.What, "learned state not saved") {
+	for _, event := range r.Timeline.Events {
+		if strings.HasPrefix(event.What, "learned state not saved") {
 			failures++
 		}
 	}
@@ -426,9 +426,9 @@
 			t.Errorf("folder %s: %v attempts from second %d to %d at a member that had drained before the restart", folder, n, from, to)
 		}
 		if t.Failed() {
-			var course strings.Builder
-			r.Course.Print(&course)
-			t.Logf("folder %s:\n%s", folder, course.String())
+			var timeline strings.Builder
+			r.Timeline.Print(&timeline)
+			t.Logf("folder %s:\n%s", folder, timeline.String())
 		}
 	}
 }
@@ -439,9 +439,9 @@
 	last    time.Duration // since the script's start
 }
 
-// servedAfter returns which restarts the course shows after a time.
+// servedAfter returns which restarts the timeline shows after a time.
 func servedAfter(r *play.Result, killed time.Duration) (served restarts) {
-	for _, event := range r.Course.Events {
+	for _, event := range r.Timeline.Events {
 		if event.At > killed && event.What == "serves" {
 			served.drivers++
 			served.last = max(served.last, event.At)
--- a/internal/lab/capacity/failures.go
+++ b/internal/lab/capacity/failures.go
@@ -108,22 +108,22 @@
 	if err != nil {
 		return nil, err
 	}
-	s.Lasts, s.Zones, s.Route, s.MemberSpec.Cores = failurePlayDuration, f.zones, "spread", 1
+	s.Duration, s.Zones, s.Route, s.MemberSpec.Cores = failurePlayDuration, f.zones, "spread", 1
 	if f.zones == regionCount {
 		hereDrivers, hereMembers := zoneNodeNames(s, 0)
 		thereDrivers, thereMembers := zoneNodeNames(s, 1)
-		s.Faults = append(s.Faults, play.Fault{Kind: "delay", Lasts: s.Ends(), From: hereDrivers, To: thereMembers, By: regionDelay},
-			play.Fault{Kind: "delay", Lasts: s.Ends(), From: thereDrivers, To: hereMembers, By: regionDelay})
+		s.Faults = append(s.Faults, play.Fault{Kind: "delay", Duration: s.Ends(), From: hereDrivers, To: thereMembers, By: regionDelay},
+			play.Fault{Kind: "delay", Duration: s.Ends(), From: thereDrivers, To: hereMembers, By: regionDelay})
 		if f.partition {
-			s.Faults = append(s.Faults, play.Fault{Kind: "partition", At: faultStart, Lasts: f.duration,
+			s.Faults = append(s.Faults, play.Fault{Kind: "partition", At: faultStart, Duration: f.duration,
 				Islands: [][]string{append(hereDrivers, hereMembers...), append(thereDrivers, thereMembers...)}})
 		}
 	}
 	if on := f.members(s); len(on) > 0 {
-		s.Faults = append(s.Faults, play.Fault{Kind: map[bool]string{true: "drain", false: "kill"}[f.drainFirst], At: faultStart, Lasts: f.duration, On: on})
+		s.Faults = append(s.Faults, play.Fault{Kind: map[bool]string{true: "drain", false: "kill"}[f.drainFirst], At: faultStart, Duration: f.duration, On: on})
 	}
 	if on := f.drivers(s); len(on) > 0 {
-		s.Faults = append(s.Faults, play.Fault{Kind: "driver_kill", At: faultStart, Lasts: f.duration, On: on, Within: time.Second})
+		s.Faults = append(s.Faults, play.Fault{Kind: "driver_kill", At: faultStart, Duration: f.duration, On: on, Within: time.Second})
 	}
 	return s, nil
 }
@@ -140,7 +140,7 @@
 	}
 	p := &playReporter{s.Name, Drivers, drivers, s, seed, point}
 	level := r.UtilitySeries.ServedShare(play.AllDrivers, time.Second, faultStart)
-	recovery, lossEnd := r.UtilitySeries.RecoveryTime(play.AllDrivers, level, faultStart, s.Lasts), s.Lasts
+	recovery, lossEnd := r.UtilitySeries.RecoveryTime(play.AllDrivers, level, faultStart, s.Duration), s.Duration
 	p.report("level", "utility got of what was asked", level)
 	if recovery >= 0 {
 		p.report("whole_after", "s", recovery.Seconds())
@@ -183,7 +183,7 @@
 // worstSecond returns the lowest utility of any second after the start of the failure.
 func worstSecond(r *play.Result, s *play.Script) float64 {
 	least := 1.0
-	for from := faultStart; from+time.Second <= s.Lasts; from += 100 * time.Millisecond {
+	for from := faultStart; from+time.Second <= s.Duration; from += 100 * time.Millisecond {
 		least = min(least, r.UtilitySeries.ServedShare(play.AllDrivers, from, from+time.Second))
 	}
 	return least
--- a/internal/lab/capacity/primary.go
+++ b/internal/lab/capacity/primary.go
@@ -23,15 +23,15 @@
 
 // addPrimaryFailure adds a failure of a member to a play.
 func addPrimaryFailure(s *play.Script, kind string, member int, at time.Duration) {
-	duration := s.Lasts - at - returnLead
+	duration := s.Duration - at - returnLead
 	switch kind {
 	case "death": // it restarts cold
-		s.Faults = append(s.Faults, play.Fault{Kind: "kill", At: at, Lasts: faultStart, On: []int{member}})
+		s.Faults = append(s.Faults, play.Fault{Kind: "kill", At: at, Duration: faultStart, On: []int{member}})
 	case "vanish": // paused, and its machine accepts no packets from drivers
-		s.Faults = append(s.Faults, play.Fault{Kind: "cut", At: at, Lasts: duration, From: nodeNames(play.Driver, 0, s.Drivers), To: []string{play.Member(member)}})
+		s.Faults = append(s.Faults, play.Fault{Kind: "cut", At: at, Duration: duration, From: nodeNames(play.Driver, 0, s.Drivers), To: []string{play.Member(member)}})
 		fallthrough
 	case "hang":
-		s.Faults = append(s.Faults, play.Fault{Kind: "pause", At: at, Lasts: duration, On: []int{member}})
+		s.Faults = append(s.Faults, play.Fault{Kind: "pause", At: at, Duration: duration, On: []int{member}})
 	}
 }
 
@@ -76,8 +76,8 @@
 	s.MemberSpec.Cores, s.MemberSpec.Queue = 64*max(1, drivers/fleetDrivers), 4096 // large, as the capacity of members is not measured here
 	healedAt, firstHalf := faultStart-partitionLead+partitionDuration, drivers
 	if partition {
-		firstHalf, s.Lasts = drivers/2, healedAt+afterPartition
-		s.Faults = append(s.Faults, play.Fault{Kind: "partition", At: faultStart - partitionLead, Lasts: partitionDuration, Islands: [][]string{
+		firstHalf, s.Duration = drivers/2, healedAt+afterPartition
+		s.Faults = append(s.Faults, play.Fault{Kind: "partition", At: faultStart - partitionLead, Duration: partitionDuration, Islands: [][]string{
 			append(nodeNames(play.Driver, 0, firstHalf), nodeNames(play.Member, 0, groupMembers/2)...),
 			append(nodeNames(play.Driver, firstHalf, drivers), nodeNames(play.Member, groupMembers/2, groupMembers)...)}})
 	}
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -98,7 +98,7 @@
 		case "obeys":
 			apply, invalid = func(s *play.Script) { s.HonorsRetryAfter = value == "true" }, value != "true" && value != "false"
 		case "folders": // drivers save learned state in folders that a restart finds intact or emptied
-			apply, invalid = func(s *play.Script) { s.Folders = value == "true" }, value != "true" && value != "false"
+			apply, invalid = func(s *play.Script) { s.StateFolders = value == "true" }, value != "true" && value != "false"
 		case "spared": // drivers keep running where the script would end them
 			apply, invalid = (*play.Script).RemoveDriverEnds, value != "true"
 		case "down": // downtime of the drivers that the script ends; a long one has almost no load
@@ -221,8 +221,8 @@
 // setRecovery copies the measures of a recovery from a driver failure into the row.
 func (r *Row) setRecovery(recovery play.Recovery) {
 	connects, lists := recovery.Load(emu.Connects), recovery.Load(emu.Lists)
-	r.RecoverySeconds, r.LostSeconds, r.ColdBudgetUsed, r.StaleWrites = recovery.Whole.Seconds(), recovery.Lost, recovery.Cold, recovery.Stale
-	if recovery.Whole < 0 {
+	r.RecoverySeconds, r.LostSeconds, r.ColdBudgetUsed, r.StaleWrites = recovery.FullServiceAfter.Seconds(), recovery.LostSeconds, recovery.ColdLoad, recovery.FormerPrimaryWrites
+	if recovery.FullServiceAfter < 0 {
 		r.RecoverySeconds = -1
 	}
 	r.Connects, r.ConnectsUsual, r.MemberConnects, r.MemberConnectsUsual = connects.AllAfter, connects.AllBefore, connects.After, connects.Before
