--- a/internal/emu/emu_test.go
+++ b/internal/emu/emu_test.go
@@ -201,7 +201,7 @@
 		c, g := newGroup(seed)
 		rng := pcg.New(seed + 100)
 		latest := make(map[*Member]time.Duration)
-		lives := make(map[*Member]int)
+		incarnations := make(map[*Member]int)
 		for range 200 {
 			m := g.Members[rng.Below(3)]
 			switch rng.Below(12) {
@@ -226,8 +226,8 @@
 			}
 			c.run(100 * ms)
 			for _, o := range g.Members {
-				if lives[o] != o.incarnation {
-					lives[o], latest[o] = o.incarnation, 0
+				if incarnations[o] != o.incarnation {
+					incarnations[o], latest[o] = o.incarnation, 0
 				}
 				if o.role == driver.Replica && o.up {
 					at := o.Position()
--- a/internal/emu/member.go
+++ b/internal/emu/member.go
@@ -56,7 +56,7 @@
 
 // Result is a member's answer to an attempt.
 type Result struct {
-	Outcome          driver.Outcome // OK, Miss, Full or Failed
+	Outcome          driver.Outcome // OK, Misdirected, Full or Failed
 	ReportedPosition time.Duration  // as the member reports it
 	ActualPosition   time.Duration  // as it really is
 	Role             driver.Role
