--- a/internal/emu/play/play_test.go
+++ b/internal/emu/play/play_test.go
@@ -197,8 +197,8 @@
 			t.Errorf("at %v from %s to %s: %+v", c.at, c.from, c.to, got)
 		}
 	}
-	if edges := s.LinkChangeTimes(); len(edges) != 10 || edges[0] != time.Second || edges[len(edges)-1] != 4*time.Second {
-		t.Errorf("edges %v", edges)
+	if changeTimes := s.LinkChangeTimes(); len(changeTimes) != 10 || changeTimes[0] != time.Second || changeTimes[len(changeTimes)-1] != 4*time.Second {
+		t.Errorf("link change times %v", changeTimes)
 	}
 	if links := s.Links(); len(links) != 4*(1+1+3+3) {
 		t.Errorf("%d links", len(links))
@@ -262,14 +262,14 @@
 	outages.DriverUp(1, 5*time.Second)
 	outages.DriverUp(1, 9*time.Second)
 	r.Outages = outages.all
-	back := r.Recoveries()
-	if len(back) != 1 || back[0].Up != 5*time.Second || back[0].FullServiceAfter != 500*time.Millisecond || len(back[0].Drivers) != 2 || back[0].Level != 1 {
-		t.Fatalf("%+v", back)
+	recoveries := r.Recoveries()
+	if len(recoveries) != 1 || recoveries[0].Up != 5*time.Second || recoveries[0].FullServiceAfter != 500*time.Millisecond || len(recoveries[0].Drivers) != 2 || recoveries[0].Level != 1 {
+		t.Fatalf("%+v", recoveries)
 	}
-	if lost := back[0].LostSeconds; lost < 1.19 || lost > 1.21 {
+	if lost := recoveries[0].LostSeconds; lost < 1.19 || lost > 1.21 {
 		t.Errorf("%v s of service lost", lost)
 	}
-	if l := back[0].Load(emu.Connects); l.Before != 10 || l.After != 50 || l.Where != "m1" || l.AllAfter != 60 {
+	if l := recoveries[0].Load(emu.Connects); l.Before != 10 || l.After != 50 || l.Where != "m1" || l.AllAfter != 60 {
 		t.Errorf("%+v", l)
 	}
 }
@@ -292,14 +292,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		back := r.Recoveries()[0]
-		if len(r.Broken) > 0 || back.FullServiceAfter < 0 || back.FullServiceAfter > 2*time.Second {
-			t.Errorf("rules broken %d, service is whole after %v", len(r.Broken), back.FullServiceAfter)
+		recovery := r.Recoveries()[0]
+		if len(r.Broken) > 0 || recovery.FullServiceAfter < 0 || recovery.FullServiceAfter > 2*time.Second {
+			t.Errorf("%d rules broken, full service after %v", len(r.Broken), recovery.FullServiceAfter)
 		}
-		return back
+		return recovery
 	}
-	if back := play(true, 4*time.Second); back.FormerPrimaryWrites > 10*2 {
-		t.Errorf("%.0f writes at former primaries by ten drivers in two groups", back.FormerPrimaryWrites)
+	if recovery := play(true, 4*time.Second); recovery.FormerPrimaryWrites > 10*2 {
+		t.Errorf("%.0f writes at former primaries by ten drivers in two groups", recovery.FormerPrimaryWrites)
 	}
 	with, without := play(true, 500*time.Millisecond), play(false, 500*time.Millisecond)
 	if t.Logf("%.0f writes at former primaries with folders, %.0f without", with.FormerPrimaryWrites, without.FormerPrimaryWrites); with.FormerPrimaryWrites > 2 || without.FormerPrimaryWrites < 5 {
--- a/internal/emu/rig/control_machines_test.go
+++ b/internal/emu/rig/control_machines_test.go
@@ -158,11 +158,11 @@
 	if r.Utility < 0.9 {
 		t.Errorf("utility %.3f is below 0.9", r.Utility)
 	}
-	excuses := []exemption{
+	exemptions := []exemption{
 		{25 * time.Second, 27 * time.Second, func(n int) bool { return n >= 1 && n <= 4 }},
 		{28 * time.Second, 31 * time.Second, func(n int) bool { return n >= 10 }},
 	}
-	took, wrong := activationTimes(r, 20, excuses)
+	took, wrong := activationTimes(r, 20, exemptions)
 	if len(wrong) > 0 {
 		t.Errorf("%v", wrong[:min(5, len(wrong))])
 	}
--- a/internal/emu/rig/membership_test.go
+++ b/internal/emu/rig/membership_test.go
@@ -130,7 +130,7 @@
 			down := make(map[int]bool)
 			for range 8 {
 				from := 1500 + rng.Below(5000)
-				settledAt, lasts := fmt.Sprintf("%dms", from), fmt.Sprintf("%dms", 100+rng.Below(int(ends/time.Millisecond)-from-700))
+				startsAt, lasts := fmt.Sprintf("%dms", from), fmt.Sprintf("%dms", 100+rng.Below(int(ends/time.Millisecond)-from-700))
 				d, o := rng.Below(drivers), rng.Below(drivers-1)
 				if o >= d {
 					o++
@@ -138,22 +138,22 @@
 				between := fmt.Sprintf(`from = ["d%d"];to = ["d%d"]`, d, o)
 				switch rng.Below(8) {
 				case 0, 1:
-					text.WriteString(faultBlock("driver_kill", settledAt, lasts, fmt.Sprintf("on = [%d]", d)))
+					text.WriteString(faultBlock("driver_kill", startsAt, lasts, fmt.Sprintf("on = [%d]", d)))
 				case 2:
 					if len(down) < 3 && !down[d] {
 						down[d] = true
-						text.WriteString(faultBlock("driver_kill", settledAt, "60s", fmt.Sprintf("on = [%d]", d)))
+						text.WriteString(faultBlock("driver_kill", startsAt, "60s", fmt.Sprintf("on = [%d]", d)))
 					}
 				case 3:
-					text.WriteString(faultBlock("driver_pause", settledAt, lasts, fmt.Sprintf("on = [%d]", d)))
+					text.WriteString(faultBlock("driver_pause", startsAt, lasts, fmt.Sprintf("on = [%d]", d)))
 				case 4:
-					text.WriteString(faultBlock("cut", settledAt, lasts, between+";one_way = true"))
+					text.WriteString(faultBlock("cut", startsAt, lasts, between+";one_way = true"))
 				case 5:
-					text.WriteString(faultBlock("partition", settledAt, lasts, fmt.Sprintf(`islands = [["d0..%d"], ["d%d..9"]]`, d%9, d%9+1)))
+					text.WriteString(faultBlock("partition", startsAt, lasts, fmt.Sprintf(`islands = [["d0..%d"], ["d%d..9"]]`, d%9, d%9+1)))
 				case 6:
-					text.WriteString(faultBlock("loss", settledAt, lasts, `from = ["drivers"];to = ["drivers"];times = 0.3`))
+					text.WriteString(faultBlock("loss", startsAt, lasts, `from = ["drivers"];to = ["drivers"];times = 0.3`))
 				case 7:
-					text.WriteString(faultBlock("driver_stop", settledAt, "200ms", fmt.Sprintf("on = [%d]", d)))
+					text.WriteString(faultBlock("driver_stop", startsAt, "200ms", fmt.Sprintf("on = [%d]", d)))
 				}
 			}
 			r, err := playMembershipScript(membershipScript(drivers, int((ends+maxSettlingTime)/time.Second)+2)+text.String(), seed)
--- a/internal/emu/rig/rig_test.go
+++ b/internal/emu/rig/rig_test.go
@@ -84,9 +84,9 @@
 
 // recoveryBounds are the limits for the recovery after an outage of drivers.
 type recoveryBounds struct {
-	whole    time.Duration // from the start of the last driver to full service
-	connects float64       // new connections in one second to one member
-	stale    float64       // writes sent to former primaries
+	fullService         time.Duration // from the start of the last driver to full service
+	connects            float64       // new connections in one second to one member
+	formerPrimaryWrites float64       // writes sent to former primaries
 }
 
 // Recovery of a fleet after outages of its drivers: full service has to return in time, without more new connections or cold load than members
@@ -118,21 +118,21 @@
 			if len(r.Broken) > 0 {
 				t.Errorf("rules are broken: %v", r.Broken[:min(3, len(r.Broken))])
 			}
-			returns := r.Recoveries()
-			if len(returns) == 0 {
+			recoveries := r.Recoveries()
+			if len(recoveries) == 0 {
 				t.Fatal("the script had no outage of drivers")
 			}
-			last := returns[len(returns)-1]
+			last := recoveries[len(recoveries)-1]
 			t.Logf("full service after %v, connections %+v, cold %.2f, stale %v", last.FullServiceAfter, last.Load(emu.Connects), last.ColdLoad, last.FormerPrimaryWrites)
-			if last.Up < 0 || last.FullServiceAfter < 0 || last.FullServiceAfter > want.whole {
-				t.Errorf("full service %v after the last driver was up, at most %v is allowed", last.FullServiceAfter, want.whole)
+			if last.Up < 0 || last.FullServiceAfter < 0 || last.FullServiceAfter > want.fullService {
+				t.Errorf("full service %v after the last driver was up, at most %v is allowed", last.FullServiceAfter, want.fullService)
 			}
-			for _, back := range returns {
-				if l := back.Load(emu.Connects); l.After > want.connects {
+			for _, recovery := range recoveries {
+				if l := recovery.Load(emu.Connects); l.After > want.connects {
 					t.Errorf("%s got %.0f connections in a second, at most %.0f are allowed; %.0f before the outage", l.Where, l.After, want.connects, l.Before)
 				}
-				if back.ColdLoad >= 1 || back.DrainedAttempts > 0 || back.FormerPrimaryWrites > want.stale {
-					t.Errorf("cold members got %.2f of the load that overloads them, %v attempts at drained members, %v writes at former primaries", back.ColdLoad, back.DrainedAttempts, back.FormerPrimaryWrites)
+				if recovery.ColdLoad >= 1 || recovery.DrainedAttempts > 0 || recovery.FormerPrimaryWrites > want.formerPrimaryWrites {
+					t.Errorf("cold members got %.2f of the load that overloads them, %v attempts at drained members, %v writes at former primaries", recovery.ColdLoad, recovery.DrainedAttempts, recovery.FormerPrimaryWrites)
 				}
 			}
 		})
@@ -224,17 +224,17 @@
 	if r.Answers[emu.Nothing] > 0 || r.Utility < 0.95 {
 		t.Errorf("answers %v, utility %v", r.Answers, r.Utility)
 	}
-	var words []string
+	var events []string
 	for _, event := range r.Timeline.Events {
 		if event.Who == "d0" && !strings.HasPrefix(event.What, "is ") {
-			words = append(words, event.What)
+			events = append(events, event.What)
 		}
 	}
-	if !slices.Equal(words, []string{"driver_stop", "ended", "starts", "serves"}) {
-		t.Errorf("events of d0 in the timeline: %v", words)
+	if !slices.Equal(events, []string{"driver_stop", "ended", "starts", "serves"}) {
+		t.Errorf("events of d0 in the timeline: %v", events)
 	}
-	if f := r.Outages; len(f) != 1 || f[0].Up < f[0].At || len(f[0].Drivers) != 2 {
-		t.Errorf("outages: %+v", f)
+	if outages := r.Outages; len(outages) != 1 || outages[0].Up < outages[0].At || len(outages[0].Drivers) != 2 {
+		t.Errorf("outages: %+v", outages)
 	}
 }
 
