--- a/deploy/drills/all-cold.hcl
+++ b/deploy/drills/all-cold.hcl
@@ -1,4 +1,5 @@
-# All drivers and all members die in one instant; the members come back cold.
+# All drivers and all members are killed at the same time; the members restart cold. The drill looks for drivers that send nothing
+# to cold members because no warm member is known, and for drivers that overload cold members.
 like = "common/ten-drivers.hcl"
 lasts = "15s"
 
--- a/deploy/drills/all-killed-no-list.hcl
+++ b/deploy/drills/all-killed-no-list.hcl
@@ -1,4 +1,4 @@
-# All drivers are killed, and discovery says nothing for five seconds.
+# All drivers are killed at the same time, and discovery is silent for 6 s: until 5 s after the drivers have restarted.
 like = "common/ten-drivers.hcl"
 
 trouble "driver_kill" {
--- a/deploy/drills/all-killed.hcl
+++ b/deploy/drills/all-killed.hcl
@@ -1,4 +1,5 @@
-# All drivers are killed in one instant, in the middle of a burst, and start again together.
+# All drivers are killed at the same time, in the middle of a burst, and restart together after 2 s. The drill looks for floods of new
+# connections and for overloaded members when the clients return.
 like = "common/ten-drivers.hcl"
 
 trouble "driver_kill" {
--- a/deploy/drills/bad-day-killed.hcl
+++ b/deploy/drills/bad-day-killed.hcl
@@ -1,4 +1,5 @@
-# All drivers are killed in one instant while two members are slow and two replicas lag; what they had learned of that counts when they are back.
+# All drivers are killed at the same time while two members are slow and two replicas lag. The drill shows how much service is lost after
+# the restart if the drivers no longer know which members were slow or lagging. docs/state.md compares it with and without stored state.
 like = "common/ten-drivers.hcl"
 
 trouble "driver_kill" {
--- a/deploy/drills/common/ten-drivers.hcl
+++ b/deploy/drills/common/ten-drivers.hcl
@@ -1,4 +1,4 @@
-# Ten drivers, two groups of four members, a burst from 3 s to 8 s: what most drills are like. It has no trouble of its own.
+# Base of most drills: ten drivers, two groups of four members, and a burst of 1.5 times the usual load from 3 s to 8 s. It has no faults.
 lasts = "12s"
 
 fleet {
--- a/deploy/drills/fleet-cold.hcl
+++ b/deploy/drills/fleet-cold.hcl
@@ -1,4 +1,4 @@
-# Three hundred drivers and all of their 120 members die in one instant; the members come back cold. For simulated time.
+# As all-cold.hcl, with 300 drivers and 120 members. Meant for simulated time.
 like = "common/ten-drivers.hcl"
 lasts = "15s"
 
--- a/deploy/drills/fleet-most-killed.hcl
+++ b/deploy/drills/fleet-most-killed.hcl
@@ -1,4 +1,4 @@
-# Seven in ten of three hundred drivers are killed in one instant, in the middle of a burst. For simulated time.
+# 70 % of 300 drivers are killed at the same time, in the middle of a burst, and restart together after 2 s. Meant for simulated time.
 like = "common/ten-drivers.hcl"
 
 fleet {
--- a/deploy/drills/folders.hcl
+++ b/deploy/drills/folders.hcl
@@ -1,4 +1,6 @@
-# Drivers that keep what they learn are killed together; some find their folder emptied, an older copy of it, or a bit of it flipped.
+# Drivers that store learned state are killed together and restart with their folders unchanged. Later they are killed again, and restart
+# with the folder emptied, replaced by an older copy, or with one bit flipped. The drill looks for drivers that do not start, or that use
+# corrupt or outdated state as if it were current.
 like = "common/ten-drivers.hcl"
 
 fleet {
--- a/deploy/drills/frozen.hcl
+++ b/deploy/drills/frozen.hcl
@@ -1,4 +1,5 @@
-# Half of the drivers stand still for ten seconds, longer than any time-out, and go on with all that they knew.
+# Half of the drivers are paused for 10 s, longer than any timeout, and continue with what they knew before the pause. The drill looks for
+# decisions based on outdated knowledge, and for floods of new connections.
 like = "common/ten-drivers.hcl"
 lasts = "17s"
 
--- a/deploy/drills/halves.hcl
+++ b/deploy/drills/halves.hcl
@@ -1,4 +1,5 @@
-# Drivers and members are parted in halves for six seconds; the drivers of one half are killed meanwhile.
+# A partition separates drivers and members into two halves for 6 s. Meanwhile the drivers of the half with both primaries are killed, and
+# restart after 1 s without a connection to the other half.
 like = "common/ten-drivers.hcl"
 
 trouble "partition" {
--- a/deploy/drills/killed-twice.hcl
+++ b/deploy/drills/killed-twice.hcl
@@ -1,4 +1,4 @@
-# All drivers are killed, and most of them again while they come back.
+# All drivers are killed, and 60 % of them are killed again while they recover.
 like = "common/ten-drivers.hcl"
 
 trouble "driver_kill" {
--- a/deploy/drills/killed-while-saving.hcl
+++ b/deploy/drills/killed-while-saving.hcl
@@ -1,4 +1,5 @@
-# A driver that saves what it learns all the time is killed a thousand times, at any point of saving. Takes six minutes, with processes.
+# A driver that saves its learned state every 100 ms is killed 1,000 times, 331 ms apart, so that kills hit every phase of saving. The
+# drill looks for restarts that find an incomplete state. With processes it takes six minutes.
 lasts = "340s"
 
 fleet {
--- a/deploy/drills/most-killed.hcl
+++ b/deploy/drills/most-killed.hcl
@@ -1,4 +1,4 @@
-# Seven in ten drivers are killed in one instant, in the middle of a burst, and start again together.
+# 70 % of the drivers are killed at the same time, in the middle of a burst, and restart together after 0.5 s.
 like = "common/ten-drivers.hcl"
 
 trouble "driver_kill" {
--- a/deploy/drills/primary-moved.hcl
+++ b/deploy/drills/primary-moved.hcl
@@ -1,4 +1,5 @@
-# While all drivers are down the primaries hang, others take over, and the old ones answer again.
+# While all drivers are down, both primaries hang, other members become primary, and the former primaries answer again. The drill looks for
+# drivers that send writes to the former primaries.
 like = "common/ten-drivers.hcl"
 
 trouble "driver_kill" {
--- a/deploy/drills/stay.hcl
+++ b/deploy/drills/stay.hcl
@@ -1,4 +1,4 @@
-# Seven in ten drivers are killed; their clients go to those that live, and stay there.
+# 70 % of the drivers are killed. Their clients move to the drivers that still run, and stay there after the others have restarted.
 like = "common/ten-drivers.hcl"
 
 load {
--- a/deploy/drills/two-versions.hcl
+++ b/deploy/drills/two-versions.hcl
@@ -1,5 +1,6 @@
-# Half of the drivers are an older build (passtack rehearse --sockets --older=FILE): one view, one set of leases, one configuration, and
-# starts of either build while the other serves.
+# Half of the drivers run an older build (passtack rehearse --sockets --older=FILE). Drivers of both builds share one membership list, the
+# leases and the published configuration, and drivers of either build restart while the other build serves. The drill looks for
+# messages, stored data and configurations that one of the builds does not understand.
 lasts = "30s"
 
 fleet {
--- a/deploy/passtack.hcl
+++ b/deploy/passtack.hcl
@@ -1,12 +1,12 @@
-# The operator's own file: passtack serve --operator deploy/passtack.hcl. The platform's `run` does not name it, since the
-# platform gives no second listener. docs/odata.md explains each entry; `passtack check` names what is wrong.
+# Sample of an operator's file: passtack serve --operator deploy/passtack.hcl. The platform's `run` does not use it, since the
+# platform provides no second listener. docs/odata.md explains each entry; `passtack check` reports the errors in a file.
 
 log {
   level  = "info"
-  sample = 50 # lines of one event in a second; 0: all
+  sample = 50 # maximum log lines per event and second; 0: unlimited
 }
 
-# The platform's listener. Without this block it has weight 1 and no limits of its own.
+# The platform's listener. Without this block it has weight 1 and no limits.
 front "pg" "portal" {
   weight = 2
 }
@@ -70,7 +70,7 @@
   }
 }
 
-# What a driver has learned outlasts it here. One folder for each driver, which is there and its own (docs/state.md).
+# Learned state is stored here across restarts. The folder must exist, and no other driver may use it (docs/state.md).
 state {
   folder  = "/var/lib/passtack/n0"
   every   = "1s"
--- a/deploy/rehearsals/bad-drivers.hcl
+++ b/deploy/rehearsals/bad-drivers.hcl
@@ -1,4 +1,6 @@
-# Drivers die and stand still, their links lose and are cut, and discovery is silent meanwhile.
+# One driver is killed for 1 s, and the other paused for 0.8 s; then the links between the first and the members lose 2 % of their data for
+# 6 s, and those between the second and the members are cut for 2 s. Discovery is silent from 10 s to 30 s. Only RPCs at a driver that is down
+# or cut off should remain unanswered.
 lasts = "40s"
 
 fleet {
--- a/deploy/rehearsals/hung-or-dead.hcl
+++ b/deploy/rehearsals/hung-or-dead.hcl
@@ -1,4 +1,5 @@
-# A hung primary in one group, a dead one in the other: the first must be told from the second.
+# The primary of one group hangs for 8 s; later the primary of the other group is dead for 6 s. Attempts in flight at the hung primary may
+# have run, so drivers must distinguish the two cases.
 lasts = "30s"
 
 fleet {
--- a/deploy/rehearsals/offer-week.hcl
+++ b/deploy/rehearsals/offer-week.hcl
@@ -1,4 +1,5 @@
-# The offer week: three times the usual for ten seconds, more than the members can do, while a replica applies slowly.
+# Three times the usual load for 10 s, more than the members can serve, while one replica applies its log 20 times as slowly. Drivers must
+# push back the RPCs with the least utility for their work.
 lasts = "30s"
 
 fleet {
--- a/deploy/rehearsals/rolling-deploy.hcl
+++ b/deploy/rehearsals/rolling-deploy.hcl
@@ -1,4 +1,5 @@
-# A rolling deploy: the members drain one after the other and come back cold.
+# A rolling deployment: the members of a group drain one after the other, 12 s apart and the primary last, and restart cold after 4 s. No RPC
+# should be lost.
 lasts = "60s"
 
 fleet {
