--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -55,8 +55,8 @@
 	return &Listener{Protocol: "pg", Name: "platform", Quota: quota.Config{Weight: 1}}
 }
 
-// Read reads and checks a file. The address is that of the platform's listener, the methods are those of the settings. Errors in the file are
-// returned as ValidationErrors.
+// Read reads and checks a file. listen is the address of the platform's listener, methods are the methods in the settings. Errors in the file
+// are returned as ValidationErrors.
 func Read(name string, listen netip.AddrPort, methods []Method) (*File, error) {
 	text, err := os.ReadFile(name)
 	if err != nil {
@@ -81,7 +81,7 @@
 	return f, nil
 }
 
-// Recheck checks the same text again, against other methods.
+// Recheck checks the text of the file again, with other methods.
 func (f *File) Recheck(methods []Method) (*File, error) {
 	if f.recheck == nil {
 		return f, nil
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -29,7 +29,7 @@
 	return string(text)
 }
 
-// The values of the sample file arrive in the fields that they belong to.
+// Checks that the values of the sample file are stored in the right fields.
 func TestSampleFileIsRead(t *testing.T) {
 	f, err := Parse([]byte(sampleText(t)), "passtack.hcl", platformAddress, methods)
 	if err != nil {
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -29,7 +29,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Unwrap lets errors.As find each of them.
+// Unwrap returns the single errors, for errors.As.
 func (e ValidationErrors) Unwrap() []error {
 	all := make([]error, len(e))
 	for i, each := range e {
--- a/internal/config/leases.go
+++ b/internal/config/leases.go
@@ -11,7 +11,7 @@
 	"passtack/internal/lease"
 )
 
-// The names of the tasks.
+// Names of the tasks that lease holders do.
 const (
 	WatchDiscovery = "watch-discovery"
 	Summary        = "summary"
--- a/internal/config/members.go
+++ b/internal/config/members.go
@@ -9,6 +9,7 @@
 	"passtack/driver"
 )
 
+// maxGroup is the highest group number.
 const maxGroup = 1<<16 - 1
 
 // members reads the block that lists the groups whose members speak OData.
--- a/internal/config/membership.go
+++ b/internal/config/membership.go
@@ -13,7 +13,7 @@
 	MemberConnections int           // connections that a member accepts from all drivers together; 0: unknown
 }
 
-// membership reads the block that configures the membership list. Its fleet must be that of the leases.
+// membership reads the block that configures the membership list. If the file has leases, the fleets must be the same.
 func (r *reader) membership(f *File, b *hcl.Block) {
 	c := r.content(b.Body, []string{"fleet", "every", "connections"})
 	if c == nil {
--- a/internal/config/odata.go
+++ b/internal/config/odata.go
@@ -12,7 +12,7 @@
 	"passtack/internal/odata"
 )
 
-// maxIdentifier is the maximum length of an identifier in bytes, as in the OData standard.
+// maxIdentifier is the maximum length of an identifier in bytes, from the OData standard.
 const maxIdentifier = 128
 
 // OData configures the service and the limits of a listener for OData.
@@ -21,7 +21,7 @@
 	Model         *odata.Model
 	HTTP          httpwire.Limits
 	MaxBatch      int // maximum requests in one batch
-	MaxConcurrent int // requests of one batch processed concurrently
+	MaxConcurrent int // maximum requests of one batch processed concurrently
 	Idempotency   IdempotencyCache
 }
 
@@ -30,7 +30,7 @@
 	Sticky     bool // all repeats of a client arrive at this driver
 	TTL        time.Duration
 	MaxBytes   int
-	MaxPending int // requests without an answer yet
+	MaxPending int // maximum requests without an answer yet
 }
 
 func defaultOData() *OData {
--- a/internal/config/operation.go
+++ b/internal/config/operation.go
@@ -29,23 +29,23 @@
 		r.addError(b.LabelRanges[0], "operation must be one of %s, got %q", strings.Join(odata.OperationNames[:], ", "), name)
 		return
 	}
-	act := odata.OperationKind(i)
-	if s.Operations[act] != nil {
+	kind := odata.OperationKind(i)
+	if s.Operations[kind] != nil {
 		r.addError(b.LabelRanges[0], "set %q has two operations %q", s.Name, name)
 	}
 	o := &odata.Operation{}
-	s.Operations[act] = o
-	if number, m, ok := r.method(c, "method", act.Writes()); ok {
+	s.Operations[kind] = o
+	if number, m, ok := r.method(c, "method", kind.Writes()); ok {
 		o.Method, o.HasIdempotencyKey, o.Idempotent, o.Window, o.SoftDeadline, o.MaxDeadline = number, m.HasIdempotencyKey, m.Idempotent, m.Window, m.SoftDeadline, m.MaxDeadline
 	}
 	o.AfterWrite = o.Method
 	if c.Attributes["after_write"] != nil {
-		r.afterWrite(o, act, c, name)
+		r.afterWrite(o, kind, c, name)
 	}
-	r.statement(o, act, s, form, c, name)
+	r.statement(o, kind, s, form, c, name)
 }
 
-// method reads the name of a method. The method must be for writes if writes is set, otherwise for reads.
+// method reads the name of a method. It must be a method for writes if writes is true, else one for reads.
 func (r *reader) method(c *hcl.BodyContent, attribute string, writes bool) (driver.Method, Method, bool) {
 	name, location := r.textOf(c, attribute, "")
 	i := slices.IndexFunc(r.methods, func(m Method) bool { return m.Name == name })
@@ -76,8 +76,8 @@
 func (m Method) mayBeStale() bool { return m.Need == "any" || m.Need == "bounded" }
 
 // afterWrite reads the method used for a read that follows a write in the same batch.
-func (r *reader) afterWrite(o *odata.Operation, act odata.OperationKind, c *hcl.BodyContent, name string) {
-	if act.Writes() {
+func (r *reader) afterWrite(o *odata.Operation, kind odata.OperationKind, c *hcl.BodyContent, name string) {
+	if kind.Writes() {
 		r.addError(c.Attributes["after_write"].NameRange, "after_write is only allowed for reads, operation %q writes", name)
 		return
 	}
@@ -92,7 +92,7 @@
 }
 
 // statement reads the statement of an operation. Operations on members that speak OData must not have one.
-func (r *reader) statement(o *odata.Operation, act odata.OperationKind, s *odata.Set, form driver.Form, c *hcl.BodyContent, name string) {
+func (r *reader) statement(o *odata.Operation, kind odata.OperationKind, s *odata.Set, form driver.Form, c *hcl.BodyContent, name string) {
 	text, location := r.textOf(c, "statement", "")
 	switch {
 	case form == driver.Requests && text != "":
@@ -109,7 +109,7 @@
 		r.addError(location, "statement: %v", err)
 		return
 	}
-	for _, placeholder := range requiredPlaceholders[act] {
+	for _, placeholder := range requiredPlaceholders[kind] {
 		if !template.Has(placeholder) {
 			r.addError(location, "statement of %q must contain {%s}", name, placeholder)
 		}
@@ -135,8 +135,8 @@
 }
 
 func hasWrites(s *odata.Set) bool {
-	for act, o := range s.Operations {
-		if o != nil && odata.OperationKind(act).Writes() {
+	for kind, o := range s.Operations {
+		if o != nil && odata.OperationKind(kind).Writes() {
 			return true
 		}
 	}
--- a/internal/config/reader.go
+++ b/internal/config/reader.go
@@ -72,7 +72,7 @@
 	})
 }
 
-// addDiagnostics adds the errors of the HCL parser, each with its value unless that spans several lines.
+// addDiagnostics adds the errors of the HCL parser, each with its value unless the value spans several lines.
 func (r *reader) addDiagnostics(diagnostics hcl.Diagnostics) {
 	for _, d := range diagnostics {
 		location := hcl.Range{}
@@ -87,7 +87,7 @@
 	}
 }
 
-// content returns the attributes and blocks of a body. Any that are not listed are errors.
+// content returns the attributes and blocks of a body. Attributes and blocks that are not listed are errors.
 func (r *reader) content(body hcl.Body, attributes []string, blocks ...hcl.BlockHeaderSchema) *hcl.BodyContent {
 	schema := &hcl.BodySchema{Blocks: blocks}
 	for _, name := range attributes {
@@ -105,7 +105,7 @@
 	}
 }
 
-// value returns the value of an attribute and its location. ok is false if it is missing or not of the wanted type.
+// value returns the value of an attribute and its location. ok is false if the attribute is missing or not of the wanted type.
 func (r *reader) value(c *hcl.BodyContent, name string, want cty.Type, expected string) (v cty.Value, location hcl.Range, ok bool) {
 	a := c.Attributes[name]
 	if a == nil {
--- a/internal/front/odata/batch.go
+++ b/internal/front/odata/batch.go
@@ -10,22 +10,22 @@
 	"passtack/internal/odata"
 )
 
-// batchRun is a batch in service.
+// batchRun is a batch in service, with the requests and responses of its items.
 type batchRun struct {
 	exchange  *exchange
 	front     *Front
 	batch     *odata.Batch
 	plan      *batch.Plan
-	requests  []*request // nil for those answered without an RPC
+	requests  []*request // nil for a request answered without an RPC
 	responses []*response
-	sending   bool
+	sending   bool // sendReady is running; calls from within it return at once
 	timeout   eventloop.Timer
 }
 
 // maxBatchDefault bounds the duration of a batch whose client sets no deadline.
 const maxBatchDefault = 30 * time.Second
 
-// serveBatch starts a batch.
+// serveBatch parses a batch, prepares its requests and sends those that are ready.
 func (f *Front) serveBatch(e *exchange, httpReq *httpRequest) {
 	parsed, err := odata.ParseBatch(httpReq.fields.Text("content-type"), httpReq.body, odata.BatchLimits{Items: f.config.MaxBatch, HTTP: f.config.HTTP})
 	if err != nil {
@@ -42,7 +42,7 @@
 		}
 		items[i] = batch.Item{DependsOn: parsed.Items[i].DependsOn, Answered: b.responses[i] != nil && b.responses[i].status >= 400}
 		if req := b.requests[i]; req != nil {
-			items[i].Write, items[i].Group, items[i].Expected = req.act.Writes(), req.group, req.operation.SoftDeadline
+			items[i].Write, items[i].Group, items[i].Expected = req.operationKind.Writes(), req.group, req.operation.SoftDeadline
 			duration += req.operation.MaxDeadline
 		}
 	}
@@ -56,7 +56,7 @@
 	b.sendReady()
 }
 
-// newPlan plans the order of a batch.
+// newPlan returns the plan of the order in which the requests of a batch are sent.
 func newPlan(items []batch.Item, ordered, continueOnError bool, maxConcurrent int, deadline time.Duration) (*batch.Plan, *odata.Error) {
 	p, err := batch.New(items, ordered, continueOnError, maxConcurrent, deadline)
 	if err != nil {
@@ -65,7 +65,7 @@
 	return p, nil
 }
 
-// prepare validates one request of the batch. It returns the response where nothing has to be sent, else nil.
+// prepare validates one request of the batch. It returns the response if no RPC is needed, else nil.
 func (b *batchRun) prepare(i int) *response {
 	item := &b.batch.Items[i]
 	if item.Fault != nil {
@@ -74,7 +74,7 @@
 	target := item.Target
 	if index, rest, ok := b.batch.Reference(target); ok { // a reference to an entity that an earlier request of the batch creates
 		req := b.requests[index]
-		if req == nil || req.act != odata.Create {
+		if req == nil || req.operationKind != odata.Create {
 			return errorResponse(newError(400, "BadRequest", "%s refers to what creates nothing", target))
 		}
 		target = req.resource.Set.Name + "(" + odata.Encode(odata.KeyOf(req.key)) + ")" + rest
@@ -129,7 +129,7 @@
 	e.finish(&response{200, httpwire.AppendField(nil, "Content-Type", media), body})
 }
 
-// skippedResponse answers a request of a batch that is never sent.
+// skippedResponse returns the response to a request of a batch that was never sent.
 func skippedResponse(reason batch.SkipReason) *response {
 	switch reason {
 	case batch.DependencyFailed:
--- a/internal/front/odata/connection.go
+++ b/internal/front/odata/connection.go
@@ -22,7 +22,7 @@
 	version    string
 	batch      *batchRun
 	request    *request
-	starting   bool // the call of serve has not returned; Input consumes the request after it
+	starting   bool // serve has not returned yet, so Input has not consumed the request
 }
 
 // Busy implements front.Handler.
@@ -48,7 +48,7 @@
 	c.abandon()
 }
 
-// abandon ends the exchange in service, if there is one, as its client has disconnected. Repeatable requests continue without
+// abandon ends the exchange in service, if there is one, after its client has disconnected. Repeatable requests continue without
 // their client.
 func (c *connection) abandon() {
 	e := c.exchange
@@ -64,7 +64,8 @@
 	}
 }
 
-// Panicked implements eventloop.Handler. The client gets an error, as the request in service may have run.
+// Panicked implements eventloop.Handler. The client gets the response for a request that failed and may
+// have run.
 func (c *connection) Panicked(cause error) {
 	if !c.Ended {
 		c.Stream.Send(c.front.encodeMessage(abortResponse(), "4.01", false, true))
@@ -121,7 +122,7 @@
 	switch {
 	case immediate != nil:
 		e.finish(immediate)
-	case req.resource.Kind == odata.BatchOf:
+	case req.resource.Kind == odata.BatchResource:
 		f.serveBatch(e, httpReq)
 	default:
 		req.exchange, e.request = e, req
--- a/internal/front/odata/encode.go
+++ b/internal/front/odata/encode.go
@@ -30,14 +30,14 @@
 	}
 	comment = append(comment, " */ "...)
 	set := req.resource.Set
-	fill := &odata.Arguments{
+	arguments := &odata.Arguments{
 		Key: req.key, Body: req.http.body, Values: req.values, Filter: req.resource.Filter, Order: req.resource.Order,
 		Skip: req.resource.Skip, Top: req.pageSize() + 1, Match: req.requiredVersion, Set: set, Count: req.resource.Count,
 	}
 	if req.resource.Top >= 0 && req.resource.Top <= set.PageSize { // no next page, so no further item is needed to detect one
-		fill.Top = req.resource.Top
+		arguments.Top = req.resource.Top
 	}
-	req.memberRequest.Before, req.memberRequest.After = header, req.operation.Statement.Append(comment, fill)
+	req.memberRequest.Before, req.memberRequest.After = header, req.operation.Statement.Append(comment, arguments)
 }
 
 // pageSize returns how many items the response may hold.
--- a/internal/front/odata/front.go
+++ b/internal/front/odata/front.go
@@ -26,11 +26,11 @@
 	activeIDs   front.ActiveIDs
 	registry    *idempotency.Registry
 	random      *pcg.Source
-	dateSecond  time.Duration // the second that dateText shows
+	dateSecond  time.Duration // second for which dateText was formatted
 	dateText    string
 }
 
-// Listen accepts clients. methods has the names of the methods by number. Members that speak OData serve paths below memberRoot.
+// Listen starts a listener for clients. methods holds the method names by number. Members that speak OData serve paths below memberRoot.
 // The seed is for the random ids of requests.
 func Listen(l *eventloop.Loop, handler driver.RPCHandler, address netip.AddrPort, limits eventloop.AcceptLimiter, activeIDs front.ActiveIDs, settings *config.OData,
 	methods []string, memberRoot string, seed uint64) (*Front, error) {
@@ -49,7 +49,7 @@
 // size.
 func maxUnread(settings *config.OData) int { return settings.HTTP.Head + 2*settings.HTTP.Body }
 
-// SetConfig changes the entity sets, operations and limits. Requests in service go on with the former ones.
+// SetConfig changes the entity sets, operations and limits. Requests in service keep the former ones.
 func (f *Front) SetConfig(settings *config.OData) {
 	f.config = settings
 	if f.connections != nil {
--- a/internal/front/odata/idempotency.go
+++ b/internal/front/odata/idempotency.go
@@ -28,7 +28,7 @@
 	return fmt.Sprintf("%016x%016x", sum.Hi, sum.Lo)
 }
 
-// unlimitedWindow is the repeat window of an operation that may always run again.
+// unlimitedWindow is the repeat window of an idempotent operation, whose repeats may always run again.
 const unlimitedWindow = 1 << 20 * time.Hour
 
 // checkIdempotency looks up the request in the registry. It returns false if the request was answered or waits for the response
@@ -38,7 +38,7 @@
 	digest.WriteString(req.http.verb + "\x00" + req.resource.Set.Name + "\x00" + odata.KeyOf(req.key) + "\x00" + req.ifMatch + "\x00")
 	digest.Write(req.http.body)
 	window := req.operation.Window
-	if req.operation.Idempotent { // a repeat may always run again
+	if req.operation.Idempotent {
 		window = unlimitedWindow
 	}
 	verdict, entry := f.registry.Begin(idempotency.Request{Key: req.idempotencyKey, Digest: digest.Sum64(), FirstSent: req.firstSent, Window: window}, now)
@@ -73,7 +73,8 @@
 	return false
 }
 
-// encodeResponse encodes a response for storage. It replaces one over maxBytes by a response that only confirms success.
+// encodeResponse encodes a response for storage. A response of more than maxBytes is replaced by one that
+// only confirms success.
 func encodeResponse(r *response, maxBytes int) []byte {
 	if len(r.fields)+len(r.body) > maxBytes {
 		r = &response{204, httpwire.AppendField(nil, "Preference-Applied", "return=minimal"), nil}
--- a/internal/front/odata/preferences.go
+++ b/internal/front/odata/preferences.go
@@ -11,7 +11,7 @@
 	"passtack/internal/odata"
 )
 
-// negotiateFormat picks the media type that the client prefers of those offered. $format overrides Accept.
+// negotiateFormat picks the offered media type that the client prefers. $format overrides Accept.
 func (req *request) negotiateFormat(offered ...string) *odata.Error {
 	wanted := req.http.fields.Text("accept")
 	if short := req.resource.Format; short != "" {
@@ -51,10 +51,10 @@
 	return nil
 }
 
-// maxWait bounds how long a client may ask to wait.
+// maxWait is the longest wait that a client can request.
 const maxWait = time.Minute
 
-// deadline returns when the request must be answered at the latest: DeliveryMargin before the client stops waiting. The client's
+// deadline returns the latest time for the response: DeliveryMargin before the client stops waiting. The client's
 // wait is Deadline-Ms (milliseconds), else the preference wait (seconds), else defaultWait.
 func (f *Front) deadline(httpReq *httpRequest, defaultWait time.Duration) time.Duration {
 	wait := defaultWait
--- a/internal/front/odata/render.go
+++ b/internal/front/odata/render.go
@@ -10,7 +10,7 @@
 	"passtack/internal/odata"
 )
 
-// malformedValueResponse answers a request if a member's value does not match the metadata.
+// malformedValueResponse returns the response if a member's value does not match the metadata.
 func malformedValueResponse() *response {
 	return errorResponse(newError(500, "BrokenValue", "a member answered with what is no such resource"))
 }
@@ -23,7 +23,7 @@
 	} else {
 		r = f.renderValue(req, a.Value)
 	}
-	if req.act.Writes() && a.Position > 0 && r.status < 300 {
+	if req.operationKind.Writes() && a.Position > 0 && r.status < 300 {
 		r.fields = httpwire.AppendField(r.fields, "Session-Position", strconv.FormatInt(int64(a.Position/time.Millisecond), 10))
 	}
 	return r
@@ -32,7 +32,7 @@
 // forwardedFields are the header fields of a member's response that are forwarded to the client.
 var forwardedFields = []string{"Content-Type", "ETag", "Preference-Applied", "Allow"}
 
-// forward returns the response to the client for one of a member that speaks OData. The body is unchanged.
+// forward returns the response to the client for the response of a member that speaks OData. The body is unchanged.
 func (f *Front) forward(req *request, a *driver.Answer) *response {
 	r := &response{status: a.Status, body: append([]byte(nil), a.Value...)}
 	fields := httpwire.Fields(a.Fields)
@@ -41,7 +41,7 @@
 			r.fields = httpwire.AppendField(r.fields, name, value)
 		}
 	}
-	if req.act == odata.Create && a.Status < 300 {
+	if req.operationKind == odata.Create && a.Status < 300 {
 		r.fields = f.appendLocation(r.fields, req, req.key, a.Status == 204)
 	}
 	return r
@@ -59,19 +59,19 @@
 
 // renderValue returns the response for the value of a statement.
 func (f *Front) renderValue(req *request, value []byte) *response {
-	if req.act.Writes() {
+	if req.operationKind.Writes() {
 		return f.renderWrite(req, value)
 	}
 	res, root := &req.resource, f.config.Root
 	json := httpwire.AppendField(nil, "Content-Type", "application/json;odata.metadata="+map[bool]string{true: "minimal", false: "none"}[req.minimalMetadata])
 	plain := httpwire.AppendField(nil, "Content-Type", "text/plain")
 	switch {
-	case req.act == odata.Count:
+	case req.operationKind == odata.Count:
 		if n, err := strconv.ParseUint(strings.TrimSpace(string(value)), 10, 63); err == nil {
 			return &response{200, plain, strconv.AppendUint(nil, n, 10)}
 		}
 		return malformedValueResponse()
-	case req.act == odata.List:
+	case req.operationKind == odata.List:
 		body, ok := res.CollectionBody(value, root, req.pageSize(), req.minimalMetadata, req.nextPage())
 		if !ok {
 			return malformedValueResponse()
@@ -89,13 +89,13 @@
 		return r
 	}
 	switch res.Kind {
-	case odata.PropertyOf, odata.ValueOf:
-		body, null, ok := res.PropertyBody(value, root, req.minimalMetadata, res.Kind == odata.ValueOf)
+	case odata.PropertyResource, odata.ValueResource:
+		body, null, ok := res.PropertyBody(value, root, req.minimalMetadata, res.Kind == odata.ValueResource)
 		if !ok {
 			return malformedValueResponse()
 		}
 		r := &response{200, json, body}
-		if res.Kind == odata.ValueOf {
+		if res.Kind == odata.ValueResource {
 			r.fields = plain
 		}
 		if null {
@@ -114,8 +114,8 @@
 	return r
 }
 
-// conditionalResponse answers a read whose precondition fails, or whose client already has this version of the entity. Otherwise
-// it returns nil.
+// conditionalResponse returns the response to a read whose precondition fails, or whose client already has this version of the
+// entity, otherwise nil.
 func (req *request) conditionalResponse(tag string) *response {
 	matches := func(tags string) bool {
 		for item := range strings.SplitSeq(tags, ",") {
@@ -134,7 +134,7 @@
 	return nil
 }
 
-// nextPage returns the target of the next page, "" if the client's $top is reached with this one.
+// nextPage returns the target of the next page, or "" if this page reaches the client's $top.
 func (req *request) nextPage() string {
 	r := &req.resource
 	left := -1
@@ -165,14 +165,14 @@
 	res := &req.resource
 	if odata.IsNoEntity(value) {
 		switch {
-		case req.act == odata.Create:
+		case req.operationKind == odata.Create:
 			return errorResponse(newError(409, "Conflict", "there is an entity of this key"))
 		case req.requiredVersion != "":
 			return errorResponse(newError(412, "PreconditionFailed", "the entity has another version, or is gone"))
 		}
 		return errorResponse(newError(404, "NotFound", "there is no such entity"))
 	}
-	if req.act == odata.Delete {
+	if req.operationKind == odata.Delete {
 		return &response{status: 204}
 	}
 	body, isEntity := res.EntityBody(value, f.config.Root, req.minimalMetadata)
@@ -184,7 +184,7 @@
 	if isEntity {
 		tag = res.Set.ETagOf(value)
 	}
-	created := req.act == odata.Create
+	created := req.operationKind == odata.Create
 	if returnsEntity := isEntity && (req.returnPreference == "representation" || created && req.returnPreference != "minimal"); returnsEntity {
 		r := &response{status: 200, body: body}
 		r.fields = httpwire.AppendField(nil, "Content-Type", "application/json;odata.metadata="+map[bool]string{true: "minimal", false: "none"}[req.minimalMetadata])
--- a/internal/front/odata/request.go
+++ b/internal/front/odata/request.go
@@ -16,7 +16,7 @@
 	"passtack/internal/slotmap"
 )
 
-// request is one RPC in service, or one that waits for the response to another.
+// request is a request in service as one RPC, or one that waits for the response to another request.
 type request struct {
 	front         *Front
 	http          *httpRequest
@@ -33,21 +33,21 @@
 
 // operationRequest holds the operation that a request asks for, from its target, header fields and body.
 type operationRequest struct {
-	resource  odata.Resource
-	act       odata.OperationKind
-	operation *odata.Operation
-	group     driver.Group
-	form      driver.Form // protocol of the group's members
-	key       odata.Value
-	values    map[string]odata.Value // by name of the property
+	resource      odata.Resource
+	operationKind odata.OperationKind
+	operation     *odata.Operation
+	group         driver.Group
+	form          driver.Form // protocol of the group's members
+	key           odata.Value
+	values        map[string]odata.Value // by name of the property
 
 	ifMatch         string
 	ifNoneMatch     string
-	requiredVersion string // version in If-Match, a parameter of the statement
+	requiredVersion string // version in If-Match, passed to the statement
 
 	format           string // the media type of the response
 	minimalMetadata  bool   // odata.metadata is minimal rather than none
-	returnPreference string // of a write: minimal, representation or ""
+	returnPreference string // for a write: minimal, representation or ""
 }
 
 // repeatability holds the repeatability fields of a request, and its state in the registry.
@@ -55,12 +55,12 @@
 	idempotencyKey  string // "": not repeatable
 	repeatabilityID string
 	firstSent       time.Duration
-	entry           *idempotency.Entry // of this request, if it is repeatable
-	joinedEntry     *idempotency.Entry // of the request whose response it waits for
+	entry           *idempotency.Entry // entry of this request, if it is repeatable
+	joinedEntry     *idempotency.Entry // entry of the request whose response this request waits for
 	joinTimeout     eventloop.Timer
 }
 
-// send hands the request to the driver, unless it can be answered here. A read must see all writes committed up to minPosition.
+// send hands the request to the driver, unless the front can answer it. A read must see all writes committed up to minPosition.
 func (f *Front) send(req *request, deadline, minPosition time.Duration, method driver.Method) {
 	now := f.loop.Now()
 	if req.handle = f.requests.Insert(req); req.handle == 0 {
@@ -76,7 +76,7 @@
 		token = idempotencyToken(req.idempotencyKey, req.repeatabilityID)
 	}
 	req.id = f.newID()
-	if token == "" && req.act.Writes() {
+	if token == "" && req.operationKind.Writes() {
 		token = req.id
 	}
 	f.activeIDs[req.id] = true
@@ -92,7 +92,7 @@
 	req.rpc = f.handler.Take(f, driver.Client(req.handle), method, req.group, req.session(), req.http.receivedAt, deadline, sinceCommit, false)
 }
 
-// session returns the client's session: that of the Session-Id field, else that of the entity's key, 0 without either.
+// session returns the client's session: derived from the Session-Id field, else from the entity's key, or 0 without either.
 func (req *request) session() driver.Session {
 	if name := req.http.fields.Text("session-id"); name != "" {
 		return front.SessionOf([]byte(name))
@@ -105,14 +105,14 @@
 
 // requiredPosition returns the position that a read must see: the later of Session-Position and minPosition. It is 0 for a write.
 func (req *request) requiredPosition(minPosition time.Duration) time.Duration {
-	if req.act.Writes() {
+	if req.operationKind.Writes() {
 		return 0
 	}
 	text := req.http.fields.Text("session-position")
 	return max(member.PlausiblePosition([]byte(text), req.front.handler.MembersNow(), 0), minPosition)
 }
 
-// newID returns an id that no RPC in service has.
+// newID returns a random id that no RPC in service uses.
 func (f *Front) newID() string {
 	for {
 		id := fmt.Sprintf("%08x%08x", uint32(f.random.Uint32()), uint32(f.random.Uint32()))
@@ -122,7 +122,7 @@
 	}
 }
 
-// finish ends the request with its response, and with the same response the requests that wait for it.
+// finish ends the request with its response. Requests that wait for it get the same response.
 func (req *request) finish(outcome idempotency.Outcome, r *response, position time.Duration) {
 	if req.ended {
 		return
@@ -155,8 +155,8 @@
 	}
 }
 
-// abandon ends a request whose client has disconnected. A repeatable one stays in service while an attempt is in flight, so that
-// a repeat gets its outcome; it is retried only if another request waits for it.
+// abandon ends a request whose client has disconnected. A repeatable request stays in service while an attempt is in flight,
+// so that a repeat gets its outcome; it is retried only if another request waits for it.
 func (req *request) abandon() {
 	if req.ended {
 		return
--- a/internal/front/odata/validate.go
+++ b/internal/front/odata/validate.go
@@ -18,7 +18,7 @@
 	verb, target string
 	fields       httpwire.Fields
 	body         []byte
-	receivedAt   time.Duration // arrival of its last byte; in a batch, when it was sent to the driver
+	receivedAt   time.Duration // arrival of the last byte; in a batch, the time at which the request was sent to the driver
 	inBatch      bool
 }
 
@@ -28,7 +28,7 @@
 }
 
 // validate parses and checks a request. It returns the request to send, or the response if nothing has to be sent. The resource
-// of the returned request may also be a batch.
+// of the returned request is an entity set, a part of one, or $batch.
 func (f *Front) validate(httpReq *httpRequest) (*request, *response) {
 	req := &request{front: f, http: httpReq}
 	req.minimalMetadata, req.returnPreference = true, preference(httpReq.fields, "return")
@@ -46,13 +46,13 @@
 	if r := f.serveDocument(req); r != nil {
 		return nil, r
 	}
-	if resource.Kind == odata.BatchOf {
+	if resource.Kind == odata.BatchResource {
 		if httpReq.inBatch {
 			return nil, errorResponse(odata.NotOffered("", "a batch in a batch"))
 		}
 		return req, nil
 	}
-	if err := req.chooseAct(); err != nil {
+	if err := req.chooseOperation(); err != nil {
 		return nil, errorResponse(err)
 	}
 	if err := req.readBody(); err != nil {
@@ -64,8 +64,8 @@
 	if err := req.chooseGroup(); err != nil {
 		return nil, errorResponse(err)
 	}
-	if req.operation = req.resource.Set.Operations[req.act]; req.operation == nil {
-		return nil, errorResponse(odata.NotOffered("", odata.OperationNames[req.act]+" of "+req.resource.Set.Name))
+	if req.operation = req.resource.Set.Operations[req.operationKind]; req.operation == nil {
+		return nil, errorResponse(odata.NotOffered("", odata.OperationNames[req.operationKind]+" of "+req.resource.Set.Name))
 	}
 	if err := req.checkStatement(); err != nil {
 		return nil, errorResponse(err)
@@ -76,7 +76,7 @@
 	return req, nil
 }
 
-// checkVersions checks the versions of OData that the client uses and accepts.
+// checkVersions checks OData-Version and OData-MaxVersion.
 func (httpReq *httpRequest) checkVersions() *odata.Error {
 	if v := httpReq.fields.Text("odata-version"); v != "" && v != "4.0" && v != "4.01" {
 		return newError(400, "BadVersion", "OData-Version %q is neither 4.0 nor 4.01", v)
@@ -95,7 +95,7 @@
 // checkMethod rejects a method that the resource does not allow, and answers OPTIONS.
 func (f *Front) checkMethod(req *request) *response {
 	allowed := map[odata.Kind]string{
-		odata.BatchOf: "POST", odata.Collection: "GET, HEAD, POST", odata.Entity: "GET, HEAD, PATCH, PUT, DELETE",
+		odata.BatchResource: "POST", odata.Collection: "GET, HEAD, POST", odata.Entity: "GET, HEAD, PATCH, PUT, DELETE",
 	}[req.resource.Kind]
 	if allowed == "" {
 		allowed = "GET, HEAD"
@@ -143,29 +143,29 @@
 	return r
 }
 
-// chooseAct determines the act of the request on the resource, and the format of the response.
-func (req *request) chooseAct() *odata.Error {
+// chooseOperation determines the kind of operation and the format of the response.
+func (req *request) chooseOperation() *odata.Error {
 	formats := []string{"application/json"}
 	switch req.resource.Kind {
 	case odata.Collection:
-		req.act = odata.List
-	case odata.CountOf, odata.ValueOf:
-		req.act = odata.Read
-		if req.resource.Kind == odata.CountOf {
-			req.act = odata.Count
+		req.operationKind = odata.List
+	case odata.CountResource, odata.ValueResource:
+		req.operationKind = odata.Read
+		if req.resource.Kind == odata.CountResource {
+			req.operationKind = odata.Count
 		}
 		formats = []string{"text/plain"}
 	}
 	switch req.http.verb {
 	case "POST":
-		req.act = odata.Create
+		req.operationKind = odata.Create
 	case "PATCH", "PUT":
-		req.act = map[string]odata.OperationKind{"PATCH": odata.Update, "PUT": odata.Replace}[req.http.verb]
+		req.operationKind = map[string]odata.OperationKind{"PATCH": odata.Update, "PUT": odata.Replace}[req.http.verb]
 		if req.resource.Set.Operations[odata.Upsert] != nil && req.http.fields.Text("if-match") == "" {
-			req.act = odata.Upsert
+			req.operationKind = odata.Upsert
 		}
 	case "DELETE":
-		req.act = odata.Delete
+		req.operationKind = odata.Delete
 	}
 	return req.negotiateFormat(formats...)
 }
@@ -173,7 +173,7 @@
 // readBody reads the body of a write, and rejects the body of any other request.
 func (req *request) readBody() (err *odata.Error) {
 	req.key = req.resource.Key
-	if !req.act.Writes() || req.act == odata.Delete {
+	if !req.operationKind.Writes() || req.operationKind == odata.Delete {
 		if len(req.http.body) > 0 {
 			return newError(400, "BadRequest", "%s brings a body", req.http.verb)
 		}
@@ -187,18 +187,18 @@
 		return newError(415, "UnsupportedMediaType", "a body is in UTF-8")
 	}
 	set := req.resource.Set
-	if req.values, err = set.Body(req.http.body, req.act == odata.Create); err != nil {
+	if req.values, err = set.Body(req.http.body, req.operationKind == odata.Create); err != nil {
 		return err
 	}
 	switch key, found := req.values[set.Key.Name]; {
-	case req.act == odata.Create:
+	case req.operationKind == odata.Create:
 		req.key = key
 	case found && odata.KeyOf(key) != odata.KeyOf(req.key):
 		return newError(400, "BadRequest", "the key of the body is not the one of the path")
 	default:
 		req.values[set.Key.Name] = req.key
 	}
-	if req.act == odata.Replace || req.act == odata.Upsert && req.http.verb == "PUT" {
+	if req.operationKind == odata.Replace || req.operationKind == odata.Upsert && req.http.verb == "PUT" {
 		for _, p := range set.Properties {
 			if _, found := req.values[p.Name]; !found && !p.Nullable {
 				return newError(400, "BadRequest", "%s is missing", p.Name)
@@ -208,10 +208,10 @@
 	return nil
 }
 
-// chooseGroup determines the group: by a hash of the key if the entity set is spread over several.
+// chooseGroup determines the group, by a hash of the key if the entity set is spread over several groups.
 func (req *request) chooseGroup() *odata.Error {
 	groups := req.resource.Set.Groups
-	if req.act == odata.List || req.act == odata.Count {
+	if req.operationKind == odata.List || req.operationKind == odata.Count {
 		if len(groups) > 1 {
 			return odata.NotOffered("", fmt.Sprintf("a collection over %d groups", len(groups)))
 		}
--- a/internal/front/odata/validate_test.go
+++ b/internal/front/odata/validate_test.go
@@ -15,7 +15,7 @@
 	"passtack/internal/pgwire"
 )
 
-// statementHandler stands for a driver whose members all take statements.
+// statementHandler is the RPCHandler of a driver whose members all accept statements.
 type statementHandler struct{ driver.RPCHandler }
 
 func (statementHandler) FormOf(driver.Group) driver.Form { return driver.Statements }
@@ -35,7 +35,7 @@
 	return &Front{handler: statementHandler{}, config: f.Listeners[1].OData, methods: []string{"status-read", "own-read", "apply-write"}, random: pcg.New(1)}
 }
 
-// Guards against a preference or media type being read wrongly, such as a repeated preference or one of quality 0.
+// Guards against misread preferences and media types, such as a repeated preference or a media type of quality 0.
 func TestPreferencesAndFormats(t *testing.T) {
 	fields := httpwire.Fields("Prefer: respond-async, odata.continue-on-error; x=y\r\nPREFER: wait=7 , return=\"minimal\", wait=9\r\n")
 	for name, want := range map[string]string{"wait": "7", "return": "minimal", "continue-on-error": "true", "nothing": ""} {
@@ -54,7 +54,7 @@
 		}
 	}
 	if req, immediate := f.validate(&httpRequest{verb: "GET", target: "/odata/Applications('a')", fields: httpwire.Fields("Accept: application/json;odata.metadata=none\r\n")}); immediate != nil || req.minimalMetadata {
-		t.Errorf("no metadata is wanted: %v", immediate)
+		t.Errorf("odata.metadata=none gives control information, or an error: %v", immediate)
 	}
 }
 
@@ -96,7 +96,7 @@
 		rest, ok := pgwire.Comment([]byte(text), func(name, _ []byte, _, _ int) { names[string(name)]++ })
 		for name, count := range names {
 			if count != 1 || !strings.Contains(" id c d k cluster after ", " "+name+" ") {
-				t.Fatalf("%s stands %d times in %q", name, count, text)
+				t.Fatalf("%s occurs %d times in %q", name, count, text)
 			}
 		}
 		first, _, _ := strings.Cut(string(rest), " ")
--- a/internal/lease/candidate.go
+++ b/internal/lease/candidate.go
@@ -19,7 +19,7 @@
 
 const (
 	maxRounds        = 4                      // number of latest rounds whose answers are still counted
-	answerTimeout    = 300 * time.Millisecond // of a request that is to acquire the lease, not to extend it
+	answerTimeout    = 300 * time.Millisecond // for requests that acquire the lease; requests that extend it have no timeout
 	minBackoff       = 100 * time.Millisecond // doubled with each failed request, up to the TTL
 	renewalsPerTTL   = 3
 	maxQueueFullWait = 20 // in TTLs: longest wait between two requests of a candidate for which the voters' queues are full
@@ -32,7 +32,7 @@
 	sentAt       time.Duration
 	grants       []Node
 	rejections   []Node
-	retryAfter   time.Duration // longest that any voter asked for
+	retryAfter   time.Duration // longest wait that any voter asked for
 }
 
 func (r *round) grantedBy(n Node) bool  { return slices.Contains(r.grants, n) }
@@ -51,7 +51,7 @@
 type observations struct {
 	holder           Holder
 	rejectionReasons map[Node]Reason        // by voter, from its latest answer
-	lastHeard        map[Node]time.Duration // by voter: when its latest message came
+	lastHeard        map[Node]time.Duration // by voter: arrival of its latest message
 }
 
 // Candidate acquires one lease for its driver and renews it.
@@ -70,7 +70,7 @@
 	lastRound      uint64
 	rounds         []round // oldest first
 	nextRequestAt  time.Duration
-	answerDeadline time.Duration // of the open request to acquire the lease; 0 if there is none
+	answerDeadline time.Duration // for the open request to acquire the lease; 0 if there is none
 	failures       int           // consecutive requests that did not acquire the lease
 }
 
@@ -104,8 +104,8 @@
 	c.closeRounds()
 }
 
-// Held reports whether the driver holds the lease at the time now, and returns its fencing token. An action that needs the lease has to be
-// guarded by it, with a clock reading taken right before the action.
+// Held reports whether the driver holds the lease at the time now, and returns its fencing token. Callers must check it for each
+// action that needs the lease, with a clock reading taken right before the action.
 func (c *Candidate) Held(now time.Duration) (fencingToken uint64, ok bool) {
 	return c.hold.fencingToken, c.hold.exists() && now < c.hold.expiresAt
 }
@@ -152,7 +152,7 @@
 	return time.Duration(c.random.Float() * float64(limit))
 }
 
-// NextWake returns when Wake is to be called next; ok is false while the candidate does not campaign.
+// NextWake returns the time at which Wake must be called next; ok is false while the candidate does not campaign.
 func (c *Candidate) NextWake() (at time.Duration, ok bool) {
 	if !c.campaigning {
 		return 0, false
@@ -167,9 +167,9 @@
 	return at, true
 }
 
-// Wake handles what is due at the time now: the end of the lease, an answer deadline, the next request. A new fencing token is at least
-// minToken, which the host derives from the time of day, so that tokens increase even after all voters have lost their storage. Nothing else
-// depends on minToken.
+// Wake does what is due at the time now: it ends an expired lease, abandons a request whose answer deadline has passed, and sends the next
+// request. A new fencing token is at least minToken, which the host derives from the time of day, so that tokens increase even after all
+// voters have lost their storage. Nothing else depends on minToken.
 func (c *Candidate) Wake(now time.Duration, minToken uint64) {
 	if !c.campaigning {
 		return
@@ -309,7 +309,7 @@
 	FencingToken     uint64 // 0 if the driver does not hold the lease
 	HeldFor          time.Duration
 	Remaining        time.Duration          // time until the lease expires
-	Holder           Holder                 // as far as this driver knows; may be outdated
+	Holder           Holder                 // last holder that this driver learned of; may be outdated
 	RejectionReasons map[Node]Reason        // by voter, from its latest answer
 	LastHeard        map[Node]time.Duration // by voter: time since its latest message
 }
--- a/internal/lease/faults_test.go
+++ b/internal/lease/faults_test.go
@@ -77,8 +77,8 @@
 	}
 }
 
-// runWithFaults injects faults at random times, one a second on average, and then runs without any. In the end some driver has to hold the
-// lease.
+// runWithFaults injects faults at random times, one a second on average, and then runs without faults for the time
+// quiet. It records a violation if no driver holds the lease then.
 func (s *simulation) runWithFaults(faults int, quiet time.Duration) {
 	for range faults {
 		s.after(time.Duration(s.random.Float()*float64(time.Duration(faults)*time.Second)), s.injectFault)
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -28,11 +28,11 @@
 // Holder is a driver process that may hold a lease. After a restart the driver counts as a different holder.
 type Holder struct {
 	Node        Node
-	Incarnation uint64 // of the process, assigned when it starts
+	Incarnation uint64 // identifies the process; assigned when it starts
 }
 
-// VoterSet names the drivers that vote. One set is replaced by another by way of a joint set, in which a majority of the new and a majority of
-// the former voters are needed.
+// VoterSet names the drivers that vote. Between two sets comes a joint set, in which a lease needs a majority of the new and a majority of the
+// former voters.
 type VoterSet struct {
 	Version uint32 // increases with each change
 	Voters  []Node
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -84,7 +84,7 @@
 	}
 }
 
-// TestVoterChangeDuringFaults changes the set of voters by way of a joint set, which drivers learn of at different times, and checks that no two
+// TestVoterChangeDuringFaults changes the set of voters by way of a joint set, which reaches the drivers at different times, and checks that no two
 // drivers hold the lease at the same time.
 func TestVoterChangeDuringFaults(t *testing.T) {
 	former, joint, next := voterSet(1, 1, 2, 3), VoterSet{2, []Node{3, 4, 5}, []Node{1, 2, 3}}, voterSet(3, 3, 4, 5)
@@ -159,8 +159,8 @@
 	}
 }
 
-// TestManyCandidatesAcquireInTurn checks that of twenty candidates that ask at the same time each acquires the lease within 30 seconds, if each
-// resigns 50 ms after it acquired the lease.
+// TestManyCandidatesAcquireInTurn checks that twenty candidates that start at the same time all acquire the lease within 30 seconds, if each
+// resigns 50 ms after it has acquired the lease.
 func TestManyCandidatesAcquireInTurn(t *testing.T) {
 	s := newSimulation(5, 20, voterSet(1, 1, 2, 3), false)
 	s.run(s.now + 5*time.Second) // until the voters have started to grant leases
@@ -185,7 +185,7 @@
 	}
 }
 
-// TestFailoverTime checks how long no driver holds the lease after its holder was killed.
+// TestFailoverTime measures how long the lease has no holder after its holder was killed, and checks the 99th percentile.
 func TestFailoverTime(t *testing.T) {
 	var gaps []time.Duration
 	for seed := range uint64(200) {
--- a/internal/lease/message.go
+++ b/internal/lease/message.go
@@ -17,7 +17,7 @@
 	lastOp    = Available
 )
 
-// Reason is the reason for which a voter rejects a request.
+// Reason says why a voter rejects a request.
 type Reason uint8
 
 const (
@@ -40,10 +40,10 @@
 	Op              Op
 	Reason          Reason // of a Reject, else 0
 	Lease           string // name, 1 to MaxNameLength bytes
-	VoterSetVersion uint32 // highest that the sender knows
-	Round           uint64 // number of a Request; repeated in its answers
-	FencingToken    uint64 // in a Reject, the highest that the voter has seen
-	// TTL is the duration of the lease that is requested or granted; in a Reject, the time after which the candidate is to ask again.
+	VoterSetVersion uint32 // highest version that the sender knows
+	Round           uint64 // number of a Request; its answers have the same number
+	FencingToken    uint64 // in a Reject, the highest token that the voter has seen
+	// TTL is the duration of the lease that is requested or granted; in a Reject, the time after which the candidate is to send its next request.
 	TTL    time.Duration
 	Holder Holder // the candidate; in a Reject, the current holder
 }
--- a/internal/lease/model_test.go
+++ b/internal/lease/model_test.go
@@ -49,7 +49,7 @@
 	restarts, duplicates, resignations int
 	highestAcquired                    uint64
 	violation                          string
-	sender                             Node // of the messages sent in the current step
+	sender                             Node // sender of the messages of the current step
 }
 
 func (m *model) Send(to Node, message Message) {
@@ -69,11 +69,11 @@
 	set := voterSet(1, 1, 2, 3)
 	for i := range m.voters {
 		m.voters[i] = NewVoter(m, Node(i+1), set, modelTTL, nil, m.now)
-		m.voters[i].silentUntil = 0 // as if they had started long ago
+		m.voters[i].silentUntil = 0 // as if the voter had started long ago
 	}
 	for i := range m.candidates {
 		m.candidates[i] = NewCandidate(m, Holder{firstCandidate + Node(i), 1}, "x", modelTTL, set, uint64(i))
-		m.candidates[i].Campaign(maxTicks * tick * 2) // after the end of the run, so candidates ask only when the model makes them
+		m.candidates[i].Campaign(maxTicks * tick * 2) // after the end of the run, so that candidates send requests only in steps of the model
 	}
 	return m
 }
@@ -91,13 +91,13 @@
 		}
 		c.voters[i] = &voter
 	}
-	for i, a := range m.candidates {
-		candidate := *a
+	for i, original := range m.candidates {
+		candidate := *original
 		candidate.host = &c
-		candidate.observed.rejectionReasons, candidate.observed.lastHeard = maps.Clone(a.observed.rejectionReasons), maps.Clone(a.observed.lastHeard)
-		random := *a.random
+		candidate.observed.rejectionReasons, candidate.observed.lastHeard = maps.Clone(original.observed.rejectionReasons), maps.Clone(original.observed.lastHeard)
+		random := *original.random
 		candidate.random = &random
-		candidate.rounds = slices.Clone(a.rounds)
+		candidate.rounds = slices.Clone(original.rounds)
 		for j := range candidate.rounds {
 			r := &candidate.rounds[j]
 			r.grants, r.rejections = slices.Clone(r.grants), slices.Clone(r.rejections)
@@ -116,18 +116,18 @@
 	put(m.highestAcquired)
 	for _, v := range m.voters {
 		put(uint64(v.silentUntil))
-		if t := v.grants["x"]; t != nil {
-			put(t.promise.FencingToken)
-			put(uint64(t.holder.Node))
-			put(uint64(t.expiresAt))
+		if state := v.grants["x"]; state != nil {
+			put(state.promise.FencingToken)
+			put(uint64(state.holder.Node))
+			put(uint64(state.expiresAt))
 		}
 		out = append(out, 0xff)
 	}
-	for i, a := range m.candidates {
-		for _, n := range []uint64{uint64(m.requests[i]), a.hold.fencingToken, uint64(a.hold.expiresAt), a.highestToken, uint64(a.answerDeadline)} {
+	for i, c := range m.candidates {
+		for _, n := range []uint64{uint64(m.requests[i]), c.hold.fencingToken, uint64(c.hold.expiresAt), c.highestToken, uint64(c.answerDeadline)} {
 			put(n)
 		}
-		for _, r := range a.rounds {
+		for _, r := range c.rounds {
 			put(r.number)
 			put(uint64(r.sentAt))
 			for _, n := range voterNodes {
@@ -193,18 +193,18 @@
 	if m.now < maxTicks*tick {
 		apply(func(c *model) { c.now += tick })
 	}
-	for i, a := range m.candidates {
-		if at, ok := a.NextWake(); ok && at <= m.now {
+	for i, candidate := range m.candidates {
+		if at, ok := candidate.NextWake(); ok && at <= m.now {
 			apply(func(c *model) { c.wake(i) })
 		}
-		if m.requests[i] < maxRequests && a.answerDeadline == 0 && a.campaigning {
+		if m.requests[i] < maxRequests && candidate.answerDeadline == 0 && candidate.campaigning {
 			apply(func(c *model) {
 				c.requests[i]++
 				c.candidates[i].nextRequestAt = c.now
 				c.wake(i)
 			})
 		}
-		if _, held := a.Held(m.now); held && m.resignations < maxResignations {
+		if _, held := candidate.Held(m.now); held && m.resignations < maxResignations {
 			apply(func(c *model) {
 				c.resignations++
 				c.sender = firstCandidate + Node(i)
@@ -316,10 +316,10 @@
 func TestMutationsFoundByModelCheck(t *testing.T) {
 	for name, mutate := range map[string]func(*model){
 		"hold counted from the answer": func(m *model) {
-			for _, a := range m.candidates {
-				if a.hold.exists() && a.hold.expiresAt < m.now+modelTTL-modelTTL/driftDivisor && len(a.rounds) > 0 && len(a.rounds[len(a.rounds)-1].grants) == 2 {
-					a.hold.expiresAt = m.now + modelTTL - modelTTL/driftDivisor
-					a.rounds[len(a.rounds)-1].grants = append(a.rounds[len(a.rounds)-1].grants, 9) // so that the mutation is applied only once
+			for _, c := range m.candidates {
+				if c.hold.exists() && c.hold.expiresAt < m.now+modelTTL-modelTTL/driftDivisor && len(c.rounds) > 0 && len(c.rounds[len(c.rounds)-1].grants) == 2 {
+					c.hold.expiresAt = m.now + modelTTL - modelTTL/driftDivisor
+					c.rounds[len(c.rounds)-1].grants = append(c.rounds[len(c.rounds)-1].grants, 9) // so that the mutation is applied only once
 				}
 			}
 		},
@@ -329,11 +329,11 @@
 			}
 		},
 		"less than half is a majority": func(m *model) {
-			for _, a := range m.candidates {
-				for i := range a.rounds {
-					if r := &a.rounds[i]; len(r.grants) == 1 {
+			for _, c := range m.candidates {
+				for i := range c.rounds {
+					if r := &c.rounds[i]; len(r.grants) == 1 {
 						r.grants = append(r.grants, r.grants[0]%3+1)
-						a.countGrants(r, m.now)
+						c.countGrants(r, m.now)
 					}
 				}
 			}
@@ -344,8 +344,8 @@
 					state.promise.FencingToken = 0
 				}
 			}
-			for _, a := range m.candidates {
-				a.highestToken = 0
+			for _, c := range m.candidates {
+				c.highestToken = 0
 			}
 			m.highestAcquired = min(m.highestAcquired, 1<<40)
 		},
--- a/internal/lease/simulation_test.go
+++ b/internal/lease/simulation_test.go
@@ -20,12 +20,12 @@
 	drivers         []*simulatedDriver
 	loss            float64
 	duplication     float64
-	maxDelay        time.Duration // of a message; its delay is random
+	maxDelay        time.Duration // longest delay of a message; the delay is random
 	disconnected    map[[2]int]bool
 	highestAcquired uint64 // highest fencing token that any driver has held
 	acquisitions    int
-	actions         int    // accepted actions
-	fenced          int    // actions rejected because of their fencing token
+	actions         int    // number of accepted actions
+	fenced          int    // number of actions rejected because of their fencing token
 	highestObserved uint64 // highest fencing token of an accepted action
 	violations      []string
 	driftUnbounded  bool // clocks drift beyond the bound: only fencing tokens are checked
--- a/internal/lease/voter.go
+++ b/internal/lease/voter.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Promise is what a voter has to remember across a restart: it grants the lease neither under a fencing token that is not above FencingToken
-// nor to a candidate whose set of voters is older than VoterSetVersion.
+// Promise is the part of a voter's state that must survive a restart. The voter grants the lease neither under a fencing token that is not
+// above FencingToken nor to a candidate whose set of voters is older than VoterSetVersion.
 type Promise struct {
 	FencingToken    uint64
 	VoterSetVersion uint32
@@ -23,15 +23,15 @@
 
 const (
 	maxLeases      = 64
-	maxQueueLength = 16                    // bounds the messages that a voter receives in a large fleet; candidates beyond it ask less often
-	queueTimeout   = 3 * time.Second       // a candidate that asks later than it was told to by more than this loses its position
-	queueSpacing   = 50 * time.Millisecond // between the times at which successive candidates in the queue ask again
+	maxQueueLength = 16                    // bounds the messages that a voter receives in a large fleet; candidates outside the queue ask less often
+	queueTimeout   = 3 * time.Second       // a candidate whose next request is later than its retryAt by more than this loses its position
+	queueSpacing   = 50 * time.Millisecond // interval between the next requests of successive candidates in the queue
 )
 
 // queuedCandidate is a candidate that waits for a lease held by another driver.
 type queuedCandidate struct {
 	holder  Holder
-	retryAt time.Duration // when the voter told it to ask again
+	retryAt time.Duration // time at which the voter told it to ask again
 }
 
 // grantState is what a voter knows about one lease.
@@ -39,18 +39,18 @@
 	promise   Promise
 	persisted Promise // latest promise in storage
 	holder    Holder
-	expiresAt time.Duration     // of the grant
+	expiresAt time.Duration     // end of the grant
 	queue     []queuedCandidate // in order of first request
 }
 
-// Voter grants leases.
+// Voter grants leases to candidates on behalf of one driver.
 type Voter struct {
 	host                  VoterHost
 	self                  Node
 	voters                VoterSet
 	maxTTL                time.Duration
 	silentUntil           time.Duration // the voter grants nothing before this time
-	newestVoterSetVersion uint32        // highest version of a set of voters that it has seen
+	newestVoterSetVersion uint32        // highest version of any set of voters that the voter has seen
 	grants                map[string]*grantState
 }
 
@@ -203,7 +203,7 @@
 // GrantStatus is a snapshot of a voter's grant of one lease, for operators.
 type GrantStatus struct {
 	Lease        string
-	FencingToken uint64        // highest that was granted or released
+	FencingToken uint64        // highest token that was granted or released
 	Holder       Holder        // zero if the lease is not granted
 	Remaining    time.Duration // time until the grant expires
 	Waiting      int           // number of candidates in the queue
--- a/internal/odata/batch.go
+++ b/internal/odata/batch.go
@@ -21,9 +21,9 @@
 	Target         string
 	Fields         httpwire.Fields
 	Body           []byte
-	DependsOn      []int  // indexes of earlier requests that it depends on or refers to
-	AtomicityGroup string // "" if it is in none
-	Fault          *Error // why it cannot be run, nil if it can
+	DependsOn      []int  // indexes of the earlier requests that this one depends on or refers to
+	AtomicityGroup string // "" without a group
+	Fault          *Error // reason why the request cannot run, or nil
 }
 
 // BatchAnswer is the answer to one request of a batch.
@@ -148,14 +148,14 @@
 	err := eachPart(boundary, body, func(part *multipart.Part, text []byte) *Error {
 		media, parameters, _ := mime.ParseMediaType(part.Header.Get("Content-Type"))
 		if media != "multipart/mixed" {
-			return b.part(part, text, "", limits)
+			return b.addPart(part, text, "", limits)
 		}
 		changeSets++
 		if parameters["boundary"] == "" {
 			return badRequest("", "a change set without a boundary")
 		}
 		return eachPart(parameters["boundary"], text, func(inner *multipart.Part, text []byte) *Error {
-			return b.part(inner, text, fmt.Sprint("change set ", changeSets), limits)
+			return b.addPart(inner, text, fmt.Sprint("change set ", changeSets), limits)
 		})
 	})
 	return b, err
@@ -182,8 +182,8 @@
 	}
 }
 
-// part parses one part of a multipart batch and adds its request to the batch.
-func (b *Batch) part(part *multipart.Part, text []byte, group string, limits BatchLimits) *Error {
+// addPart parses one part of a multipart batch and adds its request to the batch.
+func (b *Batch) addPart(part *multipart.Part, text []byte, group string, limits BatchLimits) *Error {
 	if len(b.Items) >= limits.Items {
 		return tooManyRequests(limits)
 	}
@@ -217,7 +217,7 @@
 }
 
 // Reference returns the index of the request that a target such as $1/Status refers to by its id, and the rest of the target.
-func (b *Batch) Reference(target string) (to int, rest string, ok bool) {
+func (b *Batch) Reference(target string) (index int, rest string, ok bool) {
 	if !strings.HasPrefix(target, "$") {
 		return 0, "", false
 	}
@@ -225,23 +225,23 @@
 	if end < 0 {
 		end = len(target)
 	}
-	to = b.indexOf(target[1:end])
-	return to, target[end:], to >= 0 && target[1:end] != ""
+	index = b.indexOf(target[1:end])
+	return index, target[end:], index >= 0 && target[1:end] != ""
 }
 
 // resolveReferences adds the request that a target refers to as a dependency.
 func (b *Batch) resolveReferences() {
 	for i := range b.Items {
 		item := &b.Items[i]
-		to, _, ok := b.Reference(item.Target)
+		index, _, ok := b.Reference(item.Target)
 		if !ok {
 			continue
 		}
-		if to >= i || b.Items[to].Verb != "POST" {
+		if index >= i || b.Items[index].Verb != "POST" {
 			item.Fault = badRequest("", "%s refers to what creates nothing before it", item.Target)
 			continue
 		}
-		item.DependsOn = append(item.DependsOn, to)
+		item.DependsOn = append(item.DependsOn, index)
 	}
 }
 
--- a/internal/odata/batch_test.go
+++ b/internal/odata/batch_test.go
@@ -55,8 +55,8 @@
 		fmt.Sprint(b.Items[2].DependsOn) != "[1]" || b.Items[2].Fault != nil || b.Items[0].Fault != nil {
 		t.Errorf("parsed as %+v", b.Items)
 	}
-	if to, rest, ok := b.Reference("$new/Status"); !ok || to != 1 || rest != "/Status" {
-		t.Errorf("the reference gives request %d, %q", to, rest)
+	if index, rest, ok := b.Reference("$new/Status"); !ok || index != 1 || rest != "/Status" {
+		t.Errorf("the reference gives request %d, %q", index, rest)
 	}
 	j, err := ParseBatch("application/json; charset=utf-8", []byte(`{"requests":[
 {"id":"0","method":"get","url":"Applications('a')"},
@@ -81,8 +81,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i, refused := range []bool{true, false, true, false} {
-		if f := b.Items[i].Fault; f != nil != refused || refused && f.Status != 501 {
+	for i, rejected := range []bool{true, false, true, false} {
+		if f := b.Items[i].Fault; f != nil != rejected || rejected && f.Status != 501 {
 			t.Errorf("item %d: %v", i, f)
 		}
 	}
@@ -157,8 +157,8 @@
 	}
 }
 
-// For any input, nothing panics, a batch has at most the allowed number of requests, each depends only on earlier ones, and
-// the answers can be rendered.
+// Checks for any input that nothing panics, that a batch has at most the allowed number of requests, that each depends only on
+// earlier ones, and that the answers can be rendered.
 func FuzzBatch(f *testing.F) {
 	f.Add("multipart/mixed; boundary=b", withCRLF(mixed))
 	f.Add("application/json", []byte(`{"requests":[{"id":"1","method":"post","url":"x","body":{}},{"id":"2","method":"get","url":"$1","dependsOn":["1"]}]}`))
--- a/internal/odata/filter.go
+++ b/internal/odata/filter.go
@@ -14,15 +14,15 @@
 }
 
 const (
-	maxDepth = 32
-	maxNodes = 256
+	maxDepth = 32  // nesting of a filter
+	maxNodes = 256 // nodes of a filter's syntax tree
 )
 
 type parser struct {
 	text      string
-	pos       int
+	pos       int // index in text of the next byte
 	entitySet *Set
-	nodes     int
+	nodes     int // number of nodes so far
 }
 
 // ParseFilter parses a $filter on the set. Features of the standard that are not implemented give a NotOffered error.
@@ -58,11 +58,11 @@
 	}
 }
 
-// word consumes the word if it is the next complete word of the input.
-func (p *parser) word(word string) bool {
+// acceptWord consumes the word if it is the next complete word of the input.
+func (p *parser) acceptWord(word string) bool {
 	p.skipSpace()
 	rest := p.text[p.pos:]
-	if !strings.HasPrefix(rest, word) || len(rest) > len(word) && isWord(rest[len(word)]) {
+	if !strings.HasPrefix(rest, word) || len(rest) > len(word) && isWordByte(rest[len(word)]) {
 		return false
 	}
 	p.pos += len(word)
@@ -78,10 +78,11 @@
 	return false
 }
 
-func isWord(b byte) bool {
+func isWordByte(b byte) bool {
 	return b == '_' || b == '$' || b >= '0' && b <= '9' || b|0x20 >= 'a' && b|0x20 <= 'z' || b >= 0x80
 }
 
+// countNode returns the node, or an error if the filter has more than maxNodes nodes.
 func (p *parser) countNode(n *Node) (*Node, *Error) {
 	if p.nodes++; p.nodes > maxNodes {
 		return nil, p.fault("the filter is too long")
@@ -92,7 +93,7 @@
 // parseBinary parses operands joined by the operator op.
 func (p *parser) parseBinary(depth int, op string, operand func(int) (*Node, *Error)) (*Node, *Error) {
 	left, err := operand(depth)
-	for err == nil && p.word(op) {
+	for err == nil && p.acceptWord(op) {
 		var right *Node
 		if right, err = operand(depth); err != nil {
 			break
@@ -118,7 +119,7 @@
 	if depth > maxDepth {
 		return nil, p.fault("the filter is nested too deeply")
 	}
-	if !p.word("not") {
+	if !p.acceptWord("not") {
 		return p.parseComparison(depth)
 	}
 	n, err := p.parseNot(depth + 1)
@@ -131,6 +132,7 @@
 	return p.countNode(&Node{op: "not", args: []*Node{n}, typ: Boolean})
 }
 
+// comparisons maps the comparison operators to those of SQL.
 var comparisons = map[string]string{"eq": " = ", "ne": " <> ", "gt": " > ", "ge": " >= ", "lt": " < ", "le": " <= "}
 
 func (p *parser) parseComparison(depth int) (*Node, *Error) {
@@ -139,7 +141,7 @@
 		return nil, err
 	}
 	for op := range comparisons {
-		if p.word(op) {
+		if p.acceptWord(op) {
 			right, err := p.parseOperand(depth)
 			if err != nil {
 				return nil, err
@@ -153,11 +155,11 @@
 			return p.countNode(&Node{op: op, args: []*Node{left, right}, typ: Boolean})
 		}
 	}
-	if p.word("in") {
+	if p.acceptWord("in") {
 		return p.parseInList(left)
 	}
 	for _, op := range []string{"has", "add", "sub", "mul", "div", "divby", "mod"} {
-		if p.word(op) {
+		if p.acceptWord(op) {
 			return nil, NotOffered("$filter", "the operator "+op)
 		}
 	}
@@ -240,7 +242,7 @@
 		}
 		return nil, p.fault("a text without its end")
 	}
-	for p.pos < len(p.text) && (isWord(p.text[p.pos]) || strings.IndexByte(".:-+", p.text[p.pos]) >= 0) {
+	for p.pos < len(p.text) && (isWordByte(p.text[p.pos]) || strings.IndexByte(".:-+", p.text[p.pos]) >= 0) {
 		p.pos++
 	}
 	word := p.text[from:p.pos]
--- a/internal/odata/json.go
+++ b/internal/odata/json.go
@@ -61,7 +61,7 @@
 		if p == nil {
 			return nil, badRequest(m.name, "%s has no property %s", s.Name, m.name)
 		}
-		if _, twice := values[m.name]; twice {
+		if _, duplicate := values[m.name]; duplicate {
 			return nil, badRequest(m.name, "%s stands there twice", m.name)
 		}
 		if values[m.name], err = fromJSON(m.value, p); err != nil {
@@ -69,7 +69,7 @@
 		}
 	}
 	for _, p := range s.Properties {
-		if _, there := values[p.Name]; requireAll && !there && !p.Nullable {
+		if _, present := values[p.Name]; requireAll && !present && !p.Nullable {
 			return nil, badRequest(p.Name, "%s is missing", p.Name)
 		}
 	}
@@ -106,9 +106,9 @@
 
 // KeyOfEntity returns the value of the entity's key property.
 func (s *Set) KeyOfEntity(entity []byte) (v Value, ok bool) {
-	members, fine := parseObject(entity)
+	members, isObject := parseObject(entity)
 	value := findValue(members, s.Key.Name)
-	if !fine || value == nil {
+	if !isObject || value == nil {
 		return v, false
 	}
 	v, err := fromJSON(value, s.Key)
@@ -138,6 +138,7 @@
 	return append(out, '}'), true
 }
 
+// appendText appends a JSON string as the member of an object with the given name.
 func appendText(out []byte, name, value string) []byte {
 	var text bytes.Buffer
 	e := json.NewEncoder(&text)
@@ -225,8 +226,8 @@
 		value = []byte("[]")
 	}
 	if value[0] == '{' {
-		members, fine := parseObject(value)
-		if !fine {
+		members, isObject := parseObject(value)
+		if !isObject {
 			return nil, false
 		}
 		count, value = findValue(members, "count"), findValue(members, "value")
--- a/internal/odata/model.go
+++ b/internal/odata/model.go
@@ -40,8 +40,8 @@
 }
 
 // NotOffered returns the error for a feature that is not implemented.
-func NotOffered(target, what string) *Error {
-	return &Error{501, "NotImplemented", what + " is not offered", target}
+func NotOffered(target, feature string) *Error {
+	return &Error{501, "NotImplemented", feature + " is not offered", target}
 }
 
 // Type is a primitive type of a property.
@@ -67,7 +67,7 @@
 	// Instant is a point in time with its offset from UTC.
 	Instant       Type = "Edm.DateTimeOffset"
 	null          Type = ""
-	dateOrInstant Type = "?"
+	dateOrInstant Type = "?" // argument of a function that accepts both
 )
 
 // Types lists the types that a property may have.
@@ -106,7 +106,7 @@
 var OperationNames = [OperationKinds]string{"read", "list", "count", "create", "update", "replace", "upsert", "delete"}
 
 // Writes reports whether the operation modifies data.
-func (a OperationKind) Writes() bool { return a >= Create }
+func (k OperationKind) Writes() bool { return k >= Create }
 
 // Operation configures how an operation on an entity set is run.
 type Operation struct {
@@ -115,7 +115,7 @@
 	Statement                 Template
 	HasIdempotencyKey         bool
 	Idempotent                bool          // safe to run twice
-	Window                    time.Duration // during which the group drops a repeat
+	Window                    time.Duration // period during which the group drops a repeat
 	SoftDeadline, MaxDeadline time.Duration
 }
 
@@ -124,7 +124,7 @@
 	Name, Type string
 	Key        *Property
 	Properties []*Property
-	ETag       *Property // holds the version of an entity, nil: versions are unknown
+	ETag       *Property // property with the version of an entity; nil: versions are unknown
 	PageSize   int
 	Groups     []driver.Group
 	Operations [OperationKinds]*Operation
--- a/internal/odata/odata_test.go
+++ b/internal/odata/odata_test.go
@@ -27,10 +27,10 @@
 		key  string
 	}{
 		"/odata/": {ServiceDocument, ""}, "/odata": {ServiceDocument, ""}, "/odata/$metadata": {Metadata, ""},
-		"http://x:8/odata/$batch": {BatchOf, ""}, "/odata/Applications": {Collection, ""}, "Applications()": {Collection, ""},
-		"/odata/Applications/$count": {CountOf, ""}, "/odata/Applications('a%20b')": {Entity, "a b"},
-		"/odata/Applications(Id='O''Neil')": {Entity, "O'Neil"}, "/odata/Applications('a%2Fb')/Status": {PropertyOf, "a/b"},
-		"/odata/Applications('x')/Status/$value": {ValueOf, "x"},
+		"http://x:8/odata/$batch": {BatchResource, ""}, "/odata/Applications": {Collection, ""}, "Applications()": {Collection, ""},
+		"/odata/Applications/$count": {CountResource, ""}, "/odata/Applications('a%20b')": {Entity, "a b"},
+		"/odata/Applications(Id='O''Neil')": {Entity, "O'Neil"}, "/odata/Applications('a%2Fb')/Status": {PropertyResource, "a/b"},
+		"/odata/Applications('x')/Status/$value": {ValueResource, "x"},
 	} {
 		r, err := m.Parse(target, "/odata/")
 		if err != nil || r.Kind != want.kind || r.Key.Text != want.key {
@@ -117,8 +117,8 @@
 	return out
 }
 
-// SQL injection: whatever a client sends in keys, bodies and filters ends up in quotes or is a number. Outside quotes there is
-// only text from the operator or from this program.
+// Guards against SQL injection: text from a client's key, body or filter must be in quotes or be a number. Outside quotes a
+// statement must have only text from the operator or from this program.
 func FuzzStatements(f *testing.F) {
 	f.Add("Applications('x')", "Status eq 'x'", `{"Id":"a","Status":"b"}`)
 	f.Add("Applications('x''; drop table items; --')", "contains(Status,''');--')", `{"Id":"'; --","Grade":-1}`)
@@ -131,20 +131,20 @@
 		f.Fatal(err)
 	}
 	f.Fuzz(func(t *testing.T, path, filter, body string) {
-		fill := &Arguments{Set: set, Key: Value{String, "k"}, Match: path, Top: 3}
+		arguments := &Arguments{Set: set, Key: Value{String, "k"}, Match: path, Top: 3}
 		if r, err := model.Parse(path, "/"); err == nil && r.Kind == Entity {
-			fill.Key = r.Key
+			arguments.Key = r.Key
 		}
 		if strings.IndexByte(path, 0) >= 0 {
-			fill.Match = ""
+			arguments.Match = ""
 		}
 		if n, err := ParseFilter(filter, set); err == nil {
-			fill.Filter = n
+			arguments.Filter = n
 		}
 		if values, err := set.Body([]byte(body), false); err == nil {
-			fill.Values, fill.Body = values, []byte(body)
+			arguments.Values, arguments.Body = values, []byte(body)
 		}
-		text := string(statement.Append(nil, fill))
+		text := string(statement.Append(nil, arguments))
 		if strings.IndexByte(text, 0) >= 0 {
 			t.Fatalf("%q holds a zero byte", text)
 		}
--- a/internal/odata/sql.go
+++ b/internal/odata/sql.go
@@ -76,32 +76,32 @@
 		if end < 0 {
 			return nil, fmt.Errorf("opening brace without a closing brace")
 		}
-		b := segment{text: rest[:open], name: rest[open+1 : open+end]}
+		seg := segment{text: rest[:open], name: rest[open+1 : open+end]}
 		known := false
 		for _, name := range Placeholders {
-			known = known || b.name == name
+			known = known || seg.name == name
 		}
 		if !known {
-			if b.property = s.Property(b.name); b.property == nil {
-				return nil, fmt.Errorf("no blank or property %q", b.name)
+			if seg.property = s.Property(seg.name); seg.property == nil {
+				return nil, fmt.Errorf("no blank or property %q", seg.name)
 			}
 		}
-		t = append(t, b)
+		t = append(t, seg)
 		rest = rest[open+end+1:]
 	}
 }
 
 // Has reports whether the statement contains the placeholder.
 func (t Template) Has(name string) bool {
-	for _, b := range t {
-		if b.name == name {
+	for _, seg := range t {
+		if seg.name == name {
 			return true
 		}
 	}
 	return false
 }
 
-// Arguments are the values of the placeholders.
+// Arguments holds the values of a statement's placeholders.
 type Arguments struct {
 	Key    Value
 	Body   []byte
@@ -116,32 +116,32 @@
 }
 
 // Append appends the statement with its placeholders replaced.
-func (t Template) Append(out []byte, f *Arguments) []byte {
-	for _, b := range t {
-		out = append(out, b.text...)
+func (t Template) Append(out []byte, arguments *Arguments) []byte {
+	for _, seg := range t {
+		out = append(out, seg.text...)
 		switch {
-		case b.property != nil:
-			out = appendValue(out, f.Values[b.name])
-		case b.name == "key":
-			out = appendValue(out, f.Key)
-		case b.name == "body":
-			out = AppendText(out, string(f.Body))
-		case b.name == "where":
-			if f.Filter == nil {
+		case seg.property != nil:
+			out = appendValue(out, arguments.Values[seg.name])
+		case seg.name == "key":
+			out = appendValue(out, arguments.Key)
+		case seg.name == "body":
+			out = AppendText(out, string(arguments.Body))
+		case seg.name == "where":
+			if arguments.Filter == nil {
 				out = append(out, "TRUE"...)
 			} else {
-				out = f.Filter.append(out)
+				out = arguments.Filter.append(out)
 			}
-		case b.name == "order":
-			out = appendOrder(out, f)
-		case b.name == "top":
-			out = strconv.AppendInt(out, int64(f.Top), 10)
-		case b.name == "skip":
-			out = strconv.AppendInt(out, int64(f.Skip), 10)
-		case b.name == "counted":
-			out = append(out, strings.ToUpper(strconv.FormatBool(f.Count))...)
-		case b.name == "match":
-			out = AppendText(out, f.Match)
+		case seg.name == "order":
+			out = appendOrder(out, arguments)
+		case seg.name == "top":
+			out = strconv.AppendInt(out, int64(arguments.Top), 10)
+		case seg.name == "skip":
+			out = strconv.AppendInt(out, int64(arguments.Skip), 10)
+		case seg.name == "counted":
+			out = append(out, strings.ToUpper(strconv.FormatBool(arguments.Count))...)
+		case seg.name == "match":
+			out = AppendText(out, arguments.Match)
 		}
 	}
 	return out
@@ -149,18 +149,18 @@
 
 // appendOrder appends the sort columns. The key is the last one, so that the order is total and pages neither skip nor repeat
 // entities.
-func appendOrder(out []byte, f *Arguments) []byte {
+func appendOrder(out []byte, arguments *Arguments) []byte {
 	byKey := false
-	for _, o := range f.Order {
+	for _, o := range arguments.Order {
 		out = AppendName(out, o.Property.Column)
 		if o.Descending {
 			out = append(out, " DESC"...)
 		}
 		out = append(out, ", "...)
-		byKey = byKey || o.Property == f.Set.Key
+		byKey = byKey || o.Property == arguments.Set.Key
 	}
 	if byKey {
 		return out[:len(out)-2]
 	}
-	return AppendName(out, f.Set.Key.Column)
+	return AppendName(out, arguments.Set.Key.Column)
 }
--- a/internal/odata/url.go
+++ b/internal/odata/url.go
@@ -14,17 +14,17 @@
 	ServiceDocument Kind = iota
 	// Metadata is the $metadata document.
 	Metadata
-	// BatchOf is the $batch resource.
-	BatchOf
+	// BatchResource is the $batch resource.
+	BatchResource
 	// Collection is an entity set.
 	Collection
-	// CountOf is the $count of an entity set.
-	CountOf
+	// CountResource is the $count of an entity set.
+	CountResource
 	// Entity is one entity by its key.
 	Entity
-	// PropertyOf is one property of an entity.
-	PropertyOf
-	ValueOf // plain text of a property
+	// PropertyResource is one property of an entity.
+	PropertyResource
+	ValueResource // plain text of a property
 )
 
 // Order is one item of $orderby.
@@ -33,7 +33,7 @@
 	Descending bool
 }
 
-// Resource is the resource that a target addresses, with its options.
+// Resource is the resource that a target addresses, with the query options.
 type Resource struct {
 	Kind     Kind
 	Set      *Set
@@ -115,14 +115,14 @@
 		target = target[len(root):]
 	}
 	path, query, _ := strings.Cut(target, "?")
-	if err := m.path(&r, path); err != nil {
+	if err := m.parsePath(&r, path); err != nil {
 		return r, err
 	}
 	return r, r.parseOptions(query)
 }
 
-// path parses the path of a target into r.
-func (m *Model) path(r *Resource, path string) *Error {
+// parsePath parses the path of a target into r.
+func (m *Model) parsePath(r *Resource, path string) *Error {
 	segments := strings.Split(path, "/")
 	if n := len(segments); n > 1 && segments[n-1] == "" {
 		segments = segments[:n-1]
@@ -140,7 +140,7 @@
 		if len(segments) > 1 {
 			return &Error{404, "NotFound", "nothing is served here", ""}
 		}
-		r.Kind = map[string]Kind{"": ServiceDocument, "$metadata": Metadata, "$batch": BatchOf}[first]
+		r.Kind = map[string]Kind{"": ServiceDocument, "$metadata": Metadata, "$batch": BatchResource}[first]
 		return nil
 	case "$entity", "$all", "$crossjoin":
 		return NotOffered("", first)
@@ -155,7 +155,7 @@
 		if !ended {
 			return badRequest("", "a key without its end")
 		}
-		if key != "" { // Set() is the whole collection
+		if key != "" { // empty parentheses address the whole collection
 			if err := r.parseKey(key); err != nil {
 				return err
 			}
@@ -183,7 +183,7 @@
 	}
 	switch first := segments[0]; {
 	case first == "$count" && r.Kind == Collection && len(segments) == 1:
-		r.Kind = CountOf
+		r.Kind = CountResource
 		return nil
 	case strings.HasPrefix(first, "$"):
 		return NotOffered("", first+" behind "+r.Set.Name)
@@ -195,9 +195,9 @@
 	}
 	switch {
 	case len(segments) == 1:
-		r.Kind = PropertyOf
+		r.Kind = PropertyResource
 	case len(segments) == 2 && segments[1] == "$value":
-		r.Kind = ValueOf
+		r.Kind = ValueResource
 	default:
 		return NotOffered("", "a path behind the property "+segments[0])
 	}
@@ -241,7 +241,7 @@
 func (r *Resource) parseOption(name, value string) (err *Error) {
 	isCollection := r.Kind == Collection
 	allowed := isCollection || name == "$format" || name == "$select" && r.Kind == Entity ||
-		(name == "$filter") && r.Kind == CountOf
+		(name == "$filter") && r.Kind == CountResource
 	switch name {
 	case "$filter", "$select", "$orderby", "$top", "$skip", "$count", "$format":
 		if !allowed {
