--- a/driver/driver.go
+++ b/driver/driver.go
@@ -29,20 +29,20 @@
 // LongAgo is an unknown time, earlier than all others: the start of a member for which the endpoint list gives no time.
 const LongAgo = time.Duration(-1 << 62)
 
-// Outcome is how an attempt or a health check ended.
+// Outcome is the result of an attempt or of a health check.
 type Outcome uint8
 
 const (
 	// OK means that the member answered and the request succeeded.
 	OK           Outcome = iota
 	Failed               // the member answered with an error; the request may have run
-	Full                 // the member rejected it for lack of capacity; it did not run
-	TimedOut             // no answer in time; it may still run
-	NoConnection         // it never reached the member
-	Broken               // the connection broke while it was in flight; it may have run
-	Cancelled            // the driver cancelled it; it may have run
-	NotSent              // the driver did not send it
-	Misdirected          // the member rejected it, as it is not the primary or too stale; it did not run
+	Full                 // the member rejected the request for lack of capacity; it did not run
+	TimedOut             // no answer in time; the request may still run
+	NoConnection         // the request did not reach the member
+	Broken               // the connection broke while the attempt was in flight; the request may have run
+	Cancelled            // the driver cancelled the attempt; the request may have run
+	NotSent              // the driver did not send the request
+	Misdirected          // the member rejected the request, as the member is not the primary or too stale; the request did not run
 )
 
 // Role is the role that a member reports of itself.
@@ -96,13 +96,13 @@
 	// the client stops waiting.
 	Attempt(rpc RPC, to Member, writeDeadline, timeout time.Duration)
 	Cancel(rpc RPC, attempt int)
-	PushBack(rpc RPC, retryAfter time.Duration) // the final answer; retryAfter 0: no retry delay is given
-	Abort(rpc RPC)                              // the final answer
+	PushBack(rpc RPC, retryAfter time.Duration) // gives the final answer: a rejection after which a retry is safe; retryAfter 0: no retry delay is given
+	Abort(rpc RPC)                              // gives the final answer: an error after which the RPC may have run
 	Probe(m Member)                             // sends a health check
 	CloseIdle(m Member)                         // closes the idle connections to the member
 	// SessionWrote reports the position of a session's latest write, which may be saved and restored after a restart.
 	SessionWrote(session Session, commit time.Duration)
-	Forget(m Member) // the module sends nothing more to it; if it is listed again, it gets another number
+	Forget(m Member) // the module sends nothing more to the member; if it is listed again, it gets another number
 	Watch(on bool)   // starts or stops watching the endpoint list
 	FetchList()
 	Tell(to Peer, text []byte)
--- a/internal/recovery/connect_limiter.go
+++ b/internal/recovery/connect_limiter.go
@@ -1,6 +1,6 @@
 // Package recovery controls how a driver recovers after a start: it limits how many connections to members are opened at once and
-// tracks the stage of the recovery. It does no I/O and reads no clock: the caller reports events and their times. Which member an RPC
-// is sent to is decided elsewhere.
+// tracks the stage of the recovery. It does no I/O and reads no clock: the caller reports events and their times. Package rules
+// decides which member an RPC is sent to.
 package recovery
 
 import "time"
@@ -8,8 +8,8 @@
 const (
 	initialWindow = 8   // limit of pending connections at the start
 	maxWindow     = 256 // highest limit of pending connections
-	slowFraction  = 0.2 // of the connect timeout; a connection that takes longer shows that the members are overloaded with handshakes
-	reduceFactor  = 0.7 // by which the window is multiplied after a slow or failed connection
+	slowFraction  = 0.2 // fraction of the connect timeout; a connection that takes longer shows that the members are overloaded with handshakes
+	reduceFactor  = 0.7 // factor by which a slow or failed connection reduces the window
 )
 
 // ConnectLimiter limits how many connections to members a driver opens at once. The window is small at first, so that many drivers
@@ -20,11 +20,11 @@
 	pending       int     // connections that are being opened
 	slowThreshold time.Duration
 	reducedAt     time.Duration // time of the last reduction of the window
-	memberLimit   int           // of connections to one member; 0: none
+	memberLimit   int           // highest number of connections to one member; 0: no limit
 }
 
-// MemberConnections counts the connections to one member. Up to as many may be pending as are established, but at least one; while
-// the member is slow, only one.
+// MemberConnections counts the connections to one member. The limit of pending connections is the number of established ones, but at
+// least one; while the member is slow, it is one.
 type MemberConnections struct {
 	pending, established int
 	slow                 bool // the latest connection was slow or failed
@@ -88,7 +88,7 @@
 	l.window = min(l.window+1, maxWindow)
 }
 
-// Failed removes a pending connection that was not established, for any reason. took is the time since it was started.
+// Failed removes a pending connection that could not be established or was given up. took is the time since it was started.
 func (l *ConnectLimiter) Failed(m *MemberConnections, took, now time.Duration) {
 	l.pending--
 	m.pending--
@@ -99,7 +99,7 @@
 // Closed removes an established connection.
 func (l *ConnectLimiter) Closed(m *MemberConnections) { m.established-- }
 
-// None reports whether the member has no connection, neither pending nor established. If this is so after a connection has failed, all
+// None reports whether the member has no connection, neither pending nor established. If it has none after a connection failed, all
 // attempts that wait for a connection may fail too.
 func (m *MemberConnections) None() bool { return m.established == 0 && m.pending == 0 }
 
--- a/internal/recovery/tracker.go
+++ b/internal/recovery/tracker.go
@@ -9,7 +9,7 @@
 const (
 	AwaitingList     Stage = iota // the driver uses the endpoint list that it was started with
 	ProvingPrimaries              // discovery has sent a list; the primary of some group that got RPCs has not answered yet
-	WarmingUp                     // more RPCs than usual are rejected, or attempts wait for connections
+	WarmingUp                     // more than maxRejectedFraction of the RPCs are rejected, or attempts wait for connections
 	Complete
 )
 
@@ -27,8 +27,8 @@
 }
 
 const (
-	settleTime          = 500 * time.Millisecond // for which a driver must serve normally to count as recovered
-	maxRejectedFraction = 0.05                   // part of the RPCs that may be rejected while a driver serves normally
+	settleTime          = 500 * time.Millisecond // time for which a driver must serve normally to count as recovered
+	maxRejectedFraction = 0.05                   // fraction of the RPCs that may be rejected while a driver serves normally
 	suspendThreshold    = time.Second            // interval between two checks beyond which the process counts as suspended
 )
 
@@ -42,8 +42,8 @@
 	groups       map[uint16]bool // groups that got RPCs or whose primary has answered; true: the primary has answered
 	provenGroups int
 	steadySince  time.Duration // start of the time in which the driver has served normally, in the stage WarmingUp
-	answered     int           // RPCs since steadySince
-	rejected     int           // RPCs of these that were rejected
+	answered     int           // RPCs that got a final answer since steadySince
+	rejected     int           // RPCs among them that were rejected
 }
 
 // NewTracker returns the tracker of a driver that starts now.
--- a/internal/settings/methods.go
+++ b/internal/settings/methods.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Freshness is what a method requires of the data of the member that serves it.
+// Freshness says how recent the data of a member must be to serve a method.
 type Freshness string
 
 // All values of Freshness. No member qualifies for any other value.
@@ -20,7 +20,7 @@
 // PrefersPrimary reports whether the primary usually serves methods with this freshness.
 func (f Freshness) PrefersPrimary() bool { return f == FreshnessWrite || f == FreshnessLatest }
 
-// Effect is whether a method may run more than once.
+// Effect says whether a method may run more than once.
 type Effect string
 
 // All values of Effect. Any other value counts as non-idempotent.
@@ -30,7 +30,7 @@
 	Keyed         Effect = "tokened" // may run again with the same idempotency key
 )
 
-// DuplicateScope is which members drop a duplicate of an RPC that has run. Any value other than the constants means the members of the
+// DuplicateScope says which members drop a duplicate of an RPC that has run. Any value other than the constants means the members of the
 // group.
 type DuplicateScope string
 
@@ -43,13 +43,13 @@
 // Method holds the settings of one method.
 type Method struct {
 	Freshness    Freshness
-	MaxStaleness time.Duration // of the data, for FreshnessBounded
+	MaxStaleness time.Duration // of the member's data, for FreshnessBounded
 	Effect       Effect
 	Duplicates   DuplicateScope
-	RetryWindow  time.Duration // after the first run, in which members recognize duplicates
-	SoftDeadline time.Duration // later answers are worth less
+	RetryWindow  time.Duration // time after the first run in which members recognize duplicates
+	SoftDeadline time.Duration // time after which an answer has less utility
 	TotalLimit   time.Duration // how long a client waits over all its tries
-	Utility      float64       // of an answer
+	Utility      float64       // of an answer before the soft deadline
 	LateUtility  float64       // fraction of Utility that is left after the soft deadline
 }
 
@@ -70,7 +70,7 @@
 	return methods
 }
 
-// TenantQuotas returns this driver's parts of the tenants' quotas in RPCs per second, by the tenants' indexes.
+// TenantQuotas returns this driver's part of each tenant's quota in RPCs per second, by the tenant's index.
 func (s Settings) TenantQuotas() []float64 {
 	var quotas []float64
 	for i := range int(s.Number("tenants.count", 0)) {
--- a/internal/settings/published.go
+++ b/internal/settings/published.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// ParsePublished parses a published configuration and checks everything that does not depend on a driver's own file. Its error names the
-// first fault with its place and value.
+// ParsePublished parses a published configuration and checks everything that does not depend on a driver's own file. The error names the
+// first invalid value with its place.
 func ParsePublished(text []byte) (*Published, error) {
 	decoded, err := decodePublished(text)
 	if err != nil {
--- a/internal/settings/schema.go
+++ b/internal/settings/schema.go
@@ -39,7 +39,7 @@
 		slices.Sort(items)
 		return !slices.Contains(items, "") && len(slices.Compact(items)) == strings.Count(value, ",")+1
 	}}
-	anything = valueKind{"", func(string) bool { return true }}
+	anyValue = valueKind{"", func(string) bool { return true }}
 )
 
 // schema lists the settings that may be published, with their valid values. An asterisk stands for an index. A path without an entry has the
@@ -53,7 +53,7 @@
 	"methods.*.window":          nonNegativeNumber,
 	"methods.*.effect":          enumKind("safe, keyed or unsafe", "idempotent", "tokened", "non-idempotent"),
 	"methods.*.repeats":         enumKind("all, zone or cell", "", "all", "zone", "group"),
-	"methods.*":                 anything,
+	"methods.*":                 anyValue,
 	"methods.count":             positiveInteger,
 	"methods":                   {"a list of objects", func(string) bool { return false }},
 	"caps.attempts":             positiveInteger,
@@ -62,7 +62,7 @@
 	"caps.idle_close":           positiveNumber,
 	"caps.cancel":               boolean,
 	"caps.probe":                boolean,
-	"caps":                      anything,
+	"caps":                      anyValue,
 	"rules.cold_window":         positiveNumber,
 	"rules.cold_lasts":          nonNegativeNumber,
 	"rules.cold_multiple":       positiveNumber,
@@ -71,13 +71,13 @@
 	"rules.answer_slack":        nonNegativeNumber,
 	"rules.ask_within":          positiveNumber,
 	"rules.only_draining_binds": boolean,
-	"rules":                     anything,
+	"rules":                     anyValue,
 	"family_info.checks":        enumKind("off, reject or hold", "none", "refuse", "wait"),
 	"family_info.token":         enumKind("client or router", "carried", "remembered"),
-	"family_info":               anything,
+	"family_info":               anyValue,
 	"tenants.*.quota":           nonNegativeNumber,
 	"tenants.*.name":            identifier,
-	"tenants.*":                 anything,
+	"tenants.*":                 anyValue,
 	"tenants.count":             positiveInteger,
 	"tenants":                   enumKind("a list of objects", ""),
 	"drivers":                   positiveInteger,
@@ -85,15 +85,15 @@
 	"zones":                     wordList,
 	"list":                      enumKind("automatic or subscribe", "pushed", "asked"),
 	"tick":                      positiveNumber,
-	"report":                    anything,
-	"prices":                    anything,
-	"goal":                      anything,
-	"client_habits":             anything,
-	"host_types":                anything,
-	"stages":                    anything,
-	"weights":                   anything,
-	"worth_by":                  anything,
-	"family":                    anything,
+	"report":                    anyValue,
+	"prices":                    anyValue,
+	"goal":                      anyValue,
+	"client_habits":             anyValue,
+	"host_types":                anyValue,
+	"stages":                    anyValue,
+	"weights":                   anyValue,
+	"worth_by":                  anyValue,
+	"family":                    anyValue,
 }
 
 // driverSettings are specific to each driver and cannot be published.
--- a/rules/actionlog_test.go
+++ b/rules/actionlog_test.go
@@ -14,33 +14,33 @@
 	lines strings.Builder
 }
 
-func (d *actionLog) record(format string, args ...any) {
-	fmt.Fprintf(&d.lines, "%v %s\n", d.now, fmt.Sprintf(format, args...))
+func (l *actionLog) record(format string, args ...any) {
+	fmt.Fprintf(&l.lines, "%v %s\n", l.now, fmt.Sprintf(format, args...))
 }
 
-func (d *actionLog) Attempt(id driver.RPC, to driver.Member, by, timeout time.Duration) {
-	d.record("attempt %d to %d by %v for %v", id, to, by, timeout)
-	d.cluster.Attempt(id, to, by, timeout)
+func (l *actionLog) Attempt(id driver.RPC, to driver.Member, by, timeout time.Duration) {
+	l.record("attempt %d to %d by %v for %v", id, to, by, timeout)
+	l.cluster.Attempt(id, to, by, timeout)
 }
 
-func (d *actionLog) PushBack(id driver.RPC, wait time.Duration) {
-	d.record("push back %d for %v", id, wait)
-	d.cluster.PushBack(id, wait)
+func (l *actionLog) PushBack(id driver.RPC, wait time.Duration) {
+	l.record("push back %d for %v", id, wait)
+	l.cluster.PushBack(id, wait)
 }
 
-func (d *actionLog) Abort(id driver.RPC) {
-	d.record("abort %d", id)
-	d.cluster.Abort(id)
+func (l *actionLog) Abort(id driver.RPC) {
+	l.record("abort %d", id)
+	l.cluster.Abort(id)
 }
 
-func (d *actionLog) Probe(m driver.Member) {
-	d.record("probe %d", m)
-	d.cluster.Probe(m)
+func (l *actionLog) Probe(m driver.Member) {
+	l.record("probe %d", m)
+	l.cluster.Probe(m)
 }
 
-func (d *actionLog) Watch(on bool) {
-	d.record("watch %t", on)
-	d.cluster.Watch(on)
+func (l *actionLog) Watch(on bool) {
+	l.record("watch %t", on)
+	l.cluster.Watch(on)
 }
 
-func (d *actionLog) Log(line string) { d.record("%s", line) }
+func (l *actionLog) Log(line string) { l.record("%s", line) }
--- a/rules/admission.go
+++ b/rules/admission.go
@@ -18,9 +18,9 @@
 	settings.FreshnessAny: 0.15, settings.FreshnessBounded: 0.15, settings.FreshnessSession: 0.15, settings.FreshnessLatest: 0.45, settings.FreshnessWrite: 0.45,
 }
 
-// requestedSince returns when the client first requested the answer. Clients of a method wait for its usual timeout, or until the limit for
-// all their tries: a try with another timeout is a retry. An RPC that is read at the end of a pause of this driver may have arrived earlier: it
-// counts from its deadline minus the usual timeout.
+// requestedSince returns when the client first requested the answer. A first try has the usual timeout of its method; the timeout of a retry
+// may be cut short by the limit for all tries, so a try with another timeout counts as a retry. An RPC that is read at the end of a pause of
+// this driver may have arrived earlier: it counts from its deadline minus the usual timeout.
 func (r *Router) requestedSince(q Request, now time.Duration) time.Duration {
 	meth, timeout, resumed := r.methods[q.Method], q.Deadline-q.ArrivedAt, now == r.ticks.resumedAt
 	usual := (timeout - meth.clientTimeout).Abs() < 2*r.ticks.interval
@@ -58,7 +58,7 @@
 	return time.Duration(float64(r.predictLatency(target, meth)) * latencyMargin * rank)
 }
 
-// enqueue lets an RPC wait for a member, in all for a share of the time that was left when it was first queued.
+// enqueue lets an RPC wait for a member. Its total time in the queue is at most a share of the time that was left when it was first queued.
 func (r *Router) enqueue(q *rpc) {
 	now := r.host.Now()
 	if q.queueUntil == 0 {
@@ -72,7 +72,7 @@
 	r.queue = append(r.queue, q)
 }
 
-// giveUp gives an RPC a final answer that is not a member's: a rejection with a retry delay if a retry can do no harm, else an abort.
+// giveUp gives an RPC the router's own final answer: a rejection with a retry delay if a retry can do no harm, else an abort.
 func (r *Router) giveUp(q *rpc, retryAfter time.Duration, reason Reason) {
 	meth := q.method
 	r.lastReason = reason
--- a/rules/clock.go
+++ b/rules/clock.go
@@ -17,8 +17,8 @@
 	resumedAt, wakeDueAt             time.Duration // end of this driver's latest pause; time before which ticks may be skipped, 0: none
 }
 
-// detectPause detects a pause of the driver by a late tick. What is measured of members' silence and latencies at the end of a pause is
-// ignored, as it includes the pause.
+// detectPause detects a pause of the driver by a late tick. Measurements of members' silence and latencies at the end of a pause are ignored,
+// as they include the pause.
 func (r *Router) detectPause(now time.Duration) {
 	t := &r.ticks
 	t.lastWakeAt, t.wakeDueAt = max(t.lastWakeAt, min(now, t.wakeDueAt-t.interval)), 0 // skipped ticks count as made
@@ -72,7 +72,8 @@
 	return t.wakeDueAt - t.lastWakeAt
 }
 
-// runSkippedScans makes up for skipped scans before an event changes the state: the measurements of the latest one, the random draws of all.
+// runSkippedScans makes up for skipped scans before an event changes the state. It repeats the random draw of each skipped scan, but only the
+// measurement of the latest one.
 func (r *Router) runSkippedScans(now time.Duration) {
 	t := &r.ticks
 	if now = min(now, t.wakeDueAt-t.interval); t.wakeDueAt > 0 && now >= t.nextScanAt {
--- a/rules/clock_test.go
+++ b/rules/clock_test.go
@@ -56,12 +56,13 @@
 	}
 }
 
-// playDay simulates bursts and idle times with failing and restarting members, endpoint lists, failed list calls and pauses of the driver.
+// playDay simulates bursts and idle times with failing and restarting members, endpoint lists, failed list calls and pauses of the driver. It
+// returns the router's actions and the number of ticks.
 func playDay(t *testing.T, seed uint64, skipsTicks bool) (lines string, ticks int) {
 	c := newCluster(t, seed, "wait", "tenants.count=1", "tenants.0.quota=8", "over_share=0.5")
 	c.skipsTicks = skipsTicks
-	d := &actionLog{cluster: c}
-	c.router.host = d
+	actions := &actionLog{cluster: c}
+	c.router.host = actions
 	random := pcg.New(seed)
 	outcomeOf := func(*simulatedRPC) driver.Outcome {
 		return []driver.Outcome{driver.OK, driver.OK, driver.OK, driver.Full, driver.Failed, driver.NoConnection, noAnswer}[random.Below(7)]
@@ -81,12 +82,12 @@
 		}
 		for range random.Below(4) {
 			c.trafficWithOutcomes(1+random.Below(3), time.Duration(5+5*random.Below(8))*ms, outcomeOf, random.Below(len(testMethods)), random.Below(4))
-			d.record("round %d, resumed at %v", round, c.router.ticks.resumedAt)
+			actions.record("round %d, resumed at %v", round, c.router.ticks.resumedAt)
 		}
 		c.advance(time.Duration(5*random.Below(300)) * ms)
 	}
 	c.advance(3 * time.Second)
-	return d.lines.String(), c.ticks
+	return actions.lines.String(), c.ticks
 }
 
 // If the host skips ticks as WakeDelay permits, decisions, random draws and detected pauses must be the same as with all ticks.
--- a/rules/cluster_test.go
+++ b/rules/cluster_test.go
@@ -12,6 +12,7 @@
 	"passtack/internal/pcg"
 )
 
+// newSettledCluster returns a cluster after some traffic, in which the router has found both primaries.
 func newSettledCluster(t *testing.T, checks string, more ...string) *cluster {
 	c := newCluster(t, 1, checks, more...)
 	c.traffic(60, 5*ms, 2, 4)
@@ -21,6 +22,7 @@
 	return c
 }
 
+// sentTo requests an RPC and returns the member that it is sent to. The test fails if it is not sent at once.
 func (c *cluster) sentTo(t *testing.T, method int, commit time.Duration) driver.Member {
 	t.Helper()
 	id := c.request(method, commit)
@@ -36,7 +38,7 @@
 type simulatedMember struct {
 	position, lag             time.Duration
 	reportedPosition          time.Duration // the latest position that was reported to the router
-	wasPrimary, deniedPrimary bool          // it has been primary; its latest answer reported that it is not
+	wasPrimary, deniedPrimary bool          // the member has been primary; its latest answer reported that it is not
 	state                     driver.MemberState
 	leavingSince, startedAt   time.Duration // when the router was told that it drains or is gone, -1: not told; its start
 	attemptTimes              []time.Duration
@@ -61,7 +63,8 @@
 	answered, cancelled       bool
 }
 
-// cluster is a simulated host with eight members in two groups. It checks at each action of the router that the module keeps its rules.
+// cluster is a simulated host with eight members in two groups. It checks at each action of the router that the rules of the decision module
+// hold.
 type cluster struct {
 	t                     testing.TB
 	now                   time.Duration
@@ -295,7 +298,7 @@
 	}
 }
 
-// resumeTicks ends the skipping of ticks: the next one comes.
+// resumeTicks ends the skipping of ticks: the next tick comes within 5 ms.
 func (c *cluster) resumeTicks() { c.wakeAt = min(c.wakeAt, c.now+5*ms) }
 
 func (c *cluster) trafficWithOutcomes(times int, wait time.Duration, outcomeOf func(q *simulatedRPC) driver.Outcome, methods ...int) {
--- a/rules/endpoints.go
+++ b/rules/endpoints.go
@@ -13,10 +13,10 @@
 // MaxListRetryWait is the longest wait between a failed call to discovery and the next one; internal/discovery relies on it.
 const MaxListRetryWait = 500 * time.Millisecond
 
-// endpoint is what the endpoint list says about a member.
+// endpoint is the state of a member according to the endpoint list.
 type endpoint struct {
 	zone                        driver.Zone
-	listed, draining, available bool          // draining: it was listed as draining since its latest start; available: it may get RPCs
+	listed, draining, available bool          // draining: the member was listed as draining since its latest start; available: it may get RPCs
 	startedAt, delistedAt       time.Duration // its latest start that was listed; when it left the list, unknownTime while it is listed
 }
 
@@ -39,7 +39,7 @@
 	primary                  *member       // nil: unknown
 	primaryProvenAt, drawnAt time.Duration // drawnAt: when draw was drawn
 	exploratoryAttempts      int           // writes in flight at members that may be the primary but are not known to be
-	draw                     float64       // random; rounds the slow-start budgets to whole RPCs; one for all members, since each RPC goes to one of them
+	draw                     float64       // random number that rounds slow-start budgets to whole RPCs; shared by the members, since each RPC goes to one of them
 }
 
 func (r *Router) groupOf(id driver.Group) *group {
@@ -105,8 +105,8 @@
 	}
 }
 
-// removeIfExpired removes a member that has been off the list and silent for long, unless it may have to be remembered as draining. It
-// reports whether it did; the caller then removes the member from memberList.
+// removeIfExpired removes a member that has been off the list and silent for long, unless rules.only_draining_binds needs it
+// to be remembered as draining. It reports whether the member was removed; the caller then removes it from memberList.
 func (r *Router) removeIfExpired(m *member) bool {
 	silent := r.host.Now() - max(m.delistedAt, m.replication.reportedAt)
 	if m.listed || m.inFlight.Len() > 0 || silent < maxSessionPin || r.onlyDrainingBinds && (m.draining || silent < commitRetention) {
@@ -132,15 +132,16 @@
 }
 
 // RestoreMember restores what a previous process learned about a member, unless the member has started since it was saved or the clock went
-// back. It proves no role: a former replica is the last candidate for primary, a former primary the first, with one exploratory write.
-func (r *Router) RestoreMember(id driver.Member, k driver.MemberSnapshot, savedAt time.Duration) {
+// back. The restored state proves no role: a former replica is the last candidate for primary, a former primary the first, with one
+// exploratory write.
+func (r *Router) RestoreMember(id driver.Member, saved driver.MemberSnapshot, savedAt time.Duration) {
 	m, now := r.members[id], r.host.Now()
-	if m == nil || m.startedAt >= savedAt || max(savedAt, k.Position, k.Replica, k.Timed) > now {
+	if m == nil || m.startedAt >= savedAt || max(savedAt, saved.Position, saved.Replica, saved.Timed) > now {
 		return
 	}
 	s := &m.replication
-	s.position, s.replicaProvenAt = max(s.position, k.Position), max(s.replicaProvenAt, k.Replica)
+	s.position, s.replicaProvenAt = max(s.position, saved.Position), max(s.replicaProvenAt, saved.Replica)
 	if m.health.lastReplyAt == unknownTime {
-		m.latency.ratio, m.latency.sampledAt = k.Ratio, k.Timed
+		m.latency.ratio, m.latency.sampledAt = saved.Ratio, saved.Timed
 	}
 }
--- a/rules/invariants_test.go
+++ b/rules/invariants_test.go
@@ -7,6 +7,7 @@
 	"passtack/driver"
 )
 
+// FuzzRules sends random events to the router. The cluster checks its rules at each action.
 func FuzzRules(f *testing.F) {
 	for seed := range uint64(40) {
 		f.Add(seed)
--- a/rules/latency.go
+++ b/rules/latency.go
@@ -37,19 +37,19 @@
 
 // recordLatency learns from the duration of an attempt. Samples at the end of a pause of the driver are ignored, as they include the pause.
 func (r *Router) recordLatency(meth *method, m *member, took time.Duration) {
-	now, typical, p, l := r.host.Now(), &meth.typical, &r.pace, &m.latency
+	now, typical, pace, latency := r.host.Now(), &meth.typical, &r.pace, &m.latency
 	if r.ticks.resumedAt == now {
 		return
 	}
-	took = min(took, time.Duration(maxSampleRatio*l.ratio*float64(typical.value)))
+	took = min(took, time.Duration(maxSampleRatio*latency.ratio*float64(typical.value)))
 	ratio := float64(took) / float64(typical.value)
-	p.interval += time.Duration(sampleWeight / 2 * float64(now-p.sampledAt-p.interval))
-	paceWeight := max(sampleWeight/2, 1-decay.Factor(now-p.sampledAt, latencyDecayTime))
-	p.value, p.sampledAt = p.value+paceWeight*(ratio/max(l.ratio, 1)-p.value), now
-	typical.value += time.Duration(sampleWeight / 2 * (float64(took)/max(l.ratio, 1) - float64(typical.value)))
+	pace.interval += time.Duration(sampleWeight / 2 * float64(now-pace.sampledAt-pace.interval))
+	paceWeight := max(sampleWeight/2, 1-decay.Factor(now-pace.sampledAt, latencyDecayTime))
+	pace.value, pace.sampledAt = pace.value+paceWeight*(ratio/max(latency.ratio, 1)-pace.value), now
+	typical.value += time.Duration(sampleWeight / 2 * (float64(took)/max(latency.ratio, 1) - float64(typical.value)))
 	typical.value, typical.sampledAt = max(typical.value, minTypicalLatency), now
-	weight := max(sampleWeight, (1-decay.Factor(now-l.sampledAt, latencyDecayTime))/2)
-	l.ratio, l.sampledAt = max(minLatencyRatio, l.ratio+weight*(ratio-l.ratio)), now
+	weight := max(sampleWeight, (1-decay.Factor(now-latency.sampledAt, latencyDecayTime))/2)
+	latency.ratio, latency.sampledAt = max(minLatencyRatio, latency.ratio+weight*(ratio-latency.ratio)), now
 }
 
 // predictLatency predicts how long the method would take at the member with the attempts that are in flight there now.
--- a/rules/outlier.go
+++ b/rules/outlier.go
@@ -56,7 +56,8 @@
 	}
 }
 
-// recordOutcome learns from the outcome of an attempt. An overtaken attempt no longer counted as in flight when it ended.
+// recordOutcome learns from the outcome of an attempt. overtaken means that the attempt was no longer counted as in flight when it ended
+// (releaseOvertaken).
 func (r *Router) recordOutcome(q *rpc, a *attempt, outcome driver.Outcome, overtaken bool, took, now time.Duration) {
 	m := a.member
 	switch outcome {
@@ -105,8 +106,8 @@
 	}
 }
 
-// checkHealth ejects a member that is silent with attempts in flight. A single attempt does not suffice, as its answer may be lost: it no
-// longer counts as in flight, and the next one decides. checkHealth also sends a health check, within the budget, if no report is recent.
+// checkHealth ejects a member that is silent with attempts in flight. A single attempt does not suffice, as its answer may be lost: the
+// attempt is then no longer counted as in flight, and the next one decides. checkHealth also sends a health check, within the budget, if no report is recent.
 func (r *Router) checkHealth(m *member, now time.Duration) {
 	h := &m.health
 	if m.available && now-max(m.replication.reportedAt, h.checkedAt) > recheckInterval && r.healthCheckBudget >= 1 && r.settings.Bool("caps.probe") {
--- a/rules/protocolchecks_test.go
+++ b/rules/protocolchecks_test.go
@@ -7,16 +7,16 @@
 	"passtack/driver"
 )
 
-// recordAnswer records a final answer of the router. It checks rule 1, one answer for each RPC, and rule 2, no duplicate runs: harmless means
-// that the answer tells the client that it may retry.
-func (c *cluster) recordAnswer(id driver.RPC, harmless bool) {
+// recordAnswer records a final answer of the router. It checks rule 1, one answer for each RPC, and rule 2, no duplicate runs:
+// mayRetry means that the answer tells the client that it may retry.
+func (c *cluster) recordAnswer(id driver.RPC, mayRetry bool) {
 	q := c.rpcs[id]
 	if q == nil || q.answered {
 		c.t.Fatalf("rule 1: second answer to %d", id)
 	}
 	q.answered = true
 	m := testMethods[q.method]
-	if harmless && (q.mayHaveRun || q.openAttempts > 0) && (m.effect == "non-idempotent" || m.effect == "tokened" && m.repeats != "all") {
+	if mayRetry && (q.mayHaveRun || q.openAttempts > 0) && (m.effect == "non-idempotent" || m.effect == "tokened" && m.repeats != "all") {
 		c.t.Fatalf("rule 2: %d pushed back after it may have run", id)
 	}
 }
--- a/rules/reasons.go
+++ b/rules/reasons.go
@@ -20,5 +20,5 @@
 // String returns the reason as it is logged.
 func (r Reason) String() string { return reasonNames[r] }
 
-// LastReason returns the reason for the latest rejection or abort. The host calls it while it handles that.
+// LastReason returns the reason for the latest rejection or abort. The host calls it from its PushBack and Abort methods.
 func (r *Router) LastReason() Reason { return r.lastReason }
--- a/rules/selection.go
+++ b/rules/selection.go
@@ -118,7 +118,7 @@
 		sinceReport, position := now-m.replication.reportedAt, m.replication.position
 		unreported := m.inFlight.Len() == 0 && sinceReport > recheckInterval
 		mayExplore := r.membersCheckFreshness && unreported && sinceReport > maxProbationBackoff
-		if r.membersCheckFreshness && m.replication.reportedAt != unknownTime { // if it has not advanced this far, it rejects the read
+		if r.membersCheckFreshness && m.replication.reportedAt != unknownTime { // a member that has not advanced this far rejects the read
 			position += sinceReport
 		}
 		if m == q.group.primary || position < required && !mayExplore || !r.accepts(m, q, now) {
--- a/rules/slowstart.go
+++ b/rules/slowstart.go
@@ -13,16 +13,16 @@
 // driverLoad is the load that clients request of this driver and that its members carry: seconds of typical latency, each weighted by its
 // age (decay.Sum) with the time constant loadWindow.
 type driverLoad struct {
-	requested, firstTries          decay.Sum // by clients: all RPCs; without their retries
+	requested, firstTries          decay.Sum // load requested by clients: with all RPCs; with first tries only
 	carried                        float64   // load of a warm member of the busier role, as in member.load
-	availableMembers, failingShare float64   // failingShare: share of members with recent failures
+	availableMembers, failingShare float64   // number of available members; share of members with recent failures
 }
 
 func (r *Router) loadWindow() time.Duration {
 	return max(r.settings.Duration("rules.cold_window"), r.ticks.interval)
 }
 
-// age returns the shortest possible time since the member started; its start is known by another clock.
+// age returns the shortest possible time since the member started. The start is given by the members' clock, whose offset is uncertain.
 func (r *Router) age(m *member, now time.Duration) time.Duration {
 	return now - r.clockUncertainty - m.startedAt
 }
@@ -45,7 +45,7 @@
 	}
 	multiple, share := r.settings.Number("rules.cold_multiple", 1), r.settings.Number("rules.cold_share", 1)
 	share += (1 - share) * max(0, float64(r.age(m, now))/float64(r.settings.Duration("rules.cold_lasts")))
-	// Where no load of warm members is known, half of the load that clients request is used instead.
+	// If the load of warm members is not known, half of a member's part of the load that clients request is used instead.
 	carried := max(r.load.carried, r.load.firstTries.At(now, window)/float64(len(r.memberList))/2)
 	budget := max(slowStartShare*share*multiple*carried, math.Sqrt(multiple)*m.servedLoad.At(now, window))
 	work := q.method.typical.value.Seconds()
@@ -76,7 +76,7 @@
 		if m.available {
 			r.load.availableMembers++
 		}
-		r.load.failingShare += math.Ceil(m.health.failureRate-failureWeight/2) / float64(len(r.memberList)) // numerator 1 if it failed recently
+		r.load.failingShare += math.Ceil(m.health.failureRate-failureWeight/2) / float64(len(r.memberList)) // the numerator is 1 if the member failed recently, else 0
 		if m.available && !m.health.ejected() && !r.warmingUp(m, now) {
 			isPrimary := m == m.group.primary
 			load[isPrimary] += m.load.At(now, r.loadWindow())
