--- a/internal/node/background.go
+++ b/internal/node/background.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	sliceBudget      = time.Millisecond // for slices in one iteration of the event loop
-	minSliceInterval = time.Millisecond // between two iterations with slices
+	sliceBudget      = time.Millisecond // time for slices in one iteration of the event loop
+	minSliceInterval = time.Millisecond // time between two iterations with slices
 )
 
 // jobSlice runs one slice of a background job on the event loop.
@@ -21,7 +21,7 @@
 	simulated bool // the clock does not advance within an iteration of the loop
 	scheduler *background.Scheduler
 	slices    []jobSlice      // by background.JobID
-	timer     eventloop.Timer // of the next slice; nil: not set
+	timer     eventloop.Timer // for the next slice; nil: not set
 	wakeAt    time.Duration   // when timer expires
 }
 
--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -79,7 +79,7 @@
 	}
 }
 
-// BenchmarkOData does the same for OData clients, with members of either protocol.
+// BenchmarkOData measures the whole driver as BenchmarkDriver does, for OData clients and members of either protocol.
 func BenchmarkOData(b *testing.B) {
 	for _, members := range []string{"pg", "odata"} {
 		for _, clients := range []int{1, 16, 200, 1000} {
@@ -88,6 +88,7 @@
 	}
 }
 
+// serveAll measures a driver that serves b.N RPCs of several clients at once.
 func serveAll(b *testing.B, clients int, front, members string) {
 	var targets []string
 	for i := range 4 {
--- a/internal/node/configuration.go
+++ b/internal/node/configuration.go
@@ -8,23 +8,23 @@
 
 	"passtack/internal/config"
 	"passtack/internal/rollout"
-	watch "passtack/internal/rollout/client"
+	rolloutclient "passtack/internal/rollout/client"
 	"passtack/internal/settings"
 )
 
 // Names of the counters for published configurations.
 const (
-	counterVersionsApplied    = "configuration_versions_applied"
-	counterVersionsRejected   = "configuration_versions_rejected"
-	counterConfigurationStore = "configuration_store_failures"
-	counterFolderUnusable     = "configuration_folder_unusable"
+	counterVersionsApplied  = "configuration_versions_applied"
+	counterVersionsRejected = "configuration_versions_rejected"
+	counterStoreFailures    = "configuration_store_failures"
+	counterFolderUnusable   = "configuration_folder_unusable"
 )
 
 // configuration polls the control machines that the operator's file names and applies the configuration versions that they publish for
-// the whole fleet. It implements client.Host. A version passes through VersionOffered, where a worker checks it, then persist and apply.
+// the whole fleet. It implements rolloutclient.Host. A version passes through VersionOffered, where a worker checks it, then persist and apply.
 type configuration struct {
 	node         *Node
-	client       *watch.Client // nil until watchConfiguration is called
+	client       *rolloutclient.Client // nil until watchConfiguration is called
 	storage      *configurationStorage
 	local        localConfiguration
 	published    publishedLimits
@@ -40,8 +40,8 @@
 
 // restoreConfiguration puts the stored version into force, before any part of the driver reads its settings.
 func (n *Node) restoreConfiguration() {
-	w := n.config.Configuration
-	if w == nil {
+	block := n.config.Configuration
+	if block == nil {
 		return
 	}
 	c := &configuration{
@@ -51,10 +51,10 @@
 		inForceSince: n.loop.Now(),
 	}
 	n.configuration = c
-	if w.DataDir == "" {
+	if block.DataDir == "" {
 		return
 	}
-	storage := n.openConfigurationStorage(w.DataDir)
+	storage := n.openConfigurationStorage(block.DataDir)
 	if storage == nil {
 		return
 	}
@@ -81,18 +81,18 @@
 // watchConfiguration starts polling for newer versions.
 func (n *Node) watchConfiguration() {
 	if c := n.configuration; c != nil {
-		w := n.config.Configuration
-		c.client = watch.New(n.loop, c, w.Fleet, n.site.Name, w.Machines, n.site.Seed+101)
+		block := n.config.Configuration
+		c.client = rolloutclient.New(n.loop, c, block.Fleet, n.site.Name, block.Machines, n.site.Seed+101)
 	}
 }
 
-// Report implements client.Host.
+// Report implements rolloutclient.Host.
 func (c *configuration) Report() rollout.DriverReport { return c.report }
 
-// Count implements client.Host.
+// Count implements rolloutclient.Host.
 func (c *configuration) Count(counter string) { c.node.Count(counter) }
 
-// VersionOffered implements client.Host: a worker checks the version, which is then stored and applied.
+// VersionOffered implements rolloutclient.Host: a worker checks the version, which is then stored and applied.
 func (c *configuration) VersionOffered(version uint64, text []byte) {
 	local := c.local
 	var next *checkedVersion
@@ -134,7 +134,7 @@
 	}
 	n.workers.run(func() error { return c.storage.write(next.version, next.text) }, func(err error, _ time.Duration) {
 		if err != nil {
-			n.Count(counterConfigurationStore)
+			n.Count(counterStoreFailures)
 			c.storage.logFailure(next.version, err, n.loop.Now())
 		}
 		applyOnce()
@@ -164,7 +164,7 @@
 	n.applySettings()
 	n.module.ApplySettings(running)
 	c.report.NeedsRestart = append(c.report.NeedsRestart, n.applyConfig(next.operatorFile)...)
-	if drainingRuleChanged { // by this rule the endpoint list decides which members receive requests
+	if drainingRuleChanged { // the rule determines how the endpoint list decides which members receive requests
 		n.discovery.Fetch()
 	}
 	n.Count(counterVersionsApplied)
@@ -202,10 +202,10 @@
 
 // ConfigurationStatus describes the published configuration on one driver. Times are in milliseconds.
 type ConfigurationStatus struct {
-	Version         uint64   // in force; 0: the driver's own file
-	InForceMS       int64    `json:"ForMS"` // since Version was applied
+	Version         uint64   // version in force; 0: the driver's own file
+	InForceMS       int64    `json:"ForMS"` // time since Version was applied
 	Machine         string   // control machine that is polled
-	SilentMS        int64    // since the last answer of any control machine
+	SilentMS        int64    // time since the last answer of any control machine
 	RejectedVersion uint64   `json:"Refused"` // newer version that the driver cannot use; 0: none
 	RejectReason    string   `json:"Why"`
 	NeedsRestart    []string `json:"Restart"` // settings that take effect only after a restart
--- a/internal/node/configuration_storage.go
+++ b/internal/node/configuration_storage.go
@@ -10,7 +10,7 @@
 
 const (
 	maxConfigurationBytes = 4 << 20                // size limit of the folder
-	storeTimeout          = 500 * time.Millisecond // after which a version is applied although it is not stored yet
+	storeTimeout          = 500 * time.Millisecond // time after which a version is applied although it is not stored yet
 	configurationRecord   = "configuration"        // name of the record: the version in 8 bytes, little endian, then the text
 	versionBytes          = 8
 )
--- a/internal/node/configuration_test.go
+++ b/internal/node/configuration_test.go
@@ -41,19 +41,19 @@
 	return netip.MustParseAddrPort(fmt.Sprintf("10.0.8.%d:7400", n+1))
 }
 
-func (p *simulatedFleet) startControlMachines() *controlMachines {
-	c := &controlMachines{fleet: p}
+func (f *simulatedFleet) startControlMachines() *controlMachines {
+	c := &controlMachines{fleet: f}
 	for n := range 3 {
-		h := p.world.AddHost(fmt.Sprint("control", n))
+		h := f.world.AddHost(fmt.Sprint("control", n))
 		machineConfig := server.MachineConfig{Fleet: "shop", Name: h.Name, Listen: controlAddress(n)}
 		for o := range 3 {
 			if o != n {
 				machineConfig.Peers = append(machineConfig.Peers, server.Peer{Name: fmt.Sprint("control", o), Address: controlAddress(o)})
 			}
 		}
-		s, err := server.New(p.loopOn(h), machineConfig, simStorage{p.world, h}, server.PersistedState{}, uint64(n+1))
+		s, err := server.New(f.loopOn(h), machineConfig, simStorage{f.world, h}, server.PersistedState{}, uint64(n+1))
 		if err != nil {
-			p.t.Fatal(err)
+			f.t.Fatal(err)
 		}
 		c.servers, c.hosts = append(c.servers, s), append(c.hosts, h)
 	}
@@ -77,7 +77,7 @@
 	return 0
 }
 
-func (p *simulatedFleet) advance(duration time.Duration) { p.world.Run(p.world.Now() + duration) }
+func (f *simulatedFleet) advance(duration time.Duration) { f.world.Run(f.world.Now() + duration) }
 
 func configurationBlock(folder string) string {
 	text := fmt.Sprintf("configuration {\n  fleet = \"shop\"\n  machines = [%q, %q, %q]\n", controlAddress(0), controlAddress(1), controlAddress(2))
@@ -87,19 +87,19 @@
 	return text + "}\n"
 }
 
-// startConfiguredDriver starts a driver that polls three control machines and has three members. extra is appended to its configuration
-// file. The function returned stops the driver and starts it again.
+// startConfiguredDriver starts a driver that polls three control machines and has three members. extra is appended to its operator's file.
+// The function returned stops the driver and starts it again.
 func startConfiguredDriver(t *testing.T, folder, extra string) (*simulatedFleet, *controlMachines, func() *Node) {
 	slog.SetDefault(slog.New(slog.DiscardHandler))
-	p := &simulatedFleet{t: t, world: sim.New(5, epoch), random: pcg.New(5), answers: make(map[string]string), executions: make(map[string]int)}
+	f := &simulatedFleet{t: t, world: sim.New(5, epoch), random: pcg.New(5), answers: make(map[string]string), executions: make(map[string]int)}
 	for i := range 3 {
-		p.addMember(i, roleName(i == 0))
+		f.addMember(i, roleName(i == 0))
 	}
-	c := p.startControlMachines()
-	d := &simDriver{host: p.world.AddHost("d0"), address: netip.MustParseAddrPort("10.0.0.1:6543")}
-	p.drivers = append(p.drivers, d)
+	c := f.startControlMachines()
+	d := &simDriver{host: f.world.AddHost("d0"), address: netip.MustParseAddrPort("10.0.0.1:6543")}
+	f.drivers = append(f.drivers, d)
 	var targets []string
-	for j, m := range p.members {
+	for j, m := range f.members {
 		targets = append(targets, fmt.Sprintf(`{"uid":"s-%d","endpoint":"%s","az":"a","pod_group":0,"state":"in_service","capacity_hint":1,"boot_ms":0}`, j, m.address))
 	}
 	start := func() *Node {
@@ -108,31 +108,31 @@
 			d.node.CloseStores()
 			d.host.Start()
 		}
-		site := &Site{Name: "d0", Listen: d.address, Discovery: netip.MustParseAddrPort("10.0.9.1:8500"), Seed: p.randomSeed(), Descriptors: 256, Memory: 64 << 20,
+		site := &Site{Name: "d0", Listen: d.address, Discovery: netip.MustParseAddrPort("10.0.9.1:8500"), Seed: f.randomSeed(), Descriptors: 256, Memory: 64 << 20,
 			InitialList: []byte(endpointList(1, true, targets...)), Settings: settings.Flatten(simSettings(t))}
 		file, err := site.ParseConfig([]byte(configurationBlock(folder)+extra), "d0.hcl")
 		if err != nil {
 			t.Fatal(err)
 		}
-		if d.node, err = On(p.loopOn(d.host), site, file); err != nil {
+		if d.node, err = On(f.loopOn(d.host), site, file); err != nil {
 			t.Fatal(err)
 		}
 		return d.node
 	}
 	start()
-	p.advance(4 * time.Second)
-	return p, c, start
+	f.advance(4 * time.Second)
+	return f, c, start
 }
 
 // sendRPC sends one RPC on a connection of its own, and returns a function that returns its answer, "" while there is none.
-func (p *simulatedFleet) sendRPC(method string, deadlineMS int) (answer func() string) {
-	p.sent++
-	c := &simClient{fleet: p, loop: p.loopOn(p.world.AddHost(fmt.Sprint("say", p.sent))), to: p.drivers[0].address, name: "say", until: p.world.Now()}
-	c.id = fmt.Sprintf("say-%d", p.sent)
+func (f *simulatedFleet) sendRPC(method string, deadlineMS int) (answer func() string) {
+	f.sent++
+	c := &simClient{fleet: f, loop: f.loopOn(f.world.AddHost(fmt.Sprint("say", f.sent))), to: f.drivers[0].address, name: "say", until: f.world.Now()}
+	c.id = fmt.Sprintf("say-%d", f.sent)
 	c.loop.Defer(func() {
 		var err error
 		if c.stream, err = c.loop.Dial(c.to, c, 1<<20); err != nil {
-			p.t.Error(err)
+			f.t.Error(err)
 			return
 		}
 		text := taggedStatement(c.id, method, deadlineMS, 0)
@@ -141,7 +141,7 @@
 		}
 		c.stream.Send(pgwire.AppendStartup(nil, "app", "shop"), queryMessage(text))
 	})
-	return func() string { return p.answers[c.id] }
+	return func() string { return f.answers[c.id] }
 }
 
 const replacedMethods = `{"settings":{"classes":[
@@ -152,27 +152,27 @@
 // Methods, caps and limits of a published version are applied together. RPCs of a removed method that are in progress are answered and
 // later ones rejected; new methods are served. An empty version restores the driver's own file.
 func TestPublishedVersionIsApplied(t *testing.T) {
-	p, c, _ := startConfiguredDriver(t, "", "")
-	n := p.drivers[0].node
+	f, c, _ := startConfiguredDriver(t, "", "")
+	n := f.drivers[0].node
 	if got := n.Configuration(); got.Version != 0 || n.configuration.status().SilentMS > 2000 {
 		t.Fatalf("%+v, %+v", got, n.configuration.status())
 	}
-	for _, m := range p.members {
+	for _, m := range f.members {
 		m.responseDelay = 500 * time.Millisecond
 	}
-	inFlightAnswer := p.sendRPC("pay", 1500)
-	p.advance(100 * time.Millisecond)
+	inFlightAnswer := f.sendRPC("pay", 1500)
+	f.advance(100 * time.Millisecond)
 	if v := c.publish(replacedMethods); v != 1 || n.Configuration().Version != 1 {
 		t.Fatalf("version %d is published, want 1; the driver reports %+v", v, n.Configuration())
 	}
 	if inFlightAnswer() != "ok" {
 		t.Errorf("the RPC in progress is answered %q, want ok", inFlightAnswer())
 	}
-	for _, m := range p.members {
+	for _, m := range f.members {
 		m.responseDelay = 20 * time.Millisecond
 	}
-	buyAnswer, payAnswer, lookAnswer := p.sendRPC("buy", 800), p.sendRPC("pay", 800), p.sendRPC("look", 600)
-	p.advance(time.Second)
+	buyAnswer, payAnswer, lookAnswer := f.sendRPC("buy", 800), f.sendRPC("pay", 800), f.sendRPC("look", 600)
+	f.advance(time.Second)
 	if buyAnswer() != "ok" || lookAnswer() != "ok" || payAnswer() == "ok" || payAnswer() == "" {
 		t.Errorf("a new method is answered %q, want ok; an unchanged one %q, want ok; a removed one %q, want a rejection", buyAnswer(), lookAnswer(), payAnswer())
 	}
@@ -182,8 +182,8 @@
 	if v := c.publish(`{}`); v != 2 || n.Configuration().Version != 2 {
 		t.Fatalf("version %d, %+v", v, n.Configuration())
 	}
-	payAnswer, buyAnswer = p.sendRPC("pay", 800), p.sendRPC("buy", 800)
-	p.advance(time.Second)
+	payAnswer, buyAnswer = f.sendRPC("pay", 800), f.sendRPC("buy", 800)
+	f.advance(time.Second)
 	if payAnswer() != "ok" || buyAnswer() == "ok" || n.loop.MaxDescriptors() != 256-3 {
 		t.Errorf("after the empty version: pay is answered %q, want ok; buy %q, want a rejection; %d descriptors", payAnswer(), buyAnswer(), n.loop.MaxDescriptors())
 	}
@@ -205,8 +205,8 @@
   }
 }
 `
-	p, c, _ := startConfiguredDriver(t, "", front)
-	n := p.drivers[0].node
+	f, c, _ := startConfiguredDriver(t, "", front)
+	n := f.drivers[0].node
 	c.publish(`{"settings":{"caps":{"max_retry_after_us":7000}}}`)
 	for text, want := range map[string]string{
 		`{"settings":{"family_info":{"class_read":["old"]}}}`: `settings.family_info.class_read is "old" for classes.0`,
@@ -223,8 +223,8 @@
 			t.Error("a part of the rejected version is in force")
 		}
 	}
-	lookAnswer := p.sendRPC("look", 600)
-	p.advance(time.Second)
+	lookAnswer := f.sendRPC("look", 600)
+	f.advance(time.Second)
 	if lookAnswer() != "ok" {
 		t.Errorf("an RPC is answered %q, want ok", lookAnswer())
 	}
@@ -239,8 +239,8 @@
 		return fmt.Sprintf("front \"odata\" \"shop\" {\n  listen = \"10.0.0.1:8080\"\n  set \"Items\" {\n    key = \"Id\"\n    groups = [0]\n    property \"Id\" {}\n    operation \"read\" {\n      method = %q\n"+
 			"      statement = \"SELECT doc FROM items WHERE id = {key}\"\n    }\n  }\n}\n", method)
 	}
-	p, c, _ := startConfiguredDriver(t, "", front("look"))
-	n := p.drivers[0].node
+	f, c, _ := startConfiguredDriver(t, "", front("look"))
+	n := f.drivers[0].node
 	v := c.publish(`{"settings":{"classes":[{"name":"seek","effect":"safe","points":2,"target_us":300000,"hard_limit_us":700000}],"family_info":{"class_read":["loose"]}}}`)
 	if got := n.Configuration(); got.RejectedVersion != v {
 		t.Fatalf("%+v", got)
@@ -250,8 +250,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.drivers[0].host.Post(func() { n.reload(&site, file, nil) })
-	p.advance(2 * time.Second)
+	f.drivers[0].host.Post(func() { n.reload(&site, file, nil) })
+	f.advance(2 * time.Second)
 	if got := n.Configuration(); got.Version != v || got.RejectedVersion != 0 {
 		t.Errorf("%+v", got)
 	}
@@ -261,9 +261,9 @@
 // its own file.
 func TestRestartRestoresAppliedVersion(t *testing.T) {
 	for _, folder := range []string{t.TempDir(), ""} {
-		p, c, start := startConfiguredDriver(t, folder, "")
+		f, c, start := startConfiguredDriver(t, folder, "")
 		c.publish(`{"settings":{"tick_us":8000,"areas":["b","a"],"caps":{"max_retry_after_us":7000}}}`)
-		n := p.drivers[0].node
+		n := f.drivers[0].node
 		if got := n.Configuration(); got.Version != 1 || strings.Join(got.NeedsRestart, " ") != "tick_us areas" || n.rpcs.tick != 5*time.Millisecond {
 			t.Errorf("%+v, tick %v", got, n.rpcs.tick)
 		}
@@ -278,8 +278,8 @@
 		if folder != "" && (n.rpcs.tick != 8*time.Millisecond || n.Settings()["caps.longest_wait"] != "7000" || n.members.zones[0] != "b") {
 			t.Errorf("tick %v, %v, zones %v", n.rpcs.tick, n.Settings()["caps.longest_wait"], n.members.zones)
 		}
-		lookAnswer := p.sendRPC("look", 600)
-		p.advance(3 * time.Second)
+		lookAnswer := f.sendRPC("look", 600)
+		f.advance(3 * time.Second)
 		if lookAnswer() != "ok" {
 			t.Errorf("without control machines an RPC is answered %q, want ok", lookAnswer())
 		}
@@ -293,10 +293,10 @@
 // A stored version that is no longer valid is rejected at the start, and the driver serves with its own file.
 func TestUnusableStoredVersionIsIgnored(t *testing.T) {
 	folder := t.TempDir()
-	p, c, start := startConfiguredDriver(t, folder, "")
+	f, c, start := startConfiguredDriver(t, folder, "")
 	c.publish(`{"settings":{"caps":{"max_retry_after_us":7000}}}`)
-	p.drivers[0].host.Kill()
-	p.drivers[0].node.CloseStores()
+	f.drivers[0].host.Kill()
+	f.drivers[0].node.CloseStores()
 	for _, h := range c.hosts {
 		h.Kill()
 	}
@@ -312,8 +312,8 @@
 	if got := n.Configuration(); got.Version != 0 || got.RejectedVersion != 9 || !strings.Contains(got.RejectReason, "settings.clases") {
 		t.Errorf("%+v", got)
 	}
-	lookAnswer := p.sendRPC("look", 600)
-	p.advance(time.Second)
+	lookAnswer := f.sendRPC("look", 600)
+	f.advance(time.Second)
 	if lookAnswer() != "ok" {
 		t.Errorf("an RPC is answered %q, want ok", lookAnswer())
 	}
--- a/internal/node/discovery_watcher.go
+++ b/internal/node/discovery_watcher.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	announceInterval     = 300 * time.Millisecond // between two announcements of the holder while its list does not change
-	holderTimeout        = time.Second            // without an announcement, after which drivers watch discovery themselves
-	revisionPollInterval = 20 * time.Millisecond  // between two checks of the holder for a change of its list
-	maxPauseOfPolls      = discovery.MaxWatch     // without a poll of its own, after which a paused driver polls discovery once, as the holder may be wrong
+	announceInterval     = 300 * time.Millisecond // time between two announcements of the holder while its list does not change
+	holderTimeout        = time.Second            // time without an announcement after which drivers watch discovery themselves
+	revisionPollInterval = 20 * time.Millisecond  // time between two checks of the holder for a change of its list
+	maxPauseOfPolls      = discovery.MaxWatch     // time without a poll of its own after which a paused driver polls discovery once, as the holder may be wrong
 )
 
 // discoveryWatcher is the task of watching discovery for all drivers. The driver that holds the task's lease announces the revision of its
--- a/internal/node/eviction_test.go
+++ b/internal/node/eviction_test.go
@@ -70,8 +70,8 @@
 	}
 }
 
-// Clients that never sent a request must be evicted first. Clients that have sent one are evicted only if others that also have need
-// the descriptors.
+// Clients that never sent a request must be evicted first. A client that has sent one is evicted only if the descriptor is needed
+// for another client that has sent one.
 func TestEvictionOrder(t *testing.T) {
 	m := startFakeMember(t, respondAsLeader)
 	d := startDriver(t, "", 100, endpointList(1, true, endpointEntry(1, 0, m.listener.Addr(), "in_service")))
--- a/internal/node/fake_cluster_test.go
+++ b/internal/node/fake_cluster_test.go
@@ -17,10 +17,10 @@
 	"passtack/internal/pgwire"
 )
 
-// This file implements a fake group. Its members speak either protocol with the same behaviour, implemented after the public
-// descriptions of both protocols.
+// This file implements a fake group. Its members behave the same over either protocol. The implementation follows the public descriptions
+// of both protocols.
 
-// memberFault is what a member does with one attempt.
+// memberFault is the way in which a member fails one attempt, or faultNone.
 type memberFault uint8
 
 const (
@@ -43,7 +43,7 @@
 type memberCall struct {
 	id, token, key, verb string
 	method               string // empty if the protocol does not carry it
-	after                int64  // position that the answer must include, ms
+	after                int64  // position that the answer must include, in ms
 	write                bool
 	member               int
 	began                time.Time
@@ -51,7 +51,7 @@
 	text                 string
 }
 
-// fakeCluster is one fake group.
+// fakeCluster is one fake group of members, with a record of the attempts that they received.
 type fakeCluster struct {
 	t        testing.TB
 	protocol string
@@ -59,11 +59,11 @@
 	members  []*fakeClusterMember
 	calls    []*memberCall
 	effects  map[string]int       // number of executions, by token, or by key and id if there is no token
-	lastRun  map[string]time.Time // time of the last execution, by the same names
+	lastRun  map[string]time.Time // time of the last execution, by the same key as effects
 	faultFor func(c *memberCall, nth int) memberFault
-	nth      map[string]int // number of attempts, by key
+	attempts map[string]int // number of attempts, by key
 	values   func(c *memberCall) string
-	wait     time.Duration // before each answer
+	wait     time.Duration // time before each answer
 }
 
 // fakeClusterMember is a member of a fakeCluster.
@@ -78,7 +78,7 @@
 }
 
 func startFakeCluster(t testing.TB, protocol string, size int, faultFor func(*memberCall, int) memberFault) *fakeCluster {
-	g := &fakeCluster{t: t, protocol: protocol, faultFor: faultFor, effects: make(map[string]int), lastRun: make(map[string]time.Time), nth: make(map[string]int)}
+	g := &fakeCluster{t: t, protocol: protocol, faultFor: faultFor, effects: make(map[string]int), lastRun: make(map[string]time.Time), attempts: make(map[string]int)}
 	g.values = func(c *memberCall) string { return fmt.Sprintf(`{"Id":%q,"Status":"sent","Version":7}`, c.key) }
 	for i := range size {
 		m := &fakeClusterMember{cluster: g, number: i, listener: listenLocal(t), role: roleName(i == 0), conns: make(map[net.Conn]bool)}
@@ -200,8 +200,8 @@
 	g := m.cluster
 	g.mutex.Lock()
 	c.member, c.began = m.number, time.Now()
-	g.nth[c.key]++
-	f := g.faultFor(c, g.nth[c.key])
+	g.attempts[c.key]++
+	f := g.faultFor(c, g.attempts[c.key])
 	role, lag, wait := m.role, m.lag, g.wait
 	position := time.Now().Add(-lag).UnixMilli()
 	if role == "leader" {
@@ -218,7 +218,7 @@
 			name = c.key + " " + c.id
 		}
 		if last, known := g.lastRun[name]; !known || c.token == "" || time.Since(last) > 1200*time.Millisecond {
-			g.effects[name]++ // within its window a group recognizes a repeat and does not run it again
+			g.effects[name]++ // within its window a group recognizes a duplicate and does not run it again
 		}
 		g.lastRun[name] = time.Now()
 	}
--- a/internal/node/fake_member_test.go
+++ b/internal/node/fake_member_test.go
@@ -18,7 +18,7 @@
 // receivedQuery is one statement that a member received.
 type receivedQuery struct {
 	text         string
-	began, ended time.Time // when the member received it and when it began to send the last part of its answer, or closed
+	began, ended time.Time // when the member received it; when it began to send the last part of its answer, or closed the connection
 	mayHaveRun   bool
 }
 
--- a/internal/node/fleet_membership.go
+++ b/internal/node/fleet_membership.go
@@ -23,7 +23,7 @@
 	drainGossip *drainGossip
 }
 
-// summaryInterval is the time between two updates of the driver's own summary. A shorter probe interval takes its place.
+// summaryInterval is the time between two updates of the driver's own summary. If the probe interval is shorter, it is used instead.
 const summaryInterval = 500 * time.Millisecond
 
 // joinFleet starts the membership list, if the operator's file has a block view.
--- a/internal/node/fleet_status.go
+++ b/internal/node/fleet_status.go
@@ -7,7 +7,7 @@
 	Name            string
 	ActiveCount     int    `json:"Living"`
 	ConnectionShard int    `json:"Part"`  // limit of connections to one member, 0: unlimited
-	InMajority      bool   `json:"Whole"` // the shard includes connections reserved for drivers that see a majority
+	InMajority      bool   `json:"Whole"` // whether the shard includes connections reserved for drivers that see a majority
 	Checksum        uint64 `json:"Sum"`   // equal lists have equal checksums
 	Pauses          int    `json:"Halts"` // how often the process was suspended or starved
 	Sent            int    // messages
@@ -25,9 +25,9 @@
 	Reason       string `json:"Cause"` // why its status changed last
 	Self         bool
 	Incarnation  uint64 `json:"Life"`        // of the process
-	Refutation   uint32 `json:"Incarnation"` // raised by the driver to refute that it is suspect or dead
+	Refutation   uint32 `json:"Incarnation"` // number that the driver raises to refute that it is suspect or dead
 	StatusAgeMS  int64  `json:"ForMS"`
-	LastSeenMS   int64  `json:"HeardMS"` // how long ago
+	LastSeenMS   int64  `json:"HeardMS"` // time since its last message
 	Ready        float64
 	RequestRate  int `json:"Load"`     // RPCs per second
 	ListRevision int `json:"Revision"` // of its endpoint list
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -161,13 +161,13 @@
 func checkKeys(t *testing.T, n *Node) {
 	t.Helper()
 	const file = "testdata/control-keys.txt"
-	answers := n.answers()
+	handlers := n.controlHandlers()
 	var all []string
 	for _, query := range []string{"status", "leases", "fleet"} {
-		if answers[query] == nil {
+		if handlers[query] == nil {
 			t.Fatalf("the control endpoint has no handler for %s", query)
 		}
-		text, err := json.Marshal(answers[query]())
+		text, err := json.Marshal(handlers[query]())
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/node/host.go
+++ b/internal/node/host.go
@@ -26,7 +26,7 @@
 // Cancel cancels an attempt that is in flight.
 func (h *moduleHost) Cancel(id driver.RPC, attempt int) { h.node.rpcs.cancel(id, attempt) }
 
-// PushBack gives an RPC its final answer: it is rejected and has not run, and the client may retry it after a time.
+// PushBack gives an RPC its final answer: it is rejected, and the client may safely retry it.
 func (h *moduleHost) PushBack(id driver.RPC, retryAfter time.Duration) {
 	h.node.rpcs.pushBack(id, retryAfter)
 }
--- a/internal/node/idle_driver_test.go
+++ b/internal/node/idle_driver_test.go
@@ -43,7 +43,7 @@
 func idleDriver(t *testing.T, members int) (w *sim.World, n *Node, driver *sim.Host, calls *int) {
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	w, calls = sim.New(3, epoch), new(int)
-	on := func(h *sim.Host) *eventloop.Loop {
+	newLoop := func(h *sim.Host) *eventloop.Loop {
 		l, err := eventloop.NewWithSystem(h, 4000, 16<<20)
 		if err != nil {
 			t.Fatal(err)
@@ -60,7 +60,7 @@
 		Name: "d", Listen: netip.MustParseAddrPort("10.0.0.1:6543"), Discovery: netip.MustParseAddrPort("10.0.9.1:8500"), Seed: 5,
 		Descriptors: 4000, Memory: 64 << 20, InitialList: []byte(endpointList(1, true, targets...)), Settings: settings.Flatten(simSettings(t)),
 	}
-	agent := on(w.AddHost("agent"))
+	agent := newLoop(w.AddHost("agent"))
 	if _, err := agent.Listen(site.Discovery, 1<<12, eventloop.AcceptLimiter{}, func(open func(eventloop.Handler) *eventloop.Stream) {
 		h := &idleDiscovery{loop: agent, calls: calls}
 		h.stream = open(h)
@@ -69,7 +69,7 @@
 	}
 	driver = w.AddHost("d")
 	var err error
-	if n, err = On(on(driver), site, config.Default()); err != nil {
+	if n, err = On(newLoop(driver), site, config.Default()); err != nil {
 		t.Fatal(err)
 	}
 	return w, n, driver, calls
--- a/internal/node/invariants_test.go
+++ b/internal/node/invariants_test.go
@@ -59,7 +59,7 @@
 	random, mutex := pcg.New(seed), sync.Mutex{}
 	return startFakeMember(t, func(c net.Conn, q *receivedQuery) bool {
 		mutex.Lock()
-		dice, wait := random.Float(), time.Duration(random.Below(20))*time.Millisecond
+		draw, wait := random.Float(), time.Duration(random.Below(20))*time.Millisecond
 		mutex.Unlock()
 		write := strings.Contains(q.text, "c=order") || strings.Contains(q.text, "c=pay")
 		if write && role != "leader" {
@@ -67,21 +67,21 @@
 		}
 		time.Sleep(wait)
 		switch {
-		case dice < 0.08:
+		case draw < 0.08:
 			return respondError(c, "53300", role)
-		case dice < 0.12:
+		case draw < 0.12:
 			return respondError(c, "72000", role)
 		}
 		q.mayHaveRun = true
 		switch {
-		case dice < 0.17:
+		case draw < 0.17:
 			return false
-		case dice < 0.21:
+		case draw < 0.21:
 			c.Write(rowResponse("half")[:25])
 			return false
-		case dice < 0.26:
+		case draw < 0.26:
 			return respondError(c, "XX000", role)
-		case dice < 0.29:
+		case draw < 0.29:
 			return waitForClose(c)
 		}
 		return respondOK(c, q, role)
--- a/internal/node/learned.go
+++ b/internal/node/learned.go
@@ -21,7 +21,7 @@
 	node  *Node
 	store *storage.Store
 
-	restored            *persist.LearnedState // Members holds those that have not been passed to the module yet
+	restored            *persist.LearnedState // its Members are those not passed to the module yet
 	retainUnlistedUntil time.Duration
 
 	saver          *persist.Saver
@@ -111,8 +111,8 @@
 	if l == nil {
 		return
 	}
-	if k, found := l.restored.Members[uid]; found {
-		l.node.module.RestoreMember(member, k, l.restored.SavedAt)
+	if saved, found := l.restored.Members[uid]; found {
+		l.node.module.RestoreMember(member, saved, l.restored.SavedAt)
 		delete(l.restored.Members, uid)
 	}
 }
--- a/internal/node/learned_save.go
+++ b/internal/node/learned_save.go
@@ -15,10 +15,10 @@
 const (
 	membersPerSlice    = 64
 	saveDeadline       = 5 * time.Second
-	saveTimePerSecond  = 20 * time.Millisecond // of the event loop
+	saveTimePerSecond  = 20 * time.Millisecond // time of the event loop for saving, per second
 	compactMinBackoff  = time.Second
-	maxSaveBackoff     = time.Minute // of saving and compacting
-	expirationInterval = time.Second // of idempotent requests
+	maxSaveBackoff     = time.Minute // longest backoff of saving and of compacting
+	expirationInterval = time.Second // time between two removals of expired idempotent requests
 )
 
 // learnedJobs holds the background jobs that are triggered or whose slices end on a worker.
--- a/internal/node/learned_test.go
+++ b/internal/node/learned_test.go
@@ -39,9 +39,9 @@
 	if err != nil || s.Owner() != persist.Owner("n0") || len(report.Unreadable) > 0 {
 		t.Fatalf("%+v, %v", report, err)
 	}
-	k := persist.Restore(s).Members["s-0"]
-	if k.Position == 0 || k.Timed == 0 {
-		t.Errorf("saved state of the member: %+v, want a position and a latency", k)
+	saved := persist.Restore(s).Members["s-0"]
+	if saved.Position == 0 || saved.Timed == 0 {
+		t.Errorf("saved state of the member: %+v, want a position and a latency", saved)
 	}
 	second := newDriver()
 	if second.learned == nil || second.learned.restored.SavedAt == 0 || len(second.learned.restored.Members) != 0 {
--- a/internal/node/lease_status.go
+++ b/internal/node/lease_status.go
@@ -14,7 +14,7 @@
 	Version     uint32   // of the set of voters
 	Voters      []string // by name
 	Former      []string // in a joint set, the previous voters
-	SilentForMS int64    `json:"SilentMS"` // how much longer this voter grants nothing
+	SilentForMS int64    `json:"SilentMS"` // time for which this voter still grants nothing
 	Leases      []LeaseStatus
 	Grants      []GrantStatus `json:"Votes"` // of this voter
 }
--- a/internal/node/listeners.go
+++ b/internal/node/listeners.go
@@ -18,7 +18,7 @@
 
 const (
 	maxRPCs           = 1 << 15                // limit for RPCs being served by all listeners together
-	rebalanceInterval = 100 * time.Millisecond // between two checks for connections that one listener has borrowed and another needs
+	rebalanceInterval = 100 * time.Millisecond // time between two checks for connections that one listener has borrowed and another needs
 )
 
 // listenerSet is the set of listeners for clients, with the quotas that they share.
@@ -37,8 +37,8 @@
 	front       driver.Front
 	connections *front.Connections
 	quotaID     int // its number in the set's quotas
-	rpcs        int // being served
-	rpcsTaken   int // admitted since the start
+	rpcs        int // number of RPCs being served
+	rpcsTaken   int // number of RPCs admitted since the start
 }
 
 func newListenerSet(n *Node) listenerSet {
@@ -198,7 +198,8 @@
 }
 
 // evictIdle frees a descriptor: it closes the connection to a member that has been idle longest. It also closes an idle client
-// connection. That descriptor becomes free shortly after, so that the next need of one may cost no connection to a member.
+// connection. That descriptor becomes free shortly after, so that the next descriptor that is needed may cost no
+// connection to a member.
 func (n *Node) evictIdle() bool {
 	for _, l := range n.listeners.all {
 		if l.connections.EvictIdle() {
--- a/internal/node/log_limiter.go
+++ b/internal/node/log_limiter.go
@@ -6,12 +6,12 @@
 const logLimitInterval = 5 * time.Second
 
 // logLimiter allows one log line in logLimitInterval. The zero value allows the first line.
-type logLimiter struct{ mutedUntil time.Duration }
+type logLimiter struct{ suppressedUntil time.Duration }
 
 func (l *logLimiter) allow(now time.Duration) bool {
-	if now < l.mutedUntil {
+	if now < l.suppressedUntil {
 		return false
 	}
-	l.mutedUntil = now + logLimitInterval
+	l.suppressedUntil = now + logLimitInterval
 	return true
 }
--- a/internal/node/messenger.go
+++ b/internal/node/messenger.go
@@ -49,8 +49,8 @@
 	m.node.sendPeerMessage(to, peers.Message{Kind: kind, From: m.self, Incarnation: m.incarnation, Body: body}.Encode(m.fleet))
 }
 
-// receive processes a datagram from another driver. It returns false if the datagram is not a message of a messenger and is therefore for
-// the decision module.
+// receive processes a datagram from another driver. It returns false if the datagram is not a message of a messenger; the caller then
+// passes it to the decision module.
 func (m *messenger) receive(from driver.Peer, datagram []byte) bool {
 	n := m.node
 	message, err := peers.ParseMessage(datagram, m.fleet)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -38,14 +38,14 @@
 	"passtack/rules"
 )
 
-// bufferFraction divides the memory limit. The quotient is the limit for buffers of long messages.
+// bufferFraction is the divisor of the memory limit that gives the limit for buffers of long messages.
 const bufferFraction = 4
 
 // Node is one driver. All its code runs on its event loop, except for workers, which do not access its state.
 type Node struct {
 	site      *Site
 	config    *config.File // the operator's file, as currently applied
-	simulated bool         // whether an event loop of the caller is used: time may stand still within an iteration, and there are no workers
+	simulated bool         // whether the caller provides the event loop: time may stand still within an iteration, and there are no workers
 
 	loop      *eventloop.Loop
 	module    *rules.Router
@@ -194,7 +194,7 @@
 		return nil
 	}
 	err := n.openWithRetry(func() error {
-		_, err := control.Listen(n.loop, address, n.answers())
+		_, err := control.Listen(n.loop, address, n.controlHandlers())
 		return err
 	})
 	if err != nil {
--- a/internal/node/repeatable_test.go
+++ b/internal/node/repeatable_test.go
@@ -181,8 +181,8 @@
 			time.Sleep(700 * time.Millisecond) // the attempt has failed by now, and a retry would have followed at once
 		}
 		g.mutex.Lock()
-		if g.nth[key] != want {
-			t.Errorf("%s: %d attempts, want %d", key, g.nth[key], want)
+		if g.attempts[key] != want {
+			t.Errorf("%s: %d attempts, want %d", key, g.attempts[key], want)
 		}
 		g.mutex.Unlock()
 		if got := dialHTTP(t, odataAddress).do("POST", "Applications", body, repeatabilityHeaders("id-"+key, sent)...); got.status != 201 {
--- a/internal/node/retry.go
+++ b/internal/node/retry.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	shortageRetryDuration = 10 * time.Second       // how long an operation is retried
+	shortageRetryDuration = 10 * time.Second       // longest time for which an operation is retried
 	shortageRetryInterval = 100 * time.Millisecond // pause before each retry
 )
 
--- a/internal/node/rpcs.go
+++ b/internal/node/rpcs.go
@@ -31,7 +31,7 @@
 
 const (
 	concludedOK         conclusion = iota
-	concludedPushedBack            // rejected; the RPC has not run
+	concludedPushedBack            // rejected; a retry is safe
 	concludedAborted               // failed; the RPC may have run
 	concludedLeft                  // no answer; the client no longer waited for one
 )
@@ -50,7 +50,7 @@
 	node        *Node
 	table       slotmap.Map[*rpc]
 	maxAttempts int           // limit for one RPC
-	tick        time.Duration // between two ticks of the module, on which it answers RPCs that have reached their deadline
+	tick        time.Duration // time between two ticks of the module, on which it answers RPCs that have reached their deadline
 }
 
 // applySettings applies the site's settings for RPCs. A change of the module's tick takes effect at the next start only.
@@ -70,9 +70,9 @@
 // MembersNow returns the current time on the members' clock.
 func (t *rpcTable) MembersNow() time.Duration { return t.node.MembersNow() }
 
-// Take admits an RPC and passes it to the module. It returns 0 if the RPC was rejected; the client has its answer then.
+// Take admits an RPC and passes it to the module. It returns 0 if the RPC was rejected, which the client has been told.
 func (t *rpcTable) Take(front driver.Front, client driver.Client, method driver.Method, group driver.Group,
-	session driver.Session, arrivedAt, deadline, sinceWrite time.Duration, repeat bool) driver.RPC {
+	session driver.Session, arrivedAt, deadline, sinceWrite time.Duration, clientRetry bool) driver.RPC {
 	n := t.node
 	n.Count("rpcs_taken")
 	deadline, accepts := n.shutdown.bound(deadline)
@@ -97,7 +97,7 @@
 	n.timer.resume()
 	n.module.Take(rules.Request{
 		ID: id, Method: method, Group: group, Session: session,
-		ArrivedAt: arrivedAt, Deadline: deadline, SinceWrite: sinceWrite, ClientRetry: repeat,
+		ArrivedAt: arrivedAt, Deadline: deadline, SinceWrite: sinceWrite, ClientRetry: clientRetry,
 	})
 	return id
 }
@@ -175,7 +175,7 @@
 	q.withdraw()
 }
 
-// pushBack gives an RPC its final answer: it has not run, and the client may retry it.
+// pushBack gives an RPC its final answer: it is rejected, and the client may safely retry it.
 func (t *rpcTable) pushBack(id driver.RPC, retryAfter time.Duration) {
 	if q := t.conclude(id, concludedPushedBack); q != nil {
 		q.listener.front.PushBack(q.client, retryAfter)
--- a/internal/node/scenario_test.go
+++ b/internal/node/scenario_test.go
@@ -34,10 +34,10 @@
 	scenario       *scenario
 	loop           *eventloop.Loop
 	address        netip.AddrPort
-	connectDelay   time.Duration                                         // from the startup message of a connection to the response
-	respond        func(c *scriptedMemberConn, id string, answer func()) // is called for each query; answer sends a row
-	onQuery        func(text string)                                     // is called for each query before respond
-	reads          int                                                   // limit for the bytes of one query, not enforced
+	connectDelay   time.Duration                                         // time from the startup message of a connection to the response
+	respond        func(c *scriptedMemberConn, id string, answer func()) // called for each query; answer sends a row
+	onQuery        func(text string)                                     // called for each query before respond
+	reads          int                                                   // limit for the bytes of one query; no code enforces it
 	closedByDriver int                                                   // connections that the driver has closed
 }
 
@@ -87,7 +87,7 @@
 	received  []string      // codes of errors and values of rows, in order
 	closedAt  time.Duration // 0 while the connection is open
 	secret    [8]byte       // identifies the connection in a CancelRequest
-	reconnect func()        // is called 100 ms after the connection was closed, if not nil
+	reconnect func()        // called 100 ms after the connection was closed, if not nil
 }
 
 func (c *scriptedClient) Opened() {}
--- a/internal/node/simulated_fleet_test.go
+++ b/internal/node/simulated_fleet_test.go
@@ -53,24 +53,24 @@
 }
 
 // record adds a line to the timeline.
-func (p *simulatedFleet) record(format string, args ...any) {
-	fmt.Fprintf(&p.timeline, "%v %s\n", p.world.Now()-epoch, fmt.Sprintf(format, args...))
+func (f *simulatedFleet) record(format string, args ...any) {
+	fmt.Fprintf(&f.timeline, "%v %s\n", f.world.Now()-epoch, fmt.Sprintf(format, args...))
 }
 
-func (p *simulatedFleet) loopOn(h *sim.Host) *eventloop.Loop {
+func (f *simulatedFleet) loopOn(h *sim.Host) *eventloop.Loop {
 	l, err := eventloop.NewWithSystem(h, 1000, 16<<20)
 	if err != nil {
-		p.t.Fatal(err)
+		f.t.Fatal(err)
 	}
 	h.Serve(l, func() {})
 	return l
 }
 
-func (p *simulatedFleet) addMember(i int, role string) {
-	m := &simMember{fleet: p, host: p.world.AddHost(fmt.Sprint("m", i)), address: netip.MustParseAddrPort(fmt.Sprintf("10.0.1.%d:5432", i+1)), role: role}
+func (f *simulatedFleet) addMember(i int, role string) {
+	m := &simMember{fleet: f, host: f.world.AddHost(fmt.Sprint("m", i)), address: netip.MustParseAddrPort(fmt.Sprintf("10.0.1.%d:5432", i+1)), role: role}
 	m.responseDelay = 20 * time.Millisecond
 	m.start()
-	p.members = append(p.members, m)
+	f.members = append(f.members, m)
 }
 
 func (m *simMember) start() {
@@ -133,26 +133,26 @@
 	return pgwire.AppendParameter(out, "replay_position", strconv.FormatInt(int64(m.loop.Now()/time.Millisecond), 10))
 }
 
-func (p *simulatedFleet) addDriver(i int) {
-	d := &simDriver{host: p.world.AddHost(fmt.Sprint("d", i)), address: netip.MustParseAddrPort(fmt.Sprintf("10.0.0.%d:6543", i+1))}
+func (f *simulatedFleet) addDriver(i int) {
+	d := &simDriver{host: f.world.AddHost(fmt.Sprint("d", i)), address: netip.MustParseAddrPort(fmt.Sprintf("10.0.0.%d:6543", i+1))}
 	var targets []string
-	for j, m := range p.members {
+	for j, m := range f.members {
 		targets = append(targets, fmt.Sprintf(`{"uid":"s-%d","endpoint":"%s","az":"a","pod_group":0,"state":"in_service","capacity_hint":1,"boot_ms":0}`, j, m.address))
 	}
 	site := &Site{
-		Name: d.host.Name, Listen: d.address, Discovery: netip.MustParseAddrPort("10.0.9.1:8500"), Seed: p.randomSeed(), Descriptors: 256, Memory: 64 << 20,
-		InitialList: []byte(endpointList(1, true, targets...)), Settings: settings.Flatten(simSettings(p.t)),
+		Name: d.host.Name, Listen: d.address, Discovery: netip.MustParseAddrPort("10.0.9.1:8500"), Seed: f.randomSeed(), Descriptors: 256, Memory: 64 << 20,
+		InitialList: []byte(endpointList(1, true, targets...)), Settings: settings.Flatten(simSettings(f.t)),
 	}
-	n, err := On(p.loopOn(d.host), site, config.Default())
+	n, err := On(f.loopOn(d.host), site, config.Default())
 	if err != nil {
-		p.t.Fatal(err)
+		f.t.Fatal(err)
 	}
 	d.node = n
-	p.drivers = append(p.drivers, d)
+	f.drivers = append(f.drivers, d)
 }
 
-func (p *simulatedFleet) randomSeed() uint64 {
-	return uint64(p.random.Uint32())<<32 | uint64(p.random.Uint32())
+func (f *simulatedFleet) randomSeed() uint64 {
+	return uint64(f.random.Uint32())<<32 | uint64(f.random.Uint32())
 }
 
 // simClient sends one RPC after the other, on one connection as long as it stays open.
@@ -167,8 +167,8 @@
 	until    time.Duration // after this time no RPC is sent
 }
 
-func (p *simulatedFleet) addClient(i int, to netip.AddrPort, until time.Duration) {
-	c := &simClient{fleet: p, loop: p.loopOn(p.world.AddHost(fmt.Sprint("c", i))), to: to, name: fmt.Sprint("c", i), until: until}
+func (f *simulatedFleet) addClient(i int, to netip.AddrPort, until time.Duration) {
+	c := &simClient{fleet: f, loop: f.loopOn(f.world.AddHost(fmt.Sprint("c", i))), to: to, name: fmt.Sprint("c", i), until: until}
 	c.loop.Defer(c.connect)
 }
 
@@ -248,27 +248,27 @@
 // runFaultScenario simulates twelve seconds: a member is suspended, the primary is killed and a replica promoted, a driver is
 // killed and restarted, a link loses packets.
 func runFaultScenario(t testing.TB, seed uint64) *simulatedFleet {
-	p := &simulatedFleet{t: t, world: sim.New(seed, epoch), random: pcg.New(seed), answers: make(map[string]string), executions: make(map[string]int)}
+	f := &simulatedFleet{t: t, world: sim.New(seed, epoch), random: pcg.New(seed), answers: make(map[string]string), executions: make(map[string]int)}
 	for i := range 3 {
-		p.addMember(i, roleName(i == 0))
+		f.addMember(i, roleName(i == 0))
 	}
-	p.addDriver(0)
-	p.addDriver(1)
+	f.addDriver(0)
+	f.addDriver(1)
 	for i := range 12 {
-		p.addClient(i, p.drivers[i%2].address, epoch+10*time.Second)
+		f.addClient(i, f.drivers[i%2].address, epoch+10*time.Second)
 	}
-	at := func(d time.Duration, act func()) { p.world.At(epoch+d, act) }
-	at(2*time.Second, func() { p.members[1].host.Pause(epoch + 3*time.Second) })
-	at(4*time.Second, func() { p.members[0].host.Kill() })
-	at(5*time.Second, func() { p.members[1].role = "leader" })
+	at := func(d time.Duration, act func()) { f.world.At(epoch+d, act) }
+	at(2*time.Second, func() { f.members[1].host.Pause(epoch + 3*time.Second) })
+	at(4*time.Second, func() { f.members[0].host.Kill() })
+	at(5*time.Second, func() { f.members[1].role = "leader" })
 	at(6*time.Second, func() {
-		p.drivers[0].host.Kill()
-		p.record("d0 is killed")
+		f.drivers[0].host.Kill()
+		f.record("d0 is killed")
 	})
 	at(6500*time.Millisecond, func() {
-		old := p.drivers[0]
+		old := f.drivers[0]
 		old.host.Start()
-		n, err := On(p.loopOn(old.host), old.node.site, config.Default())
+		n, err := On(f.loopOn(old.host), old.node.site, config.Default())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -277,10 +277,10 @@
 	at(7500*time.Millisecond, func() {
 		lossy := sim.LocalLink
 		lossy.Loss, lossy.Jitter = 0.05, 20*time.Millisecond
-		p.world.SetLink(p.drivers[1].host, p.members[2].host, lossy)
+		f.world.SetLink(f.drivers[1].host, f.members[2].host, lossy)
 	})
-	p.world.Run(epoch + 12*time.Second)
-	return p
+	f.world.Run(epoch + 12*time.Second)
+	return f
 }
 
 func simSettings(t testing.TB) map[string]any {
@@ -294,30 +294,30 @@
 	digests := make(map[uint64]bool)
 	began := time.Now()
 	for seed := range uint64(4) {
-		p := runFaultScenario(t, seed)
+		f := runFaultScenario(t, seed)
 		again := runFaultScenario(t, seed)
-		if p.timeline.String() != again.timeline.String() {
+		if f.timeline.String() != again.timeline.String() {
 			t.Fatalf("two runs with seed %d have different timelines", seed)
 		}
 		hash := fnv.New64a()
-		hash.Write([]byte(p.timeline.String()))
+		hash.Write([]byte(f.timeline.String()))
 		digests[hash.Sum64()] = true
 		counts := make(map[string]int)
-		for id, answer := range p.answers {
+		for id, answer := range f.answers {
 			counts[answer]++
 			number, _ := strconv.Atoi(id[strings.IndexByte(id, '-')+1:])
 			pay := number%4 == 3
-			if pay && p.executions[id] > 1 || pay && answer == codeRejected && p.executions[id] > 0 {
-				t.Errorf("seed %d: %s, which must not run twice or after a rejection, is answered %s and ran %d times", seed, id, answer, p.executions[id])
+			if pay && f.executions[id] > 1 || pay && answer == codeRejected && f.executions[id] > 0 {
+				t.Errorf("seed %d: %s, which must not run twice or after a rejection, is answered %s and ran %d times", seed, id, answer, f.executions[id])
 			}
-			if answer == "ok" && p.executions[id] == 0 {
+			if answer == "ok" && f.executions[id] == 0 {
 				t.Errorf("seed %d: %s is answered ok but no member ran it", seed, id)
 			}
 		}
-		if counts["ok"] < p.sent*3/4 || counts["ok"] == p.sent || p.sent < 1000 {
-			t.Errorf("seed %d: %d RPCs, answered %v", seed, p.sent, counts)
+		if counts["ok"] < f.sent*3/4 || counts["ok"] == f.sent || f.sent < 1000 {
+			t.Errorf("seed %d: %d RPCs, answered %v", seed, f.sent, counts)
 		}
-		t.Logf("seed %d: %d RPCs, answered %v", seed, p.sent, counts)
+		t.Logf("seed %d: %d RPCs, answered %v", seed, f.sent, counts)
 	}
 	if len(digests) != 4 {
 		t.Errorf("4 seeds give %d timelines, want 4", len(digests))
--- a/internal/node/site.go
+++ b/internal/node/site.go
@@ -31,7 +31,7 @@
 
 	file          string
 	environment   func(string) string
-	fileDiscovery netip.AddrPort // the discovery of the file, without regard to the environment
+	fileDiscovery netip.AddrPort // address of discovery in the file, without regard to the environment
 }
 
 // siteFile is the platform's file. Its keys are compared without regard to case.
@@ -170,31 +170,31 @@
 
 // methodsOf returns the methods of the settings, against which the operator's file is checked. Retired methods have no name.
 func methodsOf(values map[string]string) []config.Method {
-	t := settings.New(values)
+	parsed := settings.New(values)
 	var methods []config.Method
-	for i := range int(t.Number("methods.count", 0)) {
+	for i := range int(parsed.Number("methods.count", 0)) {
 		prefix := "methods." + strconv.Itoa(i) + "."
-		name := t.Text(prefix + "name")
-		if t.Bool(prefix + settings.RetiredKey) {
+		name := parsed.Text(prefix + "name")
+		if parsed.Bool(prefix + settings.RetiredKey) {
 			name = ""
 		}
-		effect := t.Text(prefix + "effect")
+		effect := parsed.Text(prefix + "effect")
 		methods = append(methods, config.Method{
-			Name: name, Need: t.ListItem("family_info.needs", i), Idempotent: effect == "idempotent",
-			HasIdempotencyKey: effect == "tokened", Window: t.Duration(prefix + "window"), SoftDeadline: t.Duration(prefix + "soft_deadline"),
-			MaxDeadline: t.Duration(prefix + "limit"),
+			Name: name, Need: parsed.ListItem("family_info.needs", i), Idempotent: effect == "idempotent",
+			HasIdempotencyKey: effect == "tokened", Window: parsed.Duration(prefix + "window"), SoftDeadline: parsed.Duration(prefix + "soft_deadline"),
+			MaxDeadline: parsed.Duration(prefix + "limit"),
 		})
 	}
 	return methods
 }
 
-// A reload fails after rereadAttempts attempts to read the platform's file, one each rereadInterval: the file may be half written.
+// A reload reads the platform's file up to rereadAttempts times, rereadInterval apart, because the file may be half written.
 const (
 	rereadAttempts = 5
 	rereadInterval = 100 * time.Millisecond
 )
 
-// reread reads the platform's file again. A discovery in the file takes precedence over the environment, which does not change
+// reread reads the platform's file again. An address of discovery in the file takes precedence over the environment, which does not change
 // after the start and is therefore older.
 func (s *Site) reread() (fresh *Site, err error) {
 	for range rereadAttempts {
@@ -218,24 +218,24 @@
 }
 
 func (s *Site) methods() siteMethods {
-	t := settings.New(s.Settings)
+	parsed := settings.New(s.Settings)
 	var m siteMethods
-	for i := range int(t.Number("methods.count", 0)) {
+	for i := range int(parsed.Number("methods.count", 0)) {
 		prefix := "methods." + strconv.Itoa(i)
-		need := t.ListItem("family_info.needs", i)
-		m.names = append(m.names, t.Text(prefix+".name"))
+		need := parsed.ListItem("family_info.needs", i)
+		m.names = append(m.names, parsed.Text(prefix+".name"))
 		m.inSession = append(m.inSession, need == "session" || need == "write")
-		m.tokened = append(m.tokened, t.Text(prefix+".effect") == "tokened")
-		m.retired = append(m.retired, t.Bool(prefix+"."+settings.RetiredKey))
+		m.tokened = append(m.tokened, parsed.Text(prefix+".effect") == "tokened")
+		m.retired = append(m.retired, parsed.Bool(prefix+"."+settings.RetiredKey))
 	}
 	return m
 }
 
 // maxDeadline returns the longest time for which the settings let a client wait for an answer.
 func (s *Site) maxDeadline() (longest time.Duration) {
-	t := settings.New(s.Settings)
-	for i := range int(t.Number("methods.count", 0)) {
-		longest = max(longest, t.Duration("methods."+strconv.Itoa(i)+".limit"))
+	parsed := settings.New(s.Settings)
+	for i := range int(parsed.Number("methods.count", 0)) {
+		longest = max(longest, parsed.Duration("methods."+strconv.Itoa(i)+".limit"))
 	}
 	return longest
 }
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -7,8 +7,8 @@
 	"passtack/internal/control"
 )
 
-// answers returns the handlers for the queries of operators through the control endpoint.
-func (n *Node) answers() control.Handlers {
+// controlHandlers returns the handlers for the queries of operators through the control endpoint.
+func (n *Node) controlHandlers() control.Handlers {
 	all := control.Handlers{"status": func() any { return n.status() }}
 	if n.leases != nil {
 		all["leases"] = func() any { return n.leases.status() }
@@ -34,8 +34,8 @@
 	Name            string  `json:"Name"`
 	State           string  `json:"State"`
 	BlockedBy       string  `json:"Why"`
-	SkipReason      string  `json:"Skipped"` // of the last run that was skipped
-	ForMS           int64   `json:"ForMS"`   // since the state was entered
+	SkipReason      string  `json:"Skipped"` // reason of the last skip
+	ForMS           int64   `json:"ForMS"`   // time since the state was entered
 	Runs            int     `json:"Runs"`
 	Failed          int     `json:"Failed"`
 	StartedLate     int     `json:"Late"`
--- a/internal/node/summary_task.go
+++ b/internal/node/summary_task.go
@@ -15,7 +15,7 @@
 
 const (
 	maxDigests   = 2000 // limit of drivers in a summary
-	readyPercent = 95   // from which on a driver counts as ready
+	readyPercent = 95   // readiness in percent from which on a driver counts as ready
 )
 
 // summaryTask collects digests from all drivers of the fleet and uploads their sum by HTTP to an address in the operator's file. The
@@ -24,9 +24,9 @@
 	leases    *leaseService
 	candidate *lease.Candidate
 	interval  time.Duration
-	holding   bool                  // the lease
-	digests   map[lease.Node]digest // since the last summary
-	timer     eventloop.Timer       // of the next collection
+	holding   bool                  // whether this driver holds the lease
+	digests   map[lease.Node]digest // received since the last summary
+	timer     eventloop.Timer       // for the next collection
 	upload    *summaryUpload
 }
 
--- a/internal/node/summary_upload.go
+++ b/internal/node/summary_upload.go
@@ -31,9 +31,9 @@
 
 	stream   *eventloop.Stream // nil: not connected
 	inFlight bool
-	timer    eventloop.Timer // of the timeout
+	timer    eventloop.Timer // for the timeout
 
-	accepted, rejected, failed int           // uploads
+	accepted, rejected, failed int           // numbers of uploads
 	latest                     time.Duration // when an upload was last accepted
 }
 
--- a/internal/node/system_call_faults_test.go
+++ b/internal/node/system_call_faults_test.go
@@ -40,7 +40,7 @@
 				if a.sent-a.finished() > 1 {
 					t.Errorf("%s: %d RPCs sent, %d answered or lost", a.name, a.sent, a.finished())
 				}
-				if slices.ContainsFunc(a.received[max(len(a.received)-5, 0):], func(h string) bool { return !strings.HasPrefix(h, "value") }) {
+				if slices.ContainsFunc(a.received[max(len(a.received)-5, 0):], func(answer string) bool { return !strings.HasPrefix(answer, "value") }) {
 					unserved++
 				}
 			}
@@ -61,7 +61,7 @@
 	scenario *scenario
 	name     string
 	*scriptedClient
-	sent, lost int    // RPCs; lost: without an answer when their connection ended
+	sent, lost int    // numbers of RPCs; lost: those without an answer when their connection ended
 	pending    string // id of the RPC in flight
 	violations []string
 }
--- a/internal/node/timer.go
+++ b/internal/node/timer.go
@@ -12,8 +12,8 @@
 	node        *Node
 	timer       eventloop.Timer
 	requestedAt time.Duration // when the module last requested a tick
-	nextTick    time.Duration // when it will be woken
-	interval    time.Duration // between two ticks while none are skipped
+	nextTick    time.Duration // when the module will be woken
+	interval    time.Duration // time between two ticks while none are skipped
 }
 
 // wakeAfter schedules the next tick at the request of the module.
--- a/internal/node/workers.go
+++ b/internal/node/workers.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	workerCount = 2 // for background jobs
+	workerCount = 2 // number of workers for background jobs
 
 	// workerTimeout is the longest time for which a stopping driver waits for its workers, and again for the last commit.
 	workerTimeout = 2 * time.Second
--- a/rules/outlier.go
+++ b/rules/outlier.go
@@ -107,7 +107,8 @@
 }
 
 // checkHealth ejects a member that is silent with attempts in flight. A single attempt does not suffice, as its answer may be lost: the
-// attempt is then no longer counted as in flight, and the next one decides. checkHealth also sends a health check, within the budget, if no report is recent.
+// attempt is then no longer counted as in flight, and the next one decides. checkHealth also sends a health check, within the budget, if no
+// report is recent.
 func (r *Router) checkHealth(m *member, now time.Duration) {
 	h := &m.health
 	if m.available && now-max(m.replication.reportedAt, h.checkedAt) > recheckInterval && r.healthCheckBudget >= 1 && r.settings.Bool("caps.probe") {
