--- a/internal/background/job.go
+++ b/internal/background/job.go
@@ -30,7 +30,7 @@
 // JobID identifies a job of a scheduler, counted from 0.
 type JobID int
 
-// Outcome is how a slice of a job, or its part on a worker, ended.
+// Outcome describes how a slice of a job, or its part on a worker, ended.
 type Outcome uint8
 
 // The outcomes of a slice.
@@ -41,19 +41,19 @@
 	Failed                  // the run has failed
 )
 
-// BlockedReason is why a job does not run.
+// BlockedReason is the reason why a job does not run.
 type BlockedReason uint8
 
 // The reasons why a job does not run.
 const (
-	NotBlocked      BlockedReason = iota // it may run or is running
-	NotDue                               // it is not due yet
-	LoopLate                             // it yields to RPCs, since the event loop is late
-	BudgetExhausted                      // its budget is used up
+	NotBlocked      BlockedReason = iota // the job may run or is running
+	NotDue                               // the job is not due yet
+	LoopLate                             // the job yields to RPCs, since the event loop is late
+	BudgetExhausted                      // the budget of the job is used up
 	Dependency                           // a job of Job.After has not finished yet
 	WorkersBusy                          // all workers are busy
 	Outranked                            // other jobs run first
-	JobCancelled                         // it was cancelled
+	JobCancelled                         // the job was cancelled
 )
 
 // blockedReasonNames are the names of the reasons in the status. Scripts of operators read them.
--- a/internal/background/scheduler.go
+++ b/internal/background/scheduler.go
@@ -44,8 +44,8 @@
 	failures     int           // consecutive
 	loopTime     time.Duration // time taken of the event loop, by which jobs of the same priority are ranked
 	budget       budget
-	triggered    bool // while it was running or on a worker
-	cancelOnExit bool // cancelled while it was on a worker
+	triggered    bool // the job was triggered while it was running or on a worker
+	cancelOnExit bool // the job was cancelled while it was on a worker
 	report       RunReport
 }
 
--- a/internal/lab/capacity/configuration.go
+++ b/internal/lab/capacity/configuration.go
@@ -104,9 +104,9 @@
 	r.publisher.Serve(r.publisherLoop, func() {})
 	f.world.DefaultLink = func(from, to *sim.Host) (sim.Link, bool) {
 		l := sim.LocalLink
-		a, placed := r.region[from]
-		b, other := r.region[to]
-		if !placed || !other {
+		a, fromKnown := r.region[from]
+		b, toKnown := r.region[to]
+		if !fromKnown || !toKnown {
 			return l, true
 		}
 		if a != b {
@@ -181,7 +181,7 @@
 	r.texts[version], r.rejectable[version] = text, strings.Contains(text, unservable)
 }
 
-// unservable is a configuration that every driver rejects and that a control machine cannot recognize as invalid.
+// unservable is a setting that every driver rejects and that a control machine cannot recognize as invalid.
 const unservable = `"class_read":["old"]`
 
 // addViolation records a violated rule with the simulated time since the start.
@@ -364,33 +364,33 @@
 		})
 	}
 	switch r.random.Below(7) {
-	case 0:
+	case 0: // kill
 		c.kill()
 		restartLater(false)
-	case 1:
+	case 1: // pause
 		c.host.Pause(now + duration)
-	case 2:
+	case 2: // cut off from the other machines and about half of the other hosts
 		for _, o := range r.world.Hosts() {
 			if o != c.host && (o.Name[0] == 'c' || r.random.Below(2) == 0) {
 				r.cutLink(c.host, o, now+duration)
 				r.cutLink(o, c.host, now+duration)
 			}
 		}
-	case 3:
+	case 3: // cut off in one direction: the machine cannot send to the other machines
 		for _, o := range r.machines {
 			if o != c {
 				r.cutLink(c.host, o.host, now+duration)
 			}
 		}
-	case 4: // one machine at a time: versions whose storage a majority has lost cannot be recovered
+	case 4: // restart with empty storage, of one machine at a time: versions whose storage a majority has lost cannot be recovered
 		if !slices.ContainsFunc(r.machines, func(o *controlMachine) bool { return o.server == nil || !o.server.Machine().Joined() }) {
 			c.kill()
 			restartLater(true)
 		}
-	case 5:
+	case 5: // regions partitioned
 		r.partitioned = true
 		r.world.At(now+duration, func() { r.partitioned = false })
-	case 6:
+	case 6: // a tenth of the drivers restarted
 		for i := range r.nodes {
 			if r.nodes[i] != nil && r.random.Below(10) == 0 {
 				r.kill(i)
--- a/internal/lab/capacity/configuration_test.go
+++ b/internal/lab/capacity/configuration_test.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// The calls and bytes of a driver do not grow with the fleet.
+// Guards against configuration traffic of a driver that grows with the number of drivers, and against slow versions without faults.
 func TestConfigurationCostPerDriverDoesNotGrowWithFleet(t *testing.T) {
 	few, many := playConfigurationSweep(t, "configuration", 20, 1), playConfigurationSweep(t, "configuration", 160, 1)
 	if calls := many["calls"] / few["calls"]; calls > 1.05 || many["driver_bytes"] > few["driver_bytes"] {
--- a/internal/lab/capacity/driver.go
+++ b/internal/lab/capacity/driver.go
@@ -16,7 +16,7 @@
 	designStatements = 1787
 )
 
-// driverSweeps are the sweeps of one driver: its CPU time, memory, connections and knowledge of members.
+// driverSweeps returns the sweeps that measure one driver: its CPU time, memory, connections and the age of what it knows of members.
 func driverSweeps() []Sweep {
 	const omitted = " Members answer at once; they and the clients run in another process. Their cost, other drivers and the network's latency are left out."
 	return []Sweep{
@@ -51,9 +51,9 @@
 
 // loopbackSweep measures a driver process on loopback at each size.
 func loopbackSweep(name, about string, axis Axis, sizes []int, runAt func(size int) loopbackRun) Sweep {
-	return Sweep{Name: name, About: about, Axis: axis, Sizes: sizes, Play: func(stop context.Context, size int, seed uint64, record func(Point)) error {
+	return Sweep{Name: name, About: about, Axis: axis, Sizes: sizes, Play: func(ctx context.Context, size int, seed uint64, record func(Point)) error {
 		run := runAt(size)
-		result, err := run.play(stop, seed)
+		result, err := run.play(ctx, seed)
 		if err == nil {
 			result.points(pointRecorder(name, axis, size, run.members, seed, "loopback", record))
 		}
@@ -65,9 +65,9 @@
 func simulatedSweep(name string, probes bool) Sweep {
 	about := "One driver in simulated time with 3,617 clients and 1,787 statements a second, by members; members answer after 2 ms, and replicas apply writes 20 ms late. The load of the other 469 drivers on members is left out."
 	return Sweep{Name: name, About: about, Axis: Members, Sizes: []int{120, 550, 1100, 2200},
-		Play: func(stop context.Context, size int, seed uint64, record func(Point)) error {
+		Play: func(ctx context.Context, size int, seed uint64, record func(Point)) error {
 			run := simulatedRun{members: size, clients: designClients, rate: designStatements, probes: probes, warmUp: 30 * time.Second, duration: 60 * time.Second}
-			if err := run.play(stop, seed); err != nil {
+			if err := run.play(ctx, seed); err != nil {
 				return err
 			}
 			run.points(pointRecorder(name, Members, size, size, seed, "simulated", record))
@@ -78,7 +78,7 @@
 // countedSweep counts the memory held, or the cost of an operation, at each size.
 func countedSweep(name string, axis Axis, sizes []int, count func(size int, point func(measure, unit string, value float64)) error) Sweep {
 	return Sweep{Name: name, About: "Counted on the heap of this process after garbage collection; the heap holds only the driver's own parts.", Axis: axis, Sizes: sizes,
-		Play: func(stop context.Context, size int, seed uint64, record func(Point)) error {
+		Play: func(ctx context.Context, size int, seed uint64, record func(Point)) error {
 			members := designMembers
 			if axis == Members {
 				members = size
--- a/internal/lab/capacity/driver_loopback.go
+++ b/internal/lab/capacity/driver_loopback.go
@@ -18,7 +18,7 @@
 	"passtack/internal/eventloop"
 )
 
-// errNoProgram is returned when no driver program is set to measure.
+// errNoProgram is returned by a sweep of one driver process when Program is empty. Unlike ErrProgram it makes Play fail.
 var errNoProgram = errors.New("sweep starts a driver process, but no driver program is set")
 
 // loopbackRun measures one driver process; its members and clients run in this process.
@@ -29,12 +29,12 @@
 }
 
 const (
-	driverMemoryMB      = 192             // of the driver process
+	driverMemoryMB      = 192             // memory limit of the driver process
 	clockTicksPerSecond = 100             // unit of CPU time in /proc/PID/stat
 	settleTime          = 6 * time.Second // from the start of the load to the measurement
 	measureTime         = 12 * time.Second
 	startTimeout        = 15 * time.Second
-	maxLoopSockets      = 18000 // of each loop of this process
+	maxLoopSockets      = 18000 // socket limit of each event loop in this process
 )
 
 // socketLimit is the socket limit of the driver; it allows five sockets per client, as the driver closes idle clients above a fifth
@@ -48,7 +48,7 @@
 }
 
 // startMeasuredDriver starts a driver and waits until it has logged that it started.
-func startMeasuredDriver(stop context.Context, program, site string) (*measuredDriver, error) {
+func startMeasuredDriver(ctx context.Context, program, site string) (*measuredDriver, error) {
 	p := &measuredDriver{cmd: exec.Command(program, "serve", "--site", site), exited: make(chan struct{})}
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	stderr, err := p.cmd.StderrPipe()
@@ -78,9 +78,9 @@
 	case <-time.After(startTimeout):
 		p.kill()
 		return nil, fmt.Errorf("driver process did not serve within %v", startTimeout)
-	case <-stop.Done():
+	case <-ctx.Done():
 		p.kill()
-		return nil, stop.Err()
+		return nil, ctx.Err()
 	}
 }
 
@@ -158,7 +158,7 @@
 }
 
 // play starts the driver, its members and its clients, waits for settleTime and measures for measureTime.
-func (s loopbackRun) play(stop context.Context, seed uint64) (result *loopbackResult, err error) {
+func (s loopbackRun) play(ctx context.Context, seed uint64) (result *loopbackResult, err error) {
 	if Program == "" {
 		return nil, errNoProgram
 	}
@@ -204,7 +204,7 @@
 		})
 	}
 	go runLoop(memberLoop)
-	process, err := startMeasuredDriver(stop, Program, file)
+	process, err := startMeasuredDriver(ctx, Program, file)
 	if err != nil {
 		close(stopLoops)
 		memberLoop.Wake()
@@ -220,8 +220,8 @@
 		select {
 		case <-time.After(d):
 			return nil
-		case <-stop.Done():
-			return stop.Err()
+		case <-ctx.Done():
+			return ctx.Err()
 		}
 	}
 	if err = wait(settleTime); err == nil {
--- a/internal/lab/capacity/driver_simulated.go
+++ b/internal/lab/capacity/driver_simulated.go
@@ -30,7 +30,7 @@
 const simulatedServiceTime = 2 * time.Millisecond // of a member per statement
 
 // play runs the simulation to its end, or until the context ends.
-func (m *simulatedRun) play(stop context.Context, seed uint64) error {
+func (m *simulatedRun) play(ctx context.Context, seed uint64) error {
 	world := sim.New(seed, simulationStart)
 	memberHost, clientHost, driverHost := world.AddHost("members"), world.AddHost("clients"), world.AddHost("d0")
 	memberHost.IterationTime, clientHost.IterationTime = 0, 0
@@ -64,8 +64,8 @@
 	loops[1].At(simulationStart+time.Second, func() { m.load.start(loops[1]) })
 	for at := simulationStart + time.Second; at <= windowStart+m.duration; at += time.Second {
 		world.Run(at)
-		if stop.Err() != nil {
-			return stop.Err()
+		if ctx.Err() != nil {
+			return ctx.Err()
 		}
 		if at > windowStart {
 			m.connectionCounts = append(m.connectionCounts, m.testbed.openConnections())
--- a/internal/lab/capacity/driver_state.go
+++ b/internal/lab/capacity/driver_state.go
@@ -123,10 +123,10 @@
 }
 
 // ListBegins implements discovery.Host by passing the event on.
-func (q *noopHost) ListBegins(how driver.ListKind) { q.router.ListBegins(how) }
+func (q *noopHost) ListBegins(kind driver.ListKind) { q.router.ListBegins(kind) }
 
 // ListEnds implements discovery.Host by passing the event on.
-func (q *noopHost) ListEnds(how driver.ListKind) { q.router.ListEnds(how) }
+func (q *noopHost) ListEnds(kind driver.ListKind) { q.router.ListEnds(kind) }
 
 // Listed implements discovery.Host by passing the entry on.
 func (q *noopHost) Listed(uid string, _ netip.AddrPort, _ string, group driver.Group, state driver.MemberState, size float64, started time.Duration, primary bool) {
@@ -210,7 +210,8 @@
 	return node.On(l, site, operatorConfig)
 }
 
-// membersState counts the bytes held for members by part of the driver, for groups, and for sessions' writes.
+// membersState counts the bytes that each part of the driver holds for members, and those that the decision module holds for groups, RPCs and
+// sessions.
 func membersState(members int, point func(measure, unit string, value float64)) error {
 	groups := (members + membersPerGroup - 1) / membersPerGroup
 	heapBytes() // so that one-time allocations of the runtime are not counted below
@@ -268,8 +269,8 @@
 	}
 }
 
-// sessionsState counts the bytes that the decision module holds for RPCs in flight and for sessions that have written, and what one
-// RPC allocates.
+// sessionsState counts the bytes that the decision module holds for RPCs in flight and for sessions that have written, and the
+// allocations of one RPC.
 func sessionsState(members int, point func(measure, unit string, value float64)) error {
 	const sessions = 4000
 	groups := (members + membersPerGroup - 1) / membersPerGroup
@@ -289,8 +290,8 @@
 	return nil
 }
 
-// rpcAllocations returns what the decision module allocates for one RPC until its answer. It is taken from the batch with the fewest
-// allocations, as tables grow in some batches.
+// rpcAllocations returns the objects and bytes that the decision module allocates for one RPC until its answer. Some batches of RPCs include the
+// growth of a table, so the batch with the fewest allocations counts.
 func rpcAllocations(q *noopHost, groups int) (objects, bytes float64) {
 	const batches, perBatch = 20, 50
 	for n := range batches {
--- a/internal/lab/capacity/driver_test.go
+++ b/internal/lab/capacity/driver_test.go
@@ -19,12 +19,12 @@
 }
 
 // checkFlat fails if a measure is not positive, is over 30% larger at the large size than at the small one, or exceeds its limit.
-func checkFlat(t *testing.T, measure string, small, large map[string]float64, most float64) {
+func checkFlat(t *testing.T, measure string, small, large map[string]float64, limit float64) {
 	t.Helper()
 	from, to := small[measure], large[measure]
 	t.Logf("%s: %.1f, then %.1f", measure, from, to)
-	if from <= 0 || to > 1.3*from || to > most {
-		t.Errorf("%s is %.1f at the small size and %.1f at the large one; want at most 1.3 times the small one and at most %.1f", measure, from, to, most)
+	if from <= 0 || to > 1.3*from || to > limit {
+		t.Errorf("%s is %.1f at the small size and %.1f at the large one; want at most 1.3 times the small one and at most %.1f", measure, from, to, limit)
 	}
 }
 
@@ -74,7 +74,7 @@
 // pins of session reads that grow with the fleet.
 func TestConnectionsGrowWithMembers(t *testing.T) {
 	slog.SetDefault(slog.New(slog.DiscardHandler))
-	simulatedRun := func(members int) map[string]float64 {
+	valuesAt := func(members int) map[string]float64 {
 		m := simulatedRun{members: members, clients: 3 * members, rate: 1.6 * float64(members), warmUp: 10 * time.Second, duration: 10 * time.Second}
 		if err := m.play(context.Background(), 5); err != nil {
 			t.Fatal(err)
@@ -84,7 +84,7 @@
 		values["connections_each"] = values["connections"] / float64(members)
 		return values
 	}
-	small, large := simulatedRun(30), simulatedRun(120)
+	small, large := valuesAt(30), valuesAt(120)
 	checkFlat(t, "connections_each", small, large, 2)
 	checkFlat(t, "attempts_member", small, large, 2)
 	checkFlat(t, "pin_p50", small, large, 3000)
--- a/internal/lab/capacity/failures_test.go
+++ b/internal/lab/capacity/failures_test.go
@@ -5,17 +5,18 @@
 	"testing"
 )
 
-// After each failure the fleet loses no more utility than the limit below, returns to 95% of its level in time, and breaks no rule.
+// Guards against failures after which the fleet loses more utility than the limit below, does not return to 95% of its level in time, or breaks a
+// rule.
 func TestFailures(t *testing.T) {
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	const drivers = 14 // and 36 members
 	for _, c := range []struct {
-		name                  string
-		lost                  float64 // at most, in seconds of the level before
-		whole                 float64 // at most, in seconds until 95% of the level
-		drivers, members      float64 // that fail
-		leastLoad, mostLoad   float64 // of a remaining driver, relative to the mean before
-		leastMoved, mostMoved float64 // changes of primary
+		name                         string
+		maxLost                      float64 // lost utility, in seconds of the level before
+		maxRecovery                  float64 // seconds until 95% of the level
+		failedDrivers, failedMembers float64
+		minLoad, maxLoad             float64 // mean load of the remaining drivers, relative to the mean before
+		minChanges, maxChanges       float64 // changes of primary
 	}{
 		{"machines", 1, 6, 0, 2, 0, 0, 1, 1},
 		{"restart-replica", 0.5, 1, 0, 1, 0, 0, 0, 0},
@@ -27,8 +28,8 @@
 		{"regions-apart", 8, 14, 0, 0, 0, 0, 0, 0},
 	} {
 		v := playedAt(t, primarySweeps(), "failure-"+c.name, drivers)
-		if v["lost"] > c.lost || v["never_whole"] != 0 || v["whole_after"] > c.whole || v["drivers_gone"] != c.drivers || v["members_gone"] != c.members ||
-			v["carried_mean"] < c.leastLoad || v["carried_mean"] > c.mostLoad || v["changes"] < c.leastMoved || v["changes"] > c.mostMoved || v["cold_part"] >= 1 {
+		if v["lost"] > c.maxLost || v["never_whole"] != 0 || v["whole_after"] > c.maxRecovery || v["drivers_gone"] != c.failedDrivers || v["members_gone"] != c.failedMembers ||
+			v["carried_mean"] < c.minLoad || v["carried_mean"] > c.maxLoad || v["changes"] < c.minChanges || v["changes"] > c.maxChanges || v["cold_part"] >= 1 {
 			t.Errorf("%s: %v", c.name, v)
 		}
 	}
--- a/internal/lab/capacity/growth_test.go
+++ b/internal/lab/capacity/growth_test.go
@@ -123,9 +123,9 @@
 			all[measure] = append(all[measure], value)
 		}
 	}
-	for measure, most := range map[string]float64{"whole": 1.1, "start_bytes": 1.1, "read_allocations": 1.1, "read_allocated": 1.2, "drains_memory": 1.2,
+	for measure, maxExponent := range map[string]float64{"whole": 1.1, "start_bytes": 1.1, "read_allocations": 1.1, "read_allocated": 1.2, "drains_memory": 1.2,
 		"watch_calls": 0.02, "watch_bytes": 0.02, "change_bytes": 0.05} {
-		checkGrowth(t, measure, most, sizes, all[measure])
+		checkGrowth(t, measure, maxExponent, sizes, all[measure])
 	}
 }
 
--- a/internal/lab/capacity/leases.go
+++ b/internal/lab/capacity/leases.go
@@ -246,7 +246,7 @@
 		return err
 	}
 	f.agents[0].discovery.drain(0, f.agents[1])
-	delays, missing, err := f.until(20*time.Second, 5*time.Millisecond, func(i int) bool { return i == 1 || f.nodes[i].Counted("drain_notices_applied") > 0 })
+	delays, missing, err := f.runUntil(20*time.Second, 5*time.Millisecond, func(i int) bool { return i == 1 || f.nodes[i].Counted("drain_notices_applied") > 0 })
 	if err != nil {
 		return err
 	}
--- a/internal/lab/capacity/lists.go
+++ b/internal/lab/capacity/lists.go
@@ -48,11 +48,11 @@
 }
 
 // ListEnds implements discovery.Host by recording the time.
-func (r *listRecorder) ListEnds(how driver.ListKind) {
+func (r *listRecorder) ListEnds(kind driver.ListKind) {
 	switch {
-	case how == driver.Complete && r.fullListAt == 0:
+	case kind == driver.Complete && r.fullListAt == 0:
 		r.fullListAt = r.now()
-	case how == driver.Changes && r.entries > 0 && r.fullListAt > 0 && r.firstChangeAt == 0:
+	case kind == driver.Changes && r.entries > 0 && r.fullListAt > 0 && r.firstChangeAt == 0:
 		r.firstChangeAt = r.now()
 	}
 	r.entries = 0
@@ -81,7 +81,7 @@
 	var readers []*listRecorder
 	for i := range drivers {
 		at := addressOf(2, i, 8500)
-		if _, err := d.agent(discoveryLoop, at); err != nil {
+		if _, err := d.addAgent(discoveryLoop, at); err != nil {
 			return err
 		}
 		l, err := newLoop(driverName(i), 16)
@@ -203,7 +203,7 @@
 	return nil
 }
 
-// drainStateBytes returns the heap bytes of the drain state of so many members.
+// drainStateBytes returns the heap bytes that a driver holds for the drain state of the given number of members.
 func drainStateBytes(members int) float64 {
 	before := heapInUse()
 	tracker := draingossip.NewTracker()
--- a/internal/lab/capacity/primary.go
+++ b/internal/lab/capacity/primary.go
@@ -14,7 +14,7 @@
 	busyGroupRate     = 20.0            // statements per second and driver to one group; at this rate a driver always has a write waiting
 	partitionLead     = time.Second     // time from the start of the partition to the primary's failure
 	partitionDuration = 9 * time.Second
-	afterPartition    = 4 * time.Second
+	afterPartition    = 4 * time.Second // time from the end of the partition to the end of the play
 	returnLead        = 3 * time.Second // time from the return of a hung or vanished primary to the end of the play
 )
 
--- a/internal/lab/capacity/processes.go
+++ b/internal/lab/capacity/processes.go
@@ -20,10 +20,11 @@
 	"passtack/internal/node"
 )
 
-// Program is the path of the driver program that sweeps with processes start; if empty, these sweeps are not played.
+// Program is the path of the driver program that sweeps with processes start. Without one, the sweep of a fleet of processes is cut off, and sweeps
+// of one driver process fail.
 var Program string
 
-// ErrProgram is returned by a sweep with processes when Program is empty.
+// ErrProgram is returned by the sweep of a fleet of processes when Program is empty. Play cuts the sweep off.
 var ErrProgram = errors.New("sweep starts driver processes, but no driver program is set")
 
 func processSweeps() []Sweep {
@@ -108,7 +109,7 @@
 }
 
 // playProcesses measures driver processes in steady state and after the crash of one, and then as many simulated drivers.
-func playProcesses(stop context.Context, size int, seed uint64, point func(Point)) error {
+func playProcesses(ctx context.Context, size int, seed uint64, point func(Point)) error {
 	if Program == "" {
 		return ErrProgram
 	}
@@ -132,7 +133,7 @@
 		return err
 	}
 	for _, at := range addresses {
-		if _, err := d.agent(l, at); err != nil {
+		if _, err := d.addAgent(l, at); err != nil {
 			return err
 		}
 	}
@@ -162,8 +163,8 @@
 	}
 	pause := func(d time.Duration) error {
 		select {
-		case <-stop.Done():
-			return context.Cause(stop)
+		case <-ctx.Done():
+			return context.Cause(ctx)
 		case <-time.After(d):
 			return nil
 		}
@@ -248,12 +249,12 @@
 	}
 	record("loopback", "crash_known_p50", "s", quantile(known, 0.5))
 	record("loopback", "crash_known_worst", "s", worst(known))
-	return playSimulated(stop, size, seed, record)
+	return playSimulated(ctx, size, seed, record)
 }
 
 // playSimulated measures as many simulated drivers as there were processes.
-func playSimulated(stop context.Context, size int, seed uint64, record func(how, measure, unit string, value float64)) error {
-	f, err := newSimulatedFleet(stop, size, seed, viewConfig)
+func playSimulated(ctx context.Context, size int, seed uint64, record func(how, measure, unit string, value float64)) error {
+	f, err := newSimulatedFleet(ctx, size, seed, viewConfig)
 	if err != nil {
 		return err
 	}
@@ -281,14 +282,14 @@
 	record("simulated", "hollow_messages_worst", "messages/s of the worst", worst(messages))
 	record("simulated", "hollow_bytes", "B/s per driver, sent", mean(bytes))
 	f.kill(size / 3)
-	known, never, err := f.until(time.Minute, 20*time.Millisecond, func(i int) bool { return f.nodes[i].Membership().ActiveCount() == size-1 })
-	if err == nil && never > 0 {
-		err = fmt.Errorf("%d simulated drivers did not detect the crash within a minute", never)
+	delays, missing, err := f.runUntil(time.Minute, 20*time.Millisecond, func(i int) bool { return f.nodes[i].Membership().ActiveCount() == size-1 })
+	if err == nil && missing > 0 {
+		err = fmt.Errorf("%d simulated drivers did not detect the crash within a minute", missing)
 	}
 	if err != nil {
 		return err
 	}
-	record("simulated", "hollow_crash_known_p50", "s", quantile(known, 0.5))
-	record("simulated", "hollow_crash_known_worst", "s", worst(known))
+	record("simulated", "hollow_crash_known_p50", "s", quantile(delays, 0.5))
+	record("simulated", "hollow_crash_known_worst", "s", worst(delays))
 	return nil
 }
--- a/internal/lab/capacity/simulated_fleet.go
+++ b/internal/lab/capacity/simulated_fleet.go
@@ -119,7 +119,7 @@
 	d := &discoveryService{members: minimalMembers, rev: 1}
 	for i := range drivers {
 		f.peerAddresses = append(f.peerAddresses, addressOf(3, i, 7946))
-		a, err := d.agent(l, addressOf(2, i, 8500))
+		a, err := d.addAgent(l, addressOf(2, i, 8500))
 		if err != nil {
 			return nil, err
 		}
@@ -201,6 +201,7 @@
 	return firstError(f.run(2*time.Second), &err)
 }
 
+// firstError returns err, or the error that other points to if err is nil.
 func firstError(err error, other *error) error {
 	if err == nil {
 		err = *other
@@ -219,9 +220,9 @@
 	return nil
 }
 
-// until advances time in steps until the condition has held once at each running driver. It returns the delays after which it first held, in seconds,
+// runUntil advances time in steps until the condition has held once at each running driver. It returns the delays after which it first held, in seconds,
 // and the number of drivers at which it did not hold within the timeout.
-func (f *simulatedFleet) until(timeout, step time.Duration, condition func(i int) bool) (delays []float64, missing int, err error) {
+func (f *simulatedFleet) runUntil(timeout, step time.Duration, condition func(i int) bool) (delays []float64, missing int, err error) {
 	from, done := f.world.Now(), make([]bool, len(f.nodes))
 	for {
 		left := 0
@@ -284,8 +285,8 @@
 	calls, bytesSent, bytesReceived int
 }
 
-// agent adds an agent, which serves the endpoint list at an address.
-func (d *discoveryService) agent(l *eventloop.Loop, address netip.AddrPort) (*agent, error) {
+// addAgent adds an agent that serves the endpoint list at an address.
+func (d *discoveryService) addAgent(l *eventloop.Loop, address netip.AddrPort) (*agent, error) {
 	a := &agent{discovery: d, loop: l, address: address}
 	d.agents = append(d.agents, a)
 	_, err := l.Listen(address, 1<<16, eventloop.AcceptLimiter{}, func(open func(eventloop.Handler) *eventloop.Stream) {
--- a/internal/lab/capacity/views.go
+++ b/internal/lab/capacity/views.go
@@ -27,14 +27,15 @@
 // settle runs the fleet until each driver sees all others, and returns the time that took, in seconds.
 func (f *simulatedFleet) settle(timeout time.Duration) (float64, error) {
 	from := f.world.Now()
-	_, missing, err := f.until(timeout, 100*time.Millisecond, f.isSettled)
+	_, missing, err := f.runUntil(timeout, 100*time.Millisecond, f.isSettled)
 	if err == nil && missing > 0 {
 		err = fmt.Errorf("%d of %d drivers do not see all others after %v", missing, len(f.nodes), timeout)
 	}
 	return (f.world.Now() - from).Seconds(), err
 }
 
-// emitDelays emits the p50, p99 and maximum of the delays, in seconds, after which drivers learned of an event. A driver that did not is an error.
+// emitDelays emits the p50, p99 and maximum of the delays, in seconds, after which drivers learned of an event. It returns an error
+// if a driver did not learn of it.
 func emitDelays(point func(Point), p Point, prefix string, delays []float64, missing int) error {
 	if missing > 0 {
 		return fmt.Errorf("%s: %d drivers did not learn of it within the timeout", prefix, missing)
@@ -122,7 +123,7 @@
 	f.resetCounts()
 	f.kill(killed)
 	from := f.world.Now()
-	delays, missing, err := f.until(3*time.Minute, 20*time.Millisecond, func(i int) bool {
+	delays, missing, err := f.runUntil(3*time.Minute, 20*time.Millisecond, func(i int) bool {
 		s, _ := f.statusSeen(i, killed)
 		return s >= membership.Dead
 	})
@@ -142,7 +143,7 @@
 	if err := f.start(killed); err != nil {
 		return err
 	}
-	if delays, missing, err = f.until(time.Minute, 20*time.Millisecond, func(i int) bool {
+	if delays, missing, err = f.runUntil(time.Minute, 20*time.Millisecond, func(i int) bool {
 		s, incarnation := f.statusSeen(i, killed)
 		return i == killed || s == membership.Alive && incarnation >= minIncarnation
 	}); err != nil {
@@ -166,7 +167,7 @@
 	if err := f.run(100 * time.Millisecond); err != nil { // a leaving driver still answers messages that it has received
 		return err
 	}
-	if delays, missing, err = f.until(time.Minute, 20*time.Millisecond, func(i int) bool {
+	if delays, missing, err = f.runUntil(time.Minute, 20*time.Millisecond, func(i int) bool {
 		s, _ := f.statusSeen(i, leaving)
 		return i == leaving || s >= membership.Dead
 	}); err != nil {
@@ -185,7 +186,7 @@
 	}
 	f.resetCounts()
 	f.agents[0].discovery.drain(0, f.agents[1])
-	delays, missing, err = f.until(20*time.Second, 5*time.Millisecond, func(i int) bool { return i == 1 || f.nodes[i].Counted("drain_notices_applied") > 0 })
+	delays, missing, err = f.runUntil(20*time.Second, 5*time.Millisecond, func(i int) bool { return i == 1 || f.nodes[i].Counted("drain_notices_applied") > 0 })
 	if err != nil {
 		return err
 	}
@@ -220,9 +221,9 @@
 	}
 	partitioned = new(bool)
 	f.world.DefaultLink = func(from, to *sim.Host) (sim.Link, bool) {
-		a, known := f.driverIndex[from]
-		b, both := f.driverIndex[to]
-		if !known || !both {
+		a, fromKnown := f.driverIndex[from]
+		b, toKnown := f.driverIndex[to]
+		if !fromKnown || !toKnown {
 			return sim.Link{}, false
 		}
 		l := sim.LocalLink
@@ -260,7 +261,7 @@
 	}
 	killed := size / 3
 	f.kill(killed)
-	delays, missing, err := f.until(3*time.Minute, 20*time.Millisecond, func(i int) bool {
+	delays, missing, err := f.runUntil(3*time.Minute, 20*time.Millisecond, func(i int) bool {
 		s, _ := f.statusSeen(i, killed)
 		return s >= membership.Dead
 	})
@@ -283,7 +284,7 @@
 	for i := range f.nodes {
 		regionSize[regionOf(i)]++
 	}
-	delays, missing, err = f.until(9*time.Minute, 100*time.Millisecond, func(i int) bool { return f.nodes[i].Membership().ActiveCount() == regionSize[regionOf(i)] })
+	delays, missing, err = f.runUntil(9*time.Minute, 100*time.Millisecond, func(i int) bool { return f.nodes[i].Membership().ActiveCount() == regionSize[regionOf(i)] })
 	if err != nil {
 		return err
 	}
@@ -300,7 +301,7 @@
 	*partitioned = false
 	f.resetCounts()
 	healed := f.world.Now()
-	if delays, missing, err = f.until(5*time.Minute, 100*time.Millisecond, func(i int) bool { return f.nodes[i].Membership().ActiveCount() == size }); err != nil {
+	if delays, missing, err = f.runUntil(5*time.Minute, 100*time.Millisecond, func(i int) bool { return f.nodes[i].Membership().ActiveCount() == size }); err != nil {
 		return err
 	}
 	emit("heal_never", "drivers that do not know all 5 minutes after the regions meet", float64(missing))
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -24,13 +24,13 @@
 	maxWake     = 71 * time.Minute
 )
 
-// codes of the events, sent by the simulator
+// Codes of the events, which the simulator sends.
 const (
 	evSpawn, evList, evIncoming, evAccepted, evEnded, evAbandoned = 10, 20, 30, 40, 50, 60
 	evFired, evPong, evPeer, evDetach, evPool                     = 70, 80, 90, 100, 110
 )
 
-// codes of the acts, sent to the simulator
+// Codes of the acts, which are sent to the simulator.
 const (
 	actCloseIdle, actFault, actTell, actLog, actWatch, actProbe  = 10, 20, 30, 40, 50, 60
 	actWake, actFetch, actPushBack, actAbort, actCall, actCancel = 70, 80, 90, 100, 110, 120
@@ -76,6 +76,7 @@
 	return into
 }
 
+// outcomes maps the codes of outcomes in the protocol to the outcomes of the module.
 var outcomes = map[uint8]driver.Outcome{
 	0: driver.OK, 13: driver.Failed, 8: driver.Full, 4: driver.TimedOut, 14: driver.NoConnection,
 	10: driver.Broken, 1: driver.Cancelled, 9: driver.NotSent, 5: driver.Misdirected,
@@ -206,7 +207,7 @@
 			return errTruncated
 		}
 		if kind > 3 || kind < 3 && listNumber >= maxLists {
-			return fmt.Errorf("list kind %d, number %d", kind, listNumber)
+			return fmt.Errorf("list kind %d with list number %d, want a kind of at most 3 and a number below %d", kind, listNumber, maxLists)
 		}
 		i.list(driver.ListKind(kind), listNumber)
 	case evIncoming:
@@ -266,12 +267,12 @@
 	if kind != driver.NoList {
 		for r := (reader{rest: i.table.lists[listNumber]}); len(r.rest) > 0; {
 			m, zone, _, group := r.member(), driver.Zone(r.u16()), r.u8(), driver.Group(r.u16())
-			standing, size, startedAt := driver.MemberState(r.u8()), r.f32(), r.u64()
+			state, size, startedAt := driver.MemberState(r.u8()), r.f32(), r.u64()
 			started := driver.LongAgo
 			if startedAt != 0 {
 				started = i.sinceBase(startedAt)
 			}
-			i.module.EndpointListed(m, zone, group, standing, size, started, r.f32() == 1)
+			i.module.EndpointListed(m, zone, group, state, size, started, r.f32() == 1)
 		}
 	}
 	i.module.ListEnds(kind)
@@ -316,8 +317,8 @@
 // Now implements driver.Host.
 func (i *instance) Now() time.Duration { return i.sinceBase(i.table.clock) }
 
-// Attempt implements driver.Host. The attempt is sent at once: in this protocol, as far as repeats are concerned, an attempt
-// has reached its member once it is sent.
+// Attempt implements driver.Host. It needs no write deadline: in this protocol an attempt is sent at once, and where repeats are
+// concerned, an attempt that was sent has reached its member.
 func (i *instance) Attempt(rpc driver.RPC, to driver.Member, _, timeout time.Duration) {
 	lengthOffset := i.beginAct(actCall)
 	i.put32(uint32(rpc))
@@ -335,10 +336,10 @@
 }
 
 // PushBack implements driver.Host.
-func (i *instance) PushBack(rpc driver.RPC, comeBack time.Duration) {
+func (i *instance) PushBack(rpc driver.RPC, retryAfter time.Duration) {
 	lengthOffset := i.beginAct(actPushBack)
 	i.put32(uint32(rpc))
-	i.put32(micros(comeBack))
+	i.put32(micros(retryAfter))
 	i.endAct(lengthOffset)
 }
 
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -46,20 +46,24 @@
 	return new(frame).put(m, uint16(7000), uint16(0), uint8(0), uint16(0), uint8(1), float32(1), uint64(0), float32(0)).String()
 }
 
-func pool(number uint16, members ...uint32) string {
-	lines := ""
+// pool encodes the entries of a list, which list events refer to by its number.
+func pool(listNumber uint16, members ...uint32) string {
+	entries := ""
 	for _, m := range members {
-		lines += entry(m)
+		entries += entry(m)
 	}
-	return record(evPool, number, uint32(len(members)), lines)
+	return record(evPool, listNumber, uint32(len(members)), entries)
 }
 
-func list(id uint32, how uint8, page uint16) string { return record(evList, id, how, uint32(1), page) }
+func list(id uint32, kind uint8, listNumber uint16) string {
+	return record(evList, id, kind, uint32(1), listNumber)
+}
 
 func incoming(id, rpc uint32) string {
 	return record(evIncoming, id, rpc, uint32(0), uint16(0), uint16(0), float32(0), uint8(0), uint64(9e6), uint64(0), float32(0))
 }
 
+// acts decodes replies and returns the instance and the code of each act.
 func acts(t *testing.T, reply []byte) (found [][2]uint32) {
 	for len(reply) > 0 {
 		size, count := binary.LittleEndian.Uint32(reply), binary.LittleEndian.Uint32(reply[4:])
@@ -125,15 +129,16 @@
 	}
 }
 
+// Guards against damaged input that makes Serve panic or write a reply that cannot be decoded.
 func FuzzServe(f *testing.F) {
 	whole := batch(2000, 1, spawn(3), pool(0, 10, 11), list(3, 2, 0), incoming(3, 1)) + batch(9000, 2, record(evFired, uint32(3), uint32(0)))
 	for seed := range uint64(200) {
-		chance := pcg.New(seed)
+		random := pcg.New(seed)
 		damaged := []byte(whole)
-		for range chance.Below(4) {
-			damaged[chance.Below(len(damaged))] = byte(chance.Uint32())
+		for range random.Below(4) {
+			damaged[random.Below(len(damaged))] = byte(random.Uint32())
 		}
-		f.Add(damaged[:len(damaged)-chance.Below(20)])
+		f.Add(damaged[:len(damaged)-random.Below(20)])
 	}
 	f.Fuzz(func(t *testing.T, in []byte) {
 		var out bytes.Buffer
@@ -142,15 +147,16 @@
 	})
 }
 
+// Guards against a queue that pops values before they are due, late, or, among values of the same time, not in the order of their insertion.
 func FuzzDueOrder(f *testing.F) {
 	for seed := range uint64(20) {
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, seed uint64) {
-		chance := pcg.New(seed)
+		random := pcg.New(seed)
 		var q timerqueue.Queue[int]
 		for i := range 200 {
-			at := chance.Below(20)
+			at := random.Below(20)
 			q.Push(time.Duration(at), 1000*at+i)
 		}
 		last := -1
--- a/internal/soak/client_test.go
+++ b/internal/soak/client_test.go
@@ -34,12 +34,12 @@
 	slow                     // writes its requests in pieces
 	leaver                   // closes the connection during a request, and connects again
 	canceler                 // cancels requests, over separate connections
-	halfway                  // sends part of a request and keeps the connection open
+	partial                  // sends part of a request and keeps the connection open
 	silent                   // connects and sends no request
 	behaviorCount
 )
 
-// clientGroup is all clients of one driver.
+// clientGroup holds all clients of one driver.
 type clientGroup struct {
 	record    *record
 	address   string
@@ -76,7 +76,7 @@
 	}
 }
 
-// pause waits for a time and reports whether the run continues.
+// pause waits for the given time, or until the run ends, and reports whether the run continues.
 func (c *clientGroup) pause(span time.Duration) bool {
 	select {
 	case <-c.stop:
@@ -120,7 +120,7 @@
 	process, secret uint32
 	mutex           sync.Mutex
 	pending         []*request // requests without an answer, oldest first
-	headSince       time.Time  // time since which the first of them has been the oldest
+	headSince       time.Time  // when the first pending request became the oldest
 	answers         chan *request
 	closedByClient  bool // the client has closed the connection
 	readEnded       bool // the end of the input was reached
@@ -259,7 +259,7 @@
 		}
 		if _, err := l.socket.Write(part); err != nil {
 			c.record.mutex.Lock()
-			q.sentAt = time.Time{} // it was not sent completely, and is not checked
+			q.sentAt = time.Time{} // a request that was not sent completely is not checked
 			c.record.mutex.Unlock()
 			return q, err
 		}
@@ -308,7 +308,7 @@
 		case <-c.stop:
 		}
 		return
-	case halfway:
+	case partial:
 		text := "/* id=half,c=look,d=500,cluster=0 */ SELECT"
 		l.socket.Write(append(pgwire.AppendHead(nil, 'Q', len(text)+40), text...))
 		select {
@@ -327,7 +327,7 @@
 		}
 		q, err := l.send(pieces)
 		if err != nil {
-			<-l.ended // so that answers that have arrived are still read
+			<-l.ended // answers that have arrived are still read until then
 			return
 		}
 		switch {
--- a/internal/soak/driver_test.go
+++ b/internal/soak/driver_test.go
@@ -103,12 +103,12 @@
 	case <-p.ended:
 		t.Fatalf("the driver exited at its start: %s", strings.Join(p.log, "\n"))
 	case <-time.After(20 * time.Second):
-		t.Fatalf("the driver does not serve within 20 s")
+		t.Fatalf("the driver did not log its start within 20 s")
 	}
 	return p
 }
 
-// handleLine stores a log line and notes a request that it says was read.
+// handleLine stores a log line. If the line logs that a request was read, it marks the request as read by the driver.
 func (p *process) handleLine(r *record, line string) {
 	if _, rest, found := strings.Cut(line, "event=request id="); found {
 		id, _, _ := strings.Cut(rest, " ")
--- a/internal/soak/member_test.go
+++ b/internal/soak/member_test.go
@@ -33,12 +33,12 @@
 
 // memberFaults are the faults of one member.
 type memberFaults struct {
-	hangs          bool          // it reads requests and never answers them, until the end of the run
-	hangsFrom      time.Duration // time after the member's start at which it begins to hang
-	latency        time.Duration
-	handshakeDelay time.Duration // delay of the handshake on a third of its connections
-	truncatedPart  float64       // part of the answers of which only the first half is sent
-	resetPart      float64       // part of the requests on which it resets the connection
+	hangs             bool          // the member reads requests and never answers them
+	hangsFrom         time.Duration // time after the start of the member from which it hangs
+	latency           time.Duration
+	handshakeDelay    time.Duration // delay of the handshake on a third of its connections
+	truncatedFraction float64       // probability that only the first half of an answer is sent
+	resetFraction     float64       // probability that a request resets the connection
 }
 
 func startMember(t *testing.T, number int, r *record, faults memberFaults, rng *rand.Rand) *member {
@@ -146,7 +146,7 @@
 		c.Read(make([]byte, 1)) // until the driver closes the connection
 		return false
 	}
-	if m.drawFault(m.faults.resetPart) {
+	if m.drawFault(m.faults.resetFraction) {
 		c.(*net.TCPConn).SetLinger(0)
 		return false
 	}
@@ -162,7 +162,7 @@
 		return err == nil
 	}
 	out := m.row("value of " + id)
-	if m.drawFault(m.faults.truncatedPart) {
+	if m.drawFault(m.faults.truncatedFraction) {
 		c.Write(out[:len(out)/2])
 		c.SetReadDeadline(time.Now().Add(20 * time.Second))
 		c.Read(make([]byte, 1))
--- a/internal/soak/record_test.go
+++ b/internal/soak/record_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// requestOutcome is how a request ended for its client.
+// requestOutcome describes how a request ended for its client.
 type requestOutcome uint8
 
 const (
@@ -22,13 +22,13 @@
 	id           string
 	method       method
 	token        string
-	processIndex int // of the driver's processes, the one that the client was connected to
+	processIndex int // index of the driver process that the client was connected to
 	deadline     time.Duration
 	sentAt       time.Time // when its last byte was written
 	endedAt      time.Time
 	outcome      requestOutcome
-	answer       string // SQLSTATE of an error, "ok" or ""
-	err          error  // that ended the connection
+	answer       string // "ok", the SQLSTATE of an error, or "" without an answer
+	err          error  // cause of connectionEnded
 	attempts     []attempt
 }
 
@@ -47,9 +47,9 @@
 	mutex        sync.Mutex
 	requests     map[string]*request
 	order        []*request
-	readByDriver map[string]bool // by request ID: the driver has logged that it read the request
+	readByDriver map[string]bool // by request ID, whether the driver has logged that it read the request
 	processes    []*processTimes
-	drainNotices map[int]time.Time // by member: when the driver was notified of its drain
+	drainNotices map[int]time.Time // by member, when the driver was notified of its drain
 	unexpected   []string
 }
 
@@ -126,12 +126,12 @@
 const (
 	answerSlack     = 500 * time.Millisecond // for an answer after the deadline, which has no value but is not lost
 	attemptSlack    = 100 * time.Millisecond // for an attempt that starts after the end of its request
-	deadlineSlack   = 150 * time.Millisecond // by which the deadline sent to a member may be too long
+	deadlineSlack   = 150 * time.Millisecond // for the deadline sent to a member, which may be this much too long
 	drainGrace      = 400 * time.Millisecond // for an attempt after the driver was notified of a drain
 	schedulingSlack = 60 * time.Millisecond  // scheduling delay of the test's own goroutines
 )
 
-// violations describes each violation of the rules.
+// violations returns a description of each violation of the rules for answers, attempts, deadlines, drains and duplicates.
 func (r *record) violations(idempotencyWindow time.Duration, pause time.Duration) (all []string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -175,7 +175,7 @@
 // checkAttempts checks the attempts that members received of the request.
 func (r *record) checkAttempts(q *request, idempotencyWindow, pause time.Duration, report func(*request, string, ...any)) {
 	executions := 0
-	var firstExecuted *attempt // attempt that may have been executed
+	var firstNotRejected *attempt // first attempt that may have been executed
 	for i, a := range q.attempts {
 		if a.executed {
 			executions++
@@ -190,11 +190,11 @@
 		if noticed, ok := r.drainNotices[a.member]; ok && a.arrivedAt.Sub(noticed) > drainGrace+pause+schedulingSlack {
 			report(q, "drain: attempt %d at member %d came %v after the drain notice", i, a.member, a.arrivedAt.Sub(noticed))
 		}
-		if firstExecuted != nil && q.method.effect == "keyed" && a.arrivedAt.Sub(firstExecuted.arrivedAt) > idempotencyWindow+pause+schedulingSlack {
-			report(q, "duplicate: attempt %d came %v after the first that may have been executed, the idempotency window is %v", i, a.arrivedAt.Sub(firstExecuted.arrivedAt), idempotencyWindow)
+		if firstNotRejected != nil && q.method.effect == "keyed" && a.arrivedAt.Sub(firstNotRejected.arrivedAt) > idempotencyWindow+pause+schedulingSlack {
+			report(q, "duplicate: attempt %d came %v after the first that may have been executed, the idempotency window is %v", i, a.arrivedAt.Sub(firstNotRejected.arrivedAt), idempotencyWindow)
 		}
-		if firstExecuted == nil && !a.rejected {
-			firstExecuted = &q.attempts[i]
+		if firstNotRejected == nil && !a.rejected {
+			firstNotRejected = &q.attempts[i]
 		}
 	}
 	if executions > 1 && q.method.effect == "unsafe" {
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -41,7 +41,7 @@
 	const ms = time.Millisecond
 	s := scenario{
 		seed: seed, maxDeadline: pick(400*ms, 700*ms, 1200*ms, 2300*ms, 3000*ms, 4000*ms), idempotencyWindow: 1200 * ms, sockets: 1024, shutdowns: 2,
-		clientCounts: map[behavior]int{steady: 8, eager: 4, pipeline: 2, slow: 3, leaver: 3, canceler: 2, halfway: 2, silent: 3},
+		clientCounts: map[behavior]int{steady: 8, eager: 4, pipeline: 2, slow: 3, leaver: 3, canceler: 2, partial: 2, silent: 3},
 	}
 	hangMode := rng.IntN(3) // 0: no member hangs; 1: about a third of them; 2: all but one
 	for i := range 4 {
@@ -59,7 +59,7 @@
 			m.handshakeDelay = time.Duration(rng.IntN(1500)) * ms
 		}
 		if rng.IntN(3) == 0 {
-			m.truncatedPart, m.resetPart = 0.05, 0.05
+			m.truncatedFraction, m.resetFraction = 0.05, 0.05
 		}
 		s.memberFaults = append(s.memberFaults, m)
 	}
@@ -223,7 +223,7 @@
 		}
 	}
 	if ok == 0 && r.servingTime > 0 && len(violations) == 0 {
-		r.t.Errorf("no request was answered well")
+		r.t.Errorf("no request was answered with ok, although each process served for %v", r.servingTime)
 	}
 }
 
@@ -243,16 +243,16 @@
 	return out
 }
 
-// Random shutdowns by seed: every request that a driver has read has to get its final answer before the earliest SIGKILL, without a violation of
-// the rules for deadlines, drains and duplicates.
+// Guards against requests that a driver reads and does not answer before the earliest SIGKILL, and against violations of the rules for deadlines,
+// drains and duplicates during a shutdown. Each seed gives one random scenario.
 func TestShutdownAnswersAllBeforeTheEarliestKill(t *testing.T) {
-	abreast := make(chan struct{}, 3)
+	slots := make(chan struct{}, 3) // limits the scenarios that run at the same time
 	for i := range *seedCount {
 		seed := *firstSeed + uint64(i)
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			abreast <- struct{}{}
-			defer func() { <-abreast }()
+			slots <- struct{}{}
+			defer func() { <-slots }()
 			drawScenario(seed).play(t).report()
 		})
 	}
